--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -20,8 +20,8 @@
 	far   = vm.Instant(1 << 60)
 )
 
-// TestMain fixes rapid's seed: a run gives the same verdict as the one before.
-// The command line may name another.
+// TestMain fixes rapid's seed so that every run draws the same cases. A seed on
+// the command line takes precedence.
 func TestMain(m *testing.M) {
 	flag.Set("rapid.seed", "20261202")
 	flag.Set("rapid.checks", "1000")
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-// world is a set of gates whose time and timers a test moves by hand.
+// testGates is a set of gates with a fake clock and fake timers.
 type world struct {
 	*Gates
 	now    vm.Instant
@@ -61,7 +61,7 @@
 	return t
 }
 
-// advance moves time on and fires what falls due on the way, in order.
+// advance moves the fake clock forward by d and fires the timers that expire, in order.
 func (w *world) advance(d time.Duration) {
 	end := w.now.Add(d)
 	for {
@@ -82,12 +82,12 @@
 	w.now = end
 }
 
-// ask asks for a permit of leafA that is of use for d.
+// request requests a permit for leafA with a deadline in d.
 func (w *world) ask(d time.Duration, pr settings.Priority) (*Permit, *waiter, error) {
 	return w.askAny(d, Ask{Priority: pr}, leafA)
 }
 
-// askAny returns what the ask has at once: a permit, a refusal, or its waiter.
+// requestAny returns the immediate result: a permit, a refusal, or a queued waiter.
 func (w *world) askAny(d time.Duration, a Ask, leaves ...string) (*Permit, *waiter, error) {
 	p, x, refusal := w.Gates.ask(w.now, w.now.Add(d), w.find(nil, leaves), a)
 	if refusal != nil {
@@ -96,7 +96,7 @@
 	return p, x, nil
 }
 
-// ended returns how a wait ended, if it has.
+// outcome returns the result of the wait, and false if x is still waiting.
 func (x *waiter) ended() (grant, bool) {
 	select {
 	case r := <-x.result:
@@ -106,23 +106,24 @@
 	}
 }
 
-// teach makes the gate know a service time.
+// learnServiceTime makes leafA's gate observe one request with service time d.
 func (w *world) teach(t *testing.T, d time.Duration) {
 	t.Helper()
 	p, ok := w.TryAcquire(leafA)
 	if !ok {
-		t.Fatal("no permit to learn from")
+		t.Fatal("no permit for learning the service time")
 	}
 	w.advance(d)
 	p.Done(Answered, 0)
 }
 
-// refusalOf returns the verdict error that err must be.
+// requireRefusal returns err as a *contract.Error and fails the test unless its
+// verdict is NotRun.
 func refusalOf(t *testing.T, err error) *contract.Error {
 	t.Helper()
 	var e *contract.Error
 	if !errors.As(err, &e) || e.Verdict != contract.NotRun {
-		t.Fatalf("%v is not a refusal with verdict not_run", err)
+		t.Fatalf("got error %v, want a refusal with verdict not_run", err)
 	}
 	return e
 }
--- a/internal/admit/any_test.go
+++ b/internal/admit/any_test.go
@@ -13,11 +13,11 @@
 	"pearmoor/internal/vm"
 )
 
-// A request may go to either of two replicas, each with one slot here. It waits
-// for both, and takes the one that comes free first, not the one that looked
-// better when it came.
+// A request that may go to either of two leaves, each with one slot here, waits in
+// both queues. It must get the slot that is freed first, whichever leaf had the
+// shorter expected wait when the request arrived.
 func TestWaitsForWhicheverReplicaFreesFirst(t *testing.T) {
-	Convey("With both replicas in use", t, func() {
+	Convey("With both leaves in use", t, func() {
 		w := newWorld()
 		for _, leaf := range leaves {
 			w.Configure(leaf, Limits{Slots: 1, Queue: 8})
@@ -26,7 +26,7 @@
 		b, _ := w.TryAcquire(leaves[1])
 		_, x, _ := w.askAny(time.Second, Ask{}, leaves...)
 		_, y, _ := w.askAny(time.Second, Ask{}, leaves...)
-		Convey("the first to come back serves the first waiter", func() {
+		Convey("the first permit released goes to the first waiter", func() {
 			b.Done(Answered, 0)
 			r, ok := x.ended()
 			So(ok, ShouldBeTrue)
@@ -39,7 +39,7 @@
 			So(r.permit.gate.leaf, ShouldEqual, leaves[0])
 			So(w.Load(leaves[0]).Waiting+w.Load(leaves[1]).Waiting, ShouldBeLessThanOrEqualTo, 1)
 		})
-		Convey("one that drains does not end the wait for the other", func() {
+		Convey("a draining leaf does not end the wait for the other leaf", func() {
 			w.Drain(leaves[0], true)
 			_, ok := x.ended()
 			So(ok, ShouldBeFalse)
@@ -48,7 +48,7 @@
 			So(ok, ShouldBeTrue)
 			So(refusalOf(t, r.err).RetryAfter, ShouldBeGreaterThan, 0)
 		})
-		Convey("a hedge goes before first attempts that came earlier", func() {
+		Convey("a hedge is granted before first attempts that arrived earlier", func() {
 			_, h, _ := w.askAny(time.Minute, Ask{Hedge: true}, leaves[0])
 			a.Done(Answered, 0)
 			_, ok := h.ended()
@@ -59,8 +59,9 @@
 	})
 }
 
-// Waiters in two queues are counted once in the expected wait. If each queue
-// counted them whole, requests would be refused at half the real capacity.
+// A waiter in two queues must count as half a waiter in each. If each queue counted
+// it in full, the expected wait would double and requests would be refused at half
+// of the real capacity.
 func TestWaitersOfTwoQueuesCountOnce(t *testing.T) {
 	w := newWorld()
 	for _, leaf := range leaves {
@@ -71,16 +72,16 @@
 		w.TryAcquire(leaf)
 	}
 	for i := range 10 {
-		// Two slots, 10 ms each: the last of ten starts after about 50 ms.
+		// Two slots with a service time of 10 ms: the last of ten starts after about 50 ms.
 		_, x, _ := w.askAny(70*ms, Ask{}, leaves...)
 		if r, ended := x.ended(); ended {
-			t.Fatalf("number %d, which fits, ended with %v", i, r.err)
+			t.Fatalf("request %d, which meets its deadline, ended with %v", i, r.err)
 		}
 	}
 }
 
-// Many callers over two leaves at once, some hanging up: no slot is lost, none
-// is given twice, and nobody is forgotten in a queue.
+// Many concurrent callers use two leaves and some cancel. No slot may be lost or
+// granted twice, and no waiter may stay in a queue.
 func TestAcquireAnyUnderContention(t *testing.T) {
 	g := NewGates(vm.Now)
 	g.Fence(vm.Now().Add(time.Hour))
@@ -111,7 +112,7 @@
 	wg.Wait()
 	for _, leaf := range leaves {
 		if l := g.Load(leaf); l.InFlight != 0 || l.Waiting != 0 {
-			t.Errorf("left over at %s: %+v", leaf, l)
+			t.Errorf("permits or waiters left at %s: %+v", leaf, l)
 		}
 	}
 }
--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// Each of many callers waits for one of two slots.
+// BenchmarkAcquireQueued measures a permit that many goroutines queue for on two slots.
 func BenchmarkAcquireQueued(b *testing.B) {
 	g := openGates(2)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
@@ -56,7 +56,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := g.Acquire(context.Background(), leafA, settings.Urgent); err == nil {
-			b.Fatal("not refused")
+			b.Fatal("request was not refused")
 		}
 	}
 }
@@ -66,7 +66,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if p.Check() != nil {
-			b.Fatal("refused")
+			b.Fatal("Check refused a valid permit")
 		}
 	}
 }
--- a/internal/admit/budget.go
+++ b/internal/admit/budget.go
@@ -6,13 +6,13 @@
 	"pearmoor/internal/vm"
 )
 
-// budgetBurst is the most extra attempts that can be saved up.
+// budgetBurst is the maximum number of unspent extra attempts.
 const budgetBurst = 10
 
-// Budget bounds extra attempts, hedges or retries, by the primary ones: over
-// any time at most ratio times the primaries, plus floor a second, plus
-// budgetBurst. Only primaries earn, so a fault that makes every attempt fail
-// can't earn the means of its own amplification.
+// Budget limits extra attempts (hedges and retries) relative to primary attempts:
+// over any period at most ratio times the primaries, plus minPerSecond for each
+// second, plus budgetBurst. Extra attempts earn nothing, so when every attempt
+// fails, retries can't pay for further retries.
 type Budget struct {
 	ratio func() float64
 	floor float64
@@ -23,14 +23,15 @@
 	last   vm.Instant
 }
 
-// NewBudget returns a budget with one extra attempt saved up. ratio, extra
-// attempts per primary in 0..1, is read anew each time, and 0 shuts the budget.
-// floor, in attempts per second, lets a service of little traffic hedge.
+// NewBudget returns a budget with one extra attempt available. ratio returns the
+// allowed extra attempts per primary, in 0..1, and is called on each use; while it
+// returns 0, no extra attempt is allowed. minPerSecond is earned regardless of
+// traffic, so that a service with few requests can hedge.
 func NewBudget(ratio func() float64, floor float64, clock vm.Clock) *Budget {
 	return &Budget{ratio: ratio, floor: floor, clock: clock, tokens: 1, last: clock()}
 }
 
-// Primary counts a first attempt.
+// Primary records a first attempt.
 func (b *Budget) Primary() {
 	r := b.ratio()
 	b.mu.Lock()
@@ -38,7 +39,7 @@
 	b.mu.Unlock()
 }
 
-// Spend takes one extra attempt and reports whether the budget had it.
+// Spend takes one extra attempt from the budget and reports whether one was available.
 func (b *Budget) Spend() bool {
 	if b.ratio() <= 0 {
 		budgetDenied.Inc(1)
@@ -57,7 +58,7 @@
 	return true
 }
 
-// Refund gives back an extra attempt that was not sent.
+// Refund returns an extra attempt that was taken but not sent.
 func (b *Budget) Refund() {
 	b.mu.Lock()
 	b.tokens = min(budgetBurst, b.tokens+1)
--- a/internal/admit/doc.go
+++ b/internal/admit/doc.go
@@ -1,9 +1,10 @@
 // Package admit decides when a request may be sent to a leaf.
 //
-// Each leaf has a gate with this daemon's share of the leaf's slots. A permit
-// is one slot: it is held from before the request is written until the leaf is
-// known to be done with it. What has no permit waits in a bounded queue, or is
-// refused at once with verdict NotRun when the expected wait can't fit its
-// deadline. A fence on the boot-time clock voids every permit whose lease has
-// run out. Budgets bound hedges and retries by the primary traffic.
+// Each leaf has a gate that holds this daemon's share of the leaf's slots. A permit
+// is one slot. It is held from before the request is written until the leaf has
+// finished with it. A request without a permit waits in a bounded queue, or is
+// refused immediately with verdict NotRun if its expected wait exceeds its deadline.
+// Permits are valid only under the configuration lease they were granted under; the
+// lease is checked against the boot-time clock. Budgets limit hedges and retries in
+// proportion to primary attempts.
 package admit
--- a/internal/admit/errors.go
+++ b/internal/admit/errors.go
@@ -9,7 +9,7 @@
 	"pearmoor/internal/contract"
 )
 
-// Causes of refusals.
+// Causes of refusals. Each is the cause of a *contract.Error with verdict NotRun.
 var (
 	ErrNoShare     = errors.New("this daemon holds no share of the leaf's slots")
 	ErrQueueFull   = errors.New("the queue for the leaf is full")
@@ -18,11 +18,12 @@
 	ErrUnconfirmed = errors.New("the daemon's lease has run out")
 )
 
-// retryJitter spreads callers that were refused together over a quarter more time.
+// retryJitter is the maximum fraction added to a retry delay, so that callers
+// refused together do not return together.
 const retryJitter = 0.25
 
 const (
-	noShareRetry     = 100 * time.Millisecond // a new view follows a lost share
+	noShareRetry     = 100 * time.Millisecond // a view with new shares follows the loss of a share
 	unconfirmedRetry = time.Second            // the interval of lease renewals
 )
 
@@ -48,7 +49,7 @@
 	return e
 }
 
-// jitter returns d lengthened by up to retryJitter.
+// jitter returns d plus a random part of up to retryJitter times d.
 func jitter(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Float64()*retryJitter*float64(d))
 }
--- a/internal/admit/estimate.go
+++ b/internal/admit/estimate.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// ewmaShift makes a sample weigh 1/16: 1% of attempts being 20 times slow
-	// then moves the mean by little, and a lasting change is learnt in some tens.
+	// ewmaShift gives a sample a weight of 1/16: if 1% of attempts take 20 times as
+	// long, the mean changes little, and a lasting change shows after some tens of samples.
 	ewmaShift = 4
-	// clipFactor bounds one sample to a multiple of the mean, so that a single
-	// straggler does not make the gate refuse the requests after it.
+	// clipFactor limits one sample to a multiple of the mean, so that a single
+	// straggler does not cause the following requests to be refused.
 	clipFactor = 4
 )
 
@@ -23,9 +23,9 @@
 	e.mean = max(1, e.mean+(d-e.mean)>>ewmaShift)
 }
 
-// residual is how much longer a request is expected to run that has run for
-// elapsed: the rest of the mean, and past it as long as it has run so far,
-// because what is late by an unknown cause stays late.
+// residual returns the expected remaining time of a request that has run for
+// elapsed: the rest of the mean, or elapsed again once the mean has passed, because
+// a request that is late for an unknown reason is likely to stay late.
 func (e *ewma) residual(elapsed time.Duration) time.Duration {
 	if elapsed < e.mean {
 		return e.mean - elapsed
--- a/internal/admit/fence.go
+++ b/internal/admit/fence.go
@@ -7,13 +7,13 @@
 	"pearmoor/internal/vm"
 )
 
-// fence is the end of the daemon's lease with a generation that grows each time
-// the lease had lapsed before it was renewed.
+// lease is the end of the daemon's configuration lease and a generation, which is
+// incremented when the lease is renewed after it had expired.
 //
-// The failure: a daemon is paused holding a permit, its lease runs out, another
-// daemon is given the slot, and the first resumes and is granted a new lease.
-// Its old permit would send a request beyond the leaf's slots. The generation
-// makes such a permit void although the new lease covers the present.
+// The generation guards against this failure: a daemon is paused while it holds a
+// permit, its lease expires, another daemon is given the slot, and the first daemon
+// resumes and gets a new lease. Its old permit would send one request more than the
+// leaf has slots. The old generation makes the permit invalid under the new lease.
 type fence struct {
 	mu    sync.Mutex
 	until atomic.Int64
@@ -31,8 +31,9 @@
 
 func (f *fence) end() vm.Instant { return vm.Instant(f.until.Load()) }
 
-// open reports whether the lease of generation gen covers now. The generation
-// is read after the instant, so a renewal in between can't revive an old permit.
+// valid reports whether the lease of the given generation covers now. The caller
+// reads the clock before the generation is loaded, so a renewal in between can't
+// make an old permit valid.
 func (f *fence) open(gen uint64, now vm.Instant) bool {
 	return now < f.end() && f.gen.Load() == gen
 }
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -18,23 +18,23 @@
 
 	mu       sync.Mutex
 	limits   Limits
-	flying   []*Permit // permits out
-	over     bool      // more are out than the share allows
-	draining bool      // the leaf is leaving
+	flying   []*Permit // permits granted and not yet released
+	over     bool      // len(inFlight) exceeds the share
+	draining bool      // the leaf is shutting down
 	queue    queue
-	standing vm.Instant    // since when the queue has not been empty; 0: it is
-	stalled  time.Duration // stalls of the process before that
-	service  ewma          // how long a permit is held
+	standing vm.Instant    // start of the period without an empty queue; 0: the queue is empty
+	stalled  time.Duration // stall time of the process up to nonEmptySince
+	service  ewma          // how long permits are held
 	health   health
 	hint     hint
 	timer    stopper
 	timerAt  vm.Instant
 }
 
-// never is the deadline of a request that has none.
+// noDeadline is the deadline of a request whose context has none.
 const never = vm.Instant(math.MaxInt64)
 
-// configure applies l and reports whether the gate may be forgotten.
+// configure sets the limits and reports whether the gate can be removed.
 func (g *gate) configure(l Limits) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -80,8 +80,8 @@
 	}
 }
 
-// start returns a permit if one is free now, nobody waits for it, and a request
-// that starts now can end by deadline.
+// tryStart returns a permit if one is free, no request is queued, and a request
+// that starts now is expected to end by deadline. Otherwise it returns nil.
 func (g *gate) start(now, deadline vm.Instant) *Permit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -94,7 +94,7 @@
 	return g.grant(now)
 }
 
-// enqueue lets w wait here, or refuses it.
+// enqueue adds w to the queue or refuses it.
 func (g *gate) enqueue(now vm.Instant, w *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,7 +114,7 @@
 	g.dispatch(now)
 }
 
-// drop takes out a waiter that has ended elsewhere.
+// removeWaiter removes a waiter that was claimed elsewhere or has given up.
 func (g *gate) drop(w *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// deadlineOf converts ctx's deadline to the boot-time clock.
+// bootDeadline converts ctx's deadline to the boot-time clock.
 func deadlineOf(ctx context.Context, now vm.Instant) vm.Instant {
 	d, ok := ctx.Deadline()
 	if !ok {
@@ -133,12 +133,13 @@
 	return now.Add(time.Until(d))
 }
 
-// fits reports whether a request that waits and then runs ends by its deadline.
+// meetsDeadline reports whether a request that waits and then runs for the mean
+// service time ends by its deadline.
 func fits(now vm.Instant, wait, service time.Duration, deadline vm.Instant) bool {
 	return now.Add(wait+service) <= deadline
 }
 
-// closed returns why nothing at all is let through, or nil.
+// closedError returns the refusal if the gate admits no request at all, nil if it is open.
 func (g *gate) closed(now vm.Instant) *contract.Error {
 	if now >= g.set.fence.end() {
 		refusedUnconfirmed.Inc(1)
@@ -155,8 +156,8 @@
 	return nil
 }
 
-// tryAcquire leaves a failing leaf alone: a hedge is not the request to find
-// out whether it has recovered.
+// tryAcquire returns no permit while the leaf is failing: the probe that tests for
+// recovery must be a first attempt and not a hedge.
 func (g *gate) tryAcquire() (*Permit, bool) {
 	now := g.set.clock()
 	g.mu.Lock()
@@ -194,8 +195,9 @@
 	}
 }
 
-// learn updates the estimate and the health. What ended otherwise than by a
-// reply is known to take at least as long as it did, so it only raises the mean.
+// recordOutcome updates the service time estimate and the leaf's health. For an
+// attempt that ended without a reply, the time held is only a lower bound of the
+// service time, so it may raise the mean but not lower it.
 func (g *gate) learn(now vm.Instant, o Outcome, held, retryAfter time.Duration) {
 	switch o {
 	case Answered:
@@ -213,14 +215,15 @@
 	}
 }
 
+// recordLowerBound adds held to the estimate if it exceeds the mean service time.
 func (g *gate) censored(held time.Duration) {
 	if g.service.mean > 0 && held > g.service.mean {
 		g.service.add(held)
 	}
 }
 
-// dispatch refuses waiters whose expected wait has come not to fit, and grants
-// to the others as far as there is room.
+// dispatch refuses the waiters whose expected wait no longer meets their deadline
+// and grants permits to the others while requests may start.
 func (g *gate) dispatch(now vm.Instant) {
 	g.queue.prune()
 	if g.queue.len() == 0 {
@@ -245,10 +248,10 @@
 	g.arm(now)
 }
 
-// arm sets the timer for the next moment at which something changes without an
-// event: a block ends, a permit that was expected back has not come, a waiter's
-// latest start passes, the lease ends. A timer that is set for earlier stays;
-// it finds nothing to do and sets the next.
+// armTimer sets the timer for the next change that no event reports: a backoff or
+// pause ends, an expected permit was not released, a waiter's latest start time
+// passes, or the lease ends. A timer that is already set for an earlier time is
+// kept; when it fires, dispatch sets the next one.
 func (g *gate) arm(now vm.Instant) {
 	if g.queue.len() == 0 {
 		return
@@ -266,7 +269,7 @@
 				at = min(at, w.deadline.Add(1-g.service.mean))
 			}
 			if !w.Hedge {
-				break // the first after the hedges has the earliest deadline
+				break // the first waiter after the hedges has the earliest deadline
 			}
 		}
 	}
@@ -280,12 +283,12 @@
 	g.timer = g.set.after(max(at.Sub(now), minTimer), g.poll)
 }
 
-// minTimer keeps a timer that the wall and the boot-time clock see differently
-// from spinning.
+// minTimerDelay prevents a busy loop when the timer's clock runs ahead of the
+// boot-time clock.
 const minTimer = 100 * time.Microsecond
 
-// poll looks at the gate again when its timer fires. Timers of a paused process
-// fire late and together, so what to do is decided by the clock alone.
+// onTimer dispatches when the timer fires. Timers of a paused process fire late and
+// together, so dispatch decides by the clock and not by which timer fired.
 func (g *gate) poll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/admit/gate_test.go
+++ b/internal/admit/gate_test.go
@@ -13,22 +13,22 @@
 	"pearmoor/internal/vm"
 )
 
-// A caller under overload sees its refusal at once, with when to come back. The
-// leaf has one slot here and takes 10 ms; ten requests wait, each with 115 ms;
-// the eleventh has 118 ms. It would end after 120 ms, which is known when it
-// comes, so it must not be held until its deadline to find out.
+// The leaf has one slot here and a service time of 10 ms. Ten requests with a
+// deadline of 115 ms are queued, and the eleventh has 118 ms but would end after
+// 120 ms. It must be refused immediately, with a retry time, instead of waiting
+// until its deadline.
 func TestRefusesAtOnceWhatCannotFit(t *testing.T) {
 	w := newWorld()
 	w.Configure(leafA, Limits{Slots: 1, Queue: 64})
 	w.teach(t, 10*ms)
 	if _, ok := w.TryAcquire(leafA); !ok {
-		t.Fatal("no first permit")
+		t.Fatal("first permit was not granted")
 	}
 	var queued []*waiter
 	for range 10 {
 		_, x, _ := w.ask(115*ms, settings.Ordinary)
 		if x == nil {
-			t.Fatal("one that fits was not queued")
+			t.Fatal("a request that meets its deadline was not queued")
 		}
 		queued = append(queued, x)
 	}
@@ -36,7 +36,7 @@
 	_, x, _ := w.ask(118*ms, settings.Ordinary)
 	r, ok := x.ended()
 	if !ok || w.now != before {
-		t.Fatal("it was not refused at once")
+		t.Fatal("request was not refused immediately")
 	}
 	e := refusalOf(t, r.err)
 	if e.Reason != contract.ReasonOverload || e.RetryAfter < 2 {
@@ -44,23 +44,23 @@
 	}
 	for i, x := range queued {
 		if r, ok := x.ended(); ok {
-			t.Fatalf("number %d, which fits, ended with %v", i, r.err)
+			t.Fatalf("request %d, which meets its deadline, ended with %v", i, r.err)
 		}
 	}
-	// One of a query that ranks higher stays: all homes shed the lowest.
+	// A query with a higher ShedRank stays: all home daemons shed the lowest rank.
 	_, x, _ = w.askAny(118*ms, Ask{Order: 1}, leafA)
 	if _, ok := x.ended(); ok {
-		t.Fatal("a query was shed before one of lower order")
+		t.Fatal("a query was shed before one of lower rank")
 	}
 	if w.get(leafA).queue.len() != len(queued) {
-		t.Fatal("none was shed in its place")
+		t.Fatal("no query of lower rank was shed")
 	}
 }
 
-// A leaf hangs with this daemon's only permit, while one waits with 200 ms. The
-// longer the permit is overdue, the longer it is expected to stay out, so the
-// waiter is refused about halfway to its deadline, while it can still be told
-// elsewhere, and not at the deadline.
+// A leaf hangs while it holds this daemon's only permit, and a request waits with a
+// deadline of 200 ms. The expected remaining time grows with the time the permit is
+// overdue, so the waiter must be refused about halfway to its deadline, while the
+// caller still has time to go elsewhere.
 func TestRefusesWaitersOfHungLeafBeforeTheirDeadline(t *testing.T) {
 	w := newWorld()
 	w.Configure(leafA, Limits{Slots: 1, Queue: 64})
@@ -75,8 +75,9 @@
 	refusalOf(t, r.err)
 }
 
-// Shares shrink while requests are in flight: a daemon must withhold, not
-// cancel, and must not say that it respects the smaller share before it does.
+// The share shrinks while requests are in flight. The daemon must withhold new
+// permits without cancelling requests, and must not report that it is within the
+// smaller share before it is.
 func TestShrinkingWithholds(t *testing.T) {
 	Convey("With two in flight, the share goes from 2 to 1", t, func() {
 		w := newWorld()
@@ -95,7 +96,7 @@
 		r, granted := x.ended()
 		So(granted, ShouldBeTrue)
 		So(r.permit, ShouldNotBeNil)
-		Convey("and to 0: what waits is refused, and the gate is forgotten once empty", func() {
+		Convey("and to 0: waiting requests are refused, and the gate is removed once it is unused", func() {
 			_, y, _ := w.ask(time.Second, settings.Urgent)
 			w.Configure(leafA, Limits{})
 			r2, ended := y.ended()
@@ -109,11 +110,11 @@
 	})
 }
 
-// The daemon is paused holding a permit. Its lease runs out, another daemon is
-// given the slot, the first resumes and gets a new lease before it goes on to
-// write. Its old permit must not pass, else the leaf has one too many.
+// A daemon is paused while it holds a permit. Its lease expires, another daemon is
+// given the slot, and the first daemon gets a new lease before it writes the
+// request. The old permit must stay invalid, or the leaf gets one request too many.
 func TestPermitFromBeforeALapseStaysVoid(t *testing.T) {
-	Convey("A permit from before the lease lapsed", t, func() {
+	Convey("A permit granted before the lease expired stays invalid", t, func() {
 		w := newWorld()
 		w.Fence(w.now.Add(6 * time.Second))
 		w.Configure(leafA, Limits{Slots: 2, Queue: 4})
@@ -125,7 +126,7 @@
 		So(ok, ShouldBeFalse)
 		w.Fence(w.now.Add(6 * time.Second))
 		So(errors.Is(p.Check(), ErrUnconfirmed), ShouldBeTrue)
-		Convey("while one from after it, and one whose lease was renewed in time, pass", func() {
+		Convey("while a permit granted under the new lease stays valid across renewals in time", func() {
 			q, ok := w.TryAcquire(leafA)
 			So(ok, ShouldBeTrue)
 			w.advance(5 * time.Second)
@@ -136,7 +137,7 @@
 	})
 }
 
-// What waits when the lease runs out is refused then, not at its deadline.
+// Waiters must be refused when the lease expires, not at their own deadlines.
 func TestWaitersAreRefusedWhenTheLeaseRunsOut(t *testing.T) {
 	w := newWorld()
 	w.Fence(w.now.Add(time.Second))
@@ -146,12 +147,12 @@
 	w.advance(time.Second)
 	r, ok := x.ended()
 	if !ok || !errors.Is(r.err, ErrUnconfirmed) {
-		t.Fatalf("ended %v with %v", ok, r.err)
+		t.Fatalf("ended: %v, error %v", ok, r.err)
 	}
 }
 
-// A leaf says that it leaves: nothing new may start, neither what comes nor
-// what already waits, while what is in flight goes on.
+// A leaf reports that it is draining. No new or queued request may start, and
+// requests in flight must continue.
 func TestDrainingLeafTakesNothingNew(t *testing.T) {
 	Convey("A draining leaf", t, func() {
 		w := newWorld()
@@ -166,7 +167,7 @@
 		p.Done(Answered, 0)
 		_, ok = w.TryAcquire(leafA)
 		So(ok, ShouldBeFalse)
-		Convey("stays shut when its share goes and comes back", func() {
+		Convey("stays closed when its share is removed and restored", func() {
 			w.Configure(leafA, Limits{})
 			w.Configure(leafA, Limits{Slots: 1, Queue: 4})
 			_, ok = w.TryAcquire(leafA)
@@ -178,8 +179,8 @@
 	})
 }
 
-// A flood of ordinary requests fills the queue. An urgent one takes the place
-// of the last of them, which is told so at once.
+// Ordinary requests fill the queue. An urgent request must displace the one with
+// the latest deadline, which is refused immediately.
 func TestUrgentTakesAPlaceInAFullQueue(t *testing.T) {
 	w := newWorld()
 	w.Configure(leafA, Limits{Slots: 1, Queue: 2})
@@ -188,23 +189,23 @@
 	_, last, _ := w.ask(time.Minute, settings.Ordinary)
 	_, third, _ := w.ask(time.Second, settings.Ordinary)
 	if r, ok := third.ended(); !ok || !errors.Is(r.err, ErrQueueFull) {
-		t.Fatalf("a third ordinary request: ended %v, %v", ok, r.err)
+		t.Fatalf("third ordinary request: ended %v, error %v", ok, r.err)
 	}
 	_, urgent, err := w.ask(time.Second, settings.Urgent)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r, ok := last.ended(); !ok || !errors.Is(r.err, ErrQueueFull) {
-		t.Fatalf("the last ordinary request: ended %v, %v", ok, r.err)
+		t.Fatalf("ordinary request with the latest deadline: ended %v, error %v", ok, r.err)
 	}
 	p.Done(Answered, 0)
 	if r, ok := urgent.ended(); !ok || r.permit == nil {
-		t.Fatal("the urgent request was not next")
+		t.Fatal("the urgent request was not granted next")
 	}
 }
 
-// A caller hangs up while it waits, at the moment its permit comes. The permit
-// must go to the next, or the leaf's slot would be lost to this daemon for good.
+// A caller cancels while its permit is being granted. The permit must go to the
+// next waiter, or this daemon loses the slot permanently.
 func TestCallerLeavingLosesNoPermit(t *testing.T) {
 	g := NewGates(vm.Now)
 	g.Fence(vm.Now().Add(time.Hour))
@@ -227,15 +228,15 @@
 		<-done
 	}
 	if l := g.Load(leafA); l.InFlight != 0 || l.Waiting != 0 {
-		t.Fatalf("left over: %+v", l)
+		t.Fatalf("permits or waiters left: %+v", l)
 	}
 }
 
-// A queue has stood for five seconds: it is overload, not a burst. A request
-// that would just fit when it comes is likely to be pushed back, so it is told
-// at once and not after it has waited; the same request in a burst is let wait.
+// The queue has not been empty for five seconds, which is overload and not a burst.
+// A request that would just meet its deadline is likely to be delayed further, so it
+// must be refused on arrival. In a burst the same request must be queued.
 func TestOverloadLeavesAMargin(t *testing.T) {
-	Convey("Fourteen wait for a slot of 10 ms, and one comes with 305 ms", t, func() {
+	Convey("Fourteen requests are queued for a slot with a service time of 10 ms, and one arrives with a deadline of 305 ms", t, func() {
 		w := newWorld()
 		w.Configure(leafA, Limits{Slots: 1, Queue: 64})
 		w.teach(t, 10*ms)
@@ -245,12 +246,12 @@
 		}
 		gt := w.get(leafA)
 		So(gt.queue.len(), ShouldEqual, 14)
-		Convey("in a burst it waits", func() {
+		Convey("in a burst it is queued", func() {
 			_, x, _ := w.ask(305*ms, settings.Ordinary)
 			_, ended := x.ended()
 			So(ended, ShouldBeFalse)
 		})
-		Convey("in a queue that has stood for long it is refused at once", func() {
+		Convey("in a queue that has been non-empty for long it is refused immediately", func() {
 			gt.standing = w.now.Add(-5 * time.Second)
 			_, x, _ := w.ask(305*ms, settings.Ordinary)
 			r, ended := x.ended()
--- a/internal/admit/gates.go
+++ b/internal/admit/gates.go
@@ -12,37 +12,37 @@
 	"pearmoor/internal/vm"
 )
 
-// Limits is what a gate may let through.
+// Limits configures a leaf's gate.
 type Limits struct {
-	Slots int           // this daemon's share of the leaf's slots; 0 lets nothing through
-	Queue int           // most waiting requests
-	Ramp  time.Duration // slow start after Gates.Ramp or a recovery; 0 means none
+	Slots int           // this daemon's share of the leaf's slots; 0 admits nothing
+	Queue int           // maximum number of waiting requests
+	Ramp  time.Duration // duration of the slow start after Gates.StartRamp or a recovery; 0 disables it
 }
 
-// Gates holds one gate per leaf. A leaf is named by its address
-// (settings.Leaf.Addr), which is what its slots belong to.
+// Gates holds one gate per leaf. A leaf is identified by its address
+// (settings.Leaf.Addr), because its slots belong to the address.
 type Gates struct {
 	clock  vm.Clock
 	after  afterFunc
 	fence  fence
 	stalls stalls
-	over   atomic.Int64 // gates with more in flight than their share
+	over   atomic.Int64 // number of gates with more requests in flight than their share
 
 	mu       sync.RWMutex
 	byID     map[string]*gate
-	draining map[string]bool // also of leaves that have no gate at present
+	draining map[string]bool // includes leaves that have no gate
 }
 
 // stopper stops a timer; see time.Timer.Stop.
 type stopper interface{ Stop() bool }
 
-// afterFunc runs f after d; see time.AfterFunc.
+// afterFunc calls f after d; see time.AfterFunc.
 type afterFunc func(d time.Duration, f func()) stopper
 
 func realAfter(d time.Duration, f func()) stopper { return time.AfterFunc(d, f) }
 
-// NewGates returns gates that let nothing through until Configure has given a
-// leaf its share and Fence has named the end of the lease.
+// NewGates returns gates that admit nothing until Configure has set a leaf's share
+// and SetLeaseEnd the end of the lease.
 func NewGates(clock vm.Clock) *Gates {
 	return newGates(clock, realAfter)
 }
@@ -51,9 +51,9 @@
 	return &Gates{clock: clock, after: after, byID: make(map[string]*gate), draining: make(map[string]bool)}
 }
 
-// Configure sets a leaf's limits. A smaller share cancels nothing: new permits
-// are withheld until fewer are in flight. With no slots left, waiting requests
-// are refused and the gate is forgotten when its last permit comes back.
+// Configure sets a leaf's limits. A smaller share cancels nothing: new permits are
+// withheld until fewer requests are in flight. With a share of 0, waiting requests
+// are refused and the gate is removed when its last permit is released.
 func (g *Gates) Configure(leaf string, l Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// forget drops a gate that has no share and nothing in flight.
+// removeIfUnused removes a gate that has no share and nothing in flight.
 func (g *Gates) forget(gt *gate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -85,18 +85,18 @@
 	return g.byID[leaf]
 }
 
-// Acquire waits for a permit of one leaf; see AcquireAny.
+// Acquire waits for a permit for one leaf; see AcquireAny.
 func (g *Gates) Acquire(ctx context.Context, leaf string, pr settings.Priority) (*Permit, error) {
 	p, _, err := g.AcquireAny(ctx, []string{leaf}, Ask{Priority: pr})
 	return p, err
 }
 
-// AcquireAny waits for a permit of whichever leaf has one first, in the order
-// given if several have one now, and returns the index of that leaf. Leaves
-// without a share here are skipped. It fails with a *contract.Error of verdict
-// NotRun when all leaves refuse: at once when the expected wait or the queue
-// can't take the request before ctx's deadline, later only when that comes to
-// light while waiting.
+// AcquireAny waits for a permit for any of the leaves and returns the index of its
+// leaf. If several leaves have a free permit, the first in the given order is used.
+// Leaves without a share on this daemon are skipped. AcquireAny fails with a
+// *contract.Error of verdict NotRun when all leaves refuse: immediately if the
+// queue is full or the expected wait exceeds ctx's deadline, and later if either
+// becomes true while the request waits.
 func (g *Gates) AcquireAny(ctx context.Context, leaves []string, a Ask) (p *Permit, at int, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, 0, contract.Refuse(contract.ReasonDeadline, err)
@@ -116,7 +116,7 @@
 	return p, slices.Index(gates, p.gate), nil
 }
 
-// find appends the gate of each leaf, nil for one without a share.
+// gatesOf appends the gate of each leaf to gates, nil for a leaf without a share.
 func (g *Gates) find(gates []*gate, leaves []string) []*gate {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
@@ -126,7 +126,7 @@
 	return gates
 }
 
-// ask returns a permit, a refusal, or the waiter that will get one of them.
+// startOrEnqueue returns a permit, a refusal, or the waiter that will receive one of them.
 func (g *Gates) ask(now, deadline vm.Instant, gates []*gate, a Ask) (*Permit, *waiter, *contract.Error) {
 	known := 0
 	for _, gt := range gates {
@@ -151,7 +151,7 @@
 	return nil, w, nil
 }
 
-// TryAcquire returns a permit only if one is free now and nobody waits for it.
+// TryAcquire returns a permit only if one is free and no request is queued for it.
 func (g *Gates) TryAcquire(leaf string) (*Permit, bool) {
 	gt := g.get(leaf)
 	if gt == nil {
@@ -160,7 +160,7 @@
 	return gt.tryAcquire()
 }
 
-// Load describes a leaf's gate for the choice between replicas.
+// Load returns the state of a leaf's gate, which callers use to choose between leaves.
 func (g *Gates) Load(leaf string) Load {
 	gt := g.get(leaf)
 	if gt == nil {
@@ -169,20 +169,20 @@
 	return gt.load()
 }
 
-// Respected reports whether no gate has more in flight than its share, so that
-// a smaller share may be acknowledged.
+// WithinLimits reports whether no gate has more requests in flight than its share.
+// A smaller share may be acknowledged only then.
 func (g *Gates) Respected() bool { return g.over.Load() == 0 }
 
-// Ramp begins a slow start: the leaf is new, or says that it is starting, or
-// has come back.
+// StartRamp begins a slow start for a leaf that is new, reports that it is starting,
+// or has recovered.
 func (g *Gates) Ramp(leaf string) {
 	if gt := g.get(leaf); gt != nil {
 		gt.beginRamp()
 	}
 }
 
-// Drain shuts a leaf's gate while on: the leaf is leaving. What is in flight
-// goes on; what waits is refused.
+// SetDraining closes a leaf's gate while draining is set. Requests in flight
+// continue; waiting requests are refused.
 func (g *Gates) Drain(leaf string, on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -196,7 +196,8 @@
 	}
 }
 
-// Answered returns how long ago the leaf last replied to a request.
+// SinceLastReply returns the time since the leaf last replied to a request, and
+// false if it has not replied yet.
 func (g *Gates) Answered(leaf string) (time.Duration, bool) {
 	gt := g.get(leaf)
 	if gt == nil {
@@ -205,18 +206,19 @@
 	return gt.answered()
 }
 
-// Hint passes on the load that a leaf reported. It lags and may mislead, so it
-// only weighs on Load.Wait, by at most hintWeight, and fades with its age.
+// ReportLoad records the load that a leaf reported. The report may be late or wrong,
+// so it affects only Load.ExpectedWait, by at most loadReportWeight of a service
+// time, and its effect decreases with its age.
 func (g *Gates) Hint(leaf string, inFlight, slots int) {
 	if gt := g.get(leaf); gt != nil {
 		gt.setHint(inFlight, slots)
 	}
 }
 
-// Fence names the instant at which the daemon's lease ends. No permit is handed
-// out or passes Check at or after it. A caller with a new view calls Configure
-// for every leaf first and Fence last. Permits from before a lapse stay void
-// when a later fence is set: another daemon may hold their slots by then.
+// SetLeaseEnd sets the end of the daemon's lease. From that instant on no permit is
+// granted or passes Check. To apply a new view, call Configure for every leaf first
+// and SetLeaseEnd last. Permits granted before the lease expired stay invalid after
+// a renewal, because another daemon may hold their slots by then.
 func (g *Gates) Fence(until vm.Instant) {
 	g.fence.set(until, g.clock())
 }
--- a/internal/admit/health.go
+++ b/internal/admit/health.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	failThreshold = 3 // failures in a row that put a leaf into backoff
+	failThreshold = 3 // consecutive failures that put a leaf into backoff
 	backoffBase   = 100 * time.Millisecond
 	backoffMax    = 5 * time.Second
-	pauseBase     = 20 * time.Millisecond // after a refusal that names no time
-	pauseMax      = 10 * time.Second      // a leaf's word can't keep it idle for longer
-	rampFloor     = 0.1                   // share of the full rate with which a slow start begins
+	pauseBase     = 20 * time.Millisecond // after a refusal without a retry time
+	pauseMax      = 10 * time.Second      // bounds the retry time that a leaf can ask for
+	rampFloor     = 0.1                   // fraction of the full rate at which a slow start begins
 )
 
-// health is what attempts, not health endpoints, have shown of a leaf.
+// health is the state of a leaf as observed from attempts, not from health checks.
 type health struct {
-	failures   int        // in a row
-	refusals   int        // in a row, without a time to come back
+	failures   int
+	refusals   int        // without a retry time
 	retryAt    vm.Instant // end of the backoff
-	pauseUntil vm.Instant // end of the pause a refusal asked for
+	pauseUntil vm.Instant // end of the pause after a refusal
 	ramping    bool
 	rampFrom   vm.Instant
-	nextStart  vm.Instant // pacing during a slow start
-	lastAnswer vm.Instant // 0: none yet
+	nextStart  vm.Instant // earliest next start during a slow start
+	lastAnswer vm.Instant // 0: no reply yet
 }
 
 func (h *health) failing() bool { return h.failures >= failThreshold }
 
-// blocked is how long nothing may start.
+// blockedFor returns how long no request may start.
 func (h *health) blocked(now vm.Instant) time.Duration {
 	until := h.pauseUntil
 	if h.failing() {
@@ -50,8 +50,8 @@
 	}
 }
 
-// refused pauses the leaf for the time it asked for, or for a growing one,
-// bounded, with jitter so that its homes do not come back together.
+// recordRefusal pauses the leaf for the time it asked for, or for an exponentially
+// growing time, up to pauseMax. Jitter keeps its home daemons from returning together.
 func (h *health) refused(now vm.Instant, retryAfter time.Duration) {
 	h.failures = 0
 	d := retryAfter
@@ -63,8 +63,8 @@
 	h.pauseUntil = max(h.pauseUntil, now.Add(d))
 }
 
-// failed backs off from a leaf that keeps failing. After the backoff one
-// request is let through, and its outcome ends the backoff or doubles it.
+// recordFailure starts a backoff after failThreshold consecutive failures. After the
+// backoff one request is admitted, whose outcome ends the backoff or doubles it.
 func (h *health) failed(now vm.Instant) {
 	h.failures++
 	if h.failing() {
@@ -73,7 +73,7 @@
 	}
 }
 
-// doubled returns base doubled n times, at most limit.
+// exponential returns base doubled n times, at most limit.
 func doubled(base time.Duration, n int, limit time.Duration) time.Duration {
 	for ; n > 0 && base < limit; n-- {
 		base *= 2
@@ -87,7 +87,7 @@
 	h.nextStart = now
 }
 
-// fraction is the part of the full rate allowed now.
+// rateFraction returns the fraction of the full rate that is allowed now.
 func (h *health) fraction(now vm.Instant, ramp time.Duration) float64 {
 	if !h.ramping {
 		return 1
@@ -100,8 +100,8 @@
 	return max(rampFloor, float64(gone)/float64(ramp))
 }
 
-// started paces a slow start: with a share of one slot concurrency can't be
-// lowered, so the time between starts is lengthened instead.
+// recordStart spaces out starts during a slow start: the concurrency of a share of
+// one slot can't be reduced, so the interval between starts is increased instead.
 func (h *health) started(now vm.Instant, period time.Duration) {
 	if h.ramping {
 		h.nextStart = now.Add(period)
--- a/internal/admit/health_test.go
+++ b/internal/admit/health_test.go
@@ -9,8 +9,8 @@
 	"pearmoor/internal/settings"
 )
 
-// A leaf refuses with a time to come back. Nothing is sent to it until then, no
-// longer than the bound whatever it says, and homes do not return in step.
+// A leaf refuses with a retry time. Nothing may be sent to it until then, but for no
+// longer than pauseMax, and jitter must keep home daemons from returning together.
 func TestRefusalPausesTheLeaf(t *testing.T) {
 	Convey("After a refusal", t, func() {
 		w := newWorld()
@@ -20,7 +20,7 @@
 			So(ok, ShouldBeTrue)
 			p.Done(Refused, after)
 		}
-		Convey("with a time, the leaf rests for it and at most a quarter more", func() {
+		Convey("with a retry time, the leaf is paused for that time and at most a quarter more", func() {
 			refuse(2 * time.Second)
 			w.advance(2*time.Second - 1)
 			_, ok := w.TryAcquire(leafA)
@@ -29,13 +29,13 @@
 			_, ok = w.TryAcquire(leafA)
 			So(ok, ShouldBeTrue)
 		})
-		Convey("with an absurd time, it rests no longer than the bound", func() {
+		Convey("with a very long retry time, the pause does not exceed the bound", func() {
 			refuse(24 * time.Hour)
 			w.advance(pauseMax + pauseMax/4)
 			_, ok := w.TryAcquire(leafA)
 			So(ok, ShouldBeTrue)
 		})
-		Convey("with none, the rest grows, and an answer ends its growth", func() {
+		Convey("without a retry time, the pause doubles, and a reply resets it", func() {
 			refuse(0)
 			first := w.get(leafA).health.blocked(w.now)
 			So(first, ShouldBeBetweenOrEqual, pauseBase, pauseBase*5/4)
@@ -48,7 +48,7 @@
 			refuse(0)
 			So(w.get(leafA).health.blocked(w.now), ShouldBeLessThanOrEqualTo, pauseBase*5/4)
 		})
-		Convey("what can't wait so long is refused at once, what can waits", func() {
+		Convey("a request that can't wait that long is refused immediately, others are queued", func() {
 			refuse(time.Second)
 			_, x, _ := w.ask(500*ms, settings.Urgent)
 			r, ok := x.ended()
@@ -63,8 +63,8 @@
 	})
 }
 
-// A leaf fails three times in a row. Daemons that went on at full rate would
-// lose every request sent there; instead one request at a time finds out.
+// A leaf fails three times in a row. At the full rate every request sent to it would
+// be lost, so only one request at a time may probe it.
 func TestFailingLeafIsProbedByOneRequest(t *testing.T) {
 	Convey("A leaf that keeps failing", t, func() {
 		w := newWorld()
@@ -88,11 +88,11 @@
 		So(ended, ShouldBeFalse)
 		_, hedged := w.TryAcquire(leafA)
 		So(hedged, ShouldBeFalse)
-		Convey("fails again: the backoff doubles", func() {
+		Convey("the probe fails: the backoff doubles", func() {
 			r.permit.Done(Failed, 0)
 			So(w.get(leafA).health.blocked(w.now), ShouldBeGreaterThanOrEqualTo, 2*backoffBase)
 		})
-		Convey("answers: it ramps up from a tenth of its rate", func() {
+		Convey("the probe succeeds: the leaf ramps up from a tenth of its rate", func() {
 			w.advance(10 * ms)
 			r.permit.Done(Answered, 0)
 			So(w.Load(leafA).Failing, ShouldBeFalse)
@@ -104,9 +104,9 @@
 	})
 }
 
-// A cold leaf with one slot here can't be given less concurrency than one, so a
-// slow start spaces the starts out: about a tenth of the rate at first, half of
-// it over the ramp, all of it after.
+// A cold leaf with one slot here can't get less concurrency than one, so a slow
+// start spaces requests out: about a tenth of the full rate at first, half of it
+// over the whole ramp, and the full rate afterwards.
 func TestSlowStartWithOneSlot(t *testing.T) {
 	w := newWorld()
 	w.Configure(leafA, Limits{Slots: 1, Queue: 8, Ramp: 10 * time.Second})
@@ -139,10 +139,10 @@
 	}
 }
 
-// A leaf reports that it is full, or idle, and may be wrong. Its word moves the
-// expected wait by at most half a service time, and is forgotten in seconds.
+// A leaf may report a wrong load. The report must change the expected wait by at
+// most half a service time and must expire after a few seconds.
 func TestLoadReportsHaveBoundedEffect(t *testing.T) {
-	Convey("A report of an absurd load", t, func() {
+	Convey("A report of a very high load has a bounded effect", t, func() {
 		w := newWorld()
 		w.Configure(leafA, Limits{Slots: 1, Queue: 8})
 		w.teach(t, 10*ms)
@@ -152,7 +152,7 @@
 		So(ok, ShouldBeTrue)
 		w.advance(hintLife)
 		So(w.Load(leafA).Wait, ShouldBeGreaterThanOrEqualTo, 0)
-		Convey("does not count once it is old", func() {
+		Convey("and is ignored once it has expired", func() {
 			So(w.get(leafA).hint.extra(w.now, 10*ms), ShouldEqual, 0)
 		})
 	})
--- a/internal/admit/load.go
+++ b/internal/admit/load.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	hintWeight = 0.5             // a reported load lengthens the expected wait by at most half a service time
-	hintLife   = 3 * time.Second // a report older than this has no weight
+	hintWeight = 0.5             // a reported load adds at most half a service time to the expected wait
+	hintLife   = 3 * time.Second // a report of this age or older is ignored
 )
 
 // Load is the state of a leaf's gate.
 type Load struct {
 	Slots    int           // this daemon's share
-	InFlight int           // permits out
-	Waiting  int           // requests in the queue
-	Service  time.Duration // learnt time a request holds its slot; 0: not known yet
-	Wait     time.Duration // expected wait of a request that came now
+	InFlight int           // permits granted and not yet released
+	Waiting  int           // queued requests
+	Service  time.Duration // estimated time that a request holds its slot; 0: not known yet
+	Wait     time.Duration // expected wait of a request that arrives now
 	Standing time.Duration // how long the queue has not been empty
-	Failing  bool          // in backoff after failures in a row
+	Failing  bool          // in backoff after consecutive failures
 }
 
-// hint is a load reported by the leaf itself.
+// loadReport is a load that the leaf reported.
 type hint struct {
 	busy float64 // 0..1
 	at   vm.Instant
@@ -39,7 +39,7 @@
 	g.hint = hint{busy: min(busy, 1), at: g.set.clock()}
 }
 
-// extra is what the hint adds to the expected wait.
+// waitPenalty returns what the report adds to the expected wait.
 func (h hint) extra(now vm.Instant, service time.Duration) time.Duration {
 	age := now.Sub(h.at)
 	if h.busy == 0 || age >= hintLife {
--- a/internal/admit/metrics.go
+++ b/internal/admit/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// Counters over all leaves; waiting is the present number.
+// Counters over all leaves; waitingCount is the current number of waiters.
 var (
 	granted            = metrics.GetOrRegisterCounter("admit.granted", nil)
 	waiting            = metrics.GetOrRegisterCounter("admit.queue.waiting", nil)
--- a/internal/admit/policy_bench_test.go
+++ b/internal/admit/policy_bench_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	simService  = 10 * ms // mean, exponential
+	simService  = 10 * ms // mean of an exponential distribution
 	simDeadline = 200 * ms
 	simAging    = 100 * ms
-	simLate     = 10 * ms // a refusal should have been given by then
+	simLate     = 10 * ms // a refusal after a longer wait counts as late
 	simLength   = 60 * time.Second
 )
 
@@ -31,7 +31,7 @@
 
 func (j *simJob) good() bool { return j.ended != 0 && j.ended <= j.at.Add(simDeadline) }
 
-// simArrivals draws Poisson arrivals; load is in units of the slot's capacity.
+// generateSimJobs draws Poisson arrivals; the loads are multiples of the slot's capacity.
 func simArrivals(urgent, ordinary float64) []*simJob {
 	rnd := rand.New(rand.NewPCG(20, 26))
 	var jobs []*simJob
@@ -49,7 +49,7 @@
 	return jobs
 }
 
-// simGate runs the jobs through a gate.
+// simulateGate runs the jobs through a gate.
 func simGate(jobs []*simJob) {
 	w := newWorld()
 	w.Configure(leafA, Limits{Slots: 1, Queue: 64})
@@ -100,8 +100,8 @@
 	}
 }
 
-// simPlain runs the jobs through a queue that takes all, drops a job at its
-// deadline, and serves the least by order.
+// simulateQueue runs the jobs through an unbounded queue that drops a job at its
+// deadline and runs the job with the lowest rank first.
 func simPlain(jobs []*simJob, order func(*simJob) vm.Instant) {
 	var waiting []*simJob
 	now, next := vm.Instant(0), 0
@@ -130,8 +130,8 @@
 }
 
 // BenchmarkPolicy compares the gate with plain queues at 0.6 times and twice the
-// capacity of one slot: the part of each class that ends in time, and how long a refused
-// request was held.
+// capacity of one slot. It reports the percentage of each class that ends in time
+// and how long refused requests were held.
 func BenchmarkPolicy(b *testing.B) {
 	arrival := func(j *simJob) vm.Instant { return j.at }
 	strict := func(j *simJob) vm.Instant { return j.at - vm.Instant(j.pr)<<50 }
--- a/internal/admit/property_test.go
+++ b/internal/admit/property_test.go
@@ -14,9 +14,9 @@
 
 var leaves = []string{leafA, "10.0.0.2:80"}
 
-// machine drives two gates through random shares, arrivals for one or both,
-// outcomes, pauses of the process and lapses of the lease, and holds after each
-// step what must always hold at the leaves.
+// gateModel drives two gates through random shares, requests for one or both leaves,
+// outcomes, process pauses and lease expiries, and checks the gates' invariants
+// after each action.
 type machine struct {
 	w        *world
 	slots    map[string]int
@@ -25,7 +25,7 @@
 	deadline map[*waiter]vm.Instant
 }
 
-// collect takes in how waits have ended since the last step.
+// collectEnded handles the waits that ended since the last action.
 func (m *machine) collect(t *rapid.T) {
 	kept := m.waiting[:0]
 	for _, x := range m.waiting {
@@ -35,7 +35,7 @@
 			kept = append(kept, x)
 		case r.permit != nil:
 			if r.permit.granted >= m.w.fence.end() {
-				t.Fatal("a permit was granted after the lease ran out")
+				t.Fatal("a permit was granted after the lease expired")
 			}
 			m.took(r.permit)
 		case contract.VerdictOf(r.err) != contract.NotRun:
@@ -60,11 +60,11 @@
 		respected = respected && len(m.flying[leaf]) <= m.slots[leaf]
 	}
 	if m.w.Respected() != respected {
-		t.Fatalf("respected is %v", m.w.Respected())
+		t.Fatalf("WithinLimits returns %v", m.w.Respected())
 	}
 	for _, x := range m.waiting {
 		if m.deadline[x] < m.w.now {
-			t.Fatal("a request waits past its deadline")
+			t.Fatal("a request is still queued after its deadline")
 		}
 	}
 }
@@ -73,22 +73,22 @@
 	gt := m.w.get(leaf)
 	if gt == nil {
 		if len(m.flying[leaf]) > 0 {
-			t.Fatal("the gate was forgotten while in use")
+			t.Fatal("the gate was removed while permits were held")
 		}
 		return
 	}
 	gt.queue.prune()
 	if len(gt.flying) != len(m.flying[leaf]) {
-		t.Fatalf("%d in flight; expected %d", len(gt.flying), len(m.flying[leaf]))
+		t.Fatalf("gate has %d in flight, want %d", len(gt.flying), len(m.flying[leaf]))
 	}
 	if gt.queue.len() > len(m.waiting) {
-		t.Fatalf("%d wait of %d", gt.queue.len(), len(m.waiting))
+		t.Fatalf("gate has %d waiters, but only %d requests wait", gt.queue.len(), len(m.waiting))
 	}
 	if gt.queue.len() == 0 {
 		return
 	}
 	if gt.closed(m.w.now) == nil && gt.room(m.w.now) {
-		t.Fatal("requests wait while there is room")
+		t.Fatal("requests wait although one may start")
 	}
 	if gt.timer == nil {
 		t.Fatal("requests wait and no timer is set")
@@ -116,23 +116,23 @@
 		"ramp":  func(t *rapid.T) { m.w.Ramp(aLeaf.Draw(t, "leaf")) },
 		"leave": func(t *rapid.T) {
 			if len(m.waiting) == 0 {
-				t.Skip("nobody waits")
+				t.Skip("no request is waiting")
 			}
 			at := rapid.IntRange(0, len(m.waiting)-1).Draw(t, "which")
 			x := m.waiting[at]
 			if !x.claim() {
-				t.Fatal("a wait that has not ended can't be left")
+				t.Fatal("a waiter without a result can't be claimed")
 			}
 			m.waiting = append(m.waiting[:at:at], m.waiting[at+1:]...)
 			x.leaveQueues(m.w.find(nil, leaves))
 		},
 		"pause": func(t *rapid.T) {
-			// The process stands still: time passes, no timer fires, the lease ends.
+			// The process is paused: time passes, no timer fires, and the lease may expire.
 			m.w.now = m.w.now.Add(10 * time.Second)
 			for _, leaf := range leaves {
 				for _, p := range m.flying[leaf] {
 					if m.w.now >= m.w.fence.end() && p.Check() == nil {
-						t.Fatal("a permit passes after the lease ran out")
+						t.Fatal("a permit is valid after the lease expired")
 					}
 				}
 			}
@@ -144,7 +144,7 @@
 func (m *machine) ask(t *rapid.T) {
 	of := leaves[rapid.IntRange(0, 1).Draw(t, "from"):rapid.IntRange(1, 2).Draw(t, "to")]
 	if len(of) == 0 {
-		t.Skip("no leaf")
+		t.Skip("no leaf drawn")
 	}
 	a := Ask{
 		Priority: settings.Priority(rapid.IntRange(0, 1).Draw(t, "priority")),
@@ -160,7 +160,7 @@
 	switch {
 	case p != nil:
 		if leaf := p.gate.leaf; before[leaf] >= m.slots[leaf] {
-			t.Fatalf("a permit with %d in flight of %d", before[leaf], m.slots[leaf])
+			t.Fatalf("permit granted with %d in flight, limit %d", before[leaf], m.slots[leaf])
 		}
 		m.took(p)
 	case x != nil:
@@ -181,7 +181,7 @@
 	p := out[at]
 	m.flying[leaf] = append(out[:at:at], out[at+1:]...)
 	p.Done(Outcome(rapid.IntRange(0, int(Cancelled)).Draw(t, "outcome")), time.Duration(rapid.IntRange(0, 50).Draw(t, "after"))*ms)
-	p.Done(Answered, 0) // a second call counts for nothing
+	p.Done(Answered, 0) // a second call has no effect
 }
 
 func TestGateProperties(t *testing.T) {
@@ -196,9 +196,9 @@
 	})
 }
 
-// Whatever the arrivals, ordinary requests wait for at most ordinaryTurn-1
-// urgent grants in a row, hedges go first in their class, then deadlines order
-// it, and the order foreseen is the order granted.
+// For any arrivals, ordinary requests wait for at most ordinaryInterval-1 urgent
+// grants in a row, hedges go first in their class, the rest follow by deadline, and
+// each predicts the order in which pop grants.
 func TestQueueProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue
@@ -213,12 +213,12 @@
 			},
 			"pop": func(t *rapid.T) {
 				if q.len() == 0 {
-					t.Skip("empty")
+					t.Skip("queue is empty")
 				}
 				var order []*waiter
 				q.each(func(w *waiter, ahead float64) bool {
 					if int(ahead) != len(order) {
-						t.Fatalf("%v ahead of number %d", ahead, len(order))
+						t.Fatalf("%v expected ahead of the waiter at index %d", ahead, len(order))
 					}
 					order = append(order, w)
 					return true
@@ -226,11 +226,11 @@
 				ordinary := len(q.class[settings.Ordinary])
 				w := q.pop()
 				if w != order[0] {
-					t.Fatal("the order foreseen is not the order granted")
+					t.Fatal("pop does not follow the order of each")
 				}
 				for _, o := range q.class[w.Priority] {
 					if o.before(w) {
-						t.Fatal("one that goes before was passed over")
+						t.Fatal("a waiter that has precedence was passed over")
 					}
 				}
 				if w.Priority == settings.Urgent && ordinary > 0 {
@@ -239,16 +239,16 @@
 					urgentRun = 0
 				}
 				if urgentRun >= ordinaryTurn {
-					t.Fatal("ordinary requests starve")
+					t.Fatal("too many urgent grants in a row while ordinary requests wait")
 				}
 			},
 		})
 	})
 }
 
-// An overload reaches twenty homes, each in its own order of arrival. If each
-// dropped other queries, nearly every query would lose some of its services.
-// All homes must keep the same ones, and hedges and urgent requests last.
+// Twenty home daemons are overloaded and receive the same queries in different
+// orders. If each shed different queries, nearly every query would lose some of its
+// services. All must keep the same queries, and shed hedges and urgent requests last.
 func TestHomesShedTheSameQueries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 30).Draw(t, "queries")
@@ -282,17 +282,16 @@
 		one := kept(rapid.Permutation(asks).Draw(t, "at one home"))
 		other := kept(rapid.Permutation(asks).Draw(t, "at another"))
 		if !slices.Equal(one, other) {
-			t.Fatalf("one home keeps %v, the other %v", one, other)
+			t.Fatalf("one home keeps queries %v, the other %v", one, other)
 		}
 		if len(one) != min(n, limit) {
-			t.Fatalf("%d kept of %d with places for %d", len(one), n, limit)
+			t.Fatalf("%d of %d queries kept, queue limit %d", len(one), n, limit)
 		}
 	})
 }
 
-// Every attempt of a fleet fails and everybody hedges and retries at once. What
-// is spent stays within ratio x primaries + floor x time + the burst, for each
-// stretch of time, however the calls fall.
+// Every attempt fails and all callers hedge and retry. Over any period the extra
+// attempts must stay within ratio x primaries + minPerSecond x seconds + the burst.
 func TestBudgetProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(0)
@@ -305,10 +304,10 @@
 			"": func(t *rapid.T) {
 				most := ratio*primaries + floor*now.Sub(since).Seconds() + budgetBurst + 1e-6
 				if spent > most {
-					t.Fatalf("%v extra attempts; at most %v", spent, most)
+					t.Fatalf("%v extra attempts, want at most %v", spent, most)
 				}
 				if ratio == 0 && spent > 0 {
-					t.Fatal("a budget of 0 was spent from")
+					t.Fatal("an extra attempt was allowed with a ratio of 0")
 				}
 			},
 			"primary": func(*rapid.T) { b.Primary(); primaries++ },
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -6,17 +6,17 @@
 	"pearmoor/internal/settings"
 )
 
-// ordinaryTurn is the weight of ordinary requests: while both classes wait, one
-// grant in ordinaryTurn is ordinary. Aging instead of weights would turn the
-// queue into arrival order as soon as waits pass the age limit, which is under
-// overload, when priority matters most.
+// ordinaryInterval sets the weight of ordinary requests: while both classes wait,
+// one of ordinaryInterval grants is ordinary. Aging would not do: once waits exceed
+// the age limit, which happens under overload when priority matters most, the queue
+// would be served in order of arrival.
 const ordinaryTurn = 5
 
-// queue orders waiters: urgent before ordinary but for one turn in
-// ordinaryTurn; within a class hedges first, then by deadline.
+// queue orders waiters. Urgent requests go first, except for one of ordinaryInterval
+// grants. Within a class hedges go first, then the earliest deadline.
 type queue struct {
-	class [2][]*waiter // by settings.Priority
-	turn  int          // urgent grants since the last ordinary one that had to wait for them
+	class [2][]*waiter // indexed by settings.Priority
+	turn  int          // since the last ordinary grant, counted while ordinary requests wait
 }
 
 func (q *queue) len() int { return len(q.class[settings.Ordinary]) + len(q.class[settings.Urgent]) }
@@ -40,14 +40,14 @@
 	return true
 }
 
-// prune drops the waiters that another gate has claimed.
+// prune removes the waiters that were claimed elsewhere.
 func (q *queue) prune() {
 	for i := range q.class {
 		q.class[i] = slices.DeleteFunc(q.class[i], func(w *waiter) bool { return w.claimed.Load() })
 	}
 }
 
-// pop takes the waiter whose turn it is; the queue must not be empty.
+// pop removes and returns the next waiter; the queue must not be empty.
 func (q *queue) pop() *waiter {
 	pr := next(len(q.class[settings.Urgent]), len(q.class[settings.Ordinary]), &q.turn)
 	w := q.class[pr][0]
@@ -55,7 +55,7 @@
 	return w
 }
 
-// next chooses the class of the next grant and advances turn.
+// nextPriority returns the class of the next grant and updates urgentGrants.
 func next(urgent, ordinary int, turn *int) settings.Priority {
 	switch {
 	case ordinary == 0:
@@ -72,8 +72,8 @@
 	}
 }
 
-// each visits the waiters in the order in which they would be granted, until
-// visit returns false. ahead is the number expected to be granted before.
+// each calls visit for the waiters in grant order until visit returns false. ahead
+// is the expected number of grants before the waiter.
 func (q *queue) each(visit func(w *waiter, ahead float64) bool) {
 	urgent, ordinary := q.class[settings.Urgent], q.class[settings.Ordinary]
 	turn, ahead := q.turn, 0.0
@@ -91,7 +91,7 @@
 	}
 }
 
-// ahead is the number expected to be granted before one at the end.
+// ahead returns the expected number of grants before a new last waiter.
 func (q *queue) ahead() float64 {
 	var n float64
 	for _, c := range q.class {
@@ -102,7 +102,7 @@
 	return n
 }
 
-// weakest returns the waiter to shed first, the later in its class of equals.
+// shedCandidate returns the waiter to shed first, or nil if the queue is empty.
 func (q *queue) weakest() *waiter {
 	var low *waiter
 	for _, c := range q.class {
--- a/internal/admit/room.go
+++ b/internal/admit/room.go
@@ -7,13 +7,13 @@
 	"pearmoor/internal/vm"
 )
 
-// room reports whether one more request may start now.
+// canStart reports whether one more request may start now.
 func (g *gate) room(now vm.Instant) bool {
 	return len(g.flying) < g.limit(now) && g.health.blocked(now) == 0
 }
 
-// limit is how many may be in flight now: the share, less during a slow start,
-// one while the leaf is failing.
+// limit returns the maximum number of requests in flight now: the share, less during
+// a slow start, and at most one while the leaf is failing.
 func (g *gate) limit(now vm.Instant) int {
 	if g.health.failing() {
 		return min(1, g.limits.Slots)
@@ -22,20 +22,20 @@
 	return int(math.Ceil(f * float64(g.limits.Slots)))
 }
 
-// period is the mean time between starts at full use.
+// startInterval returns the mean time between starts at full utilization.
 func (g *gate) period(now vm.Instant) time.Duration {
 	f := g.health.fraction(now, g.limits.Ramp)
 	rate := f * float64(max(g.limits.Slots, 1))
 	return time.Duration(float64(g.service.mean) / rate)
 }
 
-// wait is the expected wait of a request with ahead others before it.
+// expectedWait returns the expected wait of a request with ahead others before it.
 func (g *gate) wait(now vm.Instant, ahead float64) time.Duration {
 	free := g.freeIn(now)
 	return max(free, g.health.blocked(now)) + time.Duration(ahead*float64(g.period(now)))
 }
 
-// freeIn is when the next permit is expected back, 0 if one is free.
+// nextRelease returns the expected time until a permit is available, 0 if one is free.
 func (g *gate) freeIn(now vm.Instant) time.Duration {
 	if len(g.flying) < g.limit(now) || len(g.flying) == 0 {
 		return 0
@@ -47,12 +47,12 @@
 	return least
 }
 
-// overdueSteps is how often, while a permit is overdue, the waiters are looked
-// at again in the time by which its expected return moves on to double.
+// overdueRechecks is how many times the waiters are checked again before the expected
+// remaining time of an overdue permit doubles.
 const overdueSteps = 4
 
-// recheckIn is when the expected return of a permit, or a step of a slow start,
-// is worth another look; 0 if neither is.
+// recheckIn returns the time until the waiters should be checked again, for the
+// release of a permit or a step of a slow start; 0 if neither is expected.
 func (g *gate) recheckIn(now vm.Instant) time.Duration {
 	free := g.freeIn(now)
 	if free > g.service.mean {
@@ -65,7 +65,8 @@
 	return min(free, step)
 }
 
-// nextStep is when a slow start lets one more be in flight, 0 if none is on.
+// nextRampStep returns the time until a slow start allows one more request in
+// flight; 0 if no step is pending.
 func (g *gate) nextStep(now vm.Instant) time.Duration {
 	limit := g.limit(now)
 	if !g.health.ramping || limit >= g.limits.Slots {
--- a/internal/admit/shed.go
+++ b/internal/admit/shed.go
@@ -7,9 +7,10 @@
 	"pearmoor/internal/vm"
 )
 
-// makePlace reports whether the queue can take w. In a full one w takes the
-// place of the weakest, if that is weaker: a flood of ordinary requests would
-// otherwise keep urgent ones out, and homes would each drop other queries.
+// makeRoom reports whether w can be queued. If the queue is full, w displaces the
+// shed candidate if the candidate is to be shed before w. Without this, ordinary requests
+// could fill the queue and keep urgent ones out, and each home daemon would drop
+// different queries.
 func (g *gate) makePlace(now vm.Instant, w *waiter) bool {
 	if g.queue.len() < g.limits.Queue {
 		return true
@@ -24,7 +25,7 @@
 	return true
 }
 
-// noteQueue keeps since when the queue has not been empty.
+// updateNonEmptySince records when the queue stopped being empty.
 func (g *gate) noteQueue(now vm.Instant) {
 	switch {
 	case g.queue.len() == 0:
@@ -34,7 +35,7 @@
 	}
 }
 
-// stood returns for how long the queue has not been empty, less the stalls of the process.
+// nonEmptyFor returns how long the queue has not been empty, without the stalls of the process.
 func (g *gate) stood(now vm.Instant) time.Duration {
 	if g.standing == 0 {
 		return 0
@@ -42,26 +43,27 @@
 	return now.Sub(g.standing) - (g.set.stalls.until(now) - g.stalled)
 }
 
-// overloaded reports whether the queue has stood for several times as long as
-// w can wait.
+// overloaded reports whether the queue has been non-empty for overloadFactor times as
+// long as w can wait.
 func (g *gate) overloaded(now vm.Instant, w *waiter) bool {
 	return g.standing != 0 && w.deadline != never && g.stood(now) >= overloadAfter*w.deadline.Sub(now)
 }
 
-// overloadAfter is how many times as long as a request can wait a queue must
-// have stood to count as overload and not as a burst, which is worth waiting out.
+// overloadFactor distinguishes overload from a burst, which is worth queueing for: a
+// queue is overloaded if it has been non-empty for this multiple of the time that a
+// request can wait.
 const overloadAfter = 4
 
-// admitMargin is how many times its expected wait a request must be able to
-// wait when it comes to an overloaded queue. There waits turn out longer than
-// expected, because urgent requests come after it or others run longer, and
-// without a margin much of what was let in would be refused after it had waited
-// most of its time.
+// overloadWaitMargin is the multiple of the expected wait that a request must be able
+// to wait when it arrives at an overloaded queue. Waits there exceed the estimate,
+// because urgent requests arrive later or other requests run longer. Without the
+// margin many queued requests would be refused after most of their time had passed.
 var admitMargin = [2]float64{settings.Ordinary: 2, settings.Urgent: 1.5}
 
-// shed refuses one waiter if there is one that can't end by its deadline, and
-// reports whether it did. What can't end even if it were next is refused
-// itself; else the weakest up to it, which makes every home drop the same queries.
+// shed refuses one waiter if any can't meet its deadline, and reports whether it did.
+// A waiter that could not meet its deadline even if it were next is refused itself.
+// Otherwise the shed candidate among the waiters up to it is refused, so that all
+// home daemons drop the same queries.
 func (g *gate) shed(now vm.Instant, fresh *waiter) bool {
 	var victim *waiter
 	var after time.Duration
--- a/internal/admit/stalls.go
+++ b/internal/admit/stalls.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// stallTick is how often a running process notes that it runs.
+	// stallTickInterval is how often a running process records a tick.
 	stallTick = 20 * time.Millisecond
-	// stallLeast is how late a note counts as a stall, and not as a busy moment.
+	// minStall is the delay of a tick above which it counts as a stall and not as
+	// ordinary scheduling delay.
 	stallLeast = 20 * time.Millisecond
 )
 
-// stalls measures the time in which the process did not run: it was stopped, or had no
-// processor. The zero value has seen no stall.
+// stallTracker measures the time in which the process did not run because it was
+// stopped or had no processor. The zero value has recorded no stall.
 type stalls struct {
 	mu    sync.Mutex
-	last  vm.Instant // when it was last seen to run; 0: not watched
+	last  vm.Instant // time of the last tick; 0: ticks have not started
 	total time.Duration
 }
 
-// tick notes that the process runs.
+// tick records that the process is running.
 func (s *stalls) tick(now vm.Instant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,7 +32,8 @@
 	s.last = now
 }
 
-// until returns the length of all stalls up to now, one included that has just ended.
+// totalAt returns the total length of all stalls up to now, including one that has
+// just ended and that no tick has recorded yet.
 func (s *stalls) until(now vm.Instant) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,8 +47,8 @@
 	return 0
 }
 
-// WatchStalls notes stalls of the process until ctx ends. The time of a stall counts
-// neither as a leaf's service time nor as a standing queue.
+// WatchStalls records stalls of the process until ctx ends. Stall time is excluded
+// from service times and from the time that a queue is non-empty.
 func (g *Gates) WatchStalls(ctx context.Context) {
 	for vm.Sleep(ctx, stallTick) {
 		g.stalls.tick(g.clock())
--- a/internal/admit/stalls_test.go
+++ b/internal/admit/stalls_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// run moves time on with the process running.
+// advanceRunning moves the clock forward while the process records its ticks.
 func (w *world) run(d time.Duration) {
 	for ; d > 0; d -= stallTick {
 		w.advance(min(d, stallTick))
@@ -13,7 +13,8 @@
 	}
 }
 
-// Guards against a stall of the process being taken for a leaf's service time, which refuses what the leaf could serve.
+// A stall of the process must not count as service time of the leaf, or requests that
+// the leaf could serve would be refused.
 func TestStallIsNoServiceTime(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		w := newWorld()
@@ -24,13 +25,13 @@
 			t.Fatal(err)
 		}
 		w.run(20 * time.Millisecond)
-		w.advance(400 * time.Millisecond) // stopped
+		w.advance(400 * time.Millisecond) // the process is stopped
 		if late {
 			w.stalls.tick(w.now)
 		}
 		p.Done(Answered, 0)
 		if got := w.Load(leafA).Service; got > 80*time.Millisecond {
-			t.Errorf("noted before: %v: a reply after 20 ms counts as %v", late, got)
+			t.Errorf("tick before the reply: %v: a reply after 20 ms gives service time %v", late, got)
 		}
 	}
 }
--- a/internal/admit/waiter.go
+++ b/internal/admit/waiter.go
@@ -10,27 +10,27 @@
 	"pearmoor/internal/vm"
 )
 
-// Ask is a request for a permit.
+// PermitRequest describes a request for a permit.
 type Ask struct {
 	Priority settings.Priority
-	Hedge    bool   // a second attempt; goes before every first attempt of its class
-	Order    uint64 // of the query; what has to be shed is shed by lowest Order, the same at every home
+	Hedge    bool   // a second attempt; granted before all first attempts of its class
+	Order    uint64 // rank of the query, the same on every home daemon; the lowest is shed first
 }
 
-// waiter is an ask that waits, in the queues of one or more gates at once. The
-// gate that claims it first grants to it; the others drop it when they see it.
+// waiter is a request that is queued at one or more gates. The first gate to claim it
+// grants the permit; the other gates remove it.
 type waiter struct {
 	Ask
 	deadline vm.Instant
 	result   chan grant   // buffered; receives exactly one grant unless the caller left
-	claimed  atomic.Bool  // granted, refused for good, or left
+	claimed  atomic.Bool  // a permit was granted, all gates refused, or the caller left
 	left     atomic.Int32 // gates that have not refused it
 
 	mu  sync.Mutex
-	err *contract.Error // the refusal with the shortest time to come back
+	err *contract.Error // the refusal with the shortest retry time
 }
 
-// grant is the end of a wait: a permit or the error that refuses it.
+// grant is the result of a wait: a permit or the error that refuses it.
 type grant struct {
 	permit *Permit
 	err    error
@@ -44,7 +44,7 @@
 	return w
 }
 
-// claim decides who ends the wait.
+// claim reports whether the caller may end the wait; it returns true only once.
 func (w *waiter) claim() bool {
 	if !w.claimed.CompareAndSwap(false, true) {
 		return false
@@ -53,11 +53,11 @@
 	return true
 }
 
-// weight is the part of the waiter that one of its queues has to expect: it
-// takes a permit of one of them only.
+// weight returns the waiter's share in the expected load of one of its queues: it
+// takes a permit from only one of them.
 func (w *waiter) weight() float64 { return 1 / float64(max(1, w.left.Load())) }
 
-// refuse is one gate's refusal; the last one ends the wait.
+// refuse records one gate's refusal. The last gate's refusal ends the wait.
 func (w *waiter) refuse(err *contract.Error) {
 	w.mu.Lock()
 	if w.err == nil || err.RetryAfter < w.err.RetryAfter {
@@ -69,7 +69,7 @@
 	}
 }
 
-// weaker reports whether w is shed before o, whatever their places.
+// shedBefore reports whether w is shed before other, regardless of queue positions.
 func (w *waiter) weaker(o *waiter) bool {
 	switch {
 	case w.Priority != o.Priority:
@@ -80,7 +80,7 @@
 	return w.Order < o.Order
 }
 
-// before reports whether w is granted before o of the same class.
+// grantedBefore reports whether w is granted before other of the same class.
 func (w *waiter) before(o *waiter) bool {
 	if w.Hedge != o.Hedge {
 		return w.Hedge
@@ -88,8 +88,8 @@
 	return w.deadline < o.deadline
 }
 
-// await blocks until w is granted or refused, or ctx ends, and takes w out of
-// the queues that still have it.
+// await blocks until w is granted or refused or ctx ends, and removes w from the
+// queues that still hold it.
 func (w *waiter) await(ctx context.Context, gates []*gate) (*Permit, error) {
 	select {
 	case r := <-w.result:
--- a/internal/directory/bench_test.go
+++ b/internal/directory/bench_test.go
@@ -10,7 +10,7 @@
 	"pearmoor/internal/vm"
 )
 
-// order chooses the first address of the n-th list.
+// firstAddressFunc returns the first address of the n-th list.
 type order func(v *relay.View, path string, n int) string
 
 func homesNow(v *relay.View, path string) []vm.Member {
@@ -18,8 +18,9 @@
 	return v.HomesOf(e.Path, e)
 }
 
-// orders are the ways weighed: the homes as hashing ranks them; a counter of the
-// daemon over its homes; a failure domain first, then a member of it; and List.
+// firstAddressFuncs returns the compared orders: the homes in hash order, the
+// daemon's round robin over the homes, a random failure domain and then a random
+// member of it, and List.
 func orders() map[string]order {
 	l := seeded(7)
 	return map[string]order{
@@ -47,9 +48,9 @@
 	}
 }
 
-// BenchmarkFirstAddress reports, for callers that ask for one of 52 services in
-// turn, how uneven the first addresses load the 12 daemons (most over mean), how
-// uneven they load the homes of one service, and how many save the hop to a home.
+// BenchmarkFirstAddress has callers ask for one of 52 services in turn. It reports
+// the highest load over the mean, for the 12 daemons and for the homes of one
+// service, and the percentage of first addresses that save the hop to a home.
 func BenchmarkFirstAddress(b *testing.B) {
 	m := members(12, 4)
 	m.Members[11].Domain = "hall-alone"
@@ -87,8 +88,8 @@
 	return float64(most) * float64(n) / float64(sum)
 }
 
-// BenchmarkRefetch reports the most callers of 10,000 that ask for a new list in
-// one second, in the round after all got their lists together and four later.
+// BenchmarkRefetch reports how many of 10,000 callers at most request a new list in
+// one second, in the first round after all fetched a list together and in the fifth.
 func BenchmarkRefetch(b *testing.B) {
 	const callers = 10000
 	tier := settings.Tier{AddressLifetime: 30 * time.Second}
@@ -116,9 +117,9 @@
 	}
 }
 
-// BenchmarkListSize reports the cost of one list as the tier grows: of a path
-// over so many services that homes are not looked at, and of one service whose
-// homes the view has not hashed yet, as after each change of the membership.
+// BenchmarkListSize reports the cost of one list as the number of daemons grows: for
+// a path with too many services for homes to be considered, and for one service
+// whose homes are not cached in the view, as after each membership change.
 func BenchmarkListSize(b *testing.B) {
 	many := tree(b, maxServices+1)
 	for _, path := range []string{"/", "desk/s1"} {
--- a/internal/directory/horizon.go
+++ b/internal/directory/horizon.go
@@ -8,24 +8,23 @@
 	"pearmoor/internal/vm"
 )
 
-// Horizon knows how long address lists may still be kept by callers. A daemon
-// that leaves serves on until no list that names it can be in use. The newest
-// lifetime alone would be too short after an operator lowered it: a list handed
-// out a moment before, here or by a daemon that follows later, is kept for as
-// long as it said.
+// ListExpiry tracks how long callers may keep using address lists. A daemon that
+// shuts down continues to serve until every list that names it has expired. The
+// current lifetime alone is too short after an operator lowers it: lists handed out
+// earlier, or by a daemon that applies the change later, keep their longer lifetime.
 type Horizon struct {
 	mu      sync.Mutex
-	longest time.Duration // of the lists that some daemon may hand out now
-	until   vm.Instant    // lists of former lifetimes are kept to here
+	longest time.Duration // of the lists that any daemon may hand out now
+	until   vm.Instant    // when lists with former, longer lifetimes have expired
 }
 
-// Observe takes note of a view. Every view has to be observed, in order.
+// Observe updates the lifetimes from a view. It must be called for every view, in order.
 func (h *Horizon) Observe(v *relay.View, now vm.Instant) {
 	if v == nil || v.Tree == nil {
 		return
 	}
 	longest := v.Tree.Tier().AddressLifetime
-	for _, older := range v.Older { // in use by daemons that have not confirmed yet
+	for _, older := range v.Older { // in use by daemons that have not confirmed the newest version
 		longest = max(longest, older.Tree.Tier().AddressLifetime)
 	}
 	h.mu.Lock()
@@ -36,7 +35,7 @@
 	h.longest = longest
 }
 
-// Wait returns how long a list handed out up to now may still be kept.
+// Remaining returns how long a list handed out up to now may still be in use.
 func (h *Horizon) Wait(now vm.Instant) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/directory/horizon_test.go
+++ b/internal/directory/horizon_test.go
@@ -19,23 +19,23 @@
 	return out
 }
 
-// An operator lowers address-lifetime from 30 s to 2 s and at once stops a
-// daemon on plan. Callers hold lists of 30 s that name it: were it to end after
-// 2 s, their requests would meet a closed port or be cut off.
+// An operator lowers address-lifetime from 30 s to 2 s and immediately shuts a daemon
+// down. Callers still use lists of 30 s that name it: if it ended after 2 s, their
+// requests would be cut off or meet a closed port.
 func TestHorizon(t *testing.T) {
-	Convey("A leaving daemon waits for the lists of former lifetimes", t, func() {
+	Convey("A daemon that shuts down waits for lists with former lifetimes", t, func() {
 		const second = vm.Instant(time.Second)
 		long, short := lifetimeTree(t, "30s"), lifetimeTree(t, "2s")
 		var h Horizon
 		h.Observe(&relay.View{ConfigVersion: 1, InForce: 1, Tree: long}, 0)
 		So(h.Wait(0), ShouldEqual, 30*time.Second)
 
-		// Other daemons still hand out lists of version 1.
+		// Other daemons still hand out lists with the lifetime of version 1.
 		older := []relay.Version{{Number: 1, Tree: long}}
 		h.Observe(&relay.View{ConfigVersion: 2, InForce: 1, Tree: short, Older: older}, 10*second)
 		So(h.Wait(11*second), ShouldEqual, 30*time.Second)
 
-		// From 12 s on nobody does; the last such list is kept to 42 s.
+		// From 12 s on no daemon does; the last such list is in use until 42 s.
 		h.Observe(&relay.View{ConfigVersion: 2, InForce: 2, Tree: short}, 12*second)
 		So(h.Wait(13*second), ShouldEqual, 29*time.Second)
 		So(h.Wait(41*second), ShouldEqual, 2*time.Second)
--- a/internal/directory/lifetime.go
+++ b/internal/directory/lifetime.go
@@ -7,13 +7,13 @@
 	"pearmoor/internal/settings"
 )
 
-// lifetimeSpread is the part of the lifetime that is drawn at random.
+// lifetimeJitterDivisor sets the random part of the lifetime: one fifth.
 const lifetimeSpread = 5
 
-// Lifetime returns how long a caller keeps a list: at most the tier's setting,
-// which is what a draining daemon waits for, and up to a fifth less. Without the
-// spread, callers that got their lists together, as after a restart, would come
-// back together for ever.
+// Lifetime returns how long a caller keeps a list: the tier's address lifetime, for
+// which a draining daemon waits, less a random part of up to a fifth. Without the
+// jitter, callers that fetched their lists together, for example after a restart,
+// would keep refetching together.
 func Lifetime(t settings.Tier) time.Duration {
 	return t.AddressLifetime - rand.N(t.AddressLifetime/lifetimeSpread+1)
 }
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -13,27 +13,28 @@
 )
 
 const (
-	// maxAddresses bounds a list, however many daemons there are.
+	// maxAddresses bounds the length of a list, regardless of the number of daemons.
 	maxAddresses = 8
-	// maxServices bounds the work of one list. A path with more query services
-	// below it has homes on so many daemons that preferring them gains nothing.
+	// maxServices bounds the work for one list. A path with more query services below
+	// it has homes on so many daemons that preferring homes has no benefit.
 	maxServices = 64
-	// drawn is from how many members of a region the fall-back is chosen.
+	// maxCandidates is the maximum number of members of one region that fallback
+	// addresses are chosen from.
 	drawn = 4 * maxAddresses
-	// retryAfterMS is when a caller that got no list may ask again.
+	// retryAfterMS is when a caller that was refused a list may ask again.
 	retryAfterMS = 1000
 )
 
-// List returns the entries that a caller of path should try, in order: first the
-// homes of the path's query services, which save a hop, then other daemons to
-// fall back to. Only members that are Serving, and stay so in a pending
-// membership, are listed; self is left out without a valid lease. The error is a
+// List returns the entry addresses that a caller of path should try, in order: first
+// the homes of the path's query services, which save a hop, then other daemons as
+// fallbacks. It includes only members that are Serving and remain so in a pending
+// membership, and excludes self while it has no valid lease. The error is a
 // *contract.Error with verdict NotRun.
 func List(v *relay.View, path string, self vm.Identity, now vm.Instant) ([]contract.Address, error) {
 	return lister{rand: rand.IntN}.list(v, path, self, now)
 }
 
-// lister orders addresses by a source of random numbers in [0, n).
+// lister orders addresses using a source of random numbers in [0, n).
 type lister struct {
 	rand func(n int) int
 }
@@ -68,11 +69,11 @@
 	return &contract.Error{Verdict: contract.NotRun, Reason: reason, RetryAfter: retryAfterMS, Cause: cause}
 }
 
-// filter knows which members callers may be sent to.
+// filter decides which members may be listed to callers.
 type filter struct {
 	view  *relay.View
 	self  vm.Identity
-	alone bool // self has no lease
+	alone bool // self has no valid lease
 }
 
 func (f *filter) lists(m *vm.Member) bool {
@@ -85,8 +86,8 @@
 	return staysServing(f.view.Pending, m)
 }
 
-// staysServing reports whether m is still Serving in the membership to come. A
-// caller keeps its list past the moment that membership settles.
+// staysServing reports whether m is still Serving in the pending membership. Callers
+// keep using a list after that membership has taken effect.
 func staysServing(pending *vm.Membership, m *vm.Member) bool {
 	if pending == nil {
 		return true
@@ -95,7 +96,7 @@
 	return ok && next.Phase == vm.Serving && next.Incarnation == m.Incarnation
 }
 
-// homes returns the homes of services that may be listed, each once.
+// homes returns the eligible homes of the services without duplicates.
 func (f *filter) homes(services []string) []*vm.Member {
 	if len(services) > maxServices {
 		return nil
@@ -125,9 +126,9 @@
 	return false
 }
 
-// others draws members besides near at random: enough of the region to choose
-// from, or all there are, and those of other regions met on the way. It looks at
-// no more members than that takes, however many there are.
+// fallbacks draws eligible members other than homes at random: up to maxCandidates of
+// the region, and up to as many of other regions that it visits on the way. It stops
+// once it has enough of the region, however many members there are.
 func (l lister) others(f filter, near []*vm.Member, region string) (beside, away []*vm.Member) {
 	members := f.view.Settled.Members
 	for i := range l.walk(len(members)) {
@@ -147,9 +148,9 @@
 	return beside, away
 }
 
-// walk yields each of 0..n-1 once, from a random start by a random stride. The
-// first is uniform, and neighbours in the list, whose names often name their
-// failure domain, do not come together.
+// strideOrder yields each of 0..n-1 once, starting at a random index and advancing by
+// a random stride. The first index is uniformly distributed. The stride
+// usually separates neighbours in the list, whose names often share a failure domain.
 func (l lister) walk(n int) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		if n == 0 {
@@ -178,11 +179,11 @@
 	return a
 }
 
-// spread adds members to out at random, up to maxAddresses, but takes the next
-// one from a failure domain that the list has used least so far: the address
-// tried after a failed one should not be lost to the same fault. The first place
-// is uniform over members. Were the domains drawn first, a daemon alone in its
-// domain would get the callers that three share elsewhere.
+// appendSpread appends members to out at random, up to maxAddresses. It takes each
+// from a failure domain with the fewest addresses so far, because the address tried
+// after a failure should not be affected by the same fault. The first address is
+// uniform over members and not over domains; otherwise a daemon alone in its domain
+// would get as many callers as all members of a larger domain together.
 func (l lister) spread(out, members []*vm.Member, used map[string]int) []*vm.Member {
 	members = slices.Clone(members)
 	l.shuffle(members)
--- a/internal/directory/list_test.go
+++ b/internal/directory/list_test.go
@@ -58,8 +58,8 @@
 	return lister{rand: rand.New(rand.NewPCG(seed, seed)).IntN}
 }
 
-// 12,000 callers ask for a list and use its first address. Were the order fixed,
-// the two homes' first would get them all and the other none.
+// 12,000 callers fetch a list and use its first address. With a fixed order one of
+// the two homes would get all callers and the other none.
 func TestEvenLoad(t *testing.T) {
 	Convey("The first addresses of many lists load a service's homes evenly", t, func() {
 		const callers = 12000
@@ -79,7 +79,7 @@
 			So(n, ShouldBeBetween, callers/10*45/100, callers/10*55/100)
 		}
 	})
-	Convey("A path over more services than are looked at loads all daemons evenly, whatever their domains", t, func() {
+	Convey("A path with more than maxServices services loads all daemons evenly, regardless of their domains", t, func() {
 		const callers = 12000
 		m := members(12, 3)
 		m.Members[11].Domain = "hall-alone"
@@ -97,8 +97,8 @@
 	})
 }
 
-// A caller follows its list for its whole lifetime. A daemon in it that is not
-// Serving now, or is leaving in the membership to come, would end under it.
+// A caller uses its list for the whole lifetime. A listed daemon that is not Serving,
+// or that leaves in the pending membership, would shut down while callers use it.
 func TestListProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := members(rapid.IntRange(1, 30).Draw(t, "members"), rapid.IntRange(1, 5).Draw(t, "domains"))
@@ -124,7 +124,7 @@
 		list, err := seeded(rapid.Uint64().Draw(t, "seed")).list(v, "/desk/s1", self, testNow)
 		if err != nil {
 			if contract.VerdictOf(err) != contract.NotRun || len(list) > 0 {
-				t.Fatalf("%v with %d addresses", err, len(list))
+				t.Fatalf("error %v together with %d addresses", err, len(list))
 			}
 			return
 		}
@@ -143,22 +143,22 @@
 	for _, a := range list {
 		m, ok := v.Settled.Find(a.VM)
 		if !ok || m.Phase != vm.Serving || seen[a.VM] {
-			t.Fatalf("%s is listed: known %v, phase %v, twice %v", a.VM, ok, m.Phase, seen[a.VM])
+			t.Fatalf("%s is listed: member %v, phase %v, duplicate %v", a.VM, ok, m.Phase, seen[a.VM])
 		}
 		if next, ok := v.Members().Find(a.VM); !ok || next.Phase != vm.Serving {
-			t.Fatalf("%s is listed and about to leave", a.VM)
+			t.Fatalf("%s is listed but leaves in the pending membership", a.VM)
 		}
 		if a.VM == self.Name && !confirmed {
-			t.Fatalf("%s lists itself without a lease", a.VM)
+			t.Fatalf("%s lists itself without a valid lease", a.VM)
 		}
 		if isHome[a.VM] && othersBegan {
-			t.Fatalf("home %s comes after a daemon that is none", a.VM)
+			t.Fatalf("home %s is listed after a fallback", a.VM)
 		}
 		othersBegan = othersBegan || !isHome[a.VM]
 		seen[a.VM] = true
 	}
 	if len(list) == 0 || len(list) > maxAddresses {
-		t.Fatalf("%d addresses", len(list))
+		t.Fatalf("list has %d addresses", len(list))
 	}
 }
 
@@ -175,7 +175,7 @@
 			So(len(domains), ShouldEqual, 3)
 		}
 	})
-	Convey("An unknown path is said to be unknown", t, func() {
+	Convey("An unknown path is refused with reason unknown_path", t, func() {
 		_, err := List(view(tree(t, 1), members(3, 3)), "/desk/nowhere", vm.Identity{}, testNow)
 		So(err, ShouldNotBeNil)
 		So(err.(*contract.Error).Reason, ShouldEqual, contract.ReasonUnknownPath)
@@ -187,7 +187,7 @@
 		limit := time.Duration(rapid.Int64Range(int64(time.Second), int64(time.Hour)).Draw(t, "limit"))
 		got := Lifetime(settings.Tier{AddressLifetime: limit})
 		if got > limit || got < limit*(lifetimeSpread-1)/lifetimeSpread {
-			t.Fatalf("%v for %v", got, limit)
+			t.Fatalf("lifetime %v for a limit of %v", got, limit)
 		}
 	})
 }
--- a/internal/discovery/book.go
+++ b/internal/discovery/book.go
@@ -14,46 +14,46 @@
 	"pearmoor/internal/vm"
 )
 
-// keptSteps is how many changes of the list are kept, so that a watcher that was
-// away for a moment is sent what changed and not the whole list.
+// maxChanges is the number of list changes kept, so that a watcher that was
+// disconnected for a short time receives the changes and not the whole list.
 const keptSteps = 64
 
 var (
 	leavesGauge = metrics.GetOrRegisterGauge("discovery.leaves", metrics.DefaultRegistry)
 	readsMeter  = metrics.GetOrRegisterCounter("discovery.readings", metrics.DefaultRegistry)
 	readsFailed = metrics.GetOrRegisterCounter("discovery.readings.failed", metrics.DefaultRegistry)
-	// entriesUnreadable counts entries that named no leaf, each once while it is listed.
+	// unreadableEntriesCounter counts unreadable entries, each once while it is listed.
 	entriesUnreadable = metrics.GetOrRegisterCounter("discovery.entries.unreadable", metrics.DefaultRegistry)
 )
 
-// Book holds the newest snapshot, how old it is, and the last changes. It is safe
-// for concurrent use.
+// LeafCache holds the newest snapshot of the leaf list, its age, and the most recent
+// changes. It is safe for concurrent use.
 type Book struct {
 	clock vm.Clock
 
 	mu      sync.Mutex
-	told    *Snapshot // as it was read or received
-	snap    *Snapshot // told with the latest life of each leaf; the same object if they don't differ
+	told    *Snapshot // as read or received
+	snap    *Snapshot // reported, corrected by the latest run of each leaf; the same pointer if nothing was corrected
 	lives   lives
-	run     uint64 // of the reader
+	run     uint64 // identifies the daemon that read the list, and since when
 	version uint64 // of the reader's list
 	readAt  vm.Instant
 	known   bool   // a list was read or received
-	own     uint64 // run of this daemon when it reads; 0: it never has
+	own     uint64 // readerRun of this daemon's own readings; 0: none yet
 	steps   []step
 	changed chan struct{}
-	quiet   []string // sorted names of daemons that the reader has not heard for a while
+	quiet   []string // sorted names of daemons that the reader has not heard from recently
 }
 
-// step is what turned one version into a later one. A daemon that watches may have
-// been sent several versions at once.
+// change records the ids that differ between two versions. A watching daemon may
+// receive several versions at once.
 type step struct {
 	from    uint64
 	version uint64
 	touched map[string]bool // ids added, changed or removed
 }
 
-// NewBook returns an empty book. clock nil is vm.Now.
+// NewLeafCache returns an empty cache. A nil clock means vm.Now.
 func NewBook(clock vm.Clock) *Book {
 	if clock == nil {
 		clock = vm.Now
@@ -62,21 +62,21 @@
 	return &Book{clock: clock, told: none, snap: none, lives: make(lives), changed: make(chan struct{})}
 }
 
-// Snapshot returns the newest leaves; it is never nil.
+// Snapshot returns the newest snapshot; it is never nil.
 func (b *Book) Snapshot() *Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.snap
 }
 
-// Known reports whether a list was ever read or received.
+// HasList reports whether a list has been read or received.
 func (b *Book) Known() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.known
 }
 
-// Age returns how long ago the newest reading began.
+// Age returns the time since the newest reading began.
 func (b *Book) Age() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,21 +90,23 @@
 	return b.clock().Sub(b.readAt)
 }
 
+// unknownAge is the age of the list while no list is known.
 const forever = time.Hour
 
-// equalReading is within which two ages tell of one reading: they are whole
-// milliseconds, and the replies took their time.
+// readingTolerance is the largest difference between the computed start times of the
+// same reading: ages are sent in whole milliseconds and replies take time to arrive.
 const equalReading = vm.Instant(20 * time.Millisecond)
 
-// Changed returns a channel that is closed when the leaves change.
+// Changed returns a channel that is closed when the leaves or the unresponsive
+// daemons change.
 func (b *Book) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-// Take puts a list that this daemon has read itself in place. began is the instant
-// before its first call.
+// ApplyReading installs a list that this daemon read from the Source. startedAt is
+// the instant before the first call to the Source.
 func (b *Book) Take(list []Listed, began vm.Instant) {
 	list = onePerID(list)
 	leaves := make([]*Leaf, 0, len(list))
@@ -119,7 +121,7 @@
 		leaves = append(leaves, b.unchanged(l))
 	}
 	if b.run == 0 || !b.reading() {
-		// Another daemon's versions went before; the steps kept are in its count.
+		// The versions so far were another daemon's and can't be continued.
 		b.run, b.steps = rand.Uint64()|1, nil
 		b.own = b.run
 	}
@@ -133,7 +135,8 @@
 	b.readAt, b.known = began, true
 }
 
-// SetQuiet names the daemons that the reader has not heard for a while, sorted.
+// SetUnresponsive sets the sorted names of the daemons that the reader has not heard
+// from recently.
 func (b *Book) SetQuiet(names []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,7 +153,7 @@
 	b.changed = make(chan struct{})
 }
 
-// Quiet returns the daemons that the reader has not heard for a while.
+// Unresponsive returns the daemons that the reader has not heard from recently.
 func (b *Book) Quiet() map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -170,7 +173,7 @@
 	return h.Sum64()
 }
 
-// put installs the leaves; the lock is held.
+// installLocked replaces the current snapshot and notifies watchers; b.mu must be held.
 func (b *Book) put(next *Snapshot, how string) {
 	added, gone := 0, 0
 	for _, l := range next.leaves {
@@ -196,6 +199,7 @@
 	b.changed = make(chan struct{})
 }
 
+// diff returns the ids of the leaves added, changed or removed between old and next.
 func difference(old, next *Snapshot) map[string]bool {
 	touched := make(map[string]bool)
 	for _, l := range next.leaves {
@@ -211,8 +215,8 @@
 	return touched
 }
 
-// named returns every id in a reply: also one that came and went between the two
-// versions, which a daemon that has one in between still holds.
+// replyIDs returns every id in a reply. This includes a leaf that was added and removed
+// between the two versions, because a watcher of this daemon may hold a version in between.
 func named(r *wire.LeavesReply) map[string]bool {
 	out := make(map[string]bool, len(r.Entries)+len(r.Removed))
 	for _, e := range r.Entries {
@@ -231,7 +235,7 @@
 	}
 }
 
-// request asks for what is new since the list held.
+// newRequest returns a request for the changes since the cached list.
 func (b *Book) request(wait time.Duration) *wire.LeavesRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -241,7 +245,7 @@
 	}
 }
 
-// reply answers a watcher.
+// newReply returns the reply to a watcher's request.
 func (b *Book) reply(req *wire.LeavesRequest) *wire.LeavesReply {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -269,8 +273,8 @@
 	return out
 }
 
-// since returns the ids touched after the version that req holds, and false when
-// that is not known any more.
+// changedSince returns the ids changed after the version in req, and false if that
+// version is no longer known.
 func (b *Book) since(req *wire.LeavesRequest) (map[string]bool, bool) {
 	if req.Run != b.run || req.Version > b.version || len(b.steps) == 0 || req.Version < b.steps[0].from {
 		return nil, false
@@ -286,8 +290,7 @@
 	return touched, true
 }
 
-// receive joins a reply to the book, unless it tells of an older reading than the
-// one held.
+// applyReply merges a reply into the cache, unless its reading is older than the cached one.
 func (b *Book) receive(r *wire.LeavesReply) {
 	if r.Run == 0 {
 		return
@@ -313,8 +316,8 @@
 	from := b.version
 	told := len(r.Entries)+len(r.Removed) > 0
 	if b.run != r.Run || r.Whole || r.Version > from && !told {
-		// What is different now is different from another reader's list, or a leaf
-		// came and went in between: it is not what turned one version into the next.
+		// The difference is relative to another reader's list, or a leaf was added and
+		// removed in between. It is not the change from one version to the next.
 		b.steps = nil
 	} else if r.Version > from {
 		b.keep(step{from, r.Version, named(r)})
@@ -334,7 +337,7 @@
 	return out
 }
 
-// unchanged returns the leaf held before where it is the same as l.
+// reuseUnchanged returns the cached leaf if it equals l, otherwise l.
 func (b *Book) unchanged(l *Leaf) *Leaf {
 	if old, ok := b.told.byID[l.ID]; ok && old.same(l) {
 		return old
@@ -353,5 +356,5 @@
 	return out
 }
 
-// reading reports whether the newest list is one that this daemon read itself.
+// readByThisDaemon reports whether this daemon read the newest list itself.
 func (b *Book) reading() bool { return b.own != 0 && b.run == b.own }
--- a/internal/discovery/book_test.go
+++ b/internal/discovery/book_test.go
@@ -19,7 +19,7 @@
 	"pearmoor/internal/vm"
 )
 
-// TestMain gives rapid a fixed seed, so that every run has the same verdict.
+// TestMain fixes rapid's seed so that every run draws the same cases.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "5", "rapid.checks": "200", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -58,9 +58,8 @@
 	return out
 }
 
-// A daemon that watches the reader, misses some changes, or changes over to another
-// reader ends with the reader's list: a leaf that leaves and is still taken for a
-// living one would get work after it has gone.
+// A daemon that watches the reader, misses changes, or switches to another reader must
+// end with the reader's list. Otherwise a draining leaf would still get new requests.
 func TestWatcherEndsWithReadersList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(time.Hour)
@@ -78,7 +77,7 @@
 			case 2:
 				watcher.receive(from.reply(watcher.request(0)))
 			case 3:
-				// The new reader starts from what it had watched.
+				// The new reader starts from the list that it watched.
 				next := readers[1]
 				if from == next {
 					next = readers[0]
@@ -94,13 +93,13 @@
 			t.Fatalf("the watcher has %v, the reader %v", got, want)
 		}
 		if !reflect.DeepEqual(watcher.Quiet(), from.Quiet()) {
-			t.Fatalf("quiet %v, %v", watcher.Quiet(), from.Quiet())
+			t.Fatalf("unresponsive daemons: watcher has %v, reader has %v", watcher.Quiet(), from.Quiet())
 		}
 	})
 }
 
-// A reply from a daemon that was cut off tells of an older reading than the one held:
-// it must not bring a leaf back that has left since.
+// A reply from a daemon that was partitioned has an older reading than the cached one.
+// It must not restore a leaf's earlier state.
 func TestOlderReadingIsLeftOut(t *testing.T) {
 	now := vm.Instant(time.Hour)
 	clock := func() vm.Instant { return now }
@@ -111,12 +110,12 @@
 	watcher.receive(fresh.reply(watcher.request(0)))
 	watcher.receive(stale.reply(&wire.LeavesRequest{}))
 	if l, _ := watcher.Snapshot().Find("i-1"); l == nil || !l.Draining {
-		t.Errorf("the leaf that leaves is %+v", l)
+		t.Errorf("draining leaf is %+v", l)
 	}
 }
 
-// An unchanged leaf stays the same object, so that what was learned of it stays; one
-// that is restarted at its address is another leaf.
+// An unchanged leaf must stay the same object, so that state kept per leaf is not lost.
+// A target restarted at the same address under another id is another leaf.
 func TestLeafIdentity(t *testing.T) {
 	b := NewBook(nil)
 	b.Take([]Listed{listed(1, false)}, vm.Now())
@@ -125,13 +124,13 @@
 	again.WarmIn = time.Second
 	b.Take([]Listed{again}, vm.Now())
 	if second, _ := b.Snapshot().Find("i-1"); second != first {
-		t.Error("an unchanged leaf became another")
+		t.Error("an unchanged leaf was replaced by another object")
 	}
 	reborn := listed(1, false)
 	reborn.ID = "i-9"
 	b.Take([]Listed{reborn}, vm.Now())
 	if _, ok := b.Snapshot().Find("i-1"); ok {
-		t.Error("the leaf of the earlier run is still there")
+		t.Error("the leaf of the earlier run is still cached")
 	}
 }
 
@@ -140,12 +139,12 @@
 func (s *failingSource) List(context.Context) (Listing, error) {
 	s.calls++
 	if s.calls > 1 {
-		return Listing{}, errors.New("page 2 does not come")
+		return Listing{}, errors.New("page 2 is not available")
 	}
 	return Listing{Leaves: []Listed{listed(1, false)}}, nil
 }
 
-// The list can't be read whole: what was known stays, and its age goes on to tell.
+// If the list can't be read completely, the cached list must stay and its age must grow.
 func TestFailedReadingKeepsList(t *testing.T) {
 	b := NewBook(nil)
 	src := &failingSource{}
@@ -159,9 +158,9 @@
 	}
 }
 
-// All daemons of a tier start together after a loss of power, without a list. Were each
-// to read it for itself, the platform's calls would be used up at the moment at which
-// the reader needs them: 89 daemons took 1,246 calls of a list of 14 pages.
+// After a power loss all daemons start together without a list. If each read the list
+// itself, the calls to the platform would be used up when the reader needs them: 89
+// daemons made 1,246 calls for a list of 14 pages.
 func TestStartingDaemonsDoNotAllRead(t *testing.T) {
 	src := &failingSource{}
 	wanted := false
@@ -175,33 +174,33 @@
 	}
 	run(300 * time.Millisecond)
 	if src.calls != 0 {
-		t.Errorf("%d readings before the list is of use", src.calls)
+		t.Errorf("%d readings before the list is needed", src.calls)
 	}
 	wanted = true
 	run(300 * time.Millisecond)
 	if src.calls == 0 {
-		t.Error("a daemon that nobody tells never reads for itself")
+		t.Error("a daemon without upstreams never reads the list itself")
 	}
 }
 
-// After a restart of everything a daemon asks one that has no list either. It must be
-// told so at once and go on to the reader: held there for a second, it would turn its
-// callers away for that long although it has the configuration.
+// After a full restart a daemon may ask another one that has no list either. The reply
+// must come immediately so that it can ask the reader next. If it were held for a second,
+// the daemon would refuse its callers for that time although it has the configuration.
 func TestDaemonWithoutListAnswersAtOnce(t *testing.T) {
 	f := NewFinder(Config{Every: time.Second}, NewBook(nil))
 	began := time.Now()
 	reply, err := f.Server().Watch(context.Background(), &wire.LeavesRequest{WaitMs: 1000, Quiet: quietDigest(nil)})
 	if err != nil || reply.Run != 0 {
-		t.Fatalf("%v, %v", reply, err)
+		t.Fatalf("reply %v, error %v", reply, err)
 	}
 	if took := time.Since(began); took > 500*time.Millisecond {
-		t.Errorf("held for %v", took)
+		t.Errorf("reply was held for %v", took)
 	}
 }
 
-// After a restart of everything the VM that is elected to read the list has it already:
-// one that may be elected reads at its start. Read only then, 14 pages would keep every
-// caller waiting for so much longer.
+// After a full restart the VM elected as reader should already have the list, so a
+// daemon that may be elected must read at its start. If it read the 14 pages only after
+// the election, every caller would wait that much longer.
 func TestPossibleReaderReadsAtItsStart(t *testing.T) {
 	src := &failingSource{}
 	f := NewFinder(Config{Source: src, Every: time.Millisecond, Alone: time.Hour, Early: true, Reads: func() bool { return false },
@@ -211,6 +210,6 @@
 	defer cancel()
 	f.Run(ctx)
 	if src.calls != 1 {
-		t.Errorf("%d readings", src.calls)
+		t.Errorf("%d readings, want 1", src.calls)
 	}
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,12 +1,12 @@
-// Package discovery knows the leaves there are: which service each belongs to, its
-// address, and whether it is leaving.
+// Package discovery provides the list of leaves: the service and address of each, and
+// whether it is draining.
 //
-// The list comes from a Source outside the tier that lags, limits calls and is
-// paid for by the call. One daemon reads it, the one that leads the control group,
-// and the others watch a daemon that has it (Watch), so the calls don't grow with
-// the tier. A daemon that has had no word of a reading for long reads for itself:
-// it may be cut off from the reader, and leaves that leave must get no new work.
+// The list comes from a Source outside the tier, which lags, limits calls and charges
+// for each call. Only the daemon that leads the control group reads it. The other
+// daemons watch a daemon that has it (Watch), so the number of calls does not grow with
+// the tier. A daemon that has received no recent reading reads the list itself: it may
+// be partitioned from the reader, and draining leaves must get no new requests.
 //
-// A leaf is one run of a process: it is known by its id, and an address that is
-// used again belongs to another leaf.
+// A leaf is one run of a process and is identified by its id and start time. If its
+// address is used again, that is another leaf.
 package discovery
--- a/internal/discovery/first_test.go
+++ b/internal/discovery/first_test.go
@@ -15,10 +15,11 @@
 	"pearmoor/internal/vm"
 )
 
-// A daemon starts behind a narrow link, in a tier with so many leaves that their list takes
-// seconds over it: a limit that does not know that ends each call for it, for ever.
+// A daemon starts behind a narrow link in a tier with so many leaves that their list
+// takes seconds to transfer. A time-out that ignores the list's size would end every
+// attempt to fetch it.
 func TestFirstListOfManyLeavesArrives(t *testing.T) {
-	const manyLeaves, rate, within = 23_000, 500_000, 12 * time.Second // leaves, bytes a second
+	const manyLeaves, rate, within = 23_000, 500_000, 12 * time.Second // leaves, bytes per second
 	var list []Listed
 	for n := range manyLeaves {
 		list = append(list, Listed{ID: fmt.Sprintf("i-%010d", n), Service: fmt.Sprintf("service-%d", n/3), Addr: fmt.Sprintf("10.%d.%d.9:8569", n>>8, n&255), Domain: "lalitpur-hall", Slots: 2})
@@ -58,9 +59,9 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := len(book.Snapshot().All()); n != manyLeaves {
-		t.Errorf("%d of %d leaves are known after %v", n, manyLeaves, time.Since(began))
+		t.Errorf("%d of %d leaves received after %v", n, manyLeaves, time.Since(began))
 	}
-	t.Logf("known after %v", time.Since(began))
+	t.Logf("list received after %v", time.Since(began))
 	cancel()
 	_ = pool.Close()
 	<-done
--- a/internal/discovery/leaf.go
+++ b/internal/discovery/leaf.go
@@ -13,30 +13,30 @@
 	"pearmoor/internal/vm"
 )
 
-// Leaf is one run of a target, from a start to its end. It is immutable.
+// Leaf is one run of a target, from its start to its end. It is immutable.
 type Leaf struct {
 	ID       string
-	Born     int64 // its start, in ms since 1970 by its own VM's clock; 0: not stated
+	Born     int64 // start time in ms since 1970 by the clock of its VM; 0: not stated
 	Service  string
 	Addr     string // host:port
 	Domain   string // failure domain
-	Slots    int    // requests it runs at once; 0: unknown
-	Draining bool   // it is leaving and takes no new work
+	Slots    int    // maximum number of concurrent requests; 0: unknown
+	Draining bool   // it is shutting down and takes no new work
 	WarmAt   vm.Instant
 }
 
-// Life names one run of a leaf. A leaf that starts again keeps its id and is another
-// one: nothing that was learned of the earlier life holds for it.
+// RunID identifies one run of a leaf. A leaf that restarts keeps its id but is another
+// run, and nothing learned about the earlier run applies to it.
 type Life struct {
 	ID   string
 	Born int64
 }
 
-// Life returns the name of the leaf's run.
+// RunID returns the identity of the leaf's run.
 func (l *Leaf) Life() Life { return Life{l.ID, l.Born} }
 
-// Mark returns a short name of the leaf's run and its service, for messages between
-// daemons that name many leaves.
+// Fingerprint returns a hash of the leaf's run and service. Messages between daemons
+// that refer to many leaves use it as a short identifier.
 func (l *Leaf) Mark() uint64 {
 	h := xxhash.New()
 	var born [8]byte
@@ -48,16 +48,16 @@
 	return h.Sum64()
 }
 
-// Cold reports whether the leaf is still slow after its start.
+// WarmingUp reports whether the leaf is still slow after its start.
 func (l *Leaf) Cold(now vm.Instant) bool { return now < l.WarmAt }
 
-// same reports whether l and o say the same but for the time left to warm up.
+// equalState reports whether l and other are equal except for the remaining warm-up time.
 func (l *Leaf) same(o *Leaf) bool {
 	return l.Life() == o.Life() && l.Service == o.Service && l.Addr == o.Addr &&
 		l.Domain == o.Domain && l.Slots == o.Slots && l.Draining == o.Draining
 }
 
-// Listed is a leaf as a Source lists it.
+// ListedLeaf is a leaf as a Source lists it.
 type Listed struct {
 	ID       string
 	Born     int64 // ms since 1970; 0: not stated
@@ -69,28 +69,29 @@
 	WarmIn   time.Duration
 }
 
-// Unreadable is an entry of a list that names no leaf.
+// UnreadableEntry is a list entry that does not describe a valid leaf.
 type Unreadable struct {
-	ID    string // as far as it can be told
+	ID    string // may be empty if it can't be read either
 	Fault error
 }
 
-// Listing is one reading of a Source.
+// Listing is the result of one reading of a Source.
 type Listing struct {
 	Leaves     []Listed
 	Unreadable []Unreadable
 }
 
-// Source lists the leaves there are.
+// Source lists all leaves.
 type Source interface {
-	// List reads the whole list. It returns an error rather than a part of it. An entry
-	// that can't be read is a part of the whole: it names no leaf, and the others hold.
+	// List reads the whole list, or returns an error if any part can't be read. An
+	// entry that can't be decoded is no such error: it is returned in
+	// Listing.Unreadable and does not affect the other entries.
 	List(ctx context.Context) (Listing, error)
 }
 
-// Snapshot is the leaves at one reading. It is immutable.
+// Snapshot is the set of leaves at one reading. It is immutable.
 type Snapshot struct {
-	leaves  []*Leaf // by id
+	leaves  []*Leaf // sorted by id
 	byID    map[string]*Leaf
 	byMark  map[uint64]*Leaf
 	service map[string][]*Leaf
@@ -129,23 +130,23 @@
 	return 0
 }
 
-// Of returns the leaves of a service, those that are leaving included. The caller
-// must not change the slice.
+// ForService returns the leaves of a service, including draining ones. The caller must
+// not modify the slice.
 func (s *Snapshot) Of(service string) []*Leaf { return s.service[service] }
 
-// Find returns the leaf of that id.
+// Find returns the leaf with the given id.
 func (s *Snapshot) Find(id string) (*Leaf, bool) {
 	l, ok := s.byID[id]
 	return l, ok
 }
 
-// FindMark returns the leaf of that mark.
+// FindByFingerprint returns the leaf with the given fingerprint.
 func (s *Snapshot) FindMark(mark uint64) (*Leaf, bool) {
 	l, ok := s.byMark[mark]
 	return l, ok
 }
 
-// All returns every leaf, by id. The caller must not change the slice.
+// All returns every leaf, sorted by id. The caller must not modify the slice.
 func (s *Snapshot) All() []*Leaf { return s.leaves }
 
 func toWire(l *Leaf, now vm.Instant) *wire.LeafEntry {
--- a/internal/discovery/lives.go
+++ b/internal/discovery/lives.go
@@ -6,16 +6,15 @@
 	"pearmoor/internal/vm"
 )
 
-// overruleAfter is how long the latest life of an id must not have been listed for an
-// earlier one to be believed: longer than a page of the list or another daemon's
-// reading is behind. A leaf whose VM's clock was set back before it started again
-// states an earlier start than its life before; without this it would be left out for
-// good.
+// runRetention is how long the latest run of an id must be absent from the list before
+// an earlier run is accepted. It exceeds the lag of a list page and of another daemon's
+// reading. A leaf that restarts after its VM's clock was set back states an earlier
+// start than its previous run; without this limit it would be left out permanently.
 const overruleAfter = 10 * time.Second
 
-// lives remembers the latest life of each id, so that a page of the list that is
-// behind, or another daemon's list, does not bring an earlier one back. Requests would
-// go to it, and what was learned of the life that is there would be forgotten.
+// latestRuns records the latest run of each id, so that an outdated list page or another
+// daemon's list does not restore an earlier run. Otherwise requests would be sent to a
+// process that has ended, and what was learned about the current run would be lost.
 type lives map[string]lastLife
 
 type lastLife struct {
@@ -23,9 +22,9 @@
 	at   vm.Instant // when it was last listed
 }
 
-// latest returns the leaves that are there according to told. before is the snapshot
-// in use, whose leaves stand for what told knows only an earlier life of. The lives of
-// ids that have not been listed for overruleAfter are forgotten.
+// resolveAll returns the leaves in reported with outdated runs corrected. Leaves of
+// current replace those for which reported has only an earlier run. Runs that have not
+// been listed for runRetention are removed.
 func (l lives) latest(told, before *Snapshot, now vm.Instant) *Snapshot {
 	out := make([]*Leaf, 0, len(told.leaves))
 	changed := false
@@ -47,7 +46,7 @@
 	return newSnapshot(out)
 }
 
-// judge returns the leaf that an entry stands for, nil for none.
+// resolve returns the leaf that a list entry stands for, or nil if there is none.
 func (l lives) judge(leaf *Leaf, before *Snapshot, now vm.Instant) *Leaf {
 	last, known := l[leaf.ID]
 	known = known && now.Sub(last.at) <= overruleAfter
@@ -55,7 +54,7 @@
 	case leaf.Born == 0 && !known:
 		return leaf
 	case leaf.Born == 0:
-		// It does not say which life it is of: that of the one that is known.
+		// The entry states no start time: assume the known run.
 		l[leaf.ID] = lastLife{last.born, now}
 		stated := *leaf
 		stated.Born = last.born
@@ -67,17 +66,17 @@
 		l[leaf.ID] = lastLife{leaf.Born, now}
 		return leaf
 	}
-	// An earlier life: the later one stays if it is still in use, and otherwise none
-	// is there, since a leaf's lives follow one another.
+	// An earlier run: keep the later one if it is still in use. Otherwise return no
+	// leaf, because runs of a leaf do not overlap and this one has ended.
 	if old, ok := before.byID[leaf.ID]; ok && old.Born == last.born {
 		return old
 	}
 	return nil
 }
 
-// onePerID returns one entry for each id: that of the latest life, since the earlier
-// ones are over; of one life, or where none is stated, that of the later page, which
-// was read later.
+// dedupeByID returns one entry for each id: the one of the latest run, because earlier
+// runs have ended. Among entries of the same run, or without a start time, the last one
+// is used, because it was read last.
 func onePerID(list []Listed) []Listed {
 	at := make(map[string]int, len(list))
 	out := make([]Listed, 0, len(list))
--- a/internal/discovery/lives_test.go
+++ b/internal/discovery/lives_test.go
@@ -25,9 +25,9 @@
 	return l.Born
 }
 
-// A leaf starts again, and a page that is behind still shows its earlier life: requests
-// would go where nobody is, and what was learned of the new life would be lost. The
-// later life stays; when it leaves, the earlier one doesn't come back for it.
+// A leaf restarts, and an outdated page still lists its earlier run. Requests would be
+// sent to a process that has ended, and what was learned about the new run would be
+// lost. The later run must stay, and the earlier one must not replace it after it ends.
 func TestEarlierLifeDoesNotComeBack(t *testing.T) {
 	now := vm.Instant(time.Hour)
 	b := NewBook(func() vm.Instant { return now })
@@ -39,41 +39,41 @@
 	first, _ := b.Snapshot().Find("i-1")
 	read(born(1, 200))
 	if second, _ := b.Snapshot().Find("i-1"); second == first || second.Born != 200 {
-		t.Fatalf("the leaf that has started again is %+v", second)
+		t.Fatalf("restarted leaf is %+v", second)
 	}
 	read(born(1, 100))
 	if got := held(b, "i-1"); got != 200 {
-		t.Errorf("a page that is behind brings back life %d", got)
+		t.Errorf("an outdated page changed the run to %d, want 200", got)
 	}
 	read()
 	read(born(1, 100))
 	if got := held(b, "i-1"); got != -1 {
-		t.Errorf("life %d came back after the later one had left", got)
+		t.Errorf("run %d was restored after the later run had ended", got)
 	}
 }
 
-// An entry that does not state its life is served as it always was, also in turn with
-// pages that state it: each change of mind would forget what was learned of the leaf.
+// An entry without a start time must be accepted, also if it alternates with pages that
+// state one. If each switch changed the run, what was learned about the leaf would be lost.
 func TestEntryWithoutLife(t *testing.T) {
 	b := NewBook(nil)
 	b.Take([]Listed{listed(1, false)}, vm.Now())
 	if got := held(b, "i-1"); got != 0 {
-		t.Fatalf("born %d", got)
+		t.Fatalf("start time %d, want 0", got)
 	}
 	b.Take([]Listed{born(1, 100)}, vm.Now())
 	first, _ := b.Snapshot().Find("i-1")
 	b.Take([]Listed{listed(1, false)}, vm.Now())
 	if second, _ := b.Snapshot().Find("i-1"); second != first {
-		t.Errorf("became %+v", second)
+		t.Errorf("leaf was replaced by %+v", second)
 	}
 	b.Take([]Listed{listed(1, true)}, vm.Now())
 	if l, _ := b.Snapshot().Find("i-1"); !l.Draining || l.Born != 100 {
-		t.Errorf("a leaf that leaves is %+v", l)
+		t.Errorf("draining leaf is %+v", l)
 	}
 }
 
-// A VM's clock was set back before its leaf started again, so that the later life
-// states an earlier start. It must not be left out for good.
+// A VM's clock was set back before its leaf restarted, so the later run states an earlier
+// start. The run must not be left out permanently.
 func TestLifeAfterClockWasSetBack(t *testing.T) {
 	now := vm.Instant(time.Hour)
 	b := NewBook(func() vm.Instant { return now })
@@ -83,30 +83,30 @@
 		b.Take([]Listed{born(1, 1_000)}, now)
 	}
 	if got := held(b, "i-1"); got != 1_000 {
-		t.Errorf("life %d after the list has named only life 1000 for 12 s", got)
+		t.Errorf("run is %d after 12 s of lists with only run 1000", got)
 	}
 }
 
-// Two entries of one reading name one id: the later life counts, in either order, and
-// of one life the later page.
+// Two entries of one reading have the same id. The later run must be used in either
+// order, and of the same run the last entry.
 func TestTwoEntriesOfOneID(t *testing.T) {
 	for _, list := range [][]Listed{{born(1, 100), born(1, 200)}, {born(1, 200), born(1, 100)}} {
 		b := NewBook(nil)
 		b.Take(list, vm.Now())
 		if got := held(b, "i-1"); got != 200 || len(b.Snapshot().All()) != 1 {
-			t.Errorf("life %d, %d leaves", got, len(b.Snapshot().All()))
+			t.Errorf("run %d, %d leaves", got, len(b.Snapshot().All()))
 		}
 	}
 	b := NewBook(nil)
 	b.Take([]Listed{listed(1, false), listed(1, true)}, vm.Now())
 	if l, _ := b.Snapshot().Find("i-1"); !l.Draining {
-		t.Error("the earlier page counts")
+		t.Error("the entry of the earlier page was used")
 	}
 }
 
-// Two daemons hold different lives of one id. The one with the later life keeps it, and
-// their exchange comes to rest: a reply that always tells of a difference would come at
-// once each time, thousands of times a second.
+// Two daemons hold different runs of one id. The daemon with the later run must keep it,
+// and their exchange must converge: if each reply reported a difference, the watcher
+// would poll without any delay, thousands of times per second.
 func TestDifferentLivesComeToRest(t *testing.T) {
 	now := vm.Instant(time.Hour)
 	clock := func() vm.Instant { return now }
@@ -116,22 +116,21 @@
 	behind.Take([]Listed{born(1, 100), born(2, 50)}, now)
 	watcher.receive(behind.reply(watcher.request(0)))
 	if got := held(watcher, "i-1"); got != 200 {
-		t.Errorf("the watcher holds life %d", got)
+		t.Errorf("watcher has run %d, want 200", got)
 	}
 	if r := behind.reply(watcher.request(0)); len(r.Entries)+len(r.Removed) > 0 || r.Whole {
-		t.Errorf("told again: %v", r)
+		t.Errorf("a second reply repeats the difference: %v", r)
 	}
 	now = now.Add(time.Second)
 	behind.Take([]Listed{born(1, 200), born(2, 50)}, now)
 	watcher.receive(behind.reply(watcher.request(0)))
 	if a, b := held(watcher, "i-1"), held(behind, "i-1"); a != 200 || b != 200 {
-		t.Errorf("lives %d and %d", a, b)
+		t.Errorf("runs %d and %d, want 200 in both", a, b)
 	}
 }
 
-// Whatever pages come in whatever order within the time that lists are behind, the
-// latest life that was listed is never followed by an earlier one, and a watcher never
-// falls behind one that it has held.
+// For any order of pages within the lag of the list, an earlier run must never replace a
+// later one, neither in a reader nor in a watcher.
 func TestLivesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(time.Hour)
@@ -152,7 +151,7 @@
 			}
 			if got := held(books[i], "i-1"); got >= 0 {
 				if got < most[i] {
-					t.Fatalf("book %d went from life %d to %d", i, most[i], got)
+					t.Fatalf("cache %d went from run %d to %d", i, most[i], got)
 				}
 				most[i] = got
 			}
@@ -164,21 +163,21 @@
 
 func (s oddSource) List(context.Context) (Listing, error) { return s.listing, nil }
 
-// Other writers' entries stand in the list for good: each is counted and told once, and
-// the leaves beside them are used.
+// Entries written by other systems may stay in the list permanently. Each must be counted
+// and logged once, and the valid leaves must be used.
 func TestUnreadableEntriesAreToldOnce(t *testing.T) {
 	f := NewFinder(Config{Source: oddSource{Listing{
 		Leaves:     []Listed{listed(1, false)},
-		Unreadable: []Unreadable{{ID: "x", Fault: errors.New("state is odd")}, {Fault: errors.New("no object")}},
+		Unreadable: []Unreadable{{ID: "x", Fault: errors.New("invalid state")}, {Fault: errors.New("not an object")}},
 	}}, Every: time.Second}, NewBook(nil))
 	before := entriesUnreadable.Count()
 	for range 3 {
 		f.readOnce(context.Background(), vm.Now())
 	}
 	if n := entriesUnreadable.Count() - before; n != 2 {
-		t.Errorf("%d counted", n)
+		t.Errorf("%d unreadable entries counted, want 2", n)
 	}
 	if got := len(f.book.Snapshot().All()); got != 1 {
-		t.Errorf("%d leaves", got)
+		t.Errorf("%d leaves, want 1", got)
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,60 +17,61 @@
 	"pearmoor/internal/work"
 )
 
-// Config is what a Finder needs.
+// Config configures a Syncer.
 type Config struct {
 	Source Source
 	Conns  relay.Conns
-	Clock  vm.Clock // nil: vm.Now
-	// Reads reports whether this daemon is the one that reads the list.
+	Clock  vm.Clock // nil means vm.Now
+	// IsReader reports whether this daemon reads the list from the Source.
 	Reads func() bool
-	// Quiet returns the daemons that the reader has not heard for a while, sorted.
+	// Unresponsive returns the sorted names of the daemons that the reader has not
+	// heard from recently.
 	Quiet func() []string
-	// Upstreams returns the peer addresses of daemons to watch, best first.
+	// Upstreams returns the peer addresses of the daemons to watch, best first.
 	Upstreams func() []string
-	// Every is the time between two readings: a leaf that leaves must be known to
-	// every daemon within the time it goes on serving.
+	// ReadInterval is the time between two readings. It must be short enough that
+	// every daemon learns of a draining leaf before the leaf stops serving.
 	Every time.Duration
-	// Alone is how old the list may become before a daemon that is not the reader
+	// FallbackAge is the age of the list at which a daemon that is not the reader
 	// reads it itself.
 	Alone time.Duration
-	// Wanted reports whether the list is of use yet. After a loss of power every daemon
-	// starts without one; before it has a configuration, it could do nothing with it,
-	// and when it has one, it has found those who read the list for it.
+	// ListNeeded reports whether this daemon can use the list yet. After a power loss
+	// every daemon starts without a list. Without a configuration it has no use for
+	// one, and once it has a configuration it also knows the daemons that read the list.
 	Wanted func() bool
-	// Early is true for a daemon that may become the reader: it reads at its start, so
-	// that the list is there when it leads. They are few.
+	// ReadAtStart is set on the few daemons that may become the reader: they read at
+	// their start, so that the list is available when they become the reader.
 	Early bool
-	// Spread draws out the readings of daemons that lost the reader together: each
-	// waits a random part of it before it reads and between two readings.
+	// ReadJitter spreads the readings of daemons that lost the reader together: each
+	// waits a random part of it before every reading.
 	Spread func() time.Duration
 }
 
 const (
 	watchHold   = time.Second
-	watchMargin = 400 * time.Millisecond // beyond the hold; a silent cut shows no other sign
-	// leafBytes is what a leaf takes in a reply, at most.
+	watchMargin = 400 * time.Millisecond // beyond watchWait; a silently dropped connection shows only as a time-out
+	// maxLeafBytes is the maximum size of one leaf in a reply.
 	leafBytes  = 160
 	watchRetry = 100 * time.Millisecond
-	// pauseFirst and pauseLongest bound how long an upstream is passed over after calls to
-	// it were of no use: at first for longer than such a call takes.
+	// minUpstreamPause and maxUpstreamPause bound how long an upstream is skipped after
+	// failed or stale calls. The minimum exceeds the duration of such a call.
 	pauseFirst   = 2 * (watchHold + watchMargin)
 	pauseLongest = 15 * time.Second
 	readTimeout  = 2 * time.Second
 )
 
-// Finder keeps a Book up to date.
+// Syncer keeps a LeafCache up to date.
 type Finder struct {
 	cfg  Config
 	book *Book
-	// Of the reading goroutine.
-	lost       bool                // the source does not answer
-	unreadable map[string]struct{} // entries of the last reading that named no leaf
+	// Used only by the goroutine of readLoop.
+	lost       bool                // the last call to the Source failed
+	unreadable map[string]struct{} // unreadable entries of the last reading
 
-	started vm.Instant // a daemon that has just started gives others the time to tell it
+	started vm.Instant // gives upstreams FallbackAge to send a list before this daemon reads it
 }
 
-// NewFinder returns a finder that does nothing until Run.
+// NewSyncer returns a syncer that does nothing until Run is called.
 func NewFinder(cfg Config, book *Book) *Finder {
 	if cfg.Clock == nil {
 		cfg.Clock = vm.Now
@@ -78,7 +79,7 @@
 	return &Finder{cfg: cfg, book: book, started: cfg.Clock()}
 }
 
-// Run reads or watches until ctx ends.
+// Run reads or watches the list until ctx ends.
 func (f *Finder) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -89,7 +90,7 @@
 	<-done
 }
 
-// read reads the list while this daemon is the reader or is alone.
+// readLoop reads the list while this daemon is the reader or has no recent list.
 func (f *Finder) read(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := f.cfg.Clock()
@@ -143,11 +144,10 @@
 	f.book.Take(listing.Leaves, began)
 }
 
-// mostTold bounds the lines about unreadable entries of one reading.
+// maxUnreadableLogged bounds the log lines about unreadable entries of one reading.
 const mostTold = 20
 
-// tellUnreadable logs the entries that name no leaf, each once for as long as it is
-// listed.
+// logUnreadable logs each unreadable entry once while it is listed.
 func (f *Finder) tellUnreadable(list []Unreadable) {
 	now := make(map[string]struct{}, len(list))
 	told := 0
@@ -159,23 +159,23 @@
 		}
 		entriesUnreadable.Inc(1)
 		if told++; told <= mostTold {
-			klog.Warningf("discovery: entry names no leaf id=%q: %v", u.ID, u.Fault)
+			klog.Warningf("discovery: skipped unreadable list entry id=%q: %v", u.ID, u.Fault)
 		}
 	}
 	if told > mostTold {
-		klog.Warningf("discovery: entries that name no leaf, not told one by one: %d", told-mostTold)
+		klog.Warningf("discovery: further unreadable list entries not logged: %d", told-mostTold)
 	}
 	f.unreadable = now
 }
 
-// first asks for the list that a daemon starts with, at one daemon more every
-// watchRetry, until there is one: some of those it knows may not be up yet, and a call
-// to a VM without power ends only with its time.
+// fetchFirstList requests the initial list. Every watchRetryDelay/2 it asks one more
+// upstream until one has replied with a list, because some upstreams may not be running
+// yet and a call to a VM without power ends only by its time-out.
 func (f *Finder) first(ctx context.Context) {
 	var asked work.Each
 	var fetching sync.Mutex
 	asked.InTurn(ctx, watchRetry/2, f.cfg.Upstreams, f.book.Known, func(addr string) {
-		// An error is met again, and logged, by the watch that follows.
+		// The watch loop that follows meets the same error and logs it.
 		leaves, err := f.count(ctx, addr)
 		if err != nil || leaves < 0 || !fetching.TryLock() {
 			return
@@ -185,8 +185,9 @@
 	})
 }
 
-// count asks the daemon at addr how many leaves it knows, -1 for no list. A whole list is
-// asked for at one daemon at a time: many at once would each be slower by the others.
+// leafCount asks the daemon at addr how many leaves it knows; -1 means it has no list. The
+// whole list is then fetched from one daemon at a time, because parallel transfers would
+// slow each other down.
 func (f *Finder) count(ctx context.Context, addr string) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchMargin)
 	defer cancel()
@@ -202,11 +203,11 @@
 	return int(reply.Leaves), nil
 }
 
-// watch asks another daemon for news while this one is not the reader.
+// watchLoop requests changes from another daemon while this one is not the reader.
 func (f *Finder) watch(ctx context.Context) {
 	f.first(ctx)
 	failing := make(upstreamPauses)
-	last := "" // where the newest list is from
+	last := "" // the upstream that sent the newest list
 	for ctx.Err() == nil {
 		asked := f.cfg.Clock()
 		addr, ok := failing.pick(f.cfg.Upstreams(), asked)
@@ -214,7 +215,7 @@
 			vm.Sleep(ctx, watchRetry)
 			continue
 		}
-		leaves := 0 // mostly it is what has changed
+		leaves := 0 // usually only changes are sent
 		if addr != last {
 			leaves = len(f.book.Snapshot().All())
 		}
@@ -224,7 +225,7 @@
 			last = addr
 			continue
 		}
-		// It does not answer, or has nothing newer than this daemon: another one may.
+		// The upstream does not answer or has no recent list: try another one.
 		now := f.cfg.Clock()
 		failing.add(addr, now)
 		if now.Sub(asked) < watchRetry {
@@ -233,15 +234,15 @@
 	}
 }
 
-// upstreamPauses is for how long upstreams that were of no use are passed over.
+// upstreamPauses holds how long upstreams that failed or had no recent list are skipped.
 type upstreamPauses map[string]*upstreamPause
 
 type upstreamPause struct {
-	failures int // in a row
+	failures int
 	until    vm.Instant
 }
 
-// add counts a failure of an upstream. The pause doubles with each.
+// recordFailure counts a failure of an upstream. The pause doubles with each failure.
 func (p upstreamPauses) add(addr string, now vm.Instant) {
 	x := p[addr]
 	if x == nil {
@@ -252,8 +253,8 @@
 	x.failures++
 }
 
-// pick returns the first of addrs that is not paused, else the one whose pause ends first.
-// It forgets the others.
+// pick returns the first of addrs that is not paused, or else the one whose pause ends
+// first. It removes the pauses of all addresses that are not in addrs.
 func (p upstreamPauses) pick(addrs []string, now vm.Instant) (addr string, ok bool) {
 	for known := range p {
 		if !slices.Contains(addrs, known) {
@@ -272,8 +273,8 @@
 	return addr, ok
 }
 
-// watchOnce reports whether the daemon at addr has a reading that is not old. Its reply may
-// hold so many leaves.
+// watchOnce sends one request to the daemon at addr and reports whether its reading is
+// recent. The time-out allows for a reply with maxLeaves leaves.
 func (f *Finder) watchOnce(ctx context.Context, addr string, leaves int) (fresh bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, peer.TimeFor(watchHold+watchMargin, leaves*leafBytes))
 	defer cancel()
@@ -291,10 +292,10 @@
 	return reply.Run != 0 && fresh, nil
 }
 
-// Server answers the daemons that watch this one.
+// Server returns the server for the daemons that watch this one.
 func (f *Finder) Server() wire.DRPCLeavesServer { return &server{f.book, f.freshFor()} }
 
-// freshFor is how old a list may be to be worth waiting for at the daemon that has it.
+// maxFreshAge is the maximum age of an upstream's list at which watching it is worthwhile.
 func (f *Finder) freshFor() time.Duration { return 2*f.cfg.Every + watchHold }
 
 type server struct {
@@ -302,10 +303,10 @@
 	fresh time.Duration
 }
 
-// Watch implements wire.DRPCLeavesServer. A reply is held until the leaves change
-// or a newer reading is there to tell of at the end of the hold. A daemon without a
-// list, or with an old one, says so at once: after a restart of everything each would
-// otherwise wait a second at one that knows as little, while the reader has it.
+// Watch implements wire.DRPCLeavesServer. The reply is held until the leaves change or
+// the hold time ends. A daemon without a list or with an outdated one replies
+// immediately: otherwise after a full restart each daemon would wait a second for one
+// that has no list either, while the reader has it.
 func (s *server) Watch(ctx context.Context, req *wire.LeavesRequest) (*wire.LeavesReply, error) {
 	timer := time.NewTimer(min(time.Duration(req.WaitMs)*time.Millisecond, watchHold))
 	defer timer.Stop()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -14,7 +14,8 @@
 	"pearmoor/internal/vm"
 )
 
-// Guards against lists of leaves that come late for as long as the daemon that is asked first is lost.
+// While the preferred upstream is unreachable, the list must still arrive in time: only
+// one call may be lost to it.
 func TestLostUpstreamCostsOneCall(t *testing.T) {
 	const newsEvery, lasts, late, mostLate = 100 * time.Millisecond, 8 * time.Second, time.Second, time.Second
 	reader := NewBook(vm.Monotonic)
@@ -44,7 +45,7 @@
 		}
 	}
 	if behind > mostLate {
-		t.Errorf("the list was over %v old for %v of %v", late, behind, lasts)
+		t.Errorf("list was more than %v behind for %v of %v", late, behind, lasts)
 	}
 	cancel()
 	_ = pool.Close()
@@ -52,7 +53,7 @@
 	<-served
 }
 
-// newest returns the number of the only leaf that a book knows, -1 for none.
+// newestLeafNumber returns the number of the only cached leaf, -1 if there is none.
 func newest(b *Book) int {
 	n := -1
 	for _, l := range b.Snapshot().All() {
