--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	leafA = "10.0.0.1:80"
-	ms    = time.Millisecond
-	far   = vm.Instant(1 << 60)
+	leafA     = "10.0.0.1:80"
+	ms        = time.Millisecond
+	farFuture = vm.Instant(1 << 60)
 )
 
 // TestMain fixes rapid's seed so that every run draws the same cases. A seed on
@@ -30,44 +30,44 @@
 }
 
 // testGates is a set of gates with a fake clock and fake timers.
-type world struct {
+type testGates struct {
 	*Gates
 	now    vm.Instant
 	timers []*fakeTimer
 }
 
 type fakeTimer struct {
-	at   vm.Instant
-	f    func()
-	dead bool
+	at      vm.Instant
+	f       func()
+	stopped bool
 }
 
 func (t *fakeTimer) Stop() bool {
-	was := !t.dead
-	t.dead = true
-	return was
+	wasActive := !t.stopped
+	t.stopped = true
+	return wasActive
 }
 
-func newWorld() *world {
-	w := &world{now: vm.Instant(time.Hour)}
-	w.Gates = newGates(func() vm.Instant { return w.now }, w.after)
-	w.Fence(far)
+func newTestGates() *testGates {
+	w := &testGates{now: vm.Instant(time.Hour)}
+	w.Gates = newGates(func() vm.Instant { return w.now }, w.startFakeTimer)
+	w.Fence(farFuture)
 	return w
 }
 
-func (w *world) after(d time.Duration, f func()) stopper {
+func (w *testGates) startFakeTimer(d time.Duration, f func()) stopper {
 	t := &fakeTimer{at: w.now.Add(d), f: f}
 	w.timers = append(w.timers, t)
 	return t
 }
 
 // advance moves the fake clock forward by d and fires the timers that expire, in order.
-func (w *world) advance(d time.Duration) {
+func (w *testGates) advance(d time.Duration) {
 	end := w.now.Add(d)
 	for {
 		var next *fakeTimer
 		for _, t := range w.timers {
-			if !t.dead && t.at <= end && (next == nil || t.at < next.at) {
+			if !t.stopped && t.at <= end && (next == nil || t.at < next.at) {
 				next = t
 			}
 		}
@@ -75,21 +75,21 @@
 			break
 		}
 		w.now = max(w.now, next.at)
-		next.dead = true
+		next.stopped = true
 		next.f()
 	}
-	w.timers = slices.DeleteFunc(w.timers, func(t *fakeTimer) bool { return t.dead })
+	w.timers = slices.DeleteFunc(w.timers, func(t *fakeTimer) bool { return t.stopped })
 	w.now = end
 }
 
 // request requests a permit for leafA with a deadline in d.
-func (w *world) ask(d time.Duration, pr settings.Priority) (*Permit, *waiter, error) {
-	return w.askAny(d, Ask{Priority: pr}, leafA)
+func (w *testGates) request(d time.Duration, priority settings.Priority) (*Permit, *waiter, error) {
+	return w.requestAny(d, Ask{Priority: priority}, leafA)
 }
 
 // requestAny returns the immediate result: a permit, a refusal, or a queued waiter.
-func (w *world) askAny(d time.Duration, a Ask, leaves ...string) (*Permit, *waiter, error) {
-	p, x, refusal := w.Gates.ask(w.now, w.now.Add(d), w.find(nil, leaves), a)
+func (w *testGates) requestAny(d time.Duration, req Ask, leaves ...string) (*Permit, *waiter, error) {
+	p, x, refusal := w.Gates.startOrEnqueue(w.now, w.now.Add(d), w.gatesOf(nil, leaves), req)
 	if refusal != nil {
 		return nil, nil, refusal
 	}
@@ -97,7 +97,7 @@
 }
 
 // outcome returns the result of the wait, and false if x is still waiting.
-func (x *waiter) ended() (grant, bool) {
+func (x *waiter) outcome() (grant, bool) {
 	select {
 	case r := <-x.result:
 		return r, true
@@ -107,7 +107,7 @@
 }
 
 // learnServiceTime makes leafA's gate observe one request with service time d.
-func (w *world) teach(t *testing.T, d time.Duration) {
+func (w *testGates) learnServiceTime(t *testing.T, d time.Duration) {
 	t.Helper()
 	p, ok := w.TryAcquire(leafA)
 	if !ok {
@@ -119,7 +119,7 @@
 
 // requireRefusal returns err as a *contract.Error and fails the test unless its
 // verdict is NotRun.
-func refusalOf(t *testing.T, err error) *contract.Error {
+func requireRefusal(t *testing.T, err error) *contract.Error {
 	t.Helper()
 	var e *contract.Error
 	if !errors.As(err, &e) || e.Verdict != contract.NotRun {
--- a/internal/admit/any_test.go
+++ b/internal/admit/any_test.go
@@ -16,44 +16,44 @@
 // A request that may go to either of two leaves, each with one slot here, waits in
 // both queues. It must get the slot that is freed first, whichever leaf had the
 // shorter expected wait when the request arrived.
-func TestWaitsForWhicheverReplicaFreesFirst(t *testing.T) {
+func TestAcquireAnyTakesFirstFreedLeaf(t *testing.T) {
 	Convey("With both leaves in use", t, func() {
-		w := newWorld()
-		for _, leaf := range leaves {
+		w := newTestGates()
+		for _, leaf := range testLeaves {
 			w.Configure(leaf, Limits{Slots: 1, Queue: 8})
 		}
-		a, _ := w.TryAcquire(leaves[0])
-		b, _ := w.TryAcquire(leaves[1])
-		_, x, _ := w.askAny(time.Second, Ask{}, leaves...)
-		_, y, _ := w.askAny(time.Second, Ask{}, leaves...)
+		a, _ := w.TryAcquire(testLeaves[0])
+		b, _ := w.TryAcquire(testLeaves[1])
+		_, x, _ := w.requestAny(time.Second, Ask{}, testLeaves...)
+		_, y, _ := w.requestAny(time.Second, Ask{}, testLeaves...)
 		Convey("the first permit released goes to the first waiter", func() {
 			b.Done(Answered, 0)
-			r, ok := x.ended()
+			r, ok := x.outcome()
 			So(ok, ShouldBeTrue)
-			So(r.permit.gate.leaf, ShouldEqual, leaves[1])
-			_, ok = y.ended()
+			So(r.permit.gate.leaf, ShouldEqual, testLeaves[1])
+			_, ok = y.outcome()
 			So(ok, ShouldBeFalse)
 			a.Done(Answered, 0)
-			r, ok = y.ended()
+			r, ok = y.outcome()
 			So(ok, ShouldBeTrue)
-			So(r.permit.gate.leaf, ShouldEqual, leaves[0])
-			So(w.Load(leaves[0]).Waiting+w.Load(leaves[1]).Waiting, ShouldBeLessThanOrEqualTo, 1)
+			So(r.permit.gate.leaf, ShouldEqual, testLeaves[0])
+			So(w.Load(testLeaves[0]).Waiting+w.Load(testLeaves[1]).Waiting, ShouldBeLessThanOrEqualTo, 1)
 		})
 		Convey("a draining leaf does not end the wait for the other leaf", func() {
-			w.Drain(leaves[0], true)
-			_, ok := x.ended()
+			w.Drain(testLeaves[0], true)
+			_, ok := x.outcome()
 			So(ok, ShouldBeFalse)
-			w.Drain(leaves[1], true)
-			r, ok := x.ended()
+			w.Drain(testLeaves[1], true)
+			r, ok := x.outcome()
 			So(ok, ShouldBeTrue)
-			So(refusalOf(t, r.err).RetryAfter, ShouldBeGreaterThan, 0)
+			So(requireRefusal(t, r.err).RetryAfter, ShouldBeGreaterThan, 0)
 		})
 		Convey("a hedge is granted before first attempts that arrived earlier", func() {
-			_, h, _ := w.askAny(time.Minute, Ask{Hedge: true}, leaves[0])
+			_, h, _ := w.requestAny(time.Minute, Ask{Hedge: true}, testLeaves[0])
 			a.Done(Answered, 0)
-			_, ok := h.ended()
+			_, ok := h.outcome()
 			So(ok, ShouldBeTrue)
-			_, ok = x.ended()
+			_, ok = x.outcome()
 			So(ok, ShouldBeFalse)
 		})
 	})
@@ -62,9 +62,9 @@
 // A waiter in two queues must count as half a waiter in each. If each queue counted
 // it in full, the expected wait would double and requests would be refused at half
 // of the real capacity.
-func TestWaitersOfTwoQueuesCountOnce(t *testing.T) {
-	w := newWorld()
-	for _, leaf := range leaves {
+func TestExpectedWaitCountsSharedWaitersOnce(t *testing.T) {
+	w := newTestGates()
+	for _, leaf := range testLeaves {
 		w.Configure(leaf, Limits{Slots: 1, Queue: 64})
 		p, _ := w.TryAcquire(leaf)
 		w.advance(10 * ms)
@@ -73,8 +73,8 @@
 	}
 	for i := range 10 {
 		// Two slots with a service time of 10 ms: the last of ten starts after about 50 ms.
-		_, x, _ := w.askAny(70*ms, Ask{}, leaves...)
-		if r, ended := x.ended(); ended {
+		_, x, _ := w.requestAny(70*ms, Ask{}, testLeaves...)
+		if r, ended := x.outcome(); ended {
 			t.Fatalf("request %d, which meets its deadline, ended with %v", i, r.err)
 		}
 	}
@@ -86,7 +86,7 @@
 	g := NewGates(vm.Now)
 	g.Fence(vm.Now().Add(time.Hour))
 	var inFlight [2]atomic.Int64
-	for _, leaf := range leaves {
+	for _, leaf := range testLeaves {
 		g.Configure(leaf, Limits{Slots: 2, Queue: 1 << 10})
 	}
 	var wg sync.WaitGroup
@@ -97,12 +97,12 @@
 				if (i+j)%7 == 0 {
 					go cancel()
 				}
-				p, at, err := g.AcquireAny(ctx, leaves, Ask{Priority: settings.Priority(j % 2), Hedge: j%5 == 0, Order: uint64(j)})
+				p, index, err := g.AcquireAny(ctx, testLeaves, Ask{Priority: settings.Priority(j % 2), Hedge: j%5 == 0, Order: uint64(j)})
 				if err == nil {
-					if n := inFlight[at].Add(1); n > 2 {
-						t.Errorf("%d in flight at %s", n, leaves[at])
+					if n := inFlight[index].Add(1); n > 2 {
+						t.Errorf("%d in flight at %s", n, testLeaves[index])
 					}
-					inFlight[at].Add(-1)
+					inFlight[index].Add(-1)
 					p.Done(Answered, 0)
 				}
 				cancel()
@@ -110,7 +110,7 @@
 		})
 	}
 	wg.Wait()
-	for _, leaf := range leaves {
+	for _, leaf := range testLeaves {
 		if l := g.Load(leaf); l.InFlight != 0 || l.Waiting != 0 {
 			t.Errorf("permits or waiters left at %s: %+v", leaf, l)
 		}
--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -9,7 +9,7 @@
 	"pearmoor/internal/vm"
 )
 
-func openGates(slots int) *Gates {
+func newBenchGates(slots int) *Gates {
 	g := NewGates(vm.Now)
 	g.Fence(vm.Now().Add(time.Hour))
 	g.Configure(leafA, Limits{Slots: slots, Queue: 1 << 16})
@@ -17,7 +17,7 @@
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
-	g := openGates(1)
+	g := newBenchGates(1)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	defer cancel()
 	b.ReportAllocs()
@@ -32,7 +32,7 @@
 
 // BenchmarkAcquireQueued measures a permit that many goroutines queue for on two slots.
 func BenchmarkAcquireQueued(b *testing.B) {
-	g := openGates(2)
+	g := newBenchGates(2)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	defer cancel()
 	b.ReportAllocs()
@@ -50,7 +50,7 @@
 }
 
 func BenchmarkRefusal(b *testing.B) {
-	g := openGates(1)
+	g := newBenchGates(1)
 	g.Configure(leafA, Limits{Slots: 1, Queue: 0})
 	g.TryAcquire(leafA)
 	b.ReportAllocs()
@@ -62,7 +62,7 @@
 }
 
 func BenchmarkCheck(b *testing.B) {
-	p, _ := openGates(1).TryAcquire(leafA)
+	p, _ := newBenchGates(1).TryAcquire(leafA)
 	b.ReportAllocs()
 	for b.Loop() {
 		if p.Check() != nil {
@@ -72,10 +72,10 @@
 }
 
 func BenchmarkBudget(b *testing.B) {
-	bud := NewBudget(func() float64 { return 0.03 }, 1, vm.Now)
+	budget := NewBudget(func() float64 { return 0.03 }, 1, vm.Now)
 	b.ReportAllocs()
 	for b.Loop() {
-		bud.Primary()
-		bud.Spend()
+		budget.Primary()
+		budget.Spend()
 	}
 }
--- a/internal/admit/budget.go
+++ b/internal/admit/budget.go
@@ -14,21 +14,21 @@
 // second, plus budgetBurst. Extra attempts earn nothing, so when every attempt
 // fails, retries can't pay for further retries.
 type Budget struct {
-	ratio func() float64
-	floor float64
-	clock vm.Clock
+	ratio        func() float64
+	minPerSecond float64
+	clock        vm.Clock
 
-	mu     sync.Mutex
-	tokens float64
-	last   vm.Instant
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt vm.Instant
 }
 
 // NewBudget returns a budget with one extra attempt available. ratio returns the
 // allowed extra attempts per primary, in 0..1, and is called on each use; while it
 // returns 0, no extra attempt is allowed. minPerSecond is earned regardless of
 // traffic, so that a service with few requests can hedge.
-func NewBudget(ratio func() float64, floor float64, clock vm.Clock) *Budget {
-	return &Budget{ratio: ratio, floor: floor, clock: clock, tokens: 1, last: clock()}
+func NewBudget(ratio func() float64, minPerSecond float64, clock vm.Clock) *Budget {
+	return &Budget{ratio: ratio, minPerSecond: minPerSecond, clock: clock, tokens: 1, refilledAt: clock()}
 }
 
 // Primary records a first attempt.
@@ -48,8 +48,8 @@
 	now := b.clock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(budgetBurst, b.tokens+b.floor*now.Sub(b.last).Seconds())
-	b.last = now
+	b.tokens = min(budgetBurst, b.tokens+b.minPerSecond*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 	if b.tokens < 1 {
 		budgetDenied.Inc(1)
 		return false
--- a/internal/admit/errors.go
+++ b/internal/admit/errors.go
@@ -23,29 +23,29 @@
 const retryJitter = 0.25
 
 const (
-	noShareRetry     = 100 * time.Millisecond // a view with new shares follows the loss of a share
-	unconfirmedRetry = time.Second            // the interval of lease renewals
+	noShareRetryAfter      = 100 * time.Millisecond // a view with new shares follows the loss of a share
+	leaseExpiredRetryAfter = time.Second            // the interval of lease renewals
 )
 
 func errNoShare() *contract.Error {
-	return refusal(contract.ReasonOverload, noShareRetry, ErrNoShare)
+	return newRefusal(contract.ReasonOverload, noShareRetryAfter, ErrNoShare)
 }
 
 func errDraining() *contract.Error {
-	return refusal(contract.ReasonNoReplica, noShareRetry, ErrDraining)
+	return newRefusal(contract.ReasonNoReplica, noShareRetryAfter, ErrDraining)
 }
 
-func errUnconfirmed() *contract.Error {
-	return refusal(contract.ReasonUnconfirmed, unconfirmedRetry, ErrUnconfirmed)
+func errLeaseExpired() *contract.Error {
+	return newRefusal(contract.ReasonUnconfirmed, leaseExpiredRetryAfter, ErrUnconfirmed)
 }
 
-func errOverload(after time.Duration, cause error) *contract.Error {
-	return refusal(contract.ReasonOverload, after, cause)
+func errOverload(retryAfter time.Duration, cause error) *contract.Error {
+	return newRefusal(contract.ReasonOverload, retryAfter, cause)
 }
 
-func refusal(reason contract.Reason, after time.Duration, cause error) *contract.Error {
+func newRefusal(reason contract.Reason, retryAfter time.Duration, cause error) *contract.Error {
 	e := contract.Refuse(reason, cause)
-	e.RetryAfter = max(1, jitter(after).Milliseconds())
+	e.RetryAfter = max(1, jitter(retryAfter).Milliseconds())
 	return e
 }
 
--- a/internal/admit/fence.go
+++ b/internal/admit/fence.go
@@ -14,26 +14,26 @@
 // permit, its lease expires, another daemon is given the slot, and the first daemon
 // resumes and gets a new lease. Its old permit would send one request more than the
 // leaf has slots. The old generation makes the permit invalid under the new lease.
-type fence struct {
-	mu    sync.Mutex
-	until atomic.Int64
-	gen   atomic.Uint64
+type lease struct {
+	mu         sync.Mutex
+	expiry     atomic.Int64
+	generation atomic.Uint64
 }
 
-func (f *fence) set(until, now vm.Instant) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if now >= vm.Instant(f.until.Load()) {
-		f.gen.Add(1)
+func (l *lease) renew(until, now vm.Instant) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now >= vm.Instant(l.expiry.Load()) {
+		l.generation.Add(1)
 	}
-	f.until.Store(int64(until))
+	l.expiry.Store(int64(until))
 }
 
-func (f *fence) end() vm.Instant { return vm.Instant(f.until.Load()) }
+func (l *lease) end() vm.Instant { return vm.Instant(l.expiry.Load()) }
 
 // valid reports whether the lease of the given generation covers now. The caller
 // reads the clock before the generation is loaded, so a renewal in between can't
 // make an old permit valid.
-func (f *fence) open(gen uint64, now vm.Instant) bool {
-	return now < f.end() && f.gen.Load() == gen
+func (l *lease) valid(generation uint64, now vm.Instant) bool {
+	return now < l.end() && l.generation.Load() == generation
 }
--- a/internal/admit/gate.go
+++ b/internal/admit/gate.go
@@ -13,82 +13,82 @@
 
 // gate admits requests to one leaf.
 type gate struct {
-	set  *Gates
-	leaf string
+	gates *Gates
+	leaf  string
 
-	mu       sync.Mutex
-	limits   Limits
-	flying   []*Permit // permits granted and not yet released
-	over     bool      // len(inFlight) exceeds the share
-	draining bool      // the leaf is shutting down
-	queue    queue
-	standing vm.Instant    // start of the period without an empty queue; 0: the queue is empty
-	stalled  time.Duration // stall time of the process up to nonEmptySince
-	service  ewma          // how long permits are held
-	health   health
-	hint     hint
-	timer    stopper
-	timerAt  vm.Instant
+	mu               sync.Mutex
+	limits           Limits
+	inFlight         []*Permit // permits granted and not yet released
+	overLimit        bool      // len(inFlight) exceeds the share
+	draining         bool      // the leaf is shutting down
+	queue            queue
+	nonEmptySince    vm.Instant    // start of the period without an empty queue; 0: the queue is empty
+	stallsAtNonEmpty time.Duration // stall time of the process up to nonEmptySince
+	serviceTime      ewma          // how long permits are held
+	health           health
+	loadReport       loadReport
+	timer            stopper
+	timerAt          vm.Instant
 }
 
 // noDeadline is the deadline of a request whose context has none.
-const never = vm.Instant(math.MaxInt64)
+const noDeadline = vm.Instant(math.MaxInt64)
 
 // configure sets the limits and reports whether the gate can be removed.
 func (g *gate) configure(l Limits) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limits = l
-	g.markOver()
-	g.dispatch(g.set.clock())
-	return l.Slots <= 0 && len(g.flying) == 0
+	g.updateOverLimit()
+	g.dispatch(g.gates.clock())
+	return l.Slots <= 0 && len(g.inFlight) == 0
 }
 
-func (g *gate) setDraining(on bool) {
+func (g *gate) setDraining(draining bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.draining = on
-	g.dispatch(g.set.clock())
+	g.draining = draining
+	g.dispatch(g.gates.clock())
 }
 
-func (g *gate) answered() (time.Duration, bool) {
-	now := g.set.clock()
+func (g *gate) sinceLastReply() (time.Duration, bool) {
+	now := g.gates.clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.health.lastAnswer == 0 {
+	if g.health.lastReply == 0 {
 		return 0, false
 	}
-	return now.Sub(g.health.lastAnswer), true
+	return now.Sub(g.health.lastReply), true
 }
 
-func (g *gate) idle() bool {
+func (g *gate) unused() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.limits.Slots <= 0 && len(g.flying) == 0
+	return g.limits.Slots <= 0 && len(g.inFlight) == 0
 }
 
-func (g *gate) markOver() {
-	over := len(g.flying) > g.limits.Slots
-	if over == g.over {
+func (g *gate) updateOverLimit() {
+	over := len(g.inFlight) > g.limits.Slots
+	if over == g.overLimit {
 		return
 	}
-	g.over = over
+	g.overLimit = over
 	if over {
-		g.set.over.Add(1)
+		g.gates.gatesOverLimit.Add(1)
 	} else {
-		g.set.over.Add(-1)
+		g.gates.gatesOverLimit.Add(-1)
 	}
 }
 
 // tryStart returns a permit if one is free, no request is queued, and a request
 // that starts now is expected to end by deadline. Otherwise it returns nil.
-func (g *gate) start(now, deadline vm.Instant) *Permit {
+func (g *gate) tryStart(now, deadline vm.Instant) *Permit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.draining || now >= g.set.fence.end() || g.queue.len() > 0 || !g.room(now) {
+	if g.draining || now >= g.gates.lease.end() || g.queue.len() > 0 || !g.canStart(now) {
 		return nil
 	}
-	if !fits(now, 0, g.service.mean, deadline) {
+	if !meetsDeadline(now, 0, g.serviceTime.mean, deadline) {
 		return nil
 	}
 	return g.grant(now)
@@ -98,14 +98,14 @@
 func (g *gate) enqueue(now vm.Instant, w *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if err := g.closed(now); err != nil {
+	if err := g.closedError(now); err != nil {
 		w.refuse(err)
 		return
 	}
 	g.queue.prune()
-	if !g.makePlace(now, w) {
+	if !g.makeRoom(now, w) {
 		refusedFull.Inc(1)
-		w.refuse(errOverload(g.wait(now, g.queue.ahead()), ErrQueueFull))
+		w.refuse(errOverload(g.expectedWait(now, g.queue.ahead()), ErrQueueFull))
 		return
 	}
 	g.queue.push(w)
@@ -115,35 +115,35 @@
 }
 
 // removeWaiter removes a waiter that was claimed elsewhere or has given up.
-func (g *gate) drop(w *waiter) {
+func (g *gate) removeWaiter(w *waiter) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.queue.remove(w)
 	if g.queue.len() == 0 {
-		g.standing = 0
+		g.nonEmptySince = 0
 	}
 }
 
 // bootDeadline converts ctx's deadline to the boot-time clock.
-func deadlineOf(ctx context.Context, now vm.Instant) vm.Instant {
+func bootDeadline(ctx context.Context, now vm.Instant) vm.Instant {
 	d, ok := ctx.Deadline()
 	if !ok {
-		return never
+		return noDeadline
 	}
 	return now.Add(time.Until(d))
 }
 
 // meetsDeadline reports whether a request that waits and then runs for the mean
 // service time ends by its deadline.
-func fits(now vm.Instant, wait, service time.Duration, deadline vm.Instant) bool {
-	return now.Add(wait+service) <= deadline
+func meetsDeadline(now vm.Instant, wait, serviceTime time.Duration, deadline vm.Instant) bool {
+	return now.Add(wait+serviceTime) <= deadline
 }
 
 // closedError returns the refusal if the gate admits no request at all, nil if it is open.
-func (g *gate) closed(now vm.Instant) *contract.Error {
-	if now >= g.set.fence.end() {
-		refusedUnconfirmed.Inc(1)
-		return errUnconfirmed()
+func (g *gate) closedError(now vm.Instant) *contract.Error {
+	if now >= g.gates.lease.end() {
+		refusedLeaseExpired.Inc(1)
+		return errLeaseExpired()
 	}
 	if g.limits.Slots <= 0 {
 		refusedNoShare.Inc(1)
@@ -159,66 +159,66 @@
 // tryAcquire returns no permit while the leaf is failing: the probe that tests for
 // recovery must be a first attempt and not a hedge.
 func (g *gate) tryAcquire() (*Permit, bool) {
-	now := g.set.clock()
+	now := g.gates.clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.draining || now >= g.set.fence.end() || g.health.failing() {
+	if g.draining || now >= g.gates.lease.end() || g.health.failing() {
 		return nil, false
 	}
-	if g.queue.len() > 0 || !g.room(now) {
+	if g.queue.len() > 0 || !g.canStart(now) {
 		return nil, false
 	}
 	return g.grant(now), true
 }
 
 func (g *gate) grant(now vm.Instant) *Permit {
-	p := &Permit{gate: g, gen: g.set.fence.gen.Load(), granted: now, stalled: g.set.stalls.until(now)}
-	g.flying = append(g.flying, p)
-	g.health.started(now, g.period(now))
-	granted.Inc(1)
+	p := &Permit{gate: g, leaseGeneration: g.gates.lease.generation.Load(), granted: now, stallsAtGrant: g.gates.stalls.totalAt(now)}
+	g.inFlight = append(g.inFlight, p)
+	g.health.recordStart(now, g.startInterval(now))
+	grantedCount.Inc(1)
 	return p
 }
 
 func (g *gate) release(p *Permit, o Outcome, retryAfter time.Duration) {
-	now := g.set.clock()
+	now := g.gates.clock()
 	g.mu.Lock()
-	if at := slices.Index(g.flying, p); at >= 0 {
-		g.flying = slices.Delete(g.flying, at, at+1)
+	if i := slices.Index(g.inFlight, p); i >= 0 {
+		g.inFlight = slices.Delete(g.inFlight, i, i+1)
 	}
-	g.learn(now, o, p.held(now), retryAfter)
-	g.markOver()
+	g.recordOutcome(now, o, p.held(now), retryAfter)
+	g.updateOverLimit()
 	g.dispatch(now)
-	forget := g.limits.Slots <= 0 && len(g.flying) == 0
+	unused := g.limits.Slots <= 0 && len(g.inFlight) == 0
 	g.mu.Unlock()
-	if forget {
-		g.set.forget(g)
+	if unused {
+		g.gates.removeIfUnused(g)
 	}
 }
 
 // recordOutcome updates the service time estimate and the leaf's health. For an
 // attempt that ended without a reply, the time held is only a lower bound of the
 // service time, so it may raise the mean but not lower it.
-func (g *gate) learn(now vm.Instant, o Outcome, held, retryAfter time.Duration) {
+func (g *gate) recordOutcome(now vm.Instant, o Outcome, held, retryAfter time.Duration) {
 	switch o {
 	case Answered:
-		g.service.add(held)
-		g.health.answered(now, g.limits.Ramp)
+		g.serviceTime.add(held)
+		g.health.recordReply(now, g.limits.Ramp)
 	case Declined:
-		g.health.answered(now, g.limits.Ramp)
+		g.health.recordReply(now, g.limits.Ramp)
 	case Refused:
-		g.health.refused(now, retryAfter)
+		g.health.recordRefusal(now, retryAfter)
 	case Failed:
-		g.health.failed(now)
-		g.censored(held)
+		g.health.recordFailure(now)
+		g.recordLowerBound(held)
 	case Cancelled:
-		g.censored(held)
+		g.recordLowerBound(held)
 	}
 }
 
 // recordLowerBound adds held to the estimate if it exceeds the mean service time.
-func (g *gate) censored(held time.Duration) {
-	if g.service.mean > 0 && held > g.service.mean {
-		g.service.add(held)
+func (g *gate) recordLowerBound(held time.Duration) {
+	if g.serviceTime.mean > 0 && held > g.serviceTime.mean {
+		g.serviceTime.add(held)
 	}
 }
 
@@ -227,46 +227,46 @@
 func (g *gate) dispatch(now vm.Instant) {
 	g.queue.prune()
 	if g.queue.len() == 0 {
-		g.standing = 0
+		g.nonEmptySince = 0
 		return
 	}
-	if err := g.closed(now); err != nil {
+	if err := g.closedError(now); err != nil {
 		for g.queue.len() > 0 {
 			g.queue.pop().refuse(err)
 		}
-		g.standing = 0
+		g.nonEmptySince = 0
 		return
 	}
 	for g.shed(now, nil) {
 	}
-	for g.queue.len() > 0 && g.room(now) {
+	for g.queue.len() > 0 && g.canStart(now) {
 		if w := g.queue.pop(); w.claim() {
 			w.result <- grant{permit: g.grant(now)}
 		}
 	}
-	g.noteQueue(now)
-	g.arm(now)
+	g.updateNonEmptySince(now)
+	g.armTimer(now)
 }
 
 // armTimer sets the timer for the next change that no event reports: a backoff or
 // pause ends, an expected permit was not released, a waiter's latest start time
 // passes, or the lease ends. A timer that is already set for an earlier time is
 // kept; when it fires, dispatch sets the next one.
-func (g *gate) arm(now vm.Instant) {
+func (g *gate) armTimer(now vm.Instant) {
 	if g.queue.len() == 0 {
 		return
 	}
-	at := g.set.fence.end()
-	if d := g.health.blocked(now); d > 0 {
+	at := g.gates.lease.end()
+	if d := g.health.blockedFor(now); d > 0 {
 		at = min(at, now.Add(d))
 	}
 	if d := g.recheckIn(now); d > 0 {
 		at = min(at, now.Add(d))
 	}
-	for _, c := range g.queue.class {
+	for _, c := range g.queue.byPriority {
 		for _, w := range c {
-			if w.deadline != never {
-				at = min(at, w.deadline.Add(1-g.service.mean))
+			if w.deadline != noDeadline {
+				at = min(at, w.deadline.Add(1-g.serviceTime.mean))
 			}
 			if !w.Hedge {
 				break // the first waiter after the hedges has the earliest deadline
@@ -280,18 +280,18 @@
 		g.timer.Stop()
 	}
 	g.timerAt = at
-	g.timer = g.set.after(max(at.Sub(now), minTimer), g.poll)
+	g.timer = g.gates.after(max(at.Sub(now), minTimerDelay), g.onTimer)
 }
 
 // minTimerDelay prevents a busy loop when the timer's clock runs ahead of the
 // boot-time clock.
-const minTimer = 100 * time.Microsecond
+const minTimerDelay = 100 * time.Microsecond
 
 // onTimer dispatches when the timer fires. Timers of a paused process fire late and
 // together, so dispatch decides by the clock and not by which timer fired.
-func (g *gate) poll() {
+func (g *gate) onTimer() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.timer = nil
-	g.dispatch(g.set.clock())
+	g.dispatch(g.gates.clock())
 }
--- a/internal/admit/gates.go
+++ b/internal/admit/gates.go
@@ -22,14 +22,14 @@
 // Gates holds one gate per leaf. A leaf is identified by its address
 // (settings.Leaf.Addr), because its slots belong to the address.
 type Gates struct {
-	clock  vm.Clock
-	after  afterFunc
-	fence  fence
-	stalls stalls
-	over   atomic.Int64 // number of gates with more requests in flight than their share
+	clock          vm.Clock
+	after          afterFunc
+	lease          lease
+	stalls         stallTracker
+	gatesOverLimit atomic.Int64 // number of gates with more requests in flight than their share
 
 	mu       sync.RWMutex
-	byID     map[string]*gate
+	byLeaf   map[string]*gate
 	draining map[string]bool // includes leaves that have no gate
 }
 
@@ -39,16 +39,16 @@
 // afterFunc calls f after d; see time.AfterFunc.
 type afterFunc func(d time.Duration, f func()) stopper
 
-func realAfter(d time.Duration, f func()) stopper { return time.AfterFunc(d, f) }
+func startTimer(d time.Duration, f func()) stopper { return time.AfterFunc(d, f) }
 
 // NewGates returns gates that admit nothing until Configure has set a leaf's share
 // and SetLeaseEnd the end of the lease.
 func NewGates(clock vm.Clock) *Gates {
-	return newGates(clock, realAfter)
+	return newGates(clock, startTimer)
 }
 
 func newGates(clock vm.Clock, after afterFunc) *Gates {
-	return &Gates{clock: clock, after: after, byID: make(map[string]*gate), draining: make(map[string]bool)}
+	return &Gates{clock: clock, after: after, byLeaf: make(map[string]*gate), draining: make(map[string]bool)}
 }
 
 // Configure sets a leaf's limits. A smaller share cancels nothing: new permits are
@@ -57,37 +57,37 @@
 func (g *Gates) Configure(leaf string, l Limits) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	gt := g.byID[leaf]
+	gt := g.byLeaf[leaf]
 	if gt == nil {
 		if l.Slots <= 0 {
 			return
 		}
-		gt = &gate{set: g, leaf: leaf, draining: g.draining[leaf]}
-		g.byID[leaf] = gt
+		gt = &gate{gates: g, leaf: leaf, draining: g.draining[leaf]}
+		g.byLeaf[leaf] = gt
 	}
 	if gt.configure(l) {
-		delete(g.byID, leaf)
+		delete(g.byLeaf, leaf)
 	}
 }
 
 // removeIfUnused removes a gate that has no share and nothing in flight.
-func (g *Gates) forget(gt *gate) {
+func (g *Gates) removeIfUnused(gt *gate) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if gt.idle() && g.byID[gt.leaf] == gt {
-		delete(g.byID, gt.leaf)
+	if gt.unused() && g.byLeaf[gt.leaf] == gt {
+		delete(g.byLeaf, gt.leaf)
 	}
 }
 
-func (g *Gates) get(leaf string) *gate {
+func (g *Gates) gateOf(leaf string) *gate {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
-	return g.byID[leaf]
+	return g.byLeaf[leaf]
 }
 
 // Acquire waits for a permit for one leaf; see AcquireAny.
-func (g *Gates) Acquire(ctx context.Context, leaf string, pr settings.Priority) (*Permit, error) {
-	p, _, err := g.AcquireAny(ctx, []string{leaf}, Ask{Priority: pr})
+func (g *Gates) Acquire(ctx context.Context, leaf string, priority settings.Priority) (*Permit, error) {
+	p, _, err := g.AcquireAny(ctx, []string{leaf}, Ask{Priority: priority})
 	return p, err
 }
 
@@ -97,14 +97,14 @@
 // *contract.Error of verdict NotRun when all leaves refuse: immediately if the
 // queue is full or the expected wait exceeds ctx's deadline, and later if either
 // becomes true while the request waits.
-func (g *Gates) AcquireAny(ctx context.Context, leaves []string, a Ask) (p *Permit, at int, err error) {
+func (g *Gates) AcquireAny(ctx context.Context, leaves []string, req Ask) (p *Permit, index int, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, 0, contract.Refuse(contract.ReasonDeadline, err)
 	}
-	var few [4]*gate
-	gates := g.find(few[:0], leaves)
+	var buf [4]*gate
+	gates := g.gatesOf(buf[:0], leaves)
 	now := g.clock()
-	p, w, refusal := g.ask(now, deadlineOf(ctx, now), gates, a)
+	p, w, refusal := g.startOrEnqueue(now, bootDeadline(ctx, now), gates, req)
 	if refusal != nil {
 		return nil, 0, refusal
 	}
@@ -117,32 +117,32 @@
 }
 
 // gatesOf appends the gate of each leaf to gates, nil for a leaf without a share.
-func (g *Gates) find(gates []*gate, leaves []string) []*gate {
+func (g *Gates) gatesOf(gates []*gate, leaves []string) []*gate {
 	g.mu.RLock()
 	defer g.mu.RUnlock()
 	for _, leaf := range leaves {
-		gates = append(gates, g.byID[leaf])
+		gates = append(gates, g.byLeaf[leaf])
 	}
 	return gates
 }
 
 // startOrEnqueue returns a permit, a refusal, or the waiter that will receive one of them.
-func (g *Gates) ask(now, deadline vm.Instant, gates []*gate, a Ask) (*Permit, *waiter, *contract.Error) {
-	known := 0
+func (g *Gates) startOrEnqueue(now, deadline vm.Instant, gates []*gate, req Ask) (*Permit, *waiter, *contract.Error) {
+	candidates := 0
 	for _, gt := range gates {
 		if gt == nil {
 			continue
 		}
-		known++
-		if p := gt.start(now, deadline); p != nil {
+		candidates++
+		if p := gt.tryStart(now, deadline); p != nil {
 			return p, nil, nil
 		}
 	}
-	if known == 0 {
+	if candidates == 0 {
 		refusedNoShare.Inc(1)
 		return nil, nil, errNoShare()
 	}
-	w := newWaiter(a, deadline, known)
+	w := newWaiter(req, deadline, candidates)
 	for _, gt := range gates {
 		if gt != nil && !w.claimed.Load() {
 			gt.enqueue(now, w)
@@ -153,7 +153,7 @@
 
 // TryAcquire returns a permit only if one is free and no request is queued for it.
 func (g *Gates) TryAcquire(leaf string) (*Permit, bool) {
-	gt := g.get(leaf)
+	gt := g.gateOf(leaf)
 	if gt == nil {
 		return nil, false
 	}
@@ -162,7 +162,7 @@
 
 // Load returns the state of a leaf's gate, which callers use to choose between leaves.
 func (g *Gates) Load(leaf string) Load {
-	gt := g.get(leaf)
+	gt := g.gateOf(leaf)
 	if gt == nil {
 		return Load{}
 	}
@@ -171,47 +171,47 @@
 
 // WithinLimits reports whether no gate has more requests in flight than its share.
 // A smaller share may be acknowledged only then.
-func (g *Gates) Respected() bool { return g.over.Load() == 0 }
+func (g *Gates) Respected() bool { return g.gatesOverLimit.Load() == 0 }
 
 // StartRamp begins a slow start for a leaf that is new, reports that it is starting,
 // or has recovered.
 func (g *Gates) Ramp(leaf string) {
-	if gt := g.get(leaf); gt != nil {
-		gt.beginRamp()
+	if gt := g.gateOf(leaf); gt != nil {
+		gt.startRamp()
 	}
 }
 
 // SetDraining closes a leaf's gate while draining is set. Requests in flight
 // continue; waiting requests are refused.
-func (g *Gates) Drain(leaf string, on bool) {
+func (g *Gates) Drain(leaf string, draining bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if on {
+	if draining {
 		g.draining[leaf] = true
 	} else {
 		delete(g.draining, leaf)
 	}
-	if gt := g.byID[leaf]; gt != nil {
-		gt.setDraining(on)
+	if gt := g.byLeaf[leaf]; gt != nil {
+		gt.setDraining(draining)
 	}
 }
 
 // SinceLastReply returns the time since the leaf last replied to a request, and
 // false if it has not replied yet.
 func (g *Gates) Answered(leaf string) (time.Duration, bool) {
-	gt := g.get(leaf)
+	gt := g.gateOf(leaf)
 	if gt == nil {
 		return 0, false
 	}
-	return gt.answered()
+	return gt.sinceLastReply()
 }
 
 // ReportLoad records the load that a leaf reported. The report may be late or wrong,
 // so it affects only Load.ExpectedWait, by at most loadReportWeight of a service
 // time, and its effect decreases with its age.
 func (g *Gates) Hint(leaf string, inFlight, slots int) {
-	if gt := g.get(leaf); gt != nil {
-		gt.setHint(inFlight, slots)
+	if gt := g.gateOf(leaf); gt != nil {
+		gt.setLoadReport(inFlight, slots)
 	}
 }
 
@@ -220,5 +220,5 @@
 // and SetLeaseEnd last. Permits granted before the lease expired stay invalid after
 // a renewal, because another daemon may hold their slots by then.
 func (g *Gates) Fence(until vm.Instant) {
-	g.fence.set(until, g.clock())
+	g.lease.renew(until, g.clock())
 }
--- a/internal/admit/health_test.go
+++ b/internal/admit/health_test.go
@@ -11,9 +11,9 @@
 
 // A leaf refuses with a retry time. Nothing may be sent to it until then, but for no
 // longer than pauseMax, and jitter must keep home daemons from returning together.
-func TestRefusalPausesTheLeaf(t *testing.T) {
+func TestRefusalPausesLeaf(t *testing.T) {
 	Convey("After a refusal", t, func() {
-		w := newWorld()
+		w := newTestGates()
 		w.Configure(leafA, Limits{Slots: 2, Queue: 4})
 		refuse := func(after time.Duration) {
 			p, ok := w.TryAcquire(leafA)
@@ -37,26 +37,26 @@
 		})
 		Convey("without a retry time, the pause doubles, and a reply resets it", func() {
 			refuse(0)
-			first := w.get(leafA).health.blocked(w.now)
+			first := w.gateOf(leafA).health.blockedFor(w.now)
 			So(first, ShouldBeBetweenOrEqual, pauseBase, pauseBase*5/4)
 			w.advance(first)
 			refuse(0)
-			So(w.get(leafA).health.blocked(w.now), ShouldBeGreaterThanOrEqualTo, 2*pauseBase)
+			So(w.gateOf(leafA).health.blockedFor(w.now), ShouldBeGreaterThanOrEqualTo, 2*pauseBase)
 			w.advance(pauseMax)
 			p, _ := w.TryAcquire(leafA)
 			p.Done(Answered, 0)
 			refuse(0)
-			So(w.get(leafA).health.blocked(w.now), ShouldBeLessThanOrEqualTo, pauseBase*5/4)
+			So(w.gateOf(leafA).health.blockedFor(w.now), ShouldBeLessThanOrEqualTo, pauseBase*5/4)
 		})
 		Convey("a request that can't wait that long is refused immediately, others are queued", func() {
 			refuse(time.Second)
-			_, x, _ := w.ask(500*ms, settings.Urgent)
-			r, ok := x.ended()
+			_, x, _ := w.request(500*ms, settings.Urgent)
+			r, ok := x.outcome()
 			So(ok, ShouldBeTrue)
-			So(refusalOf(t, r.err).RetryAfter, ShouldBeGreaterThanOrEqualTo, 500)
-			_, y, _ := w.ask(5*time.Second, settings.Urgent)
+			So(requireRefusal(t, r.err).RetryAfter, ShouldBeGreaterThanOrEqualTo, 500)
+			_, y, _ := w.request(5*time.Second, settings.Urgent)
 			w.advance(1250 * ms)
-			r, ok = y.ended()
+			r, ok = y.outcome()
 			So(ok, ShouldBeTrue)
 			So(r.permit, ShouldNotBeNil)
 		})
@@ -67,39 +67,39 @@
 // be lost, so only one request at a time may probe it.
 func TestFailingLeafIsProbedByOneRequest(t *testing.T) {
 	Convey("A leaf that keeps failing", t, func() {
-		w := newWorld()
+		w := newTestGates()
 		w.Configure(leafA, Limits{Slots: 4, Queue: 8, Ramp: 10 * time.Second})
-		w.teach(t, 10*ms)
+		w.learnServiceTime(t, 10*ms)
 		for range failThreshold {
 			p, ok := w.TryAcquire(leafA)
 			So(ok, ShouldBeTrue)
 			p.Done(Failed, 0)
 		}
 		So(w.Load(leafA).Failing, ShouldBeTrue)
-		_, x, _ := w.ask(time.Minute, settings.Urgent)
-		_, y, _ := w.ask(time.Minute, settings.Urgent)
+		_, x, _ := w.request(time.Minute, settings.Urgent)
+		_, y, _ := w.request(time.Minute, settings.Urgent)
 		w.advance(backoffBase - 1)
-		_, ended := x.ended()
+		_, ended := x.outcome()
 		So(ended, ShouldBeFalse)
 		w.advance(backoffBase)
-		r, ended := x.ended()
+		r, ended := x.outcome()
 		So(ended, ShouldBeTrue)
-		_, ended = y.ended()
+		_, ended = y.outcome()
 		So(ended, ShouldBeFalse)
 		_, hedged := w.TryAcquire(leafA)
 		So(hedged, ShouldBeFalse)
 		Convey("the probe fails: the backoff doubles", func() {
 			r.permit.Done(Failed, 0)
-			So(w.get(leafA).health.blocked(w.now), ShouldBeGreaterThanOrEqualTo, 2*backoffBase)
+			So(w.gateOf(leafA).health.blockedFor(w.now), ShouldBeGreaterThanOrEqualTo, 2*backoffBase)
 		})
 		Convey("the probe succeeds: the leaf ramps up from a tenth of its rate", func() {
 			w.advance(10 * ms)
 			r.permit.Done(Answered, 0)
 			So(w.Load(leafA).Failing, ShouldBeFalse)
-			So(w.get(leafA).limit(w.now), ShouldEqual, 1)
+			So(w.gateOf(leafA).limit(w.now), ShouldEqual, 1)
 			w.advance(10 * time.Second)
-			So(w.get(leafA).limit(w.now), ShouldEqual, 4)
-			So(w.get(leafA).health.blocked(w.now), ShouldEqual, 0)
+			So(w.gateOf(leafA).limit(w.now), ShouldEqual, 4)
+			So(w.gateOf(leafA).health.blockedFor(w.now), ShouldEqual, 0)
 		})
 	})
 }
@@ -108,9 +108,9 @@
 // start spaces requests out: about a tenth of the full rate at first, half of it
 // over the whole ramp, and the full rate afterwards.
 func TestSlowStartWithOneSlot(t *testing.T) {
-	w := newWorld()
+	w := newTestGates()
 	w.Configure(leafA, Limits{Slots: 1, Queue: 8, Ramp: 10 * time.Second})
-	w.teach(t, 10*ms)
+	w.learnServiceTime(t, 10*ms)
 	w.Ramp(leafA)
 	starts := func(d time.Duration) (n int) {
 		for end := w.now.Add(d); w.now < end; {
@@ -143,17 +143,17 @@
 // most half a service time and must expire after a few seconds.
 func TestLoadReportsHaveBoundedEffect(t *testing.T) {
 	Convey("A report of a very high load has a bounded effect", t, func() {
-		w := newWorld()
+		w := newTestGates()
 		w.Configure(leafA, Limits{Slots: 1, Queue: 8})
-		w.teach(t, 10*ms)
+		w.learnServiceTime(t, 10*ms)
 		w.Hint(leafA, 1<<30, 1)
 		So(w.Load(leafA).Wait, ShouldEqual, 5*ms)
 		_, ok := w.TryAcquire(leafA)
 		So(ok, ShouldBeTrue)
-		w.advance(hintLife)
+		w.advance(loadReportTTL)
 		So(w.Load(leafA).Wait, ShouldBeGreaterThanOrEqualTo, 0)
 		Convey("and is ignored once it has expired", func() {
-			So(w.get(leafA).hint.extra(w.now, 10*ms), ShouldEqual, 0)
+			So(w.gateOf(leafA).loadReport.waitPenalty(w.now, 10*ms), ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/admit/load.go
+++ b/internal/admit/load.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	hintWeight = 0.5             // a reported load adds at most half a service time to the expected wait
-	hintLife   = 3 * time.Second // a report of this age or older is ignored
+	loadReportWeight = 0.5             // a reported load adds at most half a service time to the expected wait
+	loadReportTTL    = 3 * time.Second // a report of this age or older is ignored
 )
 
 // Load is the state of a leaf's gate.
@@ -23,46 +23,46 @@
 }
 
 // loadReport is a load that the leaf reported.
-type hint struct {
-	busy float64 // 0..1
-	at   vm.Instant
+type loadReport struct {
+	utilization float64 // 0..1
+	receivedAt  vm.Instant
 }
 
-func (g *gate) setHint(inFlight, slots int) {
+func (g *gate) setLoadReport(inFlight, slots int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if slots <= 0 {
-		g.hint = hint{}
+		g.loadReport = loadReport{}
 		return
 	}
-	busy := float64(max(inFlight, 0)) / float64(slots)
-	g.hint = hint{busy: min(busy, 1), at: g.set.clock()}
+	utilization := float64(max(inFlight, 0)) / float64(slots)
+	g.loadReport = loadReport{utilization: min(utilization, 1), receivedAt: g.gates.clock()}
 }
 
 // waitPenalty returns what the report adds to the expected wait.
-func (h hint) extra(now vm.Instant, service time.Duration) time.Duration {
-	age := now.Sub(h.at)
-	if h.busy == 0 || age >= hintLife {
+func (r loadReport) waitPenalty(now vm.Instant, serviceTime time.Duration) time.Duration {
+	age := now.Sub(r.receivedAt)
+	if r.utilization == 0 || age >= loadReportTTL {
 		return 0
 	}
-	fresh := 1 - float64(age)/float64(hintLife)
-	return time.Duration(hintWeight * h.busy * fresh * float64(service))
+	freshness := 1 - float64(age)/float64(loadReportTTL)
+	return time.Duration(loadReportWeight * r.utilization * freshness * float64(serviceTime))
 }
 
 func (g *gate) load() Load {
-	now := g.set.clock()
+	now := g.gates.clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := Load{
 		Slots:    g.limits.Slots,
-		InFlight: len(g.flying),
+		InFlight: len(g.inFlight),
 		Waiting:  g.queue.len(),
-		Service:  g.service.mean,
+		Service:  g.serviceTime.mean,
 		Failing:  g.health.failing(),
-		Standing: g.stood(now),
+		Standing: g.nonEmptyFor(now),
 	}
 	if l.Slots > 0 {
-		l.Wait = g.wait(now, g.queue.ahead()) + g.hint.extra(now, l.Service)
+		l.Wait = g.expectedWait(now, g.queue.ahead()) + g.loadReport.waitPenalty(now, l.Service)
 	}
 	return l
 }
--- a/internal/admit/permit.go
+++ b/internal/admit/permit.go
@@ -23,30 +23,30 @@
 // Permit allows one request in flight at a leaf. It is held until the leaf has
 // finished the request, which may be after the caller has stopped waiting.
 type Permit struct {
-	gate    *gate
-	gen     uint64
-	granted vm.Instant
-	stalled time.Duration // stall time of the process up to the grant
-	done    atomic.Bool
+	gate            *gate
+	leaseGeneration uint64
+	granted         vm.Instant
+	stallsAtGrant   time.Duration // stall time of the process up to the grant
+	done            atomic.Bool
 }
 
 // held returns how long the permit has been held, without the stalls of the process.
 func (p *Permit) held(now vm.Instant) time.Duration {
-	return now.Sub(p.granted) - (p.gate.set.stalls.until(now) - p.stalled)
+	return now.Sub(p.granted) - (p.gate.gates.stalls.totalAt(now) - p.stallsAtGrant)
 }
 
 // Check fails with verdict NotRun if the lease under which the permit was granted has
 // expired. Call it immediately before the request is written.
 func (p *Permit) Check() error {
-	f := &p.gate.set.fence
-	if f.open(p.gen, p.gate.set.clock()) {
+	lease := &p.gate.gates.lease
+	if lease.valid(p.leaseGeneration, p.gate.gates.clock()) {
 		return nil
 	}
-	return errUnconfirmed()
+	return errLeaseExpired()
 }
 
 // LeaseEnd returns the end of the lease. No attempt may have a later deadline.
-func (p *Permit) Until() vm.Instant { return p.gate.set.fence.end() }
+func (p *Permit) Until() vm.Instant { return p.gate.gates.lease.end() }
 
 // Done releases the permit and records the outcome. retryAfter is the retry time
 // that the leaf sent with Refused, or 0. Only the first call has an effect.
--- a/internal/admit/property_test.go
+++ b/internal/admit/property_test.go
@@ -12,74 +12,74 @@
 	"pearmoor/internal/vm"
 )
 
-var leaves = []string{leafA, "10.0.0.2:80"}
+var testLeaves = []string{leafA, "10.0.0.2:80"}
 
 // gateModel drives two gates through random shares, requests for one or both leaves,
 // outcomes, process pauses and lease expiries, and checks the gates' invariants
 // after each action.
-type machine struct {
-	w        *world
+type gateModel struct {
+	gates    *testGates
 	slots    map[string]int
-	flying   map[string][]*Permit
+	inFlight map[string][]*Permit
 	waiting  []*waiter
 	deadline map[*waiter]vm.Instant
 }
 
 // collectEnded handles the waits that ended since the last action.
-func (m *machine) collect(t *rapid.T) {
-	kept := m.waiting[:0]
+func (m *gateModel) collectEnded(t *rapid.T) {
+	stillWaiting := m.waiting[:0]
 	for _, x := range m.waiting {
-		r, ok := x.ended()
+		r, ok := x.outcome()
 		switch {
 		case !ok:
-			kept = append(kept, x)
+			stillWaiting = append(stillWaiting, x)
 		case r.permit != nil:
-			if r.permit.granted >= m.w.fence.end() {
+			if r.permit.granted >= m.gates.lease.end() {
 				t.Fatal("a permit was granted after the lease expired")
 			}
-			m.took(r.permit)
+			m.addInFlight(r.permit)
 		case contract.VerdictOf(r.err) != contract.NotRun:
 			t.Fatalf("refused with %v", r.err)
 		}
-		if _, twice := x.ended(); twice {
+		if _, twice := x.outcome(); twice {
 			t.Fatal("a wait ended twice")
 		}
 	}
-	m.waiting = kept
+	m.waiting = stillWaiting
 }
 
-func (m *machine) took(p *Permit) {
-	m.flying[p.gate.leaf] = append(m.flying[p.gate.leaf], p)
+func (m *gateModel) addInFlight(p *Permit) {
+	m.inFlight[p.gate.leaf] = append(m.inFlight[p.gate.leaf], p)
 }
 
-func (m *machine) check(t *rapid.T) {
-	m.collect(t)
-	respected := true
-	for _, leaf := range leaves {
+func (m *gateModel) check(t *rapid.T) {
+	m.collectEnded(t)
+	withinLimits := true
+	for _, leaf := range testLeaves {
 		m.checkGate(t, leaf)
-		respected = respected && len(m.flying[leaf]) <= m.slots[leaf]
+		withinLimits = withinLimits && len(m.inFlight[leaf]) <= m.slots[leaf]
 	}
-	if m.w.Respected() != respected {
-		t.Fatalf("WithinLimits returns %v", m.w.Respected())
+	if m.gates.Respected() != withinLimits {
+		t.Fatalf("WithinLimits returns %v", m.gates.Respected())
 	}
 	for _, x := range m.waiting {
-		if m.deadline[x] < m.w.now {
+		if m.deadline[x] < m.gates.now {
 			t.Fatal("a request is still queued after its deadline")
 		}
 	}
 }
 
-func (m *machine) checkGate(t *rapid.T, leaf string) {
-	gt := m.w.get(leaf)
+func (m *gateModel) checkGate(t *rapid.T, leaf string) {
+	gt := m.gates.gateOf(leaf)
 	if gt == nil {
-		if len(m.flying[leaf]) > 0 {
+		if len(m.inFlight[leaf]) > 0 {
 			t.Fatal("the gate was removed while permits were held")
 		}
 		return
 	}
 	gt.queue.prune()
-	if len(gt.flying) != len(m.flying[leaf]) {
-		t.Fatalf("gate has %d in flight, want %d", len(gt.flying), len(m.flying[leaf]))
+	if len(gt.inFlight) != len(m.inFlight[leaf]) {
+		t.Fatalf("gate has %d in flight, want %d", len(gt.inFlight), len(m.inFlight[leaf]))
 	}
 	if gt.queue.len() > len(m.waiting) {
 		t.Fatalf("gate has %d waiters, but only %d requests wait", gt.queue.len(), len(m.waiting))
@@ -87,7 +87,7 @@
 	if gt.queue.len() == 0 {
 		return
 	}
-	if gt.closed(m.w.now) == nil && gt.room(m.w.now) {
+	if gt.closedError(m.gates.now) == nil && gt.canStart(m.gates.now) {
 		t.Fatal("requests wait although one may start")
 	}
 	if gt.timer == nil {
@@ -95,104 +95,104 @@
 	}
 }
 
-func (m *machine) steps() map[string]func(*rapid.T) {
-	aLeaf := rapid.SampledFrom(leaves)
+func (m *gateModel) actions() map[string]func(*rapid.T) {
+	leafGen := rapid.SampledFrom(testLeaves)
 	return map[string]func(*rapid.T){
 		"": m.check,
 		"configure": func(t *rapid.T) {
-			leaf := aLeaf.Draw(t, "leaf")
+			leaf := leafGen.Draw(t, "leaf")
 			m.slots[leaf] = rapid.IntRange(0, 4).Draw(t, "slots")
-			m.w.Configure(leaf, Limits{Slots: m.slots[leaf], Queue: rapid.IntRange(0, 6).Draw(t, "queue"), Ramp: time.Second})
+			m.gates.Configure(leaf, Limits{Slots: m.slots[leaf], Queue: rapid.IntRange(0, 6).Draw(t, "queue"), Ramp: time.Second})
 		},
-		"ask":  m.ask,
+		"ask":  m.request,
 		"done": m.done,
 		"advance": func(t *rapid.T) {
-			m.w.advance(time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * ms)
+			m.gates.advance(time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * ms)
 		},
 		"renew": func(t *rapid.T) {
-			m.w.Fence(m.w.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms))
+			m.gates.Fence(m.gates.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms))
 		},
-		"drain": func(t *rapid.T) { m.w.Drain(aLeaf.Draw(t, "leaf"), rapid.Bool().Draw(t, "on")) },
-		"ramp":  func(t *rapid.T) { m.w.Ramp(aLeaf.Draw(t, "leaf")) },
+		"drain": func(t *rapid.T) { m.gates.Drain(leafGen.Draw(t, "leaf"), rapid.Bool().Draw(t, "on")) },
+		"ramp":  func(t *rapid.T) { m.gates.Ramp(leafGen.Draw(t, "leaf")) },
 		"leave": func(t *rapid.T) {
 			if len(m.waiting) == 0 {
 				t.Skip("no request is waiting")
 			}
-			at := rapid.IntRange(0, len(m.waiting)-1).Draw(t, "which")
-			x := m.waiting[at]
+			i := rapid.IntRange(0, len(m.waiting)-1).Draw(t, "which")
+			x := m.waiting[i]
 			if !x.claim() {
 				t.Fatal("a waiter without a result can't be claimed")
 			}
-			m.waiting = append(m.waiting[:at:at], m.waiting[at+1:]...)
-			x.leaveQueues(m.w.find(nil, leaves))
+			m.waiting = append(m.waiting[:i:i], m.waiting[i+1:]...)
+			x.removeFromQueues(m.gates.gatesOf(nil, testLeaves))
 		},
 		"pause": func(t *rapid.T) {
 			// The process is paused: time passes, no timer fires, and the lease may expire.
-			m.w.now = m.w.now.Add(10 * time.Second)
-			for _, leaf := range leaves {
-				for _, p := range m.flying[leaf] {
-					if m.w.now >= m.w.fence.end() && p.Check() == nil {
+			m.gates.now = m.gates.now.Add(10 * time.Second)
+			for _, leaf := range testLeaves {
+				for _, p := range m.inFlight[leaf] {
+					if m.gates.now >= m.gates.lease.end() && p.Check() == nil {
 						t.Fatal("a permit is valid after the lease expired")
 					}
 				}
 			}
-			m.w.advance(0)
+			m.gates.advance(0)
 		},
 	}
 }
 
-func (m *machine) ask(t *rapid.T) {
-	of := leaves[rapid.IntRange(0, 1).Draw(t, "from"):rapid.IntRange(1, 2).Draw(t, "to")]
-	if len(of) == 0 {
+func (m *gateModel) request(t *rapid.T) {
+	candidates := testLeaves[rapid.IntRange(0, 1).Draw(t, "from"):rapid.IntRange(1, 2).Draw(t, "to")]
+	if len(candidates) == 0 {
 		t.Skip("no leaf drawn")
 	}
-	a := Ask{
+	req := Ask{
 		Priority: settings.Priority(rapid.IntRange(0, 1).Draw(t, "priority")),
 		Hedge:    rapid.Bool().Draw(t, "hedge"),
 		Order:    rapid.Uint64Range(0, 3).Draw(t, "order"),
 	}
 	d := time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * ms
 	before := map[string]int{}
-	for _, leaf := range of {
-		before[leaf] = len(m.flying[leaf])
+	for _, leaf := range candidates {
+		before[leaf] = len(m.inFlight[leaf])
 	}
-	p, x, err := m.w.askAny(d, a, of...)
+	p, x, err := m.gates.requestAny(d, req, candidates...)
 	switch {
 	case p != nil:
 		if leaf := p.gate.leaf; before[leaf] >= m.slots[leaf] {
 			t.Fatalf("permit granted with %d in flight, limit %d", before[leaf], m.slots[leaf])
 		}
-		m.took(p)
+		m.addInFlight(p)
 	case x != nil:
 		m.waiting = append(m.waiting, x)
-		m.deadline[x] = m.w.now.Add(d)
+		m.deadline[x] = m.gates.now.Add(d)
 	case contract.VerdictOf(err) != contract.NotRun:
 		t.Fatalf("refused with %v", err)
 	}
 }
 
-func (m *machine) done(t *rapid.T) {
-	leaf := rapid.SampledFrom(leaves).Draw(t, "leaf")
-	out := m.flying[leaf]
-	if len(out) == 0 {
+func (m *gateModel) done(t *rapid.T) {
+	leaf := rapid.SampledFrom(testLeaves).Draw(t, "leaf")
+	permits := m.inFlight[leaf]
+	if len(permits) == 0 {
 		t.Skip("nothing in flight")
 	}
-	at := rapid.IntRange(0, len(out)-1).Draw(t, "which")
-	p := out[at]
-	m.flying[leaf] = append(out[:at:at], out[at+1:]...)
+	i := rapid.IntRange(0, len(permits)-1).Draw(t, "which")
+	p := permits[i]
+	m.inFlight[leaf] = append(permits[:i:i], permits[i+1:]...)
 	p.Done(Outcome(rapid.IntRange(0, int(Cancelled)).Draw(t, "outcome")), time.Duration(rapid.IntRange(0, 50).Draw(t, "after"))*ms)
 	p.Done(Answered, 0) // a second call has no effect
 }
 
 func TestGateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &machine{
-			w:        newWorld(),
+		m := &gateModel{
+			gates:    newTestGates(),
 			slots:    make(map[string]int),
-			flying:   make(map[string][]*Permit),
+			inFlight: make(map[string][]*Permit),
 			deadline: make(map[*waiter]vm.Instant),
 		}
-		t.Repeat(m.steps())
+		t.Repeat(m.actions())
 	})
 }
 
@@ -205,11 +205,11 @@
 		urgentRun := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
-				a := Ask{
+				req := Ask{
 					Priority: settings.Priority(rapid.IntRange(0, 1).Draw(t, "priority")),
 					Hedge:    rapid.Bool().Draw(t, "hedge"),
 				}
-				q.push(newWaiter(a, vm.Instant(rapid.IntRange(0, 100).Draw(t, "deadline")), 1))
+				q.push(newWaiter(req, vm.Instant(rapid.IntRange(0, 100).Draw(t, "deadline")), 1))
 			},
 			"pop": func(t *rapid.T) {
 				if q.len() == 0 {
@@ -223,13 +223,13 @@
 					order = append(order, w)
 					return true
 				})
-				ordinary := len(q.class[settings.Ordinary])
+				ordinary := len(q.byPriority[settings.Ordinary])
 				w := q.pop()
 				if w != order[0] {
 					t.Fatal("pop does not follow the order of each")
 				}
-				for _, o := range q.class[w.Priority] {
-					if o.before(w) {
+				for _, other := range q.byPriority[w.Priority] {
+					if other.grantedBefore(w) {
 						t.Fatal("a waiter that has precedence was passed over")
 					}
 				}
@@ -238,7 +238,7 @@
 				} else {
 					urgentRun = 0
 				}
-				if urgentRun >= ordinaryTurn {
+				if urgentRun >= ordinaryInterval {
 					t.Fatal("too many urgent grants in a row while ordinary requests wait")
 				}
 			},
@@ -249,43 +249,43 @@
 // Twenty home daemons are overloaded and receive the same queries in different
 // orders. If each shed different queries, nearly every query would lose some of its
 // services. All must keep the same queries, and shed hedges and urgent requests last.
-func TestHomesShedTheSameQueries(t *testing.T) {
+func TestHomesShedSameQueries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 30).Draw(t, "queries")
 		limit := rapid.IntRange(1, 20).Draw(t, "queue")
-		asks := make([]Ask, n)
-		for i := range asks {
-			asks[i] = Ask{
+		requests := make([]Ask, n)
+		for i := range requests {
+			requests[i] = Ask{
 				Priority: settings.Priority(rapid.IntRange(0, 1).Draw(t, "priority")),
 				Hedge:    rapid.Bool().Draw(t, "hedge"),
 				Order:    uint64(i),
 			}
 		}
-		kept := func(arrivals []Ask) []uint64 {
-			w := newWorld()
+		survivors := func(arrivals []Ask) []uint64 {
+			w := newTestGates()
 			w.Configure(leafA, Limits{Slots: 1, Queue: limit})
 			w.TryAcquire(leafA)
-			var left []uint64
+			var ranks []uint64
 			waits := map[*waiter]uint64{}
 			for _, a := range arrivals {
-				_, x, _ := w.askAny(time.Hour, a, leafA)
+				_, x, _ := w.requestAny(time.Hour, a, leafA)
 				waits[x] = a.Order
 			}
 			for x, order := range waits {
-				if _, ended := x.ended(); !ended {
-					left = append(left, order)
+				if _, ended := x.outcome(); !ended {
+					ranks = append(ranks, order)
 				}
 			}
-			slices.Sort(left)
-			return left
+			slices.Sort(ranks)
+			return ranks
 		}
-		one := kept(rapid.Permutation(asks).Draw(t, "at one home"))
-		other := kept(rapid.Permutation(asks).Draw(t, "at another"))
-		if !slices.Equal(one, other) {
-			t.Fatalf("one home keeps queries %v, the other %v", one, other)
+		first := survivors(rapid.Permutation(requests).Draw(t, "at one home"))
+		second := survivors(rapid.Permutation(requests).Draw(t, "at another"))
+		if !slices.Equal(first, second) {
+			t.Fatalf("one home keeps queries %v, the other %v", first, second)
 		}
-		if len(one) != min(n, limit) {
-			t.Fatalf("%d of %d queries kept, queue limit %d", len(one), n, limit)
+		if len(first) != min(n, limit) {
+			t.Fatalf("%d of %d queries kept, queue limit %d", len(first), n, limit)
 		}
 	})
 }
@@ -296,15 +296,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(0)
 		ratio := rapid.Float64Range(0, 1).Draw(t, "ratio")
-		floor := rapid.Float64Range(0, 5).Draw(t, "floor")
-		b := NewBudget(func() float64 { return ratio }, floor, func() vm.Instant { return now })
+		minPerSecond := rapid.Float64Range(0, 5).Draw(t, "floor")
+		b := NewBudget(func() float64 { return ratio }, minPerSecond, func() vm.Instant { return now })
 		var primaries, spent float64
-		since := now
+		windowStart := now
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) {
-				most := ratio*primaries + floor*now.Sub(since).Seconds() + budgetBurst + 1e-6
-				if spent > most {
-					t.Fatalf("%v extra attempts, want at most %v", spent, most)
+				bound := ratio*primaries + minPerSecond*now.Sub(windowStart).Seconds() + budgetBurst + 1e-6
+				if spent > bound {
+					t.Fatalf("%v extra attempts, want at most %v", spent, bound)
 				}
 				if ratio == 0 && spent > 0 {
 					t.Fatal("an extra attempt was allowed with a ratio of 0")
@@ -321,7 +321,7 @@
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * ms)
 			},
-			"restart the count": func(*rapid.T) { primaries, spent, since = 0, 0, now },
+			"restart the count": func(*rapid.T) { primaries, spent, windowStart = 0, 0, now },
 		})
 	})
 }
--- a/internal/admit/stalls_test.go
+++ b/internal/admit/stalls_test.go
@@ -6,32 +6,32 @@
 )
 
 // advanceRunning moves the clock forward while the process records its ticks.
-func (w *world) run(d time.Duration) {
-	for ; d > 0; d -= stallTick {
-		w.advance(min(d, stallTick))
+func (w *testGates) advanceRunning(d time.Duration) {
+	for ; d > 0; d -= stallTickInterval {
+		w.advance(min(d, stallTickInterval))
 		w.stalls.tick(w.now)
 	}
 }
 
 // A stall of the process must not count as service time of the leaf, or requests that
 // the leaf could serve would be refused.
-func TestStallIsNoServiceTime(t *testing.T) {
-	for _, late := range []bool{false, true} {
-		w := newWorld()
+func TestStallNotCountedAsServiceTime(t *testing.T) {
+	for _, tickBeforeReply := range []bool{false, true} {
+		w := newTestGates()
 		w.Configure(leafA, Limits{Slots: 1, Queue: 10})
-		w.run(100 * time.Millisecond)
-		p, _, err := w.ask(time.Second, 0)
+		w.advanceRunning(100 * time.Millisecond)
+		p, _, err := w.request(time.Second, 0)
 		if p == nil {
 			t.Fatal(err)
 		}
-		w.run(20 * time.Millisecond)
+		w.advanceRunning(20 * time.Millisecond)
 		w.advance(400 * time.Millisecond) // the process is stopped
-		if late {
+		if tickBeforeReply {
 			w.stalls.tick(w.now)
 		}
 		p.Done(Answered, 0)
 		if got := w.Load(leafA).Service; got > 80*time.Millisecond {
-			t.Errorf("tick before the reply: %v: a reply after 20 ms gives service time %v", late, got)
+			t.Errorf("tick before the reply: %v: a reply after 20 ms gives service time %v", tickBeforeReply, got)
 		}
 	}
 }
--- a/internal/admit/waiter.go
+++ b/internal/admit/waiter.go
@@ -21,10 +21,10 @@
 // grants the permit; the other gates remove it.
 type waiter struct {
 	Ask
-	deadline vm.Instant
-	result   chan grant   // buffered; receives exactly one grant unless the caller left
-	claimed  atomic.Bool  // a permit was granted, all gates refused, or the caller left
-	left     atomic.Int32 // gates that have not refused it
+	deadline     vm.Instant
+	result       chan grant   // buffered; receives exactly one grant unless the caller left
+	claimed      atomic.Bool  // a permit was granted, all gates refused, or the caller left
+	pendingGates atomic.Int32 // gates that have not refused it
 
 	mu  sync.Mutex
 	err *contract.Error // the refusal with the shortest retry time
@@ -36,11 +36,11 @@
 	err    error
 }
 
-func newWaiter(a Ask, deadline vm.Instant, gates int) *waiter {
-	w := &waiter{Ask: a, deadline: deadline, result: make(chan grant, 1)}
-	w.Priority = min(a.Priority, settings.Urgent)
-	w.left.Store(int32(gates))
-	waiting.Inc(1)
+func newWaiter(req Ask, deadline vm.Instant, numGates int) *waiter {
+	w := &waiter{Ask: req, deadline: deadline, result: make(chan grant, 1)}
+	w.Priority = min(req.Priority, settings.Urgent)
+	w.pendingGates.Store(int32(numGates))
+	waitingCount.Inc(1)
 	return w
 }
 
@@ -49,13 +49,13 @@
 	if !w.claimed.CompareAndSwap(false, true) {
 		return false
 	}
-	waiting.Dec(1)
+	waitingCount.Dec(1)
 	return true
 }
 
 // weight returns the waiter's share in the expected load of one of its queues: it
 // takes a permit from only one of them.
-func (w *waiter) weight() float64 { return 1 / float64(max(1, w.left.Load())) }
+func (w *waiter) weight() float64 { return 1 / float64(max(1, w.pendingGates.Load())) }
 
 // refuse records one gate's refusal. The last gate's refusal ends the wait.
 func (w *waiter) refuse(err *contract.Error) {
@@ -64,28 +64,28 @@
 		w.err = err
 	}
 	w.mu.Unlock()
-	if w.left.Add(-1) == 0 && w.claim() {
+	if w.pendingGates.Add(-1) == 0 && w.claim() {
 		w.result <- grant{err: w.err}
 	}
 }
 
 // shedBefore reports whether w is shed before other, regardless of queue positions.
-func (w *waiter) weaker(o *waiter) bool {
+func (w *waiter) shedBefore(other *waiter) bool {
 	switch {
-	case w.Priority != o.Priority:
-		return w.Priority < o.Priority
-	case w.Hedge != o.Hedge:
-		return o.Hedge
+	case w.Priority != other.Priority:
+		return w.Priority < other.Priority
+	case w.Hedge != other.Hedge:
+		return other.Hedge
 	}
-	return w.Order < o.Order
+	return w.Order < other.Order
 }
 
 // grantedBefore reports whether w is granted before other of the same class.
-func (w *waiter) before(o *waiter) bool {
-	if w.Hedge != o.Hedge {
+func (w *waiter) grantedBefore(other *waiter) bool {
+	if w.Hedge != other.Hedge {
 		return w.Hedge
 	}
-	return w.deadline < o.deadline
+	return w.deadline < other.deadline
 }
 
 // await blocks until w is granted or refused or ctx ends, and removes w from the
@@ -93,7 +93,7 @@
 func (w *waiter) await(ctx context.Context, gates []*gate) (*Permit, error) {
 	select {
 	case r := <-w.result:
-		w.leaveQueues(gates)
+		w.removeFromQueues(gates)
 		return r.permit, r.err
 	case <-ctx.Done():
 	}
@@ -102,14 +102,14 @@
 			r.permit.Release()
 		}
 	}
-	w.leaveQueues(gates)
+	w.removeFromQueues(gates)
 	return nil, contract.Refuse(contract.ReasonDeadline, ctx.Err())
 }
 
-func (w *waiter) leaveQueues(gates []*gate) {
+func (w *waiter) removeFromQueues(gates []*gate) {
 	for _, gt := range gates {
 		if gt != nil {
-			gt.drop(w)
+			gt.removeWaiter(w)
 		}
 	}
 }
--- a/internal/directory/horizon.go
+++ b/internal/directory/horizon.go
@@ -13,31 +13,31 @@
 // current lifetime alone is too short after an operator lowers it: lists handed out
 // earlier, or by a daemon that applies the change later, keep their longer lifetime.
 type Horizon struct {
-	mu      sync.Mutex
-	longest time.Duration // of the lists that any daemon may hand out now
-	until   vm.Instant    // when lists with former, longer lifetimes have expired
+	mu               sync.Mutex
+	maxLifetime      time.Duration // of the lists that any daemon may hand out now
+	formerListsUntil vm.Instant    // when lists with former, longer lifetimes have expired
 }
 
 // Observe updates the lifetimes from a view. It must be called for every view, in order.
-func (h *Horizon) Observe(v *relay.View, now vm.Instant) {
+func (e *Horizon) Observe(v *relay.View, now vm.Instant) {
 	if v == nil || v.Tree == nil {
 		return
 	}
-	longest := v.Tree.Tier().AddressLifetime
+	maxLifetime := v.Tree.Tier().AddressLifetime
 	for _, older := range v.Older { // in use by daemons that have not confirmed the newest version
-		longest = max(longest, older.Tree.Tier().AddressLifetime)
+		maxLifetime = max(maxLifetime, older.Tree.Tier().AddressLifetime)
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if longest < h.longest {
-		h.until = max(h.until, now.Add(h.longest))
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if maxLifetime < e.maxLifetime {
+		e.formerListsUntil = max(e.formerListsUntil, now.Add(e.maxLifetime))
 	}
-	h.longest = longest
+	e.maxLifetime = maxLifetime
 }
 
 // Remaining returns how long a list handed out up to now may still be in use.
-func (h *Horizon) Wait(now vm.Instant) time.Duration {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return max(h.longest, h.until.Sub(now))
+func (e *Horizon) Wait(now vm.Instant) time.Duration {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return max(e.maxLifetime, e.formerListsUntil.Sub(now))
 }
--- a/internal/directory/horizon_test.go
+++ b/internal/directory/horizon_test.go
@@ -11,7 +11,7 @@
 	"pearmoor/internal/vm"
 )
 
-func lifetimeTree(t *testing.T, lifetime string) *settings.Tree {
+func newLifetimeTree(t *testing.T, lifetime string) *settings.Tree {
 	out, err := settings.New().Apply(1, []settings.Edit{{Path: "/", Name: "address-lifetime", Value: lifetime}})
 	if err != nil {
 		t.Fatal(err)
@@ -22,10 +22,10 @@
 // An operator lowers address-lifetime from 30 s to 2 s and immediately shuts a daemon
 // down. Callers still use lists of 30 s that name it: if it ended after 2 s, their
 // requests would be cut off or meet a closed port.
-func TestHorizon(t *testing.T) {
+func TestListExpiryCoversFormerLifetimes(t *testing.T) {
 	Convey("A daemon that shuts down waits for lists with former lifetimes", t, func() {
 		const second = vm.Instant(time.Second)
-		long, short := lifetimeTree(t, "30s"), lifetimeTree(t, "2s")
+		long, short := newLifetimeTree(t, "30s"), newLifetimeTree(t, "2s")
 		var h Horizon
 		h.Observe(&relay.View{ConfigVersion: 1, InForce: 1, Tree: long}, 0)
 		So(h.Wait(0), ShouldEqual, 30*time.Second)
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -20,7 +20,7 @@
 	maxServices = 64
 	// maxCandidates is the maximum number of members of one region that fallback
 	// addresses are chosen from.
-	drawn = 4 * maxAddresses
+	maxCandidates = 4 * maxAddresses
 	// retryAfterMS is when a caller that was refused a list may ask again.
 	retryAfterMS = 1000
 )
@@ -41,46 +41,46 @@
 
 func (l lister) list(v *relay.View, path string, self vm.Identity, now vm.Instant) ([]contract.Address, error) {
 	if v == nil || v.Tree == nil || v.Settled == nil {
-		return nil, refuse(contract.ReasonUnconfirmed, errors.New("this daemon has not yet learned the configuration"))
+		return nil, newRefusal(contract.ReasonUnconfirmed, errors.New("this daemon has not yet learned the configuration"))
 	}
 	services := v.Tree.Services(path)
 	if len(services) == 0 {
 		err := contract.Refuse(contract.ReasonUnknownPath, errors.Newf("no query service at or below %q", path))
 		return nil, err
 	}
-	f := filter{view: v, self: self, alone: !v.Confirmed(now)}
-	used := make(map[string]int)
-	near := f.homes(services)
-	ordered := l.spread(nil, near, used)
+	f := filter{view: v, self: self, excludeSelf: !v.Confirmed(now)}
+	domainUse := make(map[string]int)
+	homes := f.homes(services)
+	ordered := l.appendSpread(nil, homes, domainUse)
 	region := self.Region
 	if len(ordered) > 0 {
 		region = ordered[0].Region
 	}
-	beside, away := l.others(f, near, region)
-	ordered = l.spread(ordered, beside, used)
-	ordered = l.spread(ordered, away, used)
+	sameRegion, otherRegions := l.fallbacks(f, homes, region)
+	ordered = l.appendSpread(ordered, sameRegion, domainUse)
+	ordered = l.appendSpread(ordered, otherRegions, domainUse)
 	if len(ordered) == 0 {
-		return nil, refuse(contract.ReasonUnconfirmed, errors.New("no daemon is known to be serving"))
+		return nil, newRefusal(contract.ReasonUnconfirmed, errors.New("no daemon is known to be serving"))
 	}
-	return addresses(ordered), nil
+	return toAddresses(ordered), nil
 }
 
-func refuse(reason contract.Reason, cause error) error {
+func newRefusal(reason contract.Reason, cause error) error {
 	return &contract.Error{Verdict: contract.NotRun, Reason: reason, RetryAfter: retryAfterMS, Cause: cause}
 }
 
 // filter decides which members may be listed to callers.
 type filter struct {
-	view  *relay.View
-	self  vm.Identity
-	alone bool // self has no valid lease
+	view        *relay.View
+	self        vm.Identity
+	excludeSelf bool // self has no valid lease
 }
 
-func (f *filter) lists(m *vm.Member) bool {
+func (f *filter) eligible(m *vm.Member) bool {
 	if m.Phase != vm.Serving || m.CallerAddr == "" {
 		return false
 	}
-	if m.Name == f.self.Name && (f.alone || m.Incarnation != f.self.Incarnation) {
+	if m.Name == f.self.Name && (f.excludeSelf || m.Incarnation != f.self.Incarnation) {
 		return false
 	}
 	return staysServing(f.view.Pending, m)
@@ -109,7 +109,7 @@
 		}
 		homes := f.view.HomesOf(service, e)
 		for i := range homes {
-			if !holds(out, &homes[i]) && f.lists(&homes[i]) {
+			if !containsMember(out, &homes[i]) && f.eligible(&homes[i]) {
 				out = append(out, &homes[i])
 			}
 		}
@@ -117,7 +117,7 @@
 	return out
 }
 
-func holds(members []*vm.Member, m *vm.Member) bool {
+func containsMember(members []*vm.Member, m *vm.Member) bool {
 	for _, other := range members {
 		if other.Name == m.Name {
 			return true
@@ -129,34 +129,34 @@
 // fallbacks draws eligible members other than homes at random: up to maxCandidates of
 // the region, and up to as many of other regions that it visits on the way. It stops
 // once it has enough of the region, however many members there are.
-func (l lister) others(f filter, near []*vm.Member, region string) (beside, away []*vm.Member) {
+func (l lister) fallbacks(f filter, homes []*vm.Member, region string) (sameRegion, otherRegions []*vm.Member) {
 	members := f.view.Settled.Members
-	for i := range l.walk(len(members)) {
+	for i := range l.strideOrder(len(members)) {
 		m := &members[i]
-		if len(beside) == drawn {
+		if len(sameRegion) == maxCandidates {
 			break
 		}
-		if holds(near, m) || !f.lists(m) {
+		if containsMember(homes, m) || !f.eligible(m) {
 			continue
 		}
 		if m.Region == region {
-			beside = append(beside, m)
-		} else if len(away) < drawn {
-			away = append(away, m)
+			sameRegion = append(sameRegion, m)
+		} else if len(otherRegions) < maxCandidates {
+			otherRegions = append(otherRegions, m)
 		}
 	}
-	return beside, away
+	return sameRegion, otherRegions
 }
 
 // strideOrder yields each of 0..n-1 once, starting at a random index and advancing by
 // a random stride. The first index is uniformly distributed. The stride
 // usually separates neighbours in the list, whose names often share a failure domain.
-func (l lister) walk(n int) iter.Seq[int] {
+func (l lister) strideOrder(n int) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		if n == 0 {
 			return
 		}
-		at, stride := l.rand(n), 1
+		i, stride := l.rand(n), 1
 		if n > 2 {
 			stride = 1 + l.rand(n-1)
 		}
@@ -164,10 +164,10 @@
 			stride++
 		}
 		for range n {
-			if !yield(at) {
+			if !yield(i) {
 				return
 			}
-			at = (at + stride) % n
+			i = (i + stride) % n
 		}
 	}
 }
@@ -184,17 +184,17 @@
 // after a failure should not be affected by the same fault. The first address is
 // uniform over members and not over domains; otherwise a daemon alone in its domain
 // would get as many callers as all members of a larger domain together.
-func (l lister) spread(out, members []*vm.Member, used map[string]int) []*vm.Member {
+func (l lister) appendSpread(out, members []*vm.Member, domainUse map[string]int) []*vm.Member {
 	members = slices.Clone(members)
 	l.shuffle(members)
 	for len(members) > 0 && len(out) < maxAddresses {
 		best := 0
 		for i := range members {
-			if used[members[i].Domain] < used[members[best].Domain] {
+			if domainUse[members[i].Domain] < domainUse[members[best].Domain] {
 				best = i
 			}
 		}
-		used[members[best].Domain]++
+		domainUse[members[best].Domain]++
 		out = append(out, members[best])
 		members = append(members[:best], members[best+1:]...)
 	}
@@ -208,7 +208,7 @@
 	}
 }
 
-func addresses(members []*vm.Member) []contract.Address {
+func toAddresses(members []*vm.Member) []contract.Address {
 	out := make([]contract.Address, len(members))
 	for i, m := range members {
 		out[i] = contract.Address{VM: m.Name, URL: m.CallerAddr, Domain: m.Domain}
--- a/internal/directory/list_test.go
+++ b/internal/directory/list_test.go
@@ -20,7 +20,7 @@
 	testLease = vm.Instant(2000)
 )
 
-func tree(t interface{ Fatal(...any) }, services int) *settings.Tree {
+func newTree(t interface{ Fatal(...any) }, services int) *settings.Tree {
 	var edits []settings.Edit
 	for i := range services {
 		leaves := fmt.Sprintf("l%da=127.0.0.1:%d@hall-0,l%db=127.0.0.1:%d@hall-1", i, 9000+2*i, i, 9001+2*i)
@@ -33,7 +33,7 @@
 	return out
 }
 
-func members(n, domains int) *vm.Membership {
+func newMembership(n, domains int) *vm.Membership {
 	m := &vm.Membership{Epoch: 1}
 	for i := range n {
 		m.Members = append(m.Members, vm.Member{
@@ -50,21 +50,21 @@
 	return m
 }
 
-func view(tree *settings.Tree, m *vm.Membership) *relay.View {
+func newView(tree *settings.Tree, m *vm.Membership) *relay.View {
 	return &relay.View{ConfigVersion: 1, InForce: 1, Tree: tree, Settled: m, Lease: testLease}
 }
 
-func seeded(seed uint64) lister {
+func newSeededLister(seed uint64) lister {
 	return lister{rand: rand.New(rand.NewPCG(seed, seed)).IntN}
 }
 
 // 12,000 callers fetch a list and use its first address. With a fixed order one of
 // the two homes would get all callers and the other none.
-func TestEvenLoad(t *testing.T) {
+func TestFirstAddressesLoadDaemonsEvenly(t *testing.T) {
 	Convey("The first addresses of many lists load a service's homes evenly", t, func() {
 		const callers = 12000
-		v := view(tree(t, 10), members(12, 3))
-		l := seeded(1)
+		v := newView(newTree(t, 10), newMembership(12, 3))
+		l := newSeededLister(1)
 		count := map[string]int{}
 		for i := range callers {
 			path := fmt.Sprintf("/desk/s%d", i%10)
@@ -81,10 +81,10 @@
 	})
 	Convey("A path with more than maxServices services loads all daemons evenly, regardless of their domains", t, func() {
 		const callers = 12000
-		m := members(12, 3)
+		m := newMembership(12, 3)
 		m.Members[11].Domain = "hall-alone"
-		v := view(tree(t, maxServices+1), m)
-		l := seeded(2)
+		v := newView(newTree(t, maxServices+1), m)
+		l := newSeededLister(2)
 		count := map[string]int{}
 		for range callers {
 			list, err := l.list(v, "/", m.Members[0].Identity, testNow)
@@ -101,7 +101,7 @@
 // or that leaves in the pending membership, would shut down while callers use it.
 func TestListProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := members(rapid.IntRange(1, 30).Draw(t, "members"), rapid.IntRange(1, 5).Draw(t, "domains"))
+		m := newMembership(rapid.IntRange(1, 30).Draw(t, "members"), rapid.IntRange(1, 5).Draw(t, "domains"))
 		phases := rapid.SampledFrom([]vm.Phase{vm.Starting, vm.Serving, vm.Serving, vm.Draining, vm.Gone})
 		pending := &vm.Membership{Epoch: 2}
 		for i := range m.Members {
@@ -112,7 +112,7 @@
 				pending.Members = append(pending.Members, next)
 			}
 		}
-		v := view(tree(t, 3), m)
+		v := newView(newTree(t, 3), m)
 		if rapid.Bool().Draw(t, "pending") {
 			v.Pending = pending
 		}
@@ -121,7 +121,7 @@
 		if !confirmed {
 			v.Lease = testNow
 		}
-		list, err := seeded(rapid.Uint64().Draw(t, "seed")).list(v, "/desk/s1", self, testNow)
+		list, err := newSeededLister(rapid.Uint64().Draw(t, "seed")).list(v, "/desk/s1", self, testNow)
 		if err != nil {
 			if contract.VerdictOf(err) != contract.NotRun || len(list) > 0 {
 				t.Fatalf("error %v together with %d addresses", err, len(list))
@@ -139,7 +139,7 @@
 	for _, h := range v.HomesOf(e.Path, e) {
 		isHome[h.Name] = true
 	}
-	othersBegan := false
+	sawFallback := false
 	for _, a := range list {
 		m, ok := v.Settled.Find(a.VM)
 		if !ok || m.Phase != vm.Serving || seen[a.VM] {
@@ -151,10 +151,10 @@
 		if a.VM == self.Name && !confirmed {
 			t.Fatalf("%s lists itself without a valid lease", a.VM)
 		}
-		if isHome[a.VM] && othersBegan {
+		if isHome[a.VM] && sawFallback {
 			t.Fatalf("home %s is listed after a fallback", a.VM)
 		}
-		othersBegan = othersBegan || !isHome[a.VM]
+		sawFallback = sawFallback || !isHome[a.VM]
 		seen[a.VM] = true
 	}
 	if len(list) == 0 || len(list) > maxAddresses {
@@ -162,11 +162,11 @@
 	}
 }
 
-func TestSpread(t *testing.T) {
+func TestListSpreadsOverFailureDomains(t *testing.T) {
 	Convey("The first three addresses are in three failure domains", t, func() {
-		v := view(tree(t, 1), members(12, 3))
+		v := newView(newTree(t, 1), newMembership(12, 3))
 		for seed := range uint64(50) {
-			list, err := seeded(seed).list(v, "/desk/s0", vm.Identity{}, testNow)
+			list, err := newSeededLister(seed).list(v, "/desk/s0", vm.Identity{}, testNow)
 			So(err, ShouldBeNil)
 			domains := map[string]bool{}
 			for _, a := range list[:3] {
@@ -176,17 +176,17 @@
 		}
 	})
 	Convey("An unknown path is refused with reason unknown_path", t, func() {
-		_, err := List(view(tree(t, 1), members(3, 3)), "/desk/nowhere", vm.Identity{}, testNow)
+		_, err := List(newView(newTree(t, 1), newMembership(3, 3)), "/desk/nowhere", vm.Identity{}, testNow)
 		So(err, ShouldNotBeNil)
 		So(err.(*contract.Error).Reason, ShouldEqual, contract.ReasonUnknownPath)
 	})
 }
 
-func TestLifetime(t *testing.T) {
+func TestLifetimeWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := time.Duration(rapid.Int64Range(int64(time.Second), int64(time.Hour)).Draw(t, "limit"))
 		got := Lifetime(settings.Tier{AddressLifetime: limit})
-		if got > limit || got < limit*(lifetimeSpread-1)/lifetimeSpread {
+		if got > limit || got < limit*(lifetimeJitterDivisor-1)/lifetimeJitterDivisor {
 			t.Fatalf("lifetime %v for a limit of %v", got, limit)
 		}
 	})
--- a/internal/discovery/book.go
+++ b/internal/discovery/book.go
@@ -16,14 +16,14 @@
 
 // maxChanges is the number of list changes kept, so that a watcher that was
 // disconnected for a short time receives the changes and not the whole list.
-const keptSteps = 64
+const maxChanges = 64
 
 var (
-	leavesGauge = metrics.GetOrRegisterGauge("discovery.leaves", metrics.DefaultRegistry)
-	readsMeter  = metrics.GetOrRegisterCounter("discovery.readings", metrics.DefaultRegistry)
-	readsFailed = metrics.GetOrRegisterCounter("discovery.readings.failed", metrics.DefaultRegistry)
+	leavesGauge           = metrics.GetOrRegisterGauge("discovery.leaves", metrics.DefaultRegistry)
+	readingsCounter       = metrics.GetOrRegisterCounter("discovery.readings", metrics.DefaultRegistry)
+	failedReadingsCounter = metrics.GetOrRegisterCounter("discovery.readings.failed", metrics.DefaultRegistry)
 	// unreadableEntriesCounter counts unreadable entries, each once while it is listed.
-	entriesUnreadable = metrics.GetOrRegisterCounter("discovery.entries.unreadable", metrics.DefaultRegistry)
+	unreadableEntriesCounter = metrics.GetOrRegisterCounter("discovery.entries.unreadable", metrics.DefaultRegistry)
 )
 
 // LeafCache holds the newest snapshot of the leaf list, its age, and the most recent
@@ -31,26 +31,26 @@
 type Book struct {
 	clock vm.Clock
 
-	mu      sync.Mutex
-	told    *Snapshot // as read or received
-	snap    *Snapshot // reported, corrected by the latest run of each leaf; the same pointer if nothing was corrected
-	lives   lives
-	run     uint64 // identifies the daemon that read the list, and since when
-	version uint64 // of the reader's list
-	readAt  vm.Instant
-	known   bool   // a list was read or received
-	own     uint64 // readerRun of this daemon's own readings; 0: none yet
-	steps   []step
-	changed chan struct{}
-	quiet   []string // sorted names of daemons that the reader has not heard from recently
+	mu           sync.Mutex
+	reported     *Snapshot // as read or received
+	current      *Snapshot // reported, corrected by the latest run of each leaf; the same pointer if nothing was corrected
+	runs         latestRuns
+	readerRun    uint64 // identifies the daemon that read the list, and since when
+	version      uint64 // of the reader's list
+	readAt       vm.Instant
+	hasList      bool   // a list was read or received
+	ownRun       uint64 // readerRun of this daemon's own readings; 0: none yet
+	changes      []change
+	changed      chan struct{}
+	unresponsive []string // sorted names of daemons that the reader has not heard from recently
 }
 
 // change records the ids that differ between two versions. A watching daemon may
 // receive several versions at once.
-type step struct {
-	from    uint64
-	version uint64
-	touched map[string]bool // ids added, changed or removed
+type change struct {
+	fromVersion uint64
+	toVersion   uint64
+	ids         map[string]bool // ids added, changed or removed
 }
 
 // NewLeafCache returns an empty cache. A nil clock means vm.Now.
@@ -58,113 +58,113 @@
 	if clock == nil {
 		clock = vm.Now
 	}
-	none := newSnapshot(nil)
-	return &Book{clock: clock, told: none, snap: none, lives: make(lives), changed: make(chan struct{})}
+	empty := newSnapshot(nil)
+	return &Book{clock: clock, reported: empty, current: empty, runs: make(latestRuns), changed: make(chan struct{})}
 }
 
 // Snapshot returns the newest snapshot; it is never nil.
-func (b *Book) Snapshot() *Snapshot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.snap
+func (c *Book) Snapshot() *Snapshot {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.current
 }
 
 // HasList reports whether a list has been read or received.
-func (b *Book) Known() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.known
+func (c *Book) Known() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.hasList
 }
 
 // Age returns the time since the newest reading began.
-func (b *Book) Age() time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.age()
+func (c *Book) Age() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ageLocked()
 }
 
-func (b *Book) age() time.Duration {
-	if !b.known {
-		return forever
+func (c *Book) ageLocked() time.Duration {
+	if !c.hasList {
+		return unknownAge
 	}
-	return b.clock().Sub(b.readAt)
+	return c.clock().Sub(c.readAt)
 }
 
 // unknownAge is the age of the list while no list is known.
-const forever = time.Hour
+const unknownAge = time.Hour
 
 // readingTolerance is the largest difference between the computed start times of the
 // same reading: ages are sent in whole milliseconds and replies take time to arrive.
-const equalReading = vm.Instant(20 * time.Millisecond)
+const readingTolerance = vm.Instant(20 * time.Millisecond)
 
 // Changed returns a channel that is closed when the leaves or the unresponsive
 // daemons change.
-func (b *Book) Changed() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.changed
+func (c *Book) Changed() <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.changed
 }
 
 // ApplyReading installs a list that this daemon read from the Source. startedAt is
 // the instant before the first call to the Source.
-func (b *Book) Take(list []Listed, began vm.Instant) {
-	list = onePerID(list)
+func (c *Book) Take(list []Listed, startedAt vm.Instant) {
+	list = dedupeByID(list)
 	leaves := make([]*Leaf, 0, len(list))
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock()
-	for _, in := range list {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.clock()
+	for _, entry := range list {
 		l := &Leaf{
-			ID: in.ID, Born: in.Born, Service: in.Service, Addr: in.Addr, Domain: in.Domain,
-			Slots: in.Slots, Draining: in.Draining, WarmAt: now.Add(in.WarmIn),
+			ID: entry.ID, Born: entry.Born, Service: entry.Service, Addr: entry.Addr, Domain: entry.Domain,
+			Slots: entry.Slots, Draining: entry.Draining, WarmAt: now.Add(entry.WarmIn),
 		}
-		leaves = append(leaves, b.unchanged(l))
+		leaves = append(leaves, c.reuseUnchanged(l))
 	}
-	if b.run == 0 || !b.reading() {
+	if c.readerRun == 0 || !c.readByThisDaemon() {
 		// The versions so far were another daemon's and can't be continued.
-		b.run, b.steps = rand.Uint64()|1, nil
-		b.own = b.run
+		c.readerRun, c.changes = rand.Uint64()|1, nil
+		c.ownRun = c.readerRun
 	}
-	b.told = newSnapshot(leaves)
-	next := b.lives.latest(b.told, b.snap, now)
-	if touched := difference(b.snap, next); len(touched) > 0 || !b.known {
-		b.version++
-		b.keep(step{b.version - 1, b.version, touched})
-		b.put(next, "read")
+	c.reported = newSnapshot(leaves)
+	next := c.runs.resolveAll(c.reported, c.current, now)
+	if changedIDs := diff(c.current, next); len(changedIDs) > 0 || !c.hasList {
+		c.version++
+		c.appendChange(change{c.version - 1, c.version, changedIDs})
+		c.installLocked(next, "read")
 	}
-	b.readAt, b.known = began, true
+	c.readAt, c.hasList = startedAt, true
 }
 
 // SetUnresponsive sets the sorted names of the daemons that the reader has not heard
 // from recently.
-func (b *Book) SetQuiet(names []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.setQuiet(names)
+func (c *Book) SetQuiet(names []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.setUnresponsiveLocked(names)
 }
 
-func (b *Book) setQuiet(names []string) {
-	if slices.Equal(b.quiet, names) {
+func (c *Book) setUnresponsiveLocked(names []string) {
+	if slices.Equal(c.unresponsive, names) {
 		return
 	}
-	klog.Infof("discovery: quiet daemons %v, before %v", names, b.quiet)
-	b.quiet = slices.Clone(names)
-	close(b.changed)
-	b.changed = make(chan struct{})
+	klog.Infof("discovery: quiet daemons %v, before %v", names, c.unresponsive)
+	c.unresponsive = slices.Clone(names)
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
 // Unresponsive returns the daemons that the reader has not heard from recently.
-func (b *Book) Quiet() map[string]bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make(map[string]bool, len(b.quiet))
-	for _, name := range b.quiet {
+func (c *Book) Quiet() map[string]bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make(map[string]bool, len(c.unresponsive))
+	for _, name := range c.unresponsive {
 		out[name] = true
 	}
 	return out
 }
 
-func quietDigest(names []string) uint64 {
+func namesDigest(names []string) uint64 {
 	h := xxhash.New()
 	for _, n := range names {
 		_, _ = h.WriteString(n)
@@ -174,16 +174,16 @@
 }
 
 // installLocked replaces the current snapshot and notifies watchers; b.mu must be held.
-func (b *Book) put(next *Snapshot, how string) {
-	added, gone := 0, 0
+func (c *Book) installLocked(next *Snapshot, source string) {
+	added, removed := 0, 0
 	for _, l := range next.leaves {
-		if _, ok := b.snap.byID[l.ID]; !ok {
+		if _, ok := c.current.byID[l.ID]; !ok {
 			added++
 		}
 	}
-	for _, l := range b.snap.leaves {
+	for _, l := range c.current.leaves {
 		if _, ok := next.byID[l.ID]; !ok {
-			gone++
+			removed++
 		}
 	}
 	draining := 0
@@ -192,32 +192,32 @@
 			draining++
 		}
 	}
-	klog.Infof("discovery: list %s version=%d leaves=%d added=%d gone=%d draining=%d", how, b.version, len(next.leaves), added, gone, draining)
-	b.snap = next
+	klog.Infof("discovery: list %s version=%d leaves=%d added=%d gone=%d draining=%d", source, c.version, len(next.leaves), added, removed, draining)
+	c.current = next
 	leavesGauge.Update(int64(len(next.leaves)))
-	close(b.changed)
-	b.changed = make(chan struct{})
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
 // diff returns the ids of the leaves added, changed or removed between old and next.
-func difference(old, next *Snapshot) map[string]bool {
-	touched := make(map[string]bool)
+func diff(old, next *Snapshot) map[string]bool {
+	ids := make(map[string]bool)
 	for _, l := range next.leaves {
-		if o, ok := old.byID[l.ID]; !ok || o != l && !o.same(l) {
-			touched[l.ID] = true
+		if o, ok := old.byID[l.ID]; !ok || o != l && !o.equalState(l) {
+			ids[l.ID] = true
 		}
 	}
 	for _, l := range old.leaves {
 		if _, ok := next.byID[l.ID]; !ok {
-			touched[l.ID] = true
+			ids[l.ID] = true
 		}
 	}
-	return touched
+	return ids
 }
 
 // replyIDs returns every id in a reply. This includes a leaf that was added and removed
 // between the two versions, because a watcher of this daemon may hold a version in between.
-func named(r *wire.LeavesReply) map[string]bool {
+func replyIDs(r *wire.LeavesReply) map[string]bool {
 	out := make(map[string]bool, len(r.Entries)+len(r.Removed))
 	for _, e := range r.Entries {
 		out[e.Id] = true
@@ -228,43 +228,43 @@
 	return out
 }
 
-func (b *Book) keep(s step) {
-	b.steps = append(b.steps, s)
-	if len(b.steps) > keptSteps {
-		b.steps = b.steps[1:]
+func (c *Book) appendChange(ch change) {
+	c.changes = append(c.changes, ch)
+	if len(c.changes) > maxChanges {
+		c.changes = c.changes[1:]
 	}
 }
 
 // newRequest returns a request for the changes since the cached list.
-func (b *Book) request(wait time.Duration) *wire.LeavesRequest {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *Book) newRequest(wait time.Duration) *wire.LeavesRequest {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	return &wire.LeavesRequest{
-		Run: b.run, Version: b.version, Digest: b.told.digest, Quiet: quietDigest(b.quiet),
+		Run: c.readerRun, Version: c.version, Digest: c.reported.digest, Quiet: namesDigest(c.unresponsive),
 		WaitMs: uint32(wait.Milliseconds()),
 	}
 }
 
 // newReply returns the reply to a watcher's request.
-func (b *Book) reply(req *wire.LeavesRequest) *wire.LeavesReply {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := &wire.LeavesReply{Run: b.run, Version: b.version, AgeMs: uint32(b.age().Milliseconds()), Quiet: b.quiet}
-	out.Leaves = uint32(len(b.snap.leaves))
-	if !b.known || req.CountOnly || req.Digest == b.snap.digest {
+func (c *Book) newReply(req *wire.LeavesRequest) *wire.LeavesReply {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := &wire.LeavesReply{Run: c.readerRun, Version: c.version, AgeMs: uint32(c.ageLocked().Milliseconds()), Quiet: c.unresponsive}
+	out.Leaves = uint32(len(c.current.leaves))
+	if !c.hasList || req.CountOnly || req.Digest == c.current.digest {
 		return out
 	}
-	now := b.clock()
-	touched, ok := b.since(req)
+	now := c.clock()
+	ids, ok := c.changedSince(req)
 	if !ok {
 		out.Whole = true
-		for _, l := range b.snap.leaves {
+		for _, l := range c.current.leaves {
 			out.Entries = append(out.Entries, toWire(l, now))
 		}
 		return out
 	}
-	for id := range touched {
-		if l, there := b.snap.byID[id]; there {
+	for id := range ids {
+		if l, exists := c.current.byID[id]; exists {
 			out.Entries = append(out.Entries, toWire(l, now))
 		} else {
 			out.Removed = append(out.Removed, id)
@@ -275,80 +275,80 @@
 
 // changedSince returns the ids changed after the version in req, and false if that
 // version is no longer known.
-func (b *Book) since(req *wire.LeavesRequest) (map[string]bool, bool) {
-	if req.Run != b.run || req.Version > b.version || len(b.steps) == 0 || req.Version < b.steps[0].from {
+func (c *Book) changedSince(req *wire.LeavesRequest) (map[string]bool, bool) {
+	if req.Run != c.readerRun || req.Version > c.version || len(c.changes) == 0 || req.Version < c.changes[0].fromVersion {
 		return nil, false
 	}
-	touched := make(map[string]bool)
-	for _, s := range b.steps {
-		if s.version > req.Version {
-			for id := range s.touched {
-				touched[id] = true
+	ids := make(map[string]bool)
+	for _, ch := range c.changes {
+		if ch.toVersion > req.Version {
+			for id := range ch.ids {
+				ids[id] = true
 			}
 		}
 	}
-	return touched, true
+	return ids, true
 }
 
 // applyReply merges a reply into the cache, unless its reading is older than the cached one.
-func (b *Book) receive(r *wire.LeavesReply) {
+func (c *Book) applyReply(r *wire.LeavesReply) {
 	if r.Run == 0 {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.clock()
 	// The reading is at least as old as it was when the reply was written.
 	readAt := now.Add(-time.Duration(r.AgeMs) * time.Millisecond)
-	if b.known && readAt < b.readAt-equalReading {
+	if c.hasList && readAt < c.readAt-readingTolerance {
 		return
 	}
-	readAt = max(readAt, b.readAt)
-	b.setQuiet(r.Quiet)
+	readAt = max(readAt, c.readAt)
+	c.setUnresponsiveLocked(r.Quiet)
 	switch {
 	case r.Whole:
-		b.told = newSnapshot(b.reuse(r.Entries, now))
+		c.reported = newSnapshot(c.decodeEntries(r.Entries, now))
 	case len(r.Entries)+len(r.Removed) > 0:
-		b.told = newSnapshot(b.patched(r, now))
+		c.reported = newSnapshot(c.applyDelta(r, now))
 	}
-	next := b.lives.latest(b.told, b.snap, now)
-	touched := difference(b.snap, next)
-	from := b.version
-	told := len(r.Entries)+len(r.Removed) > 0
-	if b.run != r.Run || r.Whole || r.Version > from && !told {
+	next := c.runs.resolveAll(c.reported, c.current, now)
+	changedIDs := diff(c.current, next)
+	oldVersion := c.version
+	hasChanges := len(r.Entries)+len(r.Removed) > 0
+	if c.readerRun != r.Run || r.Whole || r.Version > oldVersion && !hasChanges {
 		// The difference is relative to another reader's list, or a leaf was added and
 		// removed in between. It is not the change from one version to the next.
-		b.steps = nil
-	} else if r.Version > from {
-		b.keep(step{from, r.Version, named(r)})
+		c.changes = nil
+	} else if r.Version > oldVersion {
+		c.appendChange(change{oldVersion, r.Version, replyIDs(r)})
 	}
-	b.run, b.version, b.readAt = r.Run, r.Version, readAt
-	if len(touched) > 0 || !b.known {
-		b.put(next, "received")
+	c.readerRun, c.version, c.readAt = r.Run, r.Version, readAt
+	if len(changedIDs) > 0 || !c.hasList {
+		c.installLocked(next, "received")
 	}
-	b.known = true
+	c.hasList = true
 }
 
-func (b *Book) reuse(entries []*wire.LeafEntry, now vm.Instant) []*Leaf {
+func (c *Book) decodeEntries(entries []*wire.LeafEntry, now vm.Instant) []*Leaf {
 	out := make([]*Leaf, 0, len(entries))
 	for _, e := range entries {
-		out = append(out, b.unchanged(fromWire(e, now)))
+		out = append(out, c.reuseUnchanged(fromWire(e, now)))
 	}
 	return out
 }
 
 // reuseUnchanged returns the cached leaf if it equals l, otherwise l.
-func (b *Book) unchanged(l *Leaf) *Leaf {
-	if old, ok := b.told.byID[l.ID]; ok && old.same(l) {
+func (c *Book) reuseUnchanged(l *Leaf) *Leaf {
+	if old, ok := c.reported.byID[l.ID]; ok && old.equalState(l) {
 		return old
 	}
 	return l
 }
 
-func (b *Book) patched(r *wire.LeavesReply, now vm.Instant) []*Leaf {
-	replaced := named(r)
-	out := b.reuse(r.Entries, now)
-	for _, l := range b.told.leaves {
+func (c *Book) applyDelta(r *wire.LeavesReply, now vm.Instant) []*Leaf {
+	replaced := replyIDs(r)
+	out := c.decodeEntries(r.Entries, now)
+	for _, l := range c.reported.leaves {
 		if !replaced[l.ID] {
 			out = append(out, l)
 		}
@@ -357,4 +357,4 @@
 }
 
 // readByThisDaemon reports whether this daemon read the newest list itself.
-func (b *Book) reading() bool { return b.own != 0 && b.run == b.own }
+func (c *Book) readByThisDaemon() bool { return c.ownRun != 0 && c.readerRun == c.ownRun }
--- a/internal/discovery/book_test.go
+++ b/internal/discovery/book_test.go
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-func listed(n int, draining bool) Listed {
+func newListed(n int, draining bool) Listed {
 	return Listed{ID: fmt.Sprintf("i-%d", n), Service: fmt.Sprintf("s%d", n%3), Addr: fmt.Sprintf("10.0.0.%d:80", n%4), Slots: 2, Draining: draining}
 }
 
@@ -41,15 +41,15 @@
 	for n := range 8 {
 		switch rapid.IntRange(0, 2).Draw(t, "leaf") {
 		case 1:
-			out = append(out, listed(n, false))
+			out = append(out, newListed(n, false))
 		case 2:
-			out = append(out, listed(n, true))
+			out = append(out, newListed(n, true))
 		}
 	}
 	return out
 }
 
-func states(s *Snapshot) []string {
+func leafStates(s *Snapshot) []string {
 	var out []string
 	for _, l := range s.All() {
 		out = append(out, fmt.Sprintf("%s %s %s %v", l.ID, l.Service, l.Addr, l.Draining))
@@ -60,7 +60,7 @@
 
 // A daemon that watches the reader, misses changes, or switches to another reader must
 // end with the reader's list. Otherwise a draining leaf would still get new requests.
-func TestWatcherEndsWithReadersList(t *testing.T) {
+func TestWatcherConvergesToReaderList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(time.Hour)
 		clock := func() vm.Instant { return now }
@@ -75,21 +75,21 @@
 			case 1:
 				from.SetQuiet([]string{fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "quiet"))})
 			case 2:
-				watcher.receive(from.reply(watcher.request(0)))
+				watcher.applyReply(from.newReply(watcher.newRequest(0)))
 			case 3:
 				// The new reader starts from the list that it watched.
 				next := readers[1]
 				if from == next {
 					next = readers[0]
 				}
-				next.receive(from.reply(next.request(0)))
+				next.applyReply(from.newReply(next.newRequest(0)))
 				from = next
 			}
 		}
 		now = now.Add(50 * time.Millisecond)
 		from.Take(drawList(t), now)
-		watcher.receive(from.reply(watcher.request(0)))
-		if got, want := states(watcher.Snapshot()), states(from.Snapshot()); !reflect.DeepEqual(got, want) {
+		watcher.applyReply(from.newReply(watcher.newRequest(0)))
+		if got, want := leafStates(watcher.Snapshot()), leafStates(from.Snapshot()); !reflect.DeepEqual(got, want) {
 			t.Fatalf("the watcher has %v, the reader %v", got, want)
 		}
 		if !reflect.DeepEqual(watcher.Quiet(), from.Quiet()) {
@@ -100,15 +100,15 @@
 
 // A reply from a daemon that was partitioned has an older reading than the cached one.
 // It must not restore a leaf's earlier state.
-func TestOlderReadingIsLeftOut(t *testing.T) {
+func TestOlderReadingIgnored(t *testing.T) {
 	now := vm.Instant(time.Hour)
 	clock := func() vm.Instant { return now }
 	stale, fresh, watcher := NewBook(clock), NewBook(clock), NewBook(clock)
-	stale.Take([]Listed{listed(1, false)}, now)
+	stale.Take([]Listed{newListed(1, false)}, now)
 	now = now.Add(3 * time.Second)
-	fresh.Take([]Listed{listed(1, true)}, now)
-	watcher.receive(fresh.reply(watcher.request(0)))
-	watcher.receive(stale.reply(&wire.LeavesRequest{}))
+	fresh.Take([]Listed{newListed(1, true)}, now)
+	watcher.applyReply(fresh.newReply(watcher.newRequest(0)))
+	watcher.applyReply(stale.newReply(&wire.LeavesRequest{}))
 	if l, _ := watcher.Snapshot().Find("i-1"); l == nil || !l.Draining {
 		t.Errorf("draining leaf is %+v", l)
 	}
@@ -116,20 +116,20 @@
 
 // An unchanged leaf must stay the same object, so that state kept per leaf is not lost.
 // A target restarted at the same address under another id is another leaf.
-func TestLeafIdentity(t *testing.T) {
-	b := NewBook(nil)
-	b.Take([]Listed{listed(1, false)}, vm.Now())
-	first, _ := b.Snapshot().Find("i-1")
-	again := listed(1, false)
+func TestUnchangedLeafKeepsIdentity(t *testing.T) {
+	cache := NewBook(nil)
+	cache.Take([]Listed{newListed(1, false)}, vm.Now())
+	first, _ := cache.Snapshot().Find("i-1")
+	again := newListed(1, false)
 	again.WarmIn = time.Second
-	b.Take([]Listed{again}, vm.Now())
-	if second, _ := b.Snapshot().Find("i-1"); second != first {
+	cache.Take([]Listed{again}, vm.Now())
+	if second, _ := cache.Snapshot().Find("i-1"); second != first {
 		t.Error("an unchanged leaf was replaced by another object")
 	}
-	reborn := listed(1, false)
-	reborn.ID = "i-9"
-	b.Take([]Listed{reborn}, vm.Now())
-	if _, ok := b.Snapshot().Find("i-1"); ok {
+	restarted := newListed(1, false)
+	restarted.ID = "i-9"
+	cache.Take([]Listed{restarted}, vm.Now())
+	if _, ok := cache.Snapshot().Find("i-1"); ok {
 		t.Error("the leaf of the earlier run is still cached")
 	}
 }
@@ -141,20 +141,20 @@
 	if s.calls > 1 {
 		return Listing{}, errors.New("page 2 is not available")
 	}
-	return Listing{Leaves: []Listed{listed(1, false)}}, nil
+	return Listing{Leaves: []Listed{newListed(1, false)}}, nil
 }
 
 // If the list can't be read completely, the cached list must stay and its age must grow.
 func TestFailedReadingKeepsList(t *testing.T) {
-	b := NewBook(nil)
+	cache := NewBook(nil)
 	src := &failingSource{}
 	f := NewFinder(Config{Source: src, Every: time.Millisecond, Reads: func() bool { return true }, Quiet: func() []string { return nil },
-		Upstreams: func() []string { return nil }, Wanted: func() bool { return true }, Spread: func() time.Duration { return 0 }}, b)
+		Upstreams: func() []string { return nil }, Wanted: func() bool { return true }, Spread: func() time.Duration { return 0 }}, cache)
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	f.Run(ctx)
-	if src.calls < 2 || len(b.Snapshot().All()) != 1 || b.Age() < 50*time.Millisecond {
-		t.Errorf("%d calls, %d leaves, age %v", src.calls, len(b.Snapshot().All()), b.Age())
+	if src.calls < 2 || len(cache.Snapshot().All()) != 1 || cache.Age() < 50*time.Millisecond {
+		t.Errorf("%d calls, %d leaves, age %v", src.calls, len(cache.Snapshot().All()), cache.Age())
 	}
 }
 
@@ -186,10 +186,10 @@
 // After a full restart a daemon may ask another one that has no list either. The reply
 // must come immediately so that it can ask the reader next. If it were held for a second,
 // the daemon would refuse its callers for that time although it has the configuration.
-func TestDaemonWithoutListAnswersAtOnce(t *testing.T) {
+func TestDaemonWithoutListRepliesImmediately(t *testing.T) {
 	f := NewFinder(Config{Every: time.Second}, NewBook(nil))
 	began := time.Now()
-	reply, err := f.Server().Watch(context.Background(), &wire.LeavesRequest{WaitMs: 1000, Quiet: quietDigest(nil)})
+	reply, err := f.Server().Watch(context.Background(), &wire.LeavesRequest{WaitMs: 1000, Quiet: namesDigest(nil)})
 	if err != nil || reply.Run != 0 {
 		t.Fatalf("reply %v, error %v", reply, err)
 	}
@@ -201,7 +201,7 @@
 // After a full restart the VM elected as reader should already have the list, so a
 // daemon that may be elected must read at its start. If it read the 14 pages only after
 // the election, every caller would wait that much longer.
-func TestPossibleReaderReadsAtItsStart(t *testing.T) {
+func TestReaderCandidateReadsAtStart(t *testing.T) {
 	src := &failingSource{}
 	f := NewFinder(Config{Source: src, Every: time.Millisecond, Alone: time.Hour, Early: true, Reads: func() bool { return false },
 		Quiet: func() []string { return nil }, Upstreams: func() []string { return nil },
--- a/internal/discovery/first_test.go
+++ b/internal/discovery/first_test.go
@@ -19,7 +19,7 @@
 // takes seconds to transfer. A time-out that ignores the list's size would end every
 // attempt to fetch it.
 func TestFirstListOfManyLeavesArrives(t *testing.T) {
-	const manyLeaves, rate, within = 23_000, 500_000, 12 * time.Second // leaves, bytes per second
+	const manyLeaves, rate, timeout = 23_000, 500_000, 12 * time.Second // leaves, bytes per second
 	var list []Listed
 	for n := range manyLeaves {
 		list = append(list, Listed{ID: fmt.Sprintf("i-%010d", n), Service: fmt.Sprintf("service-%d", n/3), Addr: fmt.Sprintf("10.%d.%d.9:8569", n>>8, n&255), Domain: "lalitpur-hall", Slots: 2})
@@ -37,28 +37,28 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan struct{})
 	go func() { defer close(served); _ = peer.ServeTrusted(ctx, lis, mux) }()
-	var ups []string
+	var upstreams []string
 	for range 3 {
 		link, err := standin.NewNarrowLink(lis.Addr().String(), rate, time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer link.Close()
-		ups = append(ups, link.Addr())
+		upstreams = append(upstreams, link.Addr())
 	}
 	pool := peer.NewTrustedPool()
-	book := NewBook(vm.Monotonic)
+	cache := NewBook(vm.Monotonic)
 	f := NewFinder(Config{
 		Conns: pool, Every: time.Hour, Alone: time.Hour, Reads: func() bool { return false }, Quiet: func() []string { return nil },
-		Wanted: func() bool { return false }, Upstreams: func() []string { return ups }, Spread: func() time.Duration { return 0 },
-	}, book)
+		Wanted: func() bool { return false }, Upstreams: func() []string { return upstreams }, Spread: func() time.Duration { return 0 },
+	}, cache)
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
 	began := time.Now()
-	for !book.Known() && time.Since(began) < within {
+	for !cache.Known() && time.Since(began) < timeout {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if n := len(book.Snapshot().All()); n != manyLeaves {
+	if n := len(cache.Snapshot().All()); n != manyLeaves {
 		t.Errorf("%d of %d leaves received after %v", n, manyLeaves, time.Since(began))
 	}
 	t.Logf("list received after %v", time.Since(began))
--- a/internal/discovery/leaf.go
+++ b/internal/discovery/leaf.go
@@ -39,9 +39,9 @@
 // that refer to many leaves use it as a short identifier.
 func (l *Leaf) Mark() uint64 {
 	h := xxhash.New()
-	var born [8]byte
-	binary.LittleEndian.PutUint64(born[:], uint64(l.Born))
-	_, _ = h.Write(born[:])
+	var buf [8]byte
+	binary.LittleEndian.PutUint64(buf[:], uint64(l.Born))
+	_, _ = h.Write(buf[:])
 	_, _ = h.WriteString(l.ID)
 	_, _ = h.Write([]byte{0})
 	_, _ = h.WriteString(l.Service)
@@ -52,9 +52,9 @@
 func (l *Leaf) Cold(now vm.Instant) bool { return now < l.WarmAt }
 
 // equalState reports whether l and other are equal except for the remaining warm-up time.
-func (l *Leaf) same(o *Leaf) bool {
-	return l.Life() == o.Life() && l.Service == o.Service && l.Addr == o.Addr &&
-		l.Domain == o.Domain && l.Slots == o.Slots && l.Draining == o.Draining
+func (l *Leaf) equalState(other *Leaf) bool {
+	return l.Life() == other.Life() && l.Service == other.Service && l.Addr == other.Addr &&
+		l.Domain == other.Domain && l.Slots == other.Slots && l.Draining == other.Draining
 }
 
 // ListedLeaf is a leaf as a Source lists it.
@@ -91,32 +91,32 @@
 
 // Snapshot is the set of leaves at one reading. It is immutable.
 type Snapshot struct {
-	leaves  []*Leaf // sorted by id
-	byID    map[string]*Leaf
-	byMark  map[uint64]*Leaf
-	service map[string][]*Leaf
-	digest  uint64
+	leaves        []*Leaf // sorted by id
+	byID          map[string]*Leaf
+	byFingerprint map[uint64]*Leaf
+	byService     map[string][]*Leaf
+	digest        uint64
 }
 
 func newSnapshot(leaves []*Leaf) *Snapshot {
 	slices.SortFunc(leaves, func(a, b *Leaf) int { return cmp.Compare(a.ID, b.ID) })
 	s := &Snapshot{
 		leaves: leaves, byID: make(map[string]*Leaf, len(leaves)),
-		byMark:  make(map[uint64]*Leaf, len(leaves)),
-		service: make(map[string][]*Leaf),
+		byFingerprint: make(map[uint64]*Leaf, len(leaves)),
+		byService:     make(map[string][]*Leaf),
 	}
 	h := xxhash.New()
-	var number [8]byte
+	var buf [8]byte
 	for _, l := range leaves {
 		s.byID[l.ID] = l
-		s.byMark[l.Mark()] = l
-		s.service[l.Service] = append(s.service[l.Service], l)
+		s.byFingerprint[l.Mark()] = l
+		s.byService[l.Service] = append(s.byService[l.Service], l)
 		for _, t := range [...]string{l.ID, l.Service, l.Addr, l.Domain} {
 			_, _ = h.WriteString(t)
 			_, _ = h.Write([]byte{0})
 		}
-		binary.LittleEndian.PutUint64(number[:], uint64(l.Born))
-		_, _ = h.Write(number[:])
+		binary.LittleEndian.PutUint64(buf[:], uint64(l.Born))
+		_, _ = h.Write(buf[:])
 		_, _ = h.Write([]byte{byte(l.Slots), byte(l.Slots >> 8), boolByte(l.Draining)})
 	}
 	s.digest = h.Sum64()
@@ -132,7 +132,7 @@
 
 // ForService returns the leaves of a service, including draining ones. The caller must
 // not modify the slice.
-func (s *Snapshot) Of(service string) []*Leaf { return s.service[service] }
+func (s *Snapshot) Of(service string) []*Leaf { return s.byService[service] }
 
 // Find returns the leaf with the given id.
 func (s *Snapshot) Find(id string) (*Leaf, bool) {
@@ -142,7 +142,7 @@
 
 // FindByFingerprint returns the leaf with the given fingerprint.
 func (s *Snapshot) FindMark(mark uint64) (*Leaf, bool) {
-	l, ok := s.byMark[mark]
+	l, ok := s.byFingerprint[mark]
 	return l, ok
 }
 
--- a/internal/discovery/lives_test.go
+++ b/internal/discovery/lives_test.go
@@ -11,14 +11,14 @@
 	"pearmoor/internal/vm"
 )
 
-func born(n int, at int64) Listed {
-	l := listed(n, false)
-	l.Born = at
+func newListedRun(n int, startMs int64) Listed {
+	l := newListed(n, false)
+	l.Born = startMs
 	return l
 }
 
-func held(b *Book, id string) int64 {
-	l, ok := b.Snapshot().Find(id)
+func cachedStart(cache *Book, id string) int64 {
+	l, ok := cache.Snapshot().Find(id)
 	if !ok {
 		return -1
 	}
@@ -28,78 +28,78 @@
 // A leaf restarts, and an outdated page still lists its earlier run. Requests would be
 // sent to a process that has ended, and what was learned about the new run would be
 // lost. The later run must stay, and the earlier one must not replace it after it ends.
-func TestEarlierLifeDoesNotComeBack(t *testing.T) {
+func TestEarlierRunNotRestored(t *testing.T) {
 	now := vm.Instant(time.Hour)
-	b := NewBook(func() vm.Instant { return now })
+	cache := NewBook(func() vm.Instant { return now })
 	read := func(list ...Listed) {
 		now = now.Add(time.Second)
-		b.Take(list, now)
+		cache.Take(list, now)
 	}
-	read(born(1, 100))
-	first, _ := b.Snapshot().Find("i-1")
-	read(born(1, 200))
-	if second, _ := b.Snapshot().Find("i-1"); second == first || second.Born != 200 {
+	read(newListedRun(1, 100))
+	first, _ := cache.Snapshot().Find("i-1")
+	read(newListedRun(1, 200))
+	if second, _ := cache.Snapshot().Find("i-1"); second == first || second.Born != 200 {
 		t.Fatalf("restarted leaf is %+v", second)
 	}
-	read(born(1, 100))
-	if got := held(b, "i-1"); got != 200 {
+	read(newListedRun(1, 100))
+	if got := cachedStart(cache, "i-1"); got != 200 {
 		t.Errorf("an outdated page changed the run to %d, want 200", got)
 	}
 	read()
-	read(born(1, 100))
-	if got := held(b, "i-1"); got != -1 {
+	read(newListedRun(1, 100))
+	if got := cachedStart(cache, "i-1"); got != -1 {
 		t.Errorf("run %d was restored after the later run had ended", got)
 	}
 }
 
 // An entry without a start time must be accepted, also if it alternates with pages that
 // state one. If each switch changed the run, what was learned about the leaf would be lost.
-func TestEntryWithoutLife(t *testing.T) {
-	b := NewBook(nil)
-	b.Take([]Listed{listed(1, false)}, vm.Now())
-	if got := held(b, "i-1"); got != 0 {
+func TestEntryWithoutStartTime(t *testing.T) {
+	cache := NewBook(nil)
+	cache.Take([]Listed{newListed(1, false)}, vm.Now())
+	if got := cachedStart(cache, "i-1"); got != 0 {
 		t.Fatalf("start time %d, want 0", got)
 	}
-	b.Take([]Listed{born(1, 100)}, vm.Now())
-	first, _ := b.Snapshot().Find("i-1")
-	b.Take([]Listed{listed(1, false)}, vm.Now())
-	if second, _ := b.Snapshot().Find("i-1"); second != first {
+	cache.Take([]Listed{newListedRun(1, 100)}, vm.Now())
+	first, _ := cache.Snapshot().Find("i-1")
+	cache.Take([]Listed{newListed(1, false)}, vm.Now())
+	if second, _ := cache.Snapshot().Find("i-1"); second != first {
 		t.Errorf("leaf was replaced by %+v", second)
 	}
-	b.Take([]Listed{listed(1, true)}, vm.Now())
-	if l, _ := b.Snapshot().Find("i-1"); !l.Draining || l.Born != 100 {
+	cache.Take([]Listed{newListed(1, true)}, vm.Now())
+	if l, _ := cache.Snapshot().Find("i-1"); !l.Draining || l.Born != 100 {
 		t.Errorf("draining leaf is %+v", l)
 	}
 }
 
 // A VM's clock was set back before its leaf restarted, so the later run states an earlier
 // start. The run must not be left out permanently.
-func TestLifeAfterClockWasSetBack(t *testing.T) {
+func TestRunAcceptedAfterClockSetBack(t *testing.T) {
 	now := vm.Instant(time.Hour)
-	b := NewBook(func() vm.Instant { return now })
-	b.Take([]Listed{born(1, 12_000)}, now)
+	cache := NewBook(func() vm.Instant { return now })
+	cache.Take([]Listed{newListedRun(1, 12_000)}, now)
 	for range 12 {
 		now = now.Add(time.Second)
-		b.Take([]Listed{born(1, 1_000)}, now)
+		cache.Take([]Listed{newListedRun(1, 1_000)}, now)
 	}
-	if got := held(b, "i-1"); got != 1_000 {
+	if got := cachedStart(cache, "i-1"); got != 1_000 {
 		t.Errorf("run is %d after 12 s of lists with only run 1000", got)
 	}
 }
 
 // Two entries of one reading have the same id. The later run must be used in either
 // order, and of the same run the last entry.
-func TestTwoEntriesOfOneID(t *testing.T) {
-	for _, list := range [][]Listed{{born(1, 100), born(1, 200)}, {born(1, 200), born(1, 100)}} {
-		b := NewBook(nil)
-		b.Take(list, vm.Now())
-		if got := held(b, "i-1"); got != 200 || len(b.Snapshot().All()) != 1 {
-			t.Errorf("run %d, %d leaves", got, len(b.Snapshot().All()))
+func TestDuplicateIDKeepsLatestRun(t *testing.T) {
+	for _, list := range [][]Listed{{newListedRun(1, 100), newListedRun(1, 200)}, {newListedRun(1, 200), newListedRun(1, 100)}} {
+		cache := NewBook(nil)
+		cache.Take(list, vm.Now())
+		if got := cachedStart(cache, "i-1"); got != 200 || len(cache.Snapshot().All()) != 1 {
+			t.Errorf("run %d, %d leaves", got, len(cache.Snapshot().All()))
 		}
 	}
-	b := NewBook(nil)
-	b.Take([]Listed{listed(1, false), listed(1, true)}, vm.Now())
-	if l, _ := b.Snapshot().Find("i-1"); !l.Draining {
+	cache := NewBook(nil)
+	cache.Take([]Listed{newListed(1, false), newListed(1, true)}, vm.Now())
+	if l, _ := cache.Snapshot().Find("i-1"); !l.Draining {
 		t.Error("the entry of the earlier page was used")
 	}
 }
@@ -107,77 +107,77 @@
 // Two daemons hold different runs of one id. The daemon with the later run must keep it,
 // and their exchange must converge: if each reply reported a difference, the watcher
 // would poll without any delay, thousands of times per second.
-func TestDifferentLivesComeToRest(t *testing.T) {
+func TestConflictingRunsConverge(t *testing.T) {
 	now := vm.Instant(time.Hour)
 	clock := func() vm.Instant { return now }
-	behind, watcher := NewBook(clock), NewBook(clock)
-	watcher.Take([]Listed{born(1, 200), born(2, 50)}, now)
+	outdated, watcher := NewBook(clock), NewBook(clock)
+	watcher.Take([]Listed{newListedRun(1, 200), newListedRun(2, 50)}, now)
 	now = now.Add(time.Second)
-	behind.Take([]Listed{born(1, 100), born(2, 50)}, now)
-	watcher.receive(behind.reply(watcher.request(0)))
-	if got := held(watcher, "i-1"); got != 200 {
+	outdated.Take([]Listed{newListedRun(1, 100), newListedRun(2, 50)}, now)
+	watcher.applyReply(outdated.newReply(watcher.newRequest(0)))
+	if got := cachedStart(watcher, "i-1"); got != 200 {
 		t.Errorf("watcher has run %d, want 200", got)
 	}
-	if r := behind.reply(watcher.request(0)); len(r.Entries)+len(r.Removed) > 0 || r.Whole {
+	if r := outdated.newReply(watcher.newRequest(0)); len(r.Entries)+len(r.Removed) > 0 || r.Whole {
 		t.Errorf("a second reply repeats the difference: %v", r)
 	}
 	now = now.Add(time.Second)
-	behind.Take([]Listed{born(1, 200), born(2, 50)}, now)
-	watcher.receive(behind.reply(watcher.request(0)))
-	if a, b := held(watcher, "i-1"), held(behind, "i-1"); a != 200 || b != 200 {
+	outdated.Take([]Listed{newListedRun(1, 200), newListedRun(2, 50)}, now)
+	watcher.applyReply(outdated.newReply(watcher.newRequest(0)))
+	if a, b := cachedStart(watcher, "i-1"), cachedStart(outdated, "i-1"); a != 200 || b != 200 {
 		t.Errorf("runs %d and %d, want 200 in both", a, b)
 	}
 }
 
 // For any order of pages within the lag of the list, an earlier run must never replace a
 // later one, neither in a reader nor in a watcher.
-func TestLivesNeverGoBack(t *testing.T) {
+func TestRunsNeverRegress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(time.Hour)
 		clock := func() vm.Instant { return now }
-		books := []*Book{NewBook(clock), NewBook(clock)}
-		var most [2]int64
+		caches := []*Book{NewBook(clock), NewBook(clock)}
+		var latest [2]int64
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(50 * time.Millisecond)
 			i := rapid.IntRange(0, 1).Draw(t, "book")
 			if rapid.Bool().Draw(t, "reads") {
 				var list []Listed
 				for range rapid.IntRange(0, 3).Draw(t, "entries") {
-					list = append(list, born(1, int64(rapid.IntRange(0, 5).Draw(t, "born"))))
+					list = append(list, newListedRun(1, int64(rapid.IntRange(0, 5).Draw(t, "born"))))
 				}
-				books[i].Take(list, now)
+				caches[i].Take(list, now)
 			} else {
-				books[i].receive(books[1-i].reply(books[i].request(0)))
+				caches[i].applyReply(caches[1-i].newReply(caches[i].newRequest(0)))
 			}
-			if got := held(books[i], "i-1"); got >= 0 {
-				if got < most[i] {
-					t.Fatalf("cache %d went from run %d to %d", i, most[i], got)
+			if got := cachedStart(caches[i], "i-1"); got >= 0 {
+				if got < latest[i] {
+					t.Fatalf("cache %d went from run %d to %d", i, latest[i], got)
 				}
-				most[i] = got
+				latest[i] = got
 			}
 		}
 	})
 }
 
-type oddSource struct{ listing Listing }
+type staticSource struct{ listing Listing }
 
-func (s oddSource) List(context.Context) (Listing, error) { return s.listing, nil }
+func (s staticSource) List(context.Context) (Listing, error) { return s.listing, nil }
 
 // Entries written by other systems may stay in the list permanently. Each must be counted
 // and logged once, and the valid leaves must be used.
-func TestUnreadableEntriesAreToldOnce(t *testing.T) {
-	f := NewFinder(Config{Source: oddSource{Listing{
-		Leaves:     []Listed{listed(1, false)},
+func TestUnreadableEntriesLoggedOnce(t *testing.T) {
+	f := NewFinder(Config{Source: staticSource{Listing{
+		Leaves:     []Listed{newListed(1, false)},
 		Unreadable: []Unreadable{{ID: "x", Fault: errors.New("invalid state")}, {Fault: errors.New("not an object")}},
 	}}, Every: time.Second}, NewBook(nil))
-	before := entriesUnreadable.Count()
+	before := unreadableEntriesCounter.Count()
 	for range 3 {
 		f.readOnce(context.Background(), vm.Now())
 	}
-	if n := entriesUnreadable.Count() - before; n != 2 {
+	if n := unreadableEntriesCounter.Count() - before; n != 2 {
 		t.Errorf("%d unreadable entries counted, want 2", n)
 	}
-	if got := len(f.book.Snapshot().All()); got != 1 {
+	if got := len(f.cache.Snapshot().All()); got != 1 {
 		t.Errorf("%d leaves, want 1", got)
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -48,150 +48,150 @@
 }
 
 const (
-	watchHold   = time.Second
-	watchMargin = 400 * time.Millisecond // beyond watchWait; a silently dropped connection shows only as a time-out
+	watchWait          = time.Second
+	watchTimeoutMargin = 400 * time.Millisecond // beyond watchWait; a silently dropped connection shows only as a time-out
 	// maxLeafBytes is the maximum size of one leaf in a reply.
-	leafBytes  = 160
-	watchRetry = 100 * time.Millisecond
+	maxLeafBytes    = 160
+	watchRetryDelay = 100 * time.Millisecond
 	// minUpstreamPause and maxUpstreamPause bound how long an upstream is skipped after
 	// failed or stale calls. The minimum exceeds the duration of such a call.
-	pauseFirst   = 2 * (watchHold + watchMargin)
-	pauseLongest = 15 * time.Second
-	readTimeout  = 2 * time.Second
+	minUpstreamPause = 2 * (watchWait + watchTimeoutMargin)
+	maxUpstreamPause = 15 * time.Second
+	readTimeout      = 2 * time.Second
 )
 
 // Syncer keeps a LeafCache up to date.
 type Finder struct {
-	cfg  Config
-	book *Book
+	cfg   Config
+	cache *Book
 	// Used only by the goroutine of readLoop.
-	lost       bool                // the last call to the Source failed
-	unreadable map[string]struct{} // unreadable entries of the last reading
+	sourceFailing bool                // the last call to the Source failed
+	unreadable    map[string]struct{} // unreadable entries of the last reading
 
-	started vm.Instant // gives upstreams FallbackAge to send a list before this daemon reads it
+	startedAt vm.Instant // gives upstreams FallbackAge to send a list before this daemon reads it
 }
 
 // NewSyncer returns a syncer that does nothing until Run is called.
-func NewFinder(cfg Config, book *Book) *Finder {
+func NewFinder(cfg Config, cache *Book) *Finder {
 	if cfg.Clock == nil {
 		cfg.Clock = vm.Now
 	}
-	return &Finder{cfg: cfg, book: book, started: cfg.Clock()}
+	return &Finder{cfg: cfg, cache: cache, startedAt: cfg.Clock()}
 }
 
 // Run reads or watches the list until ctx ends.
-func (f *Finder) Run(ctx context.Context) {
+func (s *Finder) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.watch(ctx)
+		s.watchLoop(ctx)
 	}()
-	f.read(ctx)
+	s.readLoop(ctx)
 	<-done
 }
 
 // readLoop reads the list while this daemon is the reader or has no recent list.
-func (f *Finder) read(ctx context.Context) {
+func (s *Finder) readLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		began := f.cfg.Clock()
-		if f.cfg.Reads() {
-			f.book.SetQuiet(f.cfg.Quiet())
+		startedAt := s.cfg.Clock()
+		if s.cfg.Reads() {
+			s.cache.SetQuiet(s.cfg.Quiet())
 		}
-		if !f.due() {
-			vm.Sleep(ctx, watchRetry)
+		if !s.readDue() {
+			vm.Sleep(ctx, watchRetryDelay)
 			continue
 		}
-		if !f.cfg.Reads() {
-			if !vm.Sleep(ctx, rand.N(f.cfg.Spread()+1)) || !f.due() {
+		if !s.cfg.Reads() {
+			if !vm.Sleep(ctx, rand.N(s.cfg.Spread()+1)) || !s.readDue() {
 				continue
 			}
-			began = f.cfg.Clock()
+			startedAt = s.cfg.Clock()
 		}
-		f.readOnce(ctx, began)
+		s.readOnce(ctx, startedAt)
 	}
 }
 
-func (f *Finder) due() bool {
-	age := f.book.Age()
-	if f.cfg.Reads() {
-		return age >= f.cfg.Every
+func (s *Finder) readDue() bool {
+	age := s.cache.Age()
+	if s.cfg.Reads() {
+		return age >= s.cfg.Every
 	}
-	if f.cfg.Early && !f.book.Known() {
+	if s.cfg.Early && !s.cache.Known() {
 		return true
 	}
-	return age >= f.cfg.Alone && f.cfg.Wanted() && f.cfg.Clock().Sub(f.started) >= f.cfg.Alone
+	return age >= s.cfg.Alone && s.cfg.Wanted() && s.cfg.Clock().Sub(s.startedAt) >= s.cfg.Alone
 }
 
-func (f *Finder) readOnce(ctx context.Context, began vm.Instant) {
+func (s *Finder) readOnce(ctx context.Context, startedAt vm.Instant) {
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	listing, err := f.cfg.Source.List(readCtx)
+	listing, err := s.cfg.Source.List(readCtx)
 	if err != nil {
-		readsFailed.Inc(1)
-		if !f.lost {
-			klog.Warningf("discovery: list can't be read, age=%v: %v", f.book.Age(), err)
+		failedReadingsCounter.Inc(1)
+		if !s.sourceFailing {
+			klog.Warningf("discovery: list can't be read, age=%v: %v", s.cache.Age(), err)
 		}
-		f.lost = true
-		vm.Sleep(ctx, f.cfg.Every/2)
+		s.sourceFailing = true
+		vm.Sleep(ctx, s.cfg.Every/2)
 		return
 	}
-	readsMeter.Inc(1)
-	if f.lost {
+	readingsCounter.Inc(1)
+	if s.sourceFailing {
 		klog.Infof("discovery: list can be read again")
 	}
-	f.lost = false
-	f.tellUnreadable(listing.Unreadable)
-	f.book.Take(listing.Leaves, began)
+	s.sourceFailing = false
+	s.logUnreadable(listing.Unreadable)
+	s.cache.Take(listing.Leaves, startedAt)
 }
 
 // maxUnreadableLogged bounds the log lines about unreadable entries of one reading.
-const mostTold = 20
+const maxUnreadableLogged = 20
 
 // logUnreadable logs each unreadable entry once while it is listed.
-func (f *Finder) tellUnreadable(list []Unreadable) {
-	now := make(map[string]struct{}, len(list))
-	told := 0
+func (s *Finder) logUnreadable(list []Unreadable) {
+	current := make(map[string]struct{}, len(list))
+	logged := 0
 	for _, u := range list {
 		key := u.ID + " " + u.Fault.Error()
-		now[key] = struct{}{}
-		if _, known := f.unreadable[key]; known {
+		current[key] = struct{}{}
+		if _, known := s.unreadable[key]; known {
 			continue
 		}
-		entriesUnreadable.Inc(1)
-		if told++; told <= mostTold {
+		unreadableEntriesCounter.Inc(1)
+		if logged++; logged <= maxUnreadableLogged {
 			klog.Warningf("discovery: skipped unreadable list entry id=%q: %v", u.ID, u.Fault)
 		}
 	}
-	if told > mostTold {
-		klog.Warningf("discovery: further unreadable list entries not logged: %d", told-mostTold)
+	if logged > maxUnreadableLogged {
+		klog.Warningf("discovery: further unreadable list entries not logged: %d", logged-maxUnreadableLogged)
 	}
-	f.unreadable = now
+	s.unreadable = current
 }
 
 // fetchFirstList requests the initial list. Every watchRetryDelay/2 it asks one more
 // upstream until one has replied with a list, because some upstreams may not be running
 // yet and a call to a VM without power ends only by its time-out.
-func (f *Finder) first(ctx context.Context) {
-	var asked work.Each
+func (s *Finder) fetchFirstList(ctx context.Context) {
+	var tasks work.Each
 	var fetching sync.Mutex
-	asked.InTurn(ctx, watchRetry/2, f.cfg.Upstreams, f.book.Known, func(addr string) {
+	tasks.InTurn(ctx, watchRetryDelay/2, s.cfg.Upstreams, s.cache.Known, func(addr string) {
 		// The watch loop that follows meets the same error and logs it.
-		leaves, err := f.count(ctx, addr)
+		leaves, err := s.leafCount(ctx, addr)
 		if err != nil || leaves < 0 || !fetching.TryLock() {
 			return
 		}
 		defer fetching.Unlock()
-		_, _ = f.watchOnce(ctx, addr, leaves)
+		_, _ = s.watchOnce(ctx, addr, leaves)
 	})
 }
 
 // leafCount asks the daemon at addr how many leaves it knows; -1 means it has no list. The
 // whole list is then fetched from one daemon at a time, because parallel transfers would
 // slow each other down.
-func (f *Finder) count(ctx context.Context, addr string) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchMargin)
+func (s *Finder) leafCount(ctx context.Context, addr string) (int, error) {
+	ctx, cancel := context.WithTimeout(ctx, watchTimeoutMargin)
 	defer cancel()
-	conn, err := f.cfg.Conns.Conn(ctx, addr)
+	conn, err := s.cfg.Conns.Conn(ctx, addr)
 	if err != nil {
 		return 0, err
 	}
@@ -204,32 +204,32 @@
 }
 
 // watchLoop requests changes from another daemon while this one is not the reader.
-func (f *Finder) watch(ctx context.Context) {
-	f.first(ctx)
-	failing := make(upstreamPauses)
-	last := "" // the upstream that sent the newest list
+func (s *Finder) watchLoop(ctx context.Context) {
+	s.fetchFirstList(ctx)
+	pauses := make(upstreamPauses)
+	lastAddr := "" // the upstream that sent the newest list
 	for ctx.Err() == nil {
-		asked := f.cfg.Clock()
-		addr, ok := failing.pick(f.cfg.Upstreams(), asked)
-		if f.cfg.Reads() || !ok {
-			vm.Sleep(ctx, watchRetry)
+		askedAt := s.cfg.Clock()
+		addr, ok := pauses.pick(s.cfg.Upstreams(), askedAt)
+		if s.cfg.Reads() || !ok {
+			vm.Sleep(ctx, watchRetryDelay)
 			continue
 		}
 		leaves := 0 // usually only changes are sent
-		if addr != last {
-			leaves = len(f.book.Snapshot().All())
+		if addr != lastAddr {
+			leaves = len(s.cache.Snapshot().All())
 		}
-		fresh, err := f.watchOnce(ctx, addr, leaves)
+		fresh, err := s.watchOnce(ctx, addr, leaves)
 		if err == nil && fresh {
-			delete(failing, addr)
-			last = addr
+			delete(pauses, addr)
+			lastAddr = addr
 			continue
 		}
 		// The upstream does not answer or has no recent list: try another one.
-		now := f.cfg.Clock()
-		failing.add(addr, now)
-		if now.Sub(asked) < watchRetry {
-			vm.Sleep(ctx, watchRetry/2+rand.N(watchRetry))
+		now := s.cfg.Clock()
+		pauses.recordFailure(addr, now)
+		if now.Sub(askedAt) < watchRetryDelay {
+			vm.Sleep(ctx, watchRetryDelay/2+rand.N(watchRetryDelay))
 		}
 	}
 }
@@ -238,19 +238,19 @@
 type upstreamPauses map[string]*upstreamPause
 
 type upstreamPause struct {
-	failures int
-	until    vm.Instant
+	consecutiveFailures int
+	until               vm.Instant
 }
 
 // recordFailure counts a failure of an upstream. The pause doubles with each failure.
-func (p upstreamPauses) add(addr string, now vm.Instant) {
+func (p upstreamPauses) recordFailure(addr string, now vm.Instant) {
 	x := p[addr]
 	if x == nil {
 		x = &upstreamPause{}
 		p[addr] = x
 	}
-	x.until = now.Add(min(pauseFirst<<min(x.failures, 8), pauseLongest))
-	x.failures++
+	x.until = now.Add(min(minUpstreamPause<<min(x.consecutiveFailures, 8), maxUpstreamPause))
+	x.consecutiveFailures++
 }
 
 // pick returns the first of addrs that is not paused, or else the one whose pause ends
@@ -275,32 +275,32 @@
 
 // watchOnce sends one request to the daemon at addr and reports whether its reading is
 // recent. The time-out allows for a reply with maxLeaves leaves.
-func (f *Finder) watchOnce(ctx context.Context, addr string, leaves int) (fresh bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, peer.TimeFor(watchHold+watchMargin, leaves*leafBytes))
+func (s *Finder) watchOnce(ctx context.Context, addr string, maxLeaves int) (fresh bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, peer.TimeFor(watchWait+watchTimeoutMargin, maxLeaves*maxLeafBytes))
 	defer cancel()
-	conn, err := f.cfg.Conns.Conn(ctx, addr)
+	conn, err := s.cfg.Conns.Conn(ctx, addr)
 	if err != nil {
 		return false, err
 	}
 	defer func() { _ = conn.Close() }()
-	reply, err := wire.NewDRPCLeavesClient(conn).Watch(ctx, f.book.request(watchHold))
+	reply, err := wire.NewDRPCLeavesClient(conn).Watch(ctx, s.cache.newRequest(watchWait))
 	if err != nil {
 		return false, errors.Wrapf(err, "discovery: %s", addr)
 	}
-	f.book.receive(reply)
-	fresh = time.Duration(reply.AgeMs)*time.Millisecond < f.freshFor()
+	s.cache.applyReply(reply)
+	fresh = time.Duration(reply.AgeMs)*time.Millisecond < s.maxFreshAge()
 	return reply.Run != 0 && fresh, nil
 }
 
 // Server returns the server for the daemons that watch this one.
-func (f *Finder) Server() wire.DRPCLeavesServer { return &server{f.book, f.freshFor()} }
+func (s *Finder) Server() wire.DRPCLeavesServer { return &server{s.cache, s.maxFreshAge()} }
 
 // maxFreshAge is the maximum age of an upstream's list at which watching it is worthwhile.
-func (f *Finder) freshFor() time.Duration { return 2*f.cfg.Every + watchHold }
+func (s *Finder) maxFreshAge() time.Duration { return 2*s.cfg.Every + watchWait }
 
 type server struct {
-	book  *Book
-	fresh time.Duration
+	cache       *Book
+	maxFreshAge time.Duration
 }
 
 // Watch implements wire.DRPCLeavesServer. The reply is held until the leaves change or
@@ -308,12 +308,12 @@
 // immediately: otherwise after a full restart each daemon would wait a second for one
 // that has no list either, while the reader has it.
 func (s *server) Watch(ctx context.Context, req *wire.LeavesRequest) (*wire.LeavesReply, error) {
-	timer := time.NewTimer(min(time.Duration(req.WaitMs)*time.Millisecond, watchHold))
+	timer := time.NewTimer(min(time.Duration(req.WaitMs)*time.Millisecond, watchWait))
 	defer timer.Stop()
 	for {
-		changed := s.book.Changed()
-		reply := s.book.reply(req)
-		if req.CountOnly || len(reply.Entries)+len(reply.Removed) > 0 || reply.Whole || quietDigest(reply.Quiet) != req.Quiet || s.book.Age() > s.fresh {
+		changed := s.cache.Changed()
+		reply := s.cache.newReply(req)
+		if req.CountOnly || len(reply.Entries)+len(reply.Removed) > 0 || reply.Whole || namesDigest(reply.Quiet) != req.Quiet || s.cache.Age() > s.maxFreshAge {
 			return reply, nil
 		}
 		select {
@@ -322,6 +322,6 @@
 		case <-timer.C:
 		case <-ctx.Done():
 		}
-		return s.book.reply(req), nil
+		return s.cache.newReply(req), nil
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -16,8 +16,8 @@
 
 // While the preferred upstream is unreachable, the list must still arrive in time: only
 // one call may be lost to it.
-func TestLostUpstreamCostsOneCall(t *testing.T) {
-	const newsEvery, lasts, late, mostLate = 100 * time.Millisecond, 8 * time.Second, time.Second, time.Second
+func TestLostUpstreamDelaysOneCall(t *testing.T) {
+	const readInterval, testDuration, staleAfter, maxStaleTime = 100 * time.Millisecond, 8 * time.Second, time.Second, time.Second
 	reader := NewBook(vm.Monotonic)
 	mux := drpcmux.New()
 	if err := wire.DRPCRegisterLeaves(mux, NewFinder(Config{Every: time.Hour}, reader).Server()); err != nil {
@@ -28,24 +28,24 @@
 	served := make(chan struct{})
 	go func() { defer close(served); _ = peer.ServeTrusted(ctx, good, mux) }()
 	pool := peer.NewTrustedPool()
-	book := NewBook(vm.Monotonic)
+	cache := NewBook(vm.Monotonic)
 	f := NewFinder(Config{
 		Conns: pool, Every: time.Hour, Alone: time.Hour, Reads: func() bool { return false }, Quiet: func() []string { return nil },
 		Wanted: func() bool { return false }, Spread: func() time.Duration { return 0 },
 		Upstreams: func() []string { return []string{lost.Addr().String(), good.Addr().String()} },
-	}, book)
+	}, cache)
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
-	behind := time.Duration(0)
-	for n := 0; n < int(lasts/newsEvery); n++ {
+	staleTime := time.Duration(0)
+	for n := 0; n < int(testDuration/readInterval); n++ {
 		reader.Take([]Listed{{ID: fmt.Sprint(n), Service: "s", Addr: "127.0.0.1:1", Slots: 2}}, vm.Monotonic())
-		time.Sleep(newsEvery)
-		if known := newest(book); n-known >= int(late/newsEvery) {
-			behind += newsEvery
+		time.Sleep(readInterval)
+		if known := newestLeafNumber(cache); n-known >= int(staleAfter/readInterval) {
+			staleTime += readInterval
 		}
 	}
-	if behind > mostLate {
-		t.Errorf("list was more than %v behind for %v of %v", late, behind, lasts)
+	if staleTime > maxStaleTime {
+		t.Errorf("list was more than %v behind for %v of %v", staleAfter, staleTime, testDuration)
 	}
 	cancel()
 	_ = pool.Close()
@@ -54,9 +54,9 @@
 }
 
 // newestLeafNumber returns the number of the only cached leaf, -1 if there is none.
-func newest(b *Book) int {
+func newestLeafNumber(cache *Book) int {
 	n := -1
-	for _, l := range b.Snapshot().All() {
+	for _, l := range cache.Snapshot().All() {
 		_, _ = fmt.Sscan(l.ID, &n)
 	}
 	return n
