--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -9,7 +9,7 @@
 	"pearmoor/internal/vm"
 )
 
-func openGates(slots int) *Gates {
+func newBenchGates(slots int) *Gates {
 	g := NewGates(vm.Now)
 	g.Fence(vm.Now().Add(time.Hour))
 	g.Configure(leafA, Limits{Slots: slots, Queue: 1 << 16})
@@ -17,7 +17,7 @@
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
-	g := openGates(1)
+	g := newBenchGates(1)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	defer cancel()
 	b.ReportAllocs()
@@ -30,9 +30,9 @@
 	}
 }
 
-// Each of many callers waits for one of two slots.
+// BenchmarkAcquireQueued measures a permit that many goroutines queue for on two slots.
 func BenchmarkAcquireQueued(b *testing.B) {
-	g := openGates(2)
+	g := newBenchGates(2)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	defer cancel()
 	b.ReportAllocs()
@@ -50,32 +50,32 @@
 }
 
 func BenchmarkRefusal(b *testing.B) {
-	g := openGates(1)
+	g := newBenchGates(1)
 	g.Configure(leafA, Limits{Slots: 1, Queue: 0})
 	g.TryAcquire(leafA)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := g.Acquire(context.Background(), leafA, settings.Urgent); err == nil {
-			b.Fatal("not refused")
+			b.Fatal("request was not refused")
 		}
 	}
 }
 
 func BenchmarkCheck(b *testing.B) {
-	p, _ := openGates(1).TryAcquire(leafA)
+	p, _ := newBenchGates(1).TryAcquire(leafA)
 	b.ReportAllocs()
 	for b.Loop() {
 		if p.Check() != nil {
-			b.Fatal("refused")
+			b.Fatal("Check refused a valid permit")
 		}
 	}
 }
 
 func BenchmarkBudget(b *testing.B) {
-	bud := NewBudget(func() float64 { return 0.03 }, 1, vm.Now)
+	budget := NewBudget(func() float64 { return 0.03 }, 1, vm.Now)
 	b.ReportAllocs()
 	for b.Loop() {
-		bud.Primary()
-		bud.Spend()
+		budget.Primary()
+		budget.Spend()
 	}
 }
--- a/internal/admit/errors.go
+++ b/internal/admit/errors.go
@@ -9,7 +9,7 @@
 	"pearmoor/internal/contract"
 )
 
-// Causes of refusals.
+// Causes of refusals. Each is the cause of a *contract.Error with verdict NotRun.
 var (
 	ErrNoShare     = errors.New("this daemon holds no share of the leaf's slots")
 	ErrQueueFull   = errors.New("the queue for the leaf is full")
@@ -18,37 +18,38 @@
 	ErrUnconfirmed = errors.New("the daemon's lease has run out")
 )
 
-// retryJitter spreads callers that were refused together over a quarter more time.
+// retryJitter is the maximum fraction added to a retry delay, so that callers
+// refused together do not return together.
 const retryJitter = 0.25
 
 const (
-	noShareRetry     = 100 * time.Millisecond // a new view follows a lost share
-	unconfirmedRetry = time.Second            // the interval of lease renewals
+	noShareRetryAfter      = 100 * time.Millisecond // a view with new shares follows the loss of a share
+	leaseExpiredRetryAfter = time.Second            // the interval of lease renewals
 )
 
 func errNoShare() *contract.Error {
-	return refusal(contract.ReasonOverload, noShareRetry, ErrNoShare)
+	return newRefusal(contract.ReasonOverload, noShareRetryAfter, ErrNoShare)
 }
 
 func errDraining() *contract.Error {
-	return refusal(contract.ReasonNoReplica, noShareRetry, ErrDraining)
+	return newRefusal(contract.ReasonNoReplica, noShareRetryAfter, ErrDraining)
 }
 
-func errUnconfirmed() *contract.Error {
-	return refusal(contract.ReasonUnconfirmed, unconfirmedRetry, ErrUnconfirmed)
+func errLeaseExpired() *contract.Error {
+	return newRefusal(contract.ReasonUnconfirmed, leaseExpiredRetryAfter, ErrUnconfirmed)
 }
 
-func errOverload(after time.Duration, cause error) *contract.Error {
-	return refusal(contract.ReasonOverload, after, cause)
+func errOverload(retryAfter time.Duration, cause error) *contract.Error {
+	return newRefusal(contract.ReasonOverload, retryAfter, cause)
 }
 
-func refusal(reason contract.Reason, after time.Duration, cause error) *contract.Error {
+func newRefusal(reason contract.Reason, retryAfter time.Duration, cause error) *contract.Error {
 	e := contract.Refuse(reason, cause)
-	e.RetryAfter = max(1, jitter(after).Milliseconds())
+	e.RetryAfter = max(1, jitter(retryAfter).Milliseconds())
 	return e
 }
 
-// jitter returns d lengthened by up to retryJitter.
+// jitter returns d plus a random part of up to retryJitter times d.
 func jitter(d time.Duration) time.Duration {
 	return d + time.Duration(rand.Float64()*retryJitter*float64(d))
 }
--- a/internal/admit/health.go
+++ b/internal/admit/health.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	failThreshold = 3 // failures in a row that put a leaf into backoff
-	backoffBase   = 100 * time.Millisecond
-	backoffMax    = 5 * time.Second
-	pauseBase     = 20 * time.Millisecond // after a refusal that names no time
-	pauseMax      = 10 * time.Second      // a leaf's word can't keep it idle for longer
-	rampFloor     = 0.1                   // share of the full rate with which a slow start begins
+	failThreshold   = 3 // consecutive failures that put a leaf into backoff
+	backoffBase     = 100 * time.Millisecond
+	backoffMax      = 5 * time.Second
+	pauseBase       = 20 * time.Millisecond // after a refusal without a retry time
+	pauseMax        = 10 * time.Second      // bounds the retry time that a leaf can ask for
+	minRampFraction = 0.1                   // fraction of the full rate at which a slow start begins
 )
 
-// health is what attempts, not health endpoints, have shown of a leaf.
+// health is the state of a leaf as observed from attempts, not from health checks.
 type health struct {
-	failures   int        // in a row
-	refusals   int        // in a row, without a time to come back
-	retryAt    vm.Instant // end of the backoff
-	pauseUntil vm.Instant // end of the pause a refusal asked for
-	ramping    bool
-	rampFrom   vm.Instant
-	nextStart  vm.Instant // pacing during a slow start
-	lastAnswer vm.Instant // 0: none yet
+	consecutiveFailures int
+	consecutiveRefusals int        // without a retry time
+	backoffUntil        vm.Instant // end of the backoff
+	pauseUntil          vm.Instant // end of the pause after a refusal
+	ramping             bool
+	rampStart           vm.Instant
+	nextStart           vm.Instant // earliest next start during a slow start
+	lastReply           vm.Instant // 0: no reply yet
 }
 
-func (h *health) failing() bool { return h.failures >= failThreshold }
+func (h *health) failing() bool { return h.consecutiveFailures >= failThreshold }
 
-// blocked is how long nothing may start.
-func (h *health) blocked(now vm.Instant) time.Duration {
+// blockedFor returns how long no request may start.
+func (h *health) blockedFor(now vm.Instant) time.Duration {
 	until := h.pauseUntil
 	if h.failing() {
-		until = max(until, h.retryAt)
+		until = max(until, h.backoffUntil)
 	}
 	if h.ramping {
 		until = max(until, h.nextStart)
@@ -41,77 +41,77 @@
 	return max(0, until.Sub(now))
 }
 
-func (h *health) answered(now vm.Instant, ramp time.Duration) {
+func (h *health) recordReply(now vm.Instant, ramp time.Duration) {
 	recovered := h.failing()
-	h.failures, h.refusals = 0, 0
-	h.lastAnswer = now
+	h.consecutiveFailures, h.consecutiveRefusals = 0, 0
+	h.lastReply = now
 	if recovered && ramp > 0 {
-		h.beginRamp(now)
+		h.startRamp(now)
 	}
 }
 
-// refused pauses the leaf for the time it asked for, or for a growing one,
-// bounded, with jitter so that its homes do not come back together.
-func (h *health) refused(now vm.Instant, retryAfter time.Duration) {
-	h.failures = 0
+// recordRefusal pauses the leaf for the time it asked for, or for an exponentially
+// growing time, up to pauseMax. Jitter keeps its home daemons from returning together.
+func (h *health) recordRefusal(now vm.Instant, retryAfter time.Duration) {
+	h.consecutiveFailures = 0
 	d := retryAfter
 	if d <= 0 {
-		d = doubled(pauseBase, h.refusals, pauseMax)
-		h.refusals++
+		d = exponential(pauseBase, h.consecutiveRefusals, pauseMax)
+		h.consecutiveRefusals++
 	}
 	d = jitter(min(d, pauseMax))
 	h.pauseUntil = max(h.pauseUntil, now.Add(d))
 }
 
-// failed backs off from a leaf that keeps failing. After the backoff one
-// request is let through, and its outcome ends the backoff or doubles it.
-func (h *health) failed(now vm.Instant) {
-	h.failures++
+// recordFailure starts a backoff after failThreshold consecutive failures. After the
+// backoff one request is admitted, whose outcome ends the backoff or doubles it.
+func (h *health) recordFailure(now vm.Instant) {
+	h.consecutiveFailures++
 	if h.failing() {
-		d := doubled(backoffBase, h.failures-failThreshold, backoffMax)
-		h.retryAt = now.Add(jitter(d))
+		d := exponential(backoffBase, h.consecutiveFailures-failThreshold, backoffMax)
+		h.backoffUntil = now.Add(jitter(d))
 	}
 }
 
-// doubled returns base doubled n times, at most limit.
-func doubled(base time.Duration, n int, limit time.Duration) time.Duration {
+// exponential returns base doubled n times, at most limit.
+func exponential(base time.Duration, n int, limit time.Duration) time.Duration {
 	for ; n > 0 && base < limit; n-- {
 		base *= 2
 	}
 	return min(base, limit)
 }
 
-func (h *health) beginRamp(now vm.Instant) {
+func (h *health) startRamp(now vm.Instant) {
 	h.ramping = true
-	h.rampFrom = now
+	h.rampStart = now
 	h.nextStart = now
 }
 
-// fraction is the part of the full rate allowed now.
-func (h *health) fraction(now vm.Instant, ramp time.Duration) float64 {
+// rateFraction returns the fraction of the full rate that is allowed now.
+func (h *health) rateFraction(now vm.Instant, ramp time.Duration) float64 {
 	if !h.ramping {
 		return 1
 	}
-	gone := now.Sub(h.rampFrom)
-	if gone >= ramp {
+	elapsed := now.Sub(h.rampStart)
+	if elapsed >= ramp {
 		h.ramping = false
 		return 1
 	}
-	return max(rampFloor, float64(gone)/float64(ramp))
+	return max(minRampFraction, float64(elapsed)/float64(ramp))
 }
 
-// started paces a slow start: with a share of one slot concurrency can't be
-// lowered, so the time between starts is lengthened instead.
-func (h *health) started(now vm.Instant, period time.Duration) {
+// recordStart spaces out starts during a slow start: the concurrency of a share of
+// one slot can't be reduced, so the interval between starts is increased instead.
+func (h *health) recordStart(now vm.Instant, interval time.Duration) {
 	if h.ramping {
-		h.nextStart = now.Add(period)
+		h.nextStart = now.Add(interval)
 	}
 }
 
-func (g *gate) beginRamp() {
+func (g *gate) startRamp() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.limits.Ramp > 0 && !g.health.ramping {
-		g.health.beginRamp(g.set.clock())
+		g.health.startRamp(g.gates.clock())
 	}
 }
--- a/internal/admit/stalls.go
+++ b/internal/admit/stalls.go
@@ -9,46 +9,48 @@
 )
 
 const (
-	// stallTick is how often a running process notes that it runs.
-	stallTick = 20 * time.Millisecond
-	// stallLeast is how late a note counts as a stall, and not as a busy moment.
-	stallLeast = 20 * time.Millisecond
+	// stallTickInterval is how often a running process records a tick.
+	stallTickInterval = 20 * time.Millisecond
+	// minStall is the delay of a tick above which it counts as a stall and not as
+	// ordinary scheduling delay.
+	minStall = 20 * time.Millisecond
 )
 
-// stalls measures the time in which the process did not run: it was stopped, or had no
-// processor. The zero value has seen no stall.
-type stalls struct {
-	mu    sync.Mutex
-	last  vm.Instant // when it was last seen to run; 0: not watched
-	total time.Duration
+// stallTracker measures the time in which the process did not run because it was
+// stopped or had no processor. The zero value has recorded no stall.
+type stallTracker struct {
+	mu       sync.Mutex
+	lastTick vm.Instant // time of the last tick; 0: ticks have not started
+	total    time.Duration
 }
 
-// tick notes that the process runs.
-func (s *stalls) tick(now vm.Instant) {
+// tick records that the process is running.
+func (s *stallTracker) tick(now vm.Instant) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.total += s.sinceTick(now)
-	s.last = now
+	s.total += s.currentStall(now)
+	s.lastTick = now
 }
 
-// until returns the length of all stalls up to now, one included that has just ended.
-func (s *stalls) until(now vm.Instant) time.Duration {
+// totalAt returns the total length of all stalls up to now, including one that has
+// just ended and that no tick has recorded yet.
+func (s *stallTracker) totalAt(now vm.Instant) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.total + s.sinceTick(now)
+	return s.total + s.currentStall(now)
 }
 
-func (s *stalls) sinceTick(now vm.Instant) time.Duration {
-	if late := now.Sub(s.last) - stallTick; s.last != 0 && late > stallLeast {
-		return late
+func (s *stallTracker) currentStall(now vm.Instant) time.Duration {
+	if overdue := now.Sub(s.lastTick) - stallTickInterval; s.lastTick != 0 && overdue > minStall {
+		return overdue
 	}
 	return 0
 }
 
-// WatchStalls notes stalls of the process until ctx ends. The time of a stall counts
-// neither as a leaf's service time nor as a standing queue.
+// WatchStalls records stalls of the process until ctx ends. Stall time is excluded
+// from service times and from the time that a queue is non-empty.
 func (g *Gates) WatchStalls(ctx context.Context) {
-	for vm.Sleep(ctx, stallTick) {
+	for vm.Sleep(ctx, stallTickInterval) {
 		g.stalls.tick(g.clock())
 	}
 }
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -13,80 +13,81 @@
 )
 
 const (
-	// maxAddresses bounds a list, however many daemons there are.
+	// maxAddresses bounds the length of a list, regardless of the number of daemons.
 	maxAddresses = 8
-	// maxServices bounds the work of one list. A path with more query services
-	// below it has homes on so many daemons that preferring them gains nothing.
+	// maxServices bounds the work for one list. A path with more query services below
+	// it has homes on so many daemons that preferring homes has no benefit.
 	maxServices = 64
-	// drawn is from how many members of a region the fall-back is chosen.
-	drawn = 4 * maxAddresses
-	// retryAfterMS is when a caller that got no list may ask again.
+	// maxCandidates is the maximum number of members of one region that fallback
+	// addresses are chosen from.
+	maxCandidates = 4 * maxAddresses
+	// retryAfterMS is when a caller that was refused a list may ask again.
 	retryAfterMS = 1000
 )
 
-// List returns the entries that a caller of path should try, in order: first the
-// homes of the path's query services, which save a hop, then other daemons to
-// fall back to. Only members that are Serving, and stay so in a pending
-// membership, are listed; self is left out without a valid lease. The error is a
+// List returns the entry addresses that a caller of path should try, in order: first
+// the homes of the path's query services, which save a hop, then other daemons as
+// fallbacks. It includes only members that are Serving and remain so in a pending
+// membership, and excludes self while it has no valid lease. The error is a
 // *contract.Error with verdict NotRun.
 func List(v *relay.View, path string, self vm.Identity, now vm.Instant) ([]contract.Address, error) {
 	return lister{rand: rand.IntN}.list(v, path, self, now)
 }
 
-// lister orders addresses by a source of random numbers in [0, n).
+// lister orders addresses using a source of random numbers in [0, n).
 type lister struct {
 	rand func(n int) int
 }
 
 func (l lister) list(v *relay.View, path string, self vm.Identity, now vm.Instant) ([]contract.Address, error) {
 	if v == nil || v.Tree == nil || v.Settled == nil {
-		return nil, refuse(contract.ReasonUnconfirmed, errors.New("this daemon has not yet learned the configuration"))
+		return nil, newRefusal(contract.ReasonUnconfirmed, errors.New("this daemon has not yet learned the configuration"))
 	}
 	services := v.Tree.Services(path)
 	if len(services) == 0 {
 		err := contract.Refuse(contract.ReasonUnknownPath, errors.Newf("no query service at or below %q", path))
 		return nil, err
 	}
-	f := filter{view: v, self: self, alone: !v.Confirmed(now)}
-	used := make(map[string]int)
-	near := f.homes(services)
-	ordered := l.spread(nil, near, used)
+	f := filter{view: v, self: self, excludeSelf: !v.Confirmed(now)}
+	domainUse := make(map[string]int)
+	homes := f.homes(services)
+	ordered := l.appendSpread(nil, homes, domainUse)
 	region := self.Region
 	if len(ordered) > 0 {
 		region = ordered[0].Region
 	}
-	beside, away := l.others(f, near, region)
-	ordered = l.spread(ordered, beside, used)
-	ordered = l.spread(ordered, away, used)
+	sameRegion, otherRegions := l.fallbacks(f, homes, region)
+	ordered = l.appendSpread(ordered, sameRegion, domainUse)
+	ordered = l.appendSpread(ordered, otherRegions, domainUse)
 	if len(ordered) == 0 {
-		return nil, refuse(contract.ReasonUnconfirmed, errors.New("no daemon is known to be serving"))
+		return nil, newRefusal(contract.ReasonUnconfirmed, errors.New("no daemon is known to be serving"))
 	}
-	return addresses(ordered), nil
+	return toAddresses(ordered), nil
 }
 
-func refuse(reason contract.Reason, cause error) error {
+func newRefusal(reason contract.Reason, cause error) error {
 	return &contract.Error{Verdict: contract.NotRun, Reason: reason, RetryAfter: retryAfterMS, Cause: cause}
 }
 
-// filter knows which members callers may be sent to.
+// filter decides which members may be listed to callers.
 type filter struct {
-	view  *relay.View
-	self  vm.Identity
-	alone bool // self has no lease
+	view        *relay.View
+	self        vm.Identity
+	excludeSelf bool // self has no valid lease
 }
 
-func (f *filter) lists(m *vm.Member) bool {
+func (f *filter) eligible(m *vm.Member) bool {
 	if m.Phase != vm.Serving || m.CallerAddr == "" {
 		return false
 	}
-	if m.Name == f.self.Name && (f.alone || m.Incarnation != f.self.Incarnation) {
+	if m.Name == f.self.Name && (f.excludeSelf || m.Incarnation != f.self.Incarnation) {
 		return false
 	}
 	return staysServing(f.view.Pending, m)
 }
 
-// staysServing reports whether m is still Serving in the membership to come. A
-// caller keeps its list past the moment that membership settles.
+// staysServing reports whether m is still Serving in the pending membership. Callers
+// keep using a list after that membership has taken effect.
 func staysServing(pending *vm.Membership, m *vm.Member) bool {
 	if pending == nil {
 		return true
@@ -95,7 +96,7 @@
 	return ok && next.Phase == vm.Serving && next.Incarnation == m.Incarnation
 }
 
-// homes returns the homes of services that may be listed, each once.
+// homes returns the eligible homes of the services without duplicates.
 func (f *filter) homes(services []string) []*vm.Member {
 	if len(services) > maxServices {
 		return nil
@@ -108,7 +109,7 @@
 		}
 		homes := f.view.HomesOf(service, e)
 		for i := range homes {
-			if !holds(out, &homes[i]) && f.lists(&homes[i]) {
+			if !containsMember(out, &homes[i]) && f.eligible(&homes[i]) {
 				out = append(out, &homes[i])
 			}
 		}
@@ -116,7 +117,7 @@
 	return out
 }
 
-func holds(members []*vm.Member, m *vm.Member) bool {
+func containsMember(members []*vm.Member, m *vm.Member) bool {
 	for _, other := range members {
 		if other.Name == m.Name {
 			return true
@@ -125,37 +126,37 @@
 	return false
 }
 
-// others draws members besides near at random: enough of the region to choose
-// from, or all there are, and those of other regions met on the way. It looks at
-// no more members than that takes, however many there are.
-func (l lister) others(f filter, near []*vm.Member, region string) (beside, away []*vm.Member) {
+// fallbacks draws eligible members other than homes at random: up to maxCandidates of
+// the region, and up to as many of other regions that it visits on the way. It stops
+// once it has enough of the region, however many members there are.
+func (l lister) fallbacks(f filter, homes []*vm.Member, region string) (sameRegion, otherRegions []*vm.Member) {
 	members := f.view.Settled.Members
-	for i := range l.walk(len(members)) {
+	for i := range l.strideOrder(len(members)) {
 		m := &members[i]
-		if len(beside) == drawn {
+		if len(sameRegion) == maxCandidates {
 			break
 		}
-		if holds(near, m) || !f.lists(m) {
+		if containsMember(homes, m) || !f.eligible(m) {
 			continue
 		}
 		if m.Region == region {
-			beside = append(beside, m)
-		} else if len(away) < drawn {
-			away = append(away, m)
+			sameRegion = append(sameRegion, m)
+		} else if len(otherRegions) < maxCandidates {
+			otherRegions = append(otherRegions, m)
 		}
 	}
-	return beside, away
+	return sameRegion, otherRegions
 }
 
-// walk yields each of 0..n-1 once, from a random start by a random stride. The
-// first is uniform, and neighbours in the list, whose names often name their
-// failure domain, do not come together.
-func (l lister) walk(n int) iter.Seq[int] {
+// strideOrder yields each of 0..n-1 once, starting at a random index and advancing by
+// a random stride. The first index is uniformly distributed. The stride
+// usually separates neighbours in the list, whose names often share a failure domain.
+func (l lister) strideOrder(n int) iter.Seq[int] {
 	return func(yield func(int) bool) {
 		if n == 0 {
 			return
 		}
-		at, stride := l.rand(n), 1
+		i, stride := l.rand(n), 1
 		if n > 2 {
 			stride = 1 + l.rand(n-1)
 		}
@@ -163,10 +164,10 @@
 			stride++
 		}
 		for range n {
-			if !yield(at) {
+			if !yield(i) {
 				return
 			}
-			at = (at + stride) % n
+			i = (i + stride) % n
 		}
 	}
 }
@@ -178,22 +179,22 @@
 	return a
 }
 
-// spread adds members to out at random, up to maxAddresses, but takes the next
-// one from a failure domain that the list has used least so far: the address
-// tried after a failed one should not be lost to the same fault. The first place
-// is uniform over members. Were the domains drawn first, a daemon alone in its
-// domain would get the callers that three share elsewhere.
-func (l lister) spread(out, members []*vm.Member, used map[string]int) []*vm.Member {
+// appendSpread appends members to out at random, up to maxAddresses. It takes each
+// from a failure domain with the fewest addresses so far, because the address tried
+// after a failure should not be affected by the same fault. The first address is
+// uniform over members and not over domains; otherwise a daemon alone in its domain
+// would get as many callers as all members of a larger domain together.
+func (l lister) appendSpread(out, members []*vm.Member, domainUse map[string]int) []*vm.Member {
 	members = slices.Clone(members)
 	l.shuffle(members)
 	for len(members) > 0 && len(out) < maxAddresses {
 		best := 0
 		for i := range members {
-			if used[members[i].Domain] < used[members[best].Domain] {
+			if domainUse[members[i].Domain] < domainUse[members[best].Domain] {
 				best = i
 			}
 		}
-		used[members[best].Domain]++
+		domainUse[members[best].Domain]++
 		out = append(out, members[best])
 		members = append(members[:best], members[best+1:]...)
 	}
@@ -207,7 +208,7 @@
 	}
 }
 
-func addresses(members []*vm.Member) []contract.Address {
+func toAddresses(members []*vm.Member) []contract.Address {
 	out := make([]contract.Address, len(members))
 	for i, m := range members {
 		out[i] = contract.Address{VM: m.Name, URL: m.CallerAddr, Domain: m.Domain}
