--- a/internal/policy/budget.go
+++ b/internal/policy/budget.go
@@ -9,17 +9,18 @@
 	"pearmoor/internal/vm"
 )
 
-// BudgetTerms bound the extra sends to one service, from all daemons together: in
-// any Window, Ratio times its requests and Burst.
+// BudgetLimits bounds the extra sends (hedges and retries) of all daemons together to one
+// service. In any Window they may send Ratio times the number of requests, plus Burst.
 type BudgetTerms struct {
 	Ratio  float64
 	Burst  float64
 	Window time.Duration
 }
 
-// unknownDaemons stands for the number of daemons while no membership is known.
+// defaultDaemons is the assumed number of daemons while the membership is unknown.
 const unknownDaemons = 100
 
+// daemonsOrDefault returns daemons, or defaultDaemons if the number is unknown.
 func known(daemons int) int {
 	if daemons <= 0 {
 		return unknownDaemons
@@ -29,12 +30,12 @@
 
 const (
 	budgetSlots = 20
-	// budgetUse is the part of the terms that this daemon allows itself: requests
-	// of daemons that are counted by others a moment later, and a member that the
-	// others don't know of yet, must not add up to more than the whole.
+	// allowanceShare is the part of the limits that this daemon allows itself. The margin
+	// covers requests that other daemons count a moment later and members that the other
+	// daemons do not know yet; without it the sum could exceed the limits.
 	budgetUse = 0.85
-	// hedgeUse is the part of the allowance that hedges may use up; the rest is
-	// kept for requests whose leaf has failed.
+	// hedgeShare is the part of the allowance available to hedges. The rest is reserved for
+	// retries of requests whose leaf has failed.
 	hedgeUse = 0.8
 )
 
@@ -49,18 +50,19 @@
 
 	mu       sync.Mutex
 	services map[string]*budget
-	most     int // daemons that shared the terms in the last windows
+	most     int // largest number of daemons that shared the limits in the last two windows
 	mostAt   vm.Instant
 }
 
-// NewBudgets returns budgets that share terms with daemons() others.
+// NewBudgets returns budgets that share limits among daemons() daemons.
 func NewBudgets(terms BudgetTerms, clock vm.Clock, daemons func() int) *Budgets {
 	return &Budgets{terms: terms, clock: clock, started: clock(), daemons: daemons, services: make(map[string]*budget)}
 }
 
-// budget counts the requests and the extra sends of a window and one slot more.
+// budget counts the requests and the extra sends of one window plus one slot, in a ring of
+// slots.
 type budget struct {
-	slot     int64 // number of the newest
+	slot     int64 // number of the newest slot
 	requests [budgetSlots + 1]int32
 	extra    [budgetSlots + 1]int32
 }
@@ -87,7 +89,7 @@
 	return int64(b.clock()) / int64(b.terms.Window/budgetSlots)
 }
 
-// Request counts a request for the service.
+// RecordRequest counts a request for the service.
 func (b *Budgets) Request(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,8 +97,9 @@
 	x.requests[x.slot%(budgetSlots+1)]++
 }
 
-// Spend takes one extra send. A hedge, which may not be needed, leaves a part of
-// the allowance to retries.
+// Spend takes one extra send from the allowance and reports whether it is permitted. Hedges
+// may use only hedgeShare of the allowance, because they may turn out to be unnecessary; the
+// rest is left to retries.
 func (b *Budgets) Spend(service string, hedge bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,9 +116,9 @@
 	return true
 }
 
-// allowed returns this daemon's part of the terms. A daemon that was killed and
-// starts again has forgotten what it spent: for one window it goes without the
-// burst, so that a restart does not hand the burst out twice.
+// allowance returns this daemon's part of the limits. A daemon that was killed and restarted
+// has lost its record of what it spent, so it gets no part of the burst in its first window;
+// otherwise a restart would grant the burst twice.
 func (b *Budgets) allowed(x *budget) float64 {
 	out := b.terms.Ratio * float64(sum(&x.requests))
 	if b.clock().Sub(b.started) > b.terms.Window {
@@ -124,9 +127,9 @@
 	return out * budgetUse
 }
 
-// sharers returns how many daemons share the burst: the most there were in the last
-// two windows. What a daemon spent before it was lost still counts, so its share
-// goes to the others only when that is past.
+// sharers returns the number of daemons that share the burst: the maximum over the last two
+// windows. What a daemon spent before it was lost still counts, so its share passes to the
+// others only after that time.
 func (b *Budgets) sharers() int {
 	n := known(b.daemons())
 	now := b.clock()
--- a/internal/policy/budget_test.go
+++ b/internal/policy/budget_test.go
@@ -11,7 +11,7 @@
 	"pearmoor/internal/vm"
 )
 
-// TestMain gives rapid a fixed seed, so that every run has the same verdict.
+// TestMain gives rapid a fixed seed, so that every run has the same result.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "3", "rapid.checks": "100", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -27,10 +27,10 @@
 	extra bool
 }
 
-// In any window, the extra sends of all daemons together stay within the terms, also
-// when some of them are killed, forget what they have spent, and start again. While
-// they are gone the others know of fewer daemons to share with; what the lost ones
-// have spent must not be given out to them once more.
+// In any window, the extra sends of all daemons together must stay within the limits, even
+// when daemons are killed, lose their records and restart. While some are down, the others
+// see fewer daemons to share with; they must not receive what the lost daemons have already
+// spent.
 func TestBudgetOfAllDaemons(t *testing.T) {
 	terms := BudgetTerms{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
@@ -71,9 +71,9 @@
 	})
 }
 
-// checkTerms holds each window that ends at an extra send to the terms. Requests are
-// counted in the window, the one before it or the one half a window before it,
-// whichever has most.
+// checkLimits checks each window that ends at an extra send against the limits. The number
+// of requests is the largest of three windows: the one that ends at the send, the one half a
+// window earlier and the one a whole window earlier.
 func checkTerms(t *rapid.T, terms BudgetTerms, log []at) {
 	count := func(from, to vm.Instant, extra bool) float64 {
 		n := 0.0
@@ -97,7 +97,7 @@
 	}
 }
 
-// Hedges leave a part of the allowance to requests whose leaf has failed.
+// Hedges must leave a part of the allowance to retries of requests whose leaf has failed.
 func TestHedgesLeaveRoomForRetries(t *testing.T) {
 	now := vm.Instant(1)
 	b := NewBudgets(BudgetTerms{Ratio: 0.2, Burst: 0, Window: 10 * time.Second}, func() vm.Instant { return now }, func() int { return 1 })
@@ -116,10 +116,10 @@
 	}
 }
 
-// Eleven daemons spend their shares to the last. Then four of them lose power, and a
-// moment later the others know of seven to share the burst with. Within the same
-// window they must not get what the lost ones have spent: a service that is in
-// trouble would get more extra sends than it can bear.
+// Eleven daemons spend their whole shares. Then four of them lose power, and the others see
+// seven daemons to share the burst with. Within the same window the others must not receive
+// what the lost daemons have spent: an overloaded service would get more extra sends than
+// the limits allow.
 func TestLostDaemonsShareIsNotSpentTwice(t *testing.T) {
 	terms := BudgetTerms{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
 	now, alive := vm.Instant(1), 11
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -1,23 +1,25 @@
 package policy
 
 const (
-	// connectionUse is the part of a leaf's connections that is shared out: the rest is
-	// for daemons that have just joined.
+	// connectionShare is the part of a leaf's connections that is divided among the daemons.
+	// The rest is reserved for daemons that have just joined.
 	connectionUse = 0.9
-	// leastConnections are kept whatever the share: with one, a request behind a
-	// straggler could not be sent at all.
+	// minConnections is the minimum for each daemon, whatever its share: with only one
+	// connection, a request behind a straggler could not be sent at all.
 	leastConnections = 2
-	// unstatedConnections is the limit to a leaf that states none.
+	// defaultConnections is the limit for a leaf that does not state one.
 	unstatedConnections = 8
 )
 
-// Connections returns how many connections each of so many daemons may have open to a
-// leaf that accepts at most most from all together; of either, 0 is not known.
+// ConnectionsPerDaemon returns how many connections each daemon may open to a leaf that
+// accepts at most limit connections from all daemons together. A limit or number of daemons
+// of 0 is unknown.
 //
-// Shares are even. Where daemons of other domains ask those near a leaf for its parts,
-// four for each near one and one for the others served fewer in time than two each
-// (mean worth of three days with slow shards 0.758 and 0.762): further sends to a shard
-// whose near leaf is slow go to the other domain.
+// All daemons get equal shares. Giving daemons in the leaf's failure domain four connections
+// and the others one, where requests from other domains are handed over to them, completed
+// fewer requests in time than two for each (mean score 0.758 against 0.762 over three days
+// with slow shards): further sends to a shard whose nearby leaf is slow go to the other
+// domain.
 func Connections(most, daemons int) int {
 	if most <= 0 {
 		return unstatedConnections
--- a/internal/policy/connections_test.go
+++ b/internal/policy/connections_test.go
@@ -6,8 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// A leaf resets the connections beyond its limit, with whatever is on them: the shares
-// of all daemons stay within it, unless the least that each needs is more.
+// A leaf resets connections beyond its limit together with the requests on them, so the
+// shares of all daemons must stay within it, except where the minimum for each daemon is
+// larger.
 func TestConnectionsStayWithinTheLeafsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 2000).Draw(t, "most")
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -1,4 +1,5 @@
-// Package policy holds decisions about requests as pure functions and small state
-// machines: no network, no clock, no goroutine, so that each can be tried on the load
-// it answers. What carries them out is in package forward and package entryvm.
+// Package policy makes decisions about requests, as pure functions and small state machines.
+// It does no I/O, starts no goroutines and takes the time from its caller, so that each
+// policy can be tested and simulated under load. Packages forward and entryvm carry out its
+// decisions.
 package policy
--- a/internal/policy/eligible.go
+++ b/internal/policy/eligible.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// PartCost is the processor time of one part of a gather on a whole core:
-	// sending, reading and merging it, with its share of everything else.
+	// PartCost is the CPU time of one part of a gather on a full core: sending the request,
+	// reading and merging the reply, and its share of all other work.
 	PartCost = 150 * time.Microsecond
-	// gatherShare is the part of a route's target latency that the processor time of
-	// its gather may take on a VM that callers are sent to. The rest is for the way
-	// to the caller and the leaves' own work.
+	// gatherCPUShare is the part of a route's target latency that the CPU time of a gather
+	// may take on a VM that receives callers. The rest is for the network between the daemon
+	// and the caller and for the leaves' own work.
 	gatherShare = 0.5
-	// fewEligible is how many daemons must be fit for the widest gathers to leave the
-	// others out: the loss of one must not leave all callers to the next.
+	// minSufficient is how many daemons must have enough CPU before the others are left out.
+	// With fewer, the loss of one would direct all callers to the next.
 	fewEligible = 3
-	// The fit daemons are a small part of a tier if they are less than one in smallPart.
-	// Then othersPerFit for each are named beside them: of callers that try two addresses
-	// a tenth at most have two fit ones.
+	// Daemons with enough CPU are scarce when they are fewer than one in scarcityDivisor.
+	// Then extraPerSufficient other daemons are listed for each of them, so that at most a
+	// tenth of the callers that try two addresses get two of the scarce daemons.
 	smallPart    = 10
 	othersPerFit = 2
 )
 
-// Millicores returns the processor that gathers over so many shards, wanted within
-// aim, ask of a VM, in thousandths of a core.
+// RequiredMillicores returns the CPU, in thousandths of a core, that a VM needs for gathers
+// over the given number of shards within targetLatency. It returns 0 if there is no target
+// latency.
 //
-// A gather over 90 shards takes 14 ms of a whole core and 70 ms on a fifth of one,
-// longer than some callers want to wait for the whole answer, however little the
-// VM has to do besides.
+// A gather over 90 shards takes 14 ms on a full core and 70 ms on a fifth of a core. The
+// latter exceeds the time that some callers wait for the whole answer, even if the VM is
+// otherwise idle.
 func Millicores(shards int, aim time.Duration) uint32 {
 	if aim <= 0 {
 		return 0
@@ -42,8 +43,9 @@
 	return uint32(1000 * float64(PartCost*time.Duration(shards)) / (gatherShare * float64(aim)))
 }
 
-// Fit returns the daemons with the processor that the widest gathers need, or where too few
-// have it, those that come closest; all where even those are too few.
+// SufficientCPU returns the daemons with the CPU that the widest gathers need. If there are
+// too few, it returns those within a tenth of the largest; if these are too few as well, it
+// returns all. Daemons of unknown CPU count as sufficient.
 func Fit(all []*vm.Member, need uint32) []*vm.Member {
 	largest := uint32(0)
 	for _, m := range all {
@@ -63,9 +65,9 @@
 	return all
 }
 
-// Eligible returns the daemons that callers are sent to: the fit ones, and where these are
-// a small part of the tier others beside them, which hand gathers over to the fit ones. A
-// caller that knows of the fit ones only reaches nobody while they are lost together.
+// Eligible returns the daemons that callers are directed to: those with sufficient CPU and,
+// where these are scarce, some others that hand gathers over to them. A caller that knows
+// only the scarce daemons could reach none while they are down together.
 func Eligible(all []*vm.Member, need uint32) []*vm.Member {
 	fit := Fit(all, need)
 	if len(fit)*smallPart >= len(all) {
@@ -74,8 +76,9 @@
 	return slices.Concat(fit, spread(Without(all, fit), othersPerFit*len(fit)))
 }
 
-// spread returns n of the members, as evenly over the failure domains as can be, and as far
-// as possible the same when others come or go.
+// spread returns n of the members, distributed as evenly as possible over the failure
+// domains. Members are ordered by a hash of their names, so that the selection changes
+// little when members join or leave.
 func spread(ms []*vm.Member, n int) []*vm.Member {
 	type ranked struct {
 		member *vm.Member
@@ -100,7 +103,7 @@
 	return out
 }
 
-// Without returns the members that are not among some, which has the same order.
+// Without returns the members of all that are not in some. Both must have the same order.
 func Without(all, some []*vm.Member) []*vm.Member {
 	return slices.DeleteFunc(slices.Clone(all), func(m *vm.Member) bool {
 		found := len(some) > 0 && some[0] == m
--- a/internal/policy/eligible_test.go
+++ b/internal/policy/eligible_test.go
@@ -19,9 +19,9 @@
 	return out
 }
 
-// Gathers over 90 shards take 70 ms of a fifth of a core, longer than the callers want
-// to wait for them. They are to be sent to the few larger VMs, unless so few are left
-// that the loss of one would leave all callers to the next.
+// A gather over 90 shards takes 70 ms on a fifth of a core, longer than the callers wait.
+// Callers must be directed to the few larger VMs, unless so few of these are left that the
+// loss of one would direct all callers to the next.
 func TestCallersGoToVMsFitForTheWidestGather(t *testing.T) {
 	Convey("Given six larger VMs among twenty small ones", t, func() {
 		all := append(daemons(6, "hall-1", 512), daemons(20, "hall-1", 192)...)
@@ -43,7 +43,8 @@
 	})
 }
 
-// Guards against address lists of which a common loss leaves nobody, and against others in them that move from list to list.
+// Guards against address lists whose daemons can all be lost together, and against lists
+// whose other daemons change whenever one member is lost.
 func TestFewFitVMsAreNamedWithOthers(t *testing.T) {
 	need := Millicores(87, 60*time.Millisecond)
 	for _, c := range []struct{ domains, fitEach, othersEach int }{{5, 1, 39}, {3, 2, 27}, {5, 1, 12}} {
@@ -56,7 +57,7 @@
 		got := Eligible(all, need)
 		fit := c.domains * c.fitEach
 		if pairs := float64(fit*(fit-1)) / float64(len(got)*(len(got)-1)); pairs > 0.1 {
-			t.Errorf("%+v: two addresses are of fit VMs for %.2f of the callers", c, pairs)
+			t.Errorf("%+v: both addresses belong to VMs with sufficient CPU for %.2f of the callers", c, pairs)
 		}
 		inDomain := map[string]int{}
 		for _, m := range got {
@@ -64,13 +65,13 @@
 		}
 		for domain, n := range inDomain {
 			if n != (1+othersPerFit)*c.fitEach {
-				t.Errorf("%+v: %d are of %s", c, n, domain)
+				t.Errorf("%+v: %d members in %s", c, n, domain)
 			}
 		}
 		lost := got[len(got)-1]
 		left := Eligible(slices.DeleteFunc(slices.Clone(all), func(m *vm.Member) bool { return m == lost }), need)
 		if kept := len(got) - len(Without(got, left)); kept != len(got)-1 {
-			t.Errorf("%+v: %d of %d stay when one is lost", c, kept, len(got)-1)
+			t.Errorf("%+v: %d of %d members are kept when one is lost", c, kept, len(got)-1)
 		}
 	}
 }
--- a/internal/policy/load.go
+++ b/internal/policy/load.go
@@ -1,9 +1,9 @@
 package policy
 
-// Load is what a leaf says of its own load.
+// Load is the load that a leaf reports about itself.
 type Load struct {
-	Running int
-	Waiting int
-	Slots   int
-	Pace    float64 // how long work takes there now, as a multiple of the usual; 0: not stated
+	Running int     // requests being processed
+	Waiting int     // requests in its queue
+	Slots   int     // requests it processes at once
+	Pace    float64 // current processing time as a multiple of the usual one; 0: not stated
 }
--- a/internal/policy/lost.go
+++ b/internal/policy/lost.go
@@ -1,13 +1,13 @@
 package policy
 
-// Witness is what another daemon found when it tried to reach some that do not answer here.
+// PeerReport is the result of another daemon's probe of the daemons that do not answer here.
 type Witness struct {
-	Unanswered []string // of those it was asked about
+	Unanswered []string // addresses that did not answer that daemon either
 }
 
-// Lost returns which of the daemons that do not answer here are lost: those that no other
-// daemon reaches either. Without any witness none is known to be, since the daemon that
-// asks may itself be the one that is cut off.
+// LostDaemons returns the daemons of unanswered that are lost: those that answer none of the
+// reporting peers. Without any report none counts as lost, since this daemon itself may be
+// the one that is cut off.
 func Lost(unanswered []string, witnesses []Witness) []string {
 	if len(witnesses) == 0 {
 		return nil
--- a/internal/policy/lost_test.go
+++ b/internal/policy/lost_test.go
@@ -6,17 +6,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Guards against a daemon that is cut off itself and takes all others for lost.
+// Guards against a daemon that is cut off from the network and considers all others lost.
 func TestLostOnlyWhereNoWitnessReachesIt(t *testing.T) {
 	Convey("A daemon that does not answer", t, func() {
 		unanswered := []string{"a", "b"}
-		Convey("is not known to be lost without a witness", func() {
+		Convey("is not lost without a report of a peer", func() {
 			So(Lost(unanswered, nil), ShouldBeEmpty)
 		})
-		Convey("is lost when no witness reaches it", func() {
+		Convey("is lost when it answers none of the peers", func() {
 			So(Lost(unanswered, []Witness{{[]string{"b", "a"}}, {[]string{"a"}}}), ShouldResemble, []string{"a"})
 		})
-		Convey("is not lost when the witnesses reach it", func() {
+		Convey("is not lost when it answers the peers", func() {
 			So(Lost(unanswered, []Witness{{}}), ShouldBeEmpty)
 		})
 	})
--- a/internal/policy/pace.go
+++ b/internal/policy/pace.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// Quantiles of reply times are learned by steps: a reply above the estimate moves
-// it up, one below moves it down, in the proportion that holds it at its quantile.
-// It needs a few bytes a route where a histogram needs kilobytes, and follows a
-// change within some tens of replies.
+// Quantiles of reply times are estimated incrementally: a reply above the estimate raises it
+// and a reply below lowers it, in the proportion that keeps the estimate at its quantile.
+// This takes a few bytes per route where a histogram takes kilobytes, and follows a change
+// within some tens of replies.
 const (
-	stepShare   = 0.04 // of the estimate, for each reply
-	fewSamples  = 24
+	stepShare   = 0.04 // part of the estimate by which one reply moves it
+	fewSamples  = 24   // replies before the threshold is used
 	shortestEst = 300 * time.Microsecond
 )
 
-// Pace learns the reply times of one route's leaves. It is safe for concurrent use.
+// LatencyEstimator estimates the median and the late threshold of the reply times of one
+// route's leaves. It is safe for concurrent use.
 type Pace struct {
 	mu      sync.Mutex
 	samples int
-	median  float64 // ns
-	high    float64 // ns, quantile highQuantile
+	median  float64 // in nanoseconds
+	high    float64 // lateQuantile of the reply times, in nanoseconds
 }
 
 const (
-	// highQuantile is the quantile after which a reply counts as late.
+	// lateQuantile is the quantile above which a reply counts as late.
 	highQuantile = 0.9
-	// trimAt is the multiple of the median beyond which a reply tells nothing of when
-	// others are late: its leaf pauses or is slow. While all leaves of a sixth of the
-	// shards take ten times as long, the quantile of all replies is that of the slow
-	// ones, and second sends to the other shards, which the answer needs all the more,
-	// went out at the last moment.
+	// outlierFactor is the multiple of the median above which a reply does not change the
+	// late estimate, because its leaf is paused or slow. When all leaves of a sixth of the
+	// shards take ten times as long, the quantile over all replies would be that of the slow
+	// leaves. Hedges to the other shards, which the answer then depends on, would be sent
+	// too late.
 	trimAt = 4
 )
 
@@ -54,6 +55,7 @@
 	}
 }
 
+// adjustQuantile moves the estimate of a quantile by one sample x.
 func stepTo(est, x, quantile, share float64) float64 {
 	if x > est {
 		return est * (1 + share*quantile)
@@ -61,7 +63,7 @@
 	return est * (1 - share*(1-quantile))
 }
 
-// Usual returns the median reply time, 0 while too little is known.
+// Median returns the median reply time, or 0 while there are too few samples.
 func (p *Pace) Usual() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,8 +73,8 @@
 	return time.Duration(p.median)
 }
 
-// Late returns the time after which a reply is late, and false while too little is
-// known.
+// LateThreshold returns the time after which a reply counts as late. It returns false while
+// there are too few samples.
 func (p *Pace) Late() (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/policy/progress.go
+++ b/internal/policy/progress.go
@@ -3,59 +3,60 @@
 import "time"
 
 const (
-	// Of the shards of a gather, at most one in hedgeMost is sent to twice at one
-	// moment, or hedgeFew of a small gather.
+	// At most one in hedgeDivisor of the shards of a gather is hedged at a time, or
+	// minHedges for a small gather.
 	hedgeMost = 4
 	hedgeFew  = 2
-	// HedgeAgain is how long after a moment at which too many were late they are looked
-	// at again.
+	// HedgeRecheckInterval is the time until hedges are reconsidered after they were
+	// suppressed because too many shards were late.
 	HedgeAgain = 4 * time.Millisecond
 
-	// MostSends bounds the sends for one service and request, whatever the reason.
+	// MaxSends bounds the sends of one request to one service, for whatever reason.
 	MostSends = 8
-	// pauseAfterRound is the wait after every leaf of a service was tried.
+	// minRoundPause and maxRoundPause bound the pause after all leaves of a service were
+	// tried.
 	pauseAfterRound = 25 * time.Millisecond
 	pauseLongest    = 200 * time.Millisecond
 
-	// comeBack bounds what a caller whose request did not run is told to wait.
+	// defaultRetryAfter and maxRetryAfter set the Retry-After of a request that did not run.
 	comeBackFirst = 60 * time.Millisecond
 	comeBackMost  = time.Second
 )
 
-// Progress is how far a request has come. A single request is one of one shard.
+// Progress is the state of a request. A request that is not a gather counts as one shard.
 type Progress struct {
-	Shards int // that are asked
-	Need   int // parts that an answer takes
-	Have   int // parts that are there
+	Shards int // shards that are queried
+	Need   int // parts that an answer needs
+	Have   int // parts received
 
-	Open     int // shards without a part that may still bring one
-	Stuck    int // shards that have no leaf to be sent to now
-	Gone     int // of these, those of which no leaf can be connected to
-	Ended    int // of these, those that nothing more is sent for
-	Unlisted int // shards without a part that have no leaf at all
+	Open     int // shards without a part that may still deliver one
+	Stuck    int // shards that cannot be sent to any leaf at present
+	Gone     int // subset of Blocked: no leaf accepts connections
+	Ended    int // subset of Blocked: no further sends will be made
+	Unlisted int // shards without a part for which no leaf is listed
 
-	Unsent bool          // nothing of it can have run
-	Passed time.Duration // since it arrived
+	Unsent bool          // no part of the request can have run
+	Passed time.Duration // time since the request arrived
 }
 
-// Step is what to do with a request.
+// Action is what to do with a request.
 type Step uint8
 
-// The steps.
+// The actions.
 const (
-	GoOn         Step = iota
-	AnswerNow         // with what is there
-	GiveUpLate        // its time is over
-	GiveUpFailed      // more shards have failed than may be missing
-	GiveUpNoLeaf      // more shards have no leaf than may be missing
-	GiveUpUnsent      // it could be sent nowhere, and holding its caller would not change that
+	GoOn         Step = iota // wait for further replies
+	AnswerNow                // answer with the parts received
+	GiveUpLate               // the time of the request is over
+	GiveUpFailed             // more shards have failed than may be missing
+	GiveUpNoLeaf             // more shards have no leaf than may be missing
+	GiveUpUnsent             // it could not be sent, and waiting longer would not help
 )
 
 // Decide returns what to do with a request now.
 //
-// Before AnswerBy there is nothing to gain by leaving parts out. From then on an
-// answer with enough parts goes out at once: one that waits for the rest would
-// come later than its caller wants it.
+// Before PartialAfter, answering without some of the parts has no advantage. After it, an
+// answer with enough parts is sent at once, because waiting for the rest would exceed the
+// target latency.
 func (p Progress) Decide(t Times) Step {
 	missable := p.Shards - p.Need
 	due := p.Passed >= t.AnswerBy
@@ -76,18 +77,18 @@
 	return GoOn
 }
 
-// HoldHedges reports whether so many of the shards are late that it is this daemon that
-// is behind, or all leaves are: as many sends again would make both slower still.
+// SuppressHedges reports whether so many shards are late that the cause is probably this
+// daemon or all of the leaves. Hedging them all would slow down both further.
 func HoldHedges(late, shards int) bool { return late > hedgeFew && late > shards/hedgeMost }
 
-// RoundPause returns the wait before a service is tried again all of whose leaves were,
-// a little longer each time; before is the last one.
+// RoundPause returns the pause before the leaves of a service are tried again after all of
+// them were tried. It doubles from one round to the next; previous is the last pause.
 func RoundPause(before time.Duration) time.Duration {
 	return min(max(2*before, pauseAfterRound), pauseLongest)
 }
 
-// ComeBack returns what a caller whose request did not run is told to wait; stated is
-// what a leaf that refused it has said, 0 for nothing.
+// RetryAfter returns the wait to tell a caller whose request did not run. stated is the wait
+// that a refusing leaf has asked for, or 0 if none has.
 func ComeBack(stated time.Duration) time.Duration {
 	if stated > 0 {
 		return min(stated, comeBackMost)
--- a/internal/policy/standing.go
+++ b/internal/policy/standing.go
@@ -7,75 +7,77 @@
 	"pearmoor/internal/vm"
 )
 
-// What a leaf is expected to cost is a multiple of what its service usually takes.
+// The cost of a leaf is a multiple of the usual reply time of its service.
 const (
-	paceWeight = 0.15 // of a new reply in the learned pace
-	failWeight = 0.2  // of a new outcome in the learned failure rate
-	failCost   = 8.0  // multiple at a failure rate of 1
-	coldCost   = 2.0  // while the leaf warms up
-	silentCost = 8.0  // while an earlier request there is overdue
-	// remoteCost is the preference for leaves in the daemon's own failure domain:
-	// links between domains cost money by the byte. 1.8 in place of 1.3 lowered the
-	// bytes between domains by 12% on a quiet day of 69 VMs.
+	paceWeight = 0.15 // weight of a new reply in the slowdown average
+	failWeight = 0.2  // weight of a new outcome in the failure rate
+	failCost   = 8.0  // added multiple at a failure rate of 1
+	coldCost   = 2.0  // multiple while the leaf warms up
+	silentCost = 8.0  // multiple while an earlier request to the leaf is overdue
+	// remoteCost is the multiple for leaves outside the daemon's own failure domain, because
+	// traffic between domains is billed by the byte. In a tier of 69 VMs at low load, 1.8
+	// instead of 1.3 reduced the bytes between domains by 12%.
 	remoteCost = 1.8
-	loadCost   = 1.0 // for each request running or waiting per slot
-	// loadAge is how long a leaf's word on its load is believed: a request takes
-	// some ten milliseconds, so an older one describes other requests.
+	loadCost   = 1.0 // added for each running or waiting request per slot
+	// loadMaxAge is how long a load reported by a leaf is used. A request takes about ten
+	// milliseconds, so an older report describes other requests.
 	loadAge = 100 * time.Millisecond
-	// silentAfter is how many usual reply times a leaf may be silent before it is
-	// passed over; a pause lasts for ten.
+	// unresponsiveAfter is the number of median reply times without any reply after which a
+	// leaf counts as unresponsive. A typical pause of a leaf lasts ten.
 	silentAfter = 2.5
-	// restFirst and restLongest bound how long a leaf that failed several times in
-	// a row is passed over; doubled with each failure more.
+	// minBackoff and maxBackoff bound the time for which a leaf is avoided after consecutive
+	// failures. The time doubles with each further failure.
 	restFirst   = 150 * time.Millisecond
 	restLongest = 3 * time.Second
-	restAfter   = 2 // failures in a row
-	// misplacedFor is how long a leaf is not asked once another one has answered at its
-	// address: longer than the list takes to show that it is gone. Asked again every 0.15
-	// to 3 s until then, eight such leaves brought one service, whose leaves had their
-	// addresses, 50 arrivals in 10 s that its budget for extra sends knows nothing of.
+	restAfter   = 2 // consecutive failures
+	// misplacedPeriod is how long a leaf is skipped after another leaf has answered at its
+	// address. It is longer than service discovery takes to remove the leaf. When eight such
+	// leaves were retried every 0.15 to 3 s instead, the service that had taken over their
+	// addresses received 50 requests in 10 s that its budget for extra sends did not account
+	// for.
 	misplacedFor = 10 * time.Second
-	// costSpread makes leaves of equal cost take turns, whatever their order.
+	// costJitter is the relative range of the random factor on each cost. It spreads
+	// requests over leaves of equal cost, whatever their order.
 	costSpread = 0.1
 )
 
-// Standing is what one daemon has learned of one leaf. The zero value knows nothing.
+// LeafStats is what a daemon has observed of one leaf. Its zero value has no observations.
 type Standing struct {
 	inFlight int
-	oldest   []vm.Instant // starts of the requests in flight
-	heard    vm.Instant   // last reply of any kind
-	pace     float64      // reply time as a multiple of the service's usual; 0: unknown
-	failing  float64      // share of the last requests that failed
-	failures int          // in a row
-	restTill vm.Instant
-	goneTill vm.Instant // another leaf has its address; until then it is not asked at all
+	oldest   []vm.Instant // start times of the requests in flight, oldest first
+	heard    vm.Instant   // time of the last reply of any kind
+	pace     float64      // average reply time as a multiple of the service's median; 0: unknown
+	failing  float64      // moving average, 0 to 1
+	failures int
+	restTill vm.Instant // avoided until then if there is an alternative
+	goneTill vm.Instant // another leaf has its address; never chosen until then
 	load     Load
-	loadAt   vm.Instant
+	loadAt   vm.Instant // when load was reported
 }
 
-// Outcome is how a request at a leaf ended, for what is learned of the leaf.
+// Outcome classifies the end of a request to a leaf for LeafStats.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Replied    Outcome = iota // with success
-	Rejected                  // it did not run the request: full, or leaving
-	Failed                    // it failed, or nothing came back
-	Unlearned                 // says nothing of the leaf
-	Overdue                   // given up after a usual reply time or more
-	Misbehaved                // a reply to something else, or one that broke off
+	Replied    Outcome = iota // success
+	Rejected                  // the leaf did not run the request because it is full or shutting down
+	Failed                    // the leaf failed, or no reply came
+	Unlearned                 // tells nothing about the leaf
+	Overdue                   // given up after at least a median reply time
+	Misbehaved                // a reply to another request, or a truncated one
 )
 
-// Ended is the end of a request at a leaf.
+// RequestResult describes the end of a request to a leaf.
 type Ended struct {
 	Outcome Outcome
-	Took    time.Duration // at the leaf
-	Usual   time.Duration // how long the service usually takes; 0: not known
-	Heard   bool          // a reply of any kind has come
-	Load    *Load         // what that says of the leaf's load; nil: nothing
+	Took    time.Duration // time at the leaf
+	Usual   time.Duration // median reply time of the service; 0: unknown
+	Heard   bool          // a reply of any kind was received
+	Load    *Load         // load stated in the reply; nil: none
 }
 
-// InFlight returns how many requests are under way there.
+// InFlight returns the number of requests in flight to the leaf.
 func (s *Standing) InFlight() int { return s.inFlight }
 
 // Begin counts a request as in flight.
@@ -84,7 +86,8 @@
 	s.oldest = append(s.oldest, now)
 }
 
-// End counts a request out that was counted in at began, and learns from its end.
+// End removes the request that began at began from those in flight and updates the
+// statistics with its result.
 func (s *Standing) End(now, began vm.Instant, e Ended, rng *rand.Rand) {
 	s.inFlight--
 	for i, at := range s.oldest {
@@ -112,8 +115,8 @@
 		s.learnPace(e.Took, e.Usual)
 		s.fail(now, rng)
 	case Rejected:
-		// Most are of a leaf that is full, which its load tells; one that rejects
-		// without load is passed over like one that fails.
+		// Most rejections come from a leaf that is full, which its load shows. A leaf that
+		// rejects requests without reporting load is avoided like one that fails.
 		s.failing += (1 - s.failing) * failWeight
 		if s.load.Slots > 0 {
 			s.load.Waiting = max(s.load.Waiting, s.load.Slots)
@@ -132,14 +135,15 @@
 	}
 }
 
-// rest passes the leaf over for a while, longer with each failure in a row.
+// backOff avoids the leaf for a while, longer with each consecutive failure. The time is
+// randomized.
 func (s *Standing) rest(now vm.Instant, rng *rand.Rand) {
 	d := min(restFirst<<min(s.failures-restAfter, 8), restLongest)
 	s.restTill = now.Add(d/2 + time.Duration(rng.Int64N(int64(d/2)+1)))
 }
 
-// paceMost bounds one sample, so that one pause does not make a leaf look slow for
-// many requests to come.
+// maxSlowdownSample bounds a single sample, so that one pause does not make a leaf look slow
+// for many requests.
 const paceMost = 6
 
 func (s *Standing) learnPace(took, usual time.Duration) {
@@ -153,27 +157,27 @@
 	s.pace += (x - s.pace) * paceWeight
 }
 
-// Unreachable notes that the leaf could not be connected to. Nothing was sent, so
-// one failure is enough to pass it over.
+// Unreachable records that no connection to the leaf could be opened. Nothing was sent, so a
+// single failure is enough to back off.
 func (s *Standing) Unreachable(now vm.Instant, rng *rand.Rand) {
 	s.failures = max(s.failures+1, restAfter)
 	s.rest(now, rng)
 }
 
-// Misplaced notes that another leaf answers at the leaf's address.
+// Misplaced records that another leaf answers at the leaf's address.
 func (s *Standing) Misplaced(now vm.Instant) { s.goneTill = now.Add(misplacedFor) }
 
-// Candidate is a leaf that a request may go to.
+// Candidate is a leaf that a request may be sent to.
 type Candidate struct {
-	Standing *Standing // nil: nothing is known of it
+	Standing *Standing // nil: nothing is known about it
 	Near     bool      // in the daemon's own failure domain
 	Cold     bool      // still slow after its start
-	Slots    int       // requests it runs at once; 0: unknown
+	Slots    int       // requests it processes at once; 0: unknown
 }
 
-// Choose returns the place of the best candidate for a request that usually takes that
-// long: one that has its address, and that does not rest if another one is there. It
-// returns -1 when there is none.
+// Choose returns the index of the candidate of least cost, or -1 if there is none. Leaves
+// whose address belongs to another leaf are never chosen; leaves in back-off are chosen only
+// if there is no other. medianLatency is the usual reply time of the request.
 func Choose(list []Candidate, now vm.Instant, usual time.Duration, rng *rand.Rand) int {
 	best, resting := -1, -1
 	bestCost := 0.0
@@ -233,8 +237,8 @@
 	return cost
 }
 
-// silent reports whether a request there is overdue with no reply of any kind
-// since it was sent.
+// unresponsive reports whether a request to the leaf is overdue and no reply of any kind has
+// come since it was sent.
 func (s *Standing) silent(now vm.Instant, usual time.Duration) bool {
 	if len(s.oldest) == 0 || usual <= 0 {
 		return false
--- a/internal/policy/standing_test.go
+++ b/internal/policy/standing_test.go
@@ -8,7 +8,7 @@
 	"pearmoor/internal/vm"
 )
 
-// choiceRig is a choice between two leaves of which something is learned.
+// choiceFixture chooses between two leaves, a and b, with statistics.
 type choiceRig struct {
 	now  vm.Instant
 	rng  *rand.Rand
@@ -25,7 +25,7 @@
 
 const usualTime = 20 * time.Millisecond
 
-// share returns how many of 100 choices fall on a.
+// countA returns how many of 100 choices select a.
 func (r *choiceRig) share() int {
 	n := 0
 	for range 100 {
@@ -36,7 +36,7 @@
 	return n
 }
 
-// alone reports whether a is taken where no other is there.
+// choosesOnlyLeaf reports whether a is chosen when it is the only candidate.
 func (r *choiceRig) alone() bool { return Choose([]Candidate{r.a}, r.now, usualTime, r.rng) == 0 }
 
 func (r *choiceRig) exchange(c Candidate, took time.Duration, out Outcome, load *Load) {
@@ -48,7 +48,7 @@
 
 func TestChoiceTakesTurns(t *testing.T) {
 	if n := newChoiceRig().share(); n < 20 || n > 80 {
-		t.Errorf("%d of 100 choices fall on one of two equal leaves", n)
+		t.Errorf("%d of 100 choices select one of two equal leaves", n)
 	}
 }
 
@@ -60,8 +60,8 @@
 	}
 }
 
-// A leaf answers three times slower than the other: first tries go elsewhere, also
-// when the slow one is in the own domain.
+// A leaf that answers three times slower than the other must not get first attempts, even if
+// it is the only one in the daemon's own failure domain.
 func TestChoiceLeavesSlowLeaf(t *testing.T) {
 	r := newChoiceRig()
 	r.b.Near = false
@@ -70,19 +70,19 @@
 		r.exchange(r.b, usualTime, Replied, nil)
 	}
 	if n := r.share(); n != 0 {
-		t.Errorf("%d of 100 choices fall on the slow leaf", n)
+		t.Errorf("%d of 100 choices select the slow leaf", n)
 	}
 }
 
-// A leaf has paused: a request there is overdue and nothing was heard since. It is
-// passed over until it is heard again, at the cost of no extra send.
+// A paused leaf has an overdue request and has sent nothing since. It must be avoided,
+// without any extra send, until it replies again.
 func TestChoicePassesSilentLeaf(t *testing.T) {
 	r := newChoiceRig()
 	began := r.now
 	r.a.Standing.Begin(began)
 	r.now = r.now.Add(3 * usualTime)
 	if n := r.share(); n != 0 {
-		t.Errorf("%d of 100 choices fall on the silent leaf", n)
+		t.Errorf("%d of 100 choices select the unresponsive leaf", n)
 	}
 	r.a.Standing.End(r.now, began, Ended{Outcome: Replied, Took: 3 * usualTime, Usual: usualTime, Heard: true}, r.rng)
 	r.now = r.now.Add(time.Second)
@@ -91,11 +91,11 @@
 		r.exchange(r.b, usualTime, Replied, nil)
 	}
 	if n := r.share(); n < 10 {
-		t.Errorf("%d of 100 choices fall on the leaf that answers again", n)
+		t.Errorf("%d of 100 choices select the leaf that answers again", n)
 	}
 }
 
-// A leaf sheds a good part of its requests while its load and its health look well.
+// A leaf that sheds half of its requests must be avoided although it reports little load.
 func TestChoiceLeavesSheddingLeaf(t *testing.T) {
 	r := newChoiceRig()
 	for i := range 20 {
@@ -108,31 +108,32 @@
 	}
 	r.now = r.now.Add(time.Second)
 	if n := r.share(); n > 5 {
-		t.Errorf("%d of 100 choices fall on the leaf that sheds", n)
+		t.Errorf("%d of 100 choices select the leaf that sheds load", n)
 	}
 }
 
-// A leaf that can't be reached rests, longer each time, and is still asked when no
-// other is there: it may be back.
+// An unreachable leaf is avoided for longer with each failure, but is still chosen when it
+// is the only one, because it may be reachable again.
 func TestChoiceRestsUnreachableLeaf(t *testing.T) {
 	r := newChoiceRig()
 	r.a.Standing.Unreachable(r.now, r.rng)
 	if n := r.share(); n != 0 {
-		t.Errorf("%d of 100 choices fall on the leaf that can't be reached", n)
+		t.Errorf("%d of 100 choices select the unreachable leaf", n)
 	}
 	if !r.alone() {
-		t.Errorf("the only leaf is not asked")
+		t.Errorf("the only leaf is not chosen")
 	}
 	for range 12 {
 		r.a.Standing.Unreachable(r.now, r.rng)
 	}
 	r.now = r.now.Add(restLongest)
 	if n := r.share(); n == 0 {
-		t.Errorf("it is never asked again")
+		t.Errorf("the unreachable leaf is never chosen again")
 	}
 }
 
-// The learned times follow the leaves, and late is where one in ten replies lies.
+// The estimates must converge to the reply times: the late threshold is the time that one in
+// ten replies exceeds.
 func TestPaceLearns(t *testing.T) {
 	var p Pace
 	for i := range 2000 {
@@ -147,15 +148,16 @@
 	}
 	late, ok := p.Late()
 	if usual := p.Usual(); usual < 10*time.Millisecond || usual > 16*time.Millisecond {
-		t.Errorf("usual %v", usual)
+		t.Errorf("median %v", usual)
 	}
 	if !ok || late < 13*time.Millisecond || late > 60*time.Millisecond {
-		t.Errorf("late %v", late)
+		t.Errorf("late threshold %v", late)
 	}
 }
 
-// Callers of a route wait 1000 ms when they first ask; one that asks again states
-// what is left. A few requests that state more must not make all others look late.
+// Callers of a route state a timeout of 1000 ms on the first attempt and the time that is
+// left on a retry. A few requests with a longer timeout must not make all others look like
+// retries.
 func TestWaitsTellSecondAttempts(t *testing.T) {
 	var w Waits
 	for range 5 {
@@ -163,34 +165,34 @@
 	}
 	w.Passed(5 * time.Second)
 	if got := w.Passed(time.Second); got != 0 {
-		t.Errorf("%v of a first attempt's time was gone", got)
+		t.Errorf("%v elapsed before a first attempt", got)
 	}
 	if got := w.Passed(700 * time.Millisecond); got != 300*time.Millisecond {
-		t.Errorf("%v of a second attempt's time was gone", got)
+		t.Errorf("%v elapsed before a second attempt", got)
 	}
 	for range 300 {
 		w.Passed(4 * time.Second)
 	}
 	if got := w.Passed(3 * time.Second); got != time.Second {
-		t.Errorf("%v after the route's callers wait longer", got)
+		t.Errorf("%v elapsed after the route's usual timeout has grown", got)
 	}
 }
 
-// A leaf has ended and another service's leaf answers at its address, while the list
-// still shows it. Every request sent there is an arrival at that other service, which
-// may be close to its limit of extra ones; callers are served by the other leaf, or
-// told that there is none.
+// A leaf has exited and a leaf of another service answers at its address while service
+// discovery still lists it. A request sent there counts against the other service, which may
+// be close to its limit of extra sends. The request must go to another leaf or fail for lack
+// of one.
 func TestChoiceNeverTakesMisplacedLeaf(t *testing.T) {
 	r := newChoiceRig()
 	r.a.Standing.Misplaced(r.now)
 	if n := r.share(); n != 0 {
-		t.Errorf("%d of 100 go to the leaf that has lost its address", n)
+		t.Errorf("%d of 100 choices select the leaf whose address was taken over", n)
 	}
 	if r.alone() {
-		t.Error("it is asked as the only one there")
+		t.Error("the misplaced leaf is chosen when it is the only one")
 	}
 	r.now = r.now.Add(misplacedFor)
 	if !r.alone() {
-		t.Error("it is not asked again when the list has had time to change")
+		t.Error("the leaf is not chosen again after misplacedPeriod")
 	}
 }
--- a/internal/policy/suspicion.go
+++ b/internal/policy/suspicion.go
@@ -3,47 +3,49 @@
 import "time"
 
 const (
-	// mostProbes is how many sends an attempt of a guarded request makes one by one.
+	// maxProbes bounds the sends that one attempt of a suspected request makes one at a
+	// time.
 	mostProbes = 1
-	// QuarantinedRetryAfter is told to the caller of a request that reaches no leaf: asking
-	// again is of use only after an operator has lifted it.
+	// QuarantinedRetryAfter is the Retry-After for a blocked request. Retrying succeeds only
+	// after an operator has removed the block.
 	QuarantinedRetryAfter = time.Minute
-	// TrialRetryAfter is told to the caller of a suspected request that another daemon is
-	// trying at this moment.
+	// TrialRetryAfter is the Retry-After for a suspected request while another daemon is
+	// trying it.
 	TrialRetryAfter = time.Second
 )
 
-// Suspicion follows within one attempt of a request whether it may be what ends the
-// leaves that run it. An answer of any leaf that ran it proves that it is not.
+// Suspicion tracks within one attempt of a request whether the request may be crashing the
+// leaves that run it. A reply from any leaf that ran it proves that it does not.
 //
-// A leaf's end is by itself a reason to send again, and a gather starts at every shard:
-// without this one attempt takes two leaves of each shard. The zero value suspects nothing.
+// The exit of a leaf normally causes a retry, and a gather starts at every shard at once.
+// Without this check one attempt could crash two leaves of each shard. The zero value is not
+// suspicious.
 type Suspicion struct {
-	Suspect  bool // from attempts before
-	Ends     int  // leaves that ended under this attempt
-	Survived bool // a leaf ran it and answered
-	probes   int
+	Suspect  bool // suspected because of earlier attempts
+	Ends     int  // leaves that exited during this attempt
+	Survived bool // a leaf ran the request and answered
+	probes   int  // sends made one at a time
 }
 
-// Guarded reports whether sends are made one by one.
+// Guarded reports whether sends must be made one at a time.
 func (s *Suspicion) Guarded() bool { return !s.Survived && (s.Suspect || s.Ends > 0) }
 
-// MaySend reports whether one more send may be made while that many are under way.
+// MaySend reports whether another send is allowed while inFlight sends are in flight.
 func (s *Suspicion) MaySend(inFlight int) bool {
 	return !s.Guarded() || inFlight == 0 && s.probes < mostProbes
 }
 
-// Sent counts a send.
+// RecordSend counts a send.
 func (s *Suspicion) Sent() {
 	if s.Guarded() {
 		s.probes++
 	}
 }
 
-// Unsent counts out a send that no leaf began to run.
+// RecordNotRun removes a send that no leaf began to run from the count.
 func (s *Suspicion) Unsent() { s.probes = max(0, s.probes-1) }
 
-// Spent reports whether the attempt is over: no send is under way, and none may be made.
+// Exhausted reports whether the attempt is over: no send is in flight, and none is allowed.
 func (s *Suspicion) Spent(inFlight int) bool {
 	return s.Guarded() && inFlight == 0 && s.probes >= mostProbes
 }
--- a/internal/policy/times.go
+++ b/internal/policy/times.go
@@ -3,42 +3,42 @@
 import "time"
 
 const (
-	// returnMargin is kept before the end of a request's time for its final answer.
+	// answerMargin is reserved at the end of a request's time for sending the final answer.
 	returnMargin = 8 * time.Millisecond
-	// unlearnedShare is the part of the target latency after which a reply is late
-	// while nothing is known of the route.
+	// defaultLateShare is the part of the target latency after which a reply counts as late
+	// while there are too few samples of the route.
 	unlearnedShare = 0.3
-	unlearnedLate  = 100 * time.Millisecond
+	unlearnedLate  = 100 * time.Millisecond // also the UnsentTimeout of a route without target latency
 	hedgeFloor     = 2 * time.Millisecond
-	// hedgeUsual is how many usual reply times pass before a second send.
+	// hedgeMedians is the minimum delay of a hedge, in median reply times.
 	hedgeUsual = 1.5
-	// connWaitUsual is how many usual reply times a send may wait for a connection.
+	// connWaitMedians is the time that a send may wait for a connection, in median reply
+	// times.
 	connWaitUsual     = 1.5
 	unlearnedConnWait = 40 * time.Millisecond
-	// patienceShare is the part of the target latency for which a request that could
-	// not be sent anywhere is kept: refused by then, its caller still has the time for
-	// another attempt.
+	// unsentTimeoutShare is the part of the target latency for which a request that cannot
+	// be sent is held. A caller that is refused then still has time for another attempt.
 	patienceShare = 0.2
 )
 
-// Terms are what a route asks of its answers.
+// TimeLimits are the time limits configured for a route.
 type Terms struct {
-	Timeout time.Duration // the longest that the operator wants a caller kept waiting
-	Aim     time.Duration // target latency; 0: none
-	Margin  time.Duration // of the aim, for the way to the caller
+	Timeout time.Duration // the longest time that a caller may be kept waiting
+	Aim     time.Duration // 0: none
+	Margin  time.Duration // part of TargetLatency reserved for delivering the answer to the caller
 }
 
-// Times are when something is due for a request, counted from its arrival.
+// Schedule holds the due times of a request, relative to its arrival.
 type Times struct {
-	End      time.Duration // the final answer at the latest
-	Deadline time.Duration // what leaves are told
-	AnswerBy time.Duration // with the parts there are, if they are enough
-	Late     time.Duration // a reply that is not there calls for a second send
-	Patience time.Duration // the refusal of a request that could be sent nowhere
+	End      time.Duration // the final answer is due
+	Deadline time.Duration // the deadline passed to leaves
+	AnswerBy time.Duration // an answer with missing parts may be sent from here on
+	Late     time.Duration // a shard without a reply is hedged
+	Patience time.Duration // a request that could not be sent is refused
 }
 
-// TimesOf returns the times of a request whose caller waits for wait (0: not stated) and
-// had asked for the first time passed before.
+// NewSchedule returns the schedule of a request whose caller waits for timeout (0: not
+// stated) and sent its first attempt elapsed before this one.
 func TimesOf(t Terms, wait, passed time.Duration, pace *Pace) Times {
 	limit := t.Timeout
 	if wait > 0 && wait < limit {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// late returns the time after which a reply is late enough for a second send.
+// hedgeAfter returns the time after which a reply is late enough for a hedge.
 func (t Terms) late(pace *Pace) time.Duration {
 	late, ok := pace.Late()
 	if !ok {
@@ -64,17 +64,17 @@
 	}
 	usual := pace.Usual()
 	late = max(late, time.Duration(hedgeUsual*float64(usual)), hedgeFloor)
-	// A second send that can't be back in time is worth little; the last moment
-	// for one that can goes before the learned one.
+	// A hedge that cannot return in time is of little use, so the latest time at which it
+	// still can takes precedence over the learned one.
 	if t.Aim > 0 {
 		late = min(late, max(t.Aim-t.Margin-2*usual, usual))
 	}
 	return late
 }
 
-// ConnWait is how long a send may wait for one of the daemon's connections to a leaf, by
-// how long a reply usually takes: until the one in use should be free again. Another
-// leaf is tried after it.
+// ConnWait returns how long a send may wait for one of the daemon's connections to a leaf,
+// until the one in use is likely to be free again. After that another leaf is tried.
+// medianLatency is the median reply time, or 0 if unknown.
 func ConnWait(usual time.Duration) time.Duration {
 	if usual <= 0 {
 		return unlearnedConnWait
--- a/internal/policy/waits.go
+++ b/internal/policy/waits.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Waits learns how long a route's callers wait when they first ask. Callers of a
-// route all state the same for that; what they state when they ask again is less
-// by the time that has passed, and is different each time. It is safe for concurrent use.
+// CallerTimeouts learns the timeout that the callers of a route state on their first
+// attempt. All callers of a route state the same one; on a retry they state the time that is
+// left, which differs each time. It is safe for concurrent use.
 type Waits struct {
 	mu     sync.Mutex
 	values [4]waitCount
@@ -19,14 +19,15 @@
 }
 
 const (
-	// usualCount is how often a wait must have been stated to count as a first one.
+	// minCount is how often a timeout must have been stated to count as that of a first
+	// attempt.
 	usualCount = 3
-	// mostCount keeps the counts small enough for a new value to take over.
+	// maxCount keeps the counts small enough that a new timeout can replace an old one.
 	mostCount = 64
 )
 
-// Passed returns how much of a caller's time was gone before the request, as far
-// as can be told from the wait that it states.
+// Elapsed returns how much of the caller's time had passed before this request, as far as
+// can be derived from the timeout that it states.
 func (w *Waits) Passed(wait time.Duration) time.Duration {
 	if wait <= 0 {
 		return 0
@@ -40,7 +41,7 @@
 	return usual.wait - wait
 }
 
-// note counts a wait and returns the one stated most often.
+// record counts a timeout and returns the one that is stated most often.
 func (w *Waits) note(wait time.Duration) waitCount {
 	least, most, found := 0, 0, false
 	for i := range w.values {
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -6,7 +6,7 @@
 	"pearmoor/internal/vm"
 )
 
-// BenchmarkLookUp is what a request costs while another one is in quarantine.
+// BenchmarkLookUp measures the cost that a quarantined request adds to every other request.
 func BenchmarkLookUp(b *testing.B) {
 	g := NewRegistry(vm.Monotonic, nil)
 	g.Install(Cases{named(1)[Exact]: {Blocked: true}})
--- a/internal/quarantine/case.go
+++ b/internal/quarantine/case.go
@@ -7,41 +7,43 @@
 )
 
 const (
-	// fewestEnds is how many leaves have ended before a request is blocked.
+	// minLeafExits is how many leaves must have exited before a request is blocked.
 	fewestEnds = 3
-	// blockCrashes is under how many attempts, one after the other, leaves ended before the
-	// request is blocked. One attempt does not tell: a rack without power ends twenty leaves
-	// under requests that have nothing to do with it.
+	// blockAfterCrashes is the number of consecutive attempts with leaf exits after which a
+	// request is blocked. A single attempt proves nothing: a rack that loses power
+	// terminates twenty leaves under unrelated requests.
 	blockCrashes = 3
-	// blockAttempts blocks a request of which no attempt was answered, however they ended.
+	// blockAfterAttempts is the number of consecutive unanswered attempts after which a
+	// request is blocked, whether or not leaves exited.
 	blockAttempts = 4
 )
 
-// fewestVariants is how many narrower names a name stands for before it is blocked. A request
-// that comes unchanged is blocked by its exact name alone.
+// minVariants is how many narrower fingerprints a fingerprint must cover before it is
+// blocked. A request that is repeated unchanged is blocked by its exact fingerprint only.
 var fewestVariants = [widths]int{Exact: 1, AnyQuery: 2, AnyCaller: 2, AnyBoth: 3}
 
-// Case is what is agreed about one request.
+// Case is the state of one suspected or blocked fingerprint, as agreed by the control group.
 type Case struct {
-	Ends     int  // leaves that ended under attempts that no leaf answered
-	Crashes  int  // attempts, one after the other, under which leaves ended
-	Attempts int  // attempts, one after the other, that reached leaves and had no answer
-	Variants int  // narrower names of these
-	Blocked  bool // no attempt reaches a leaf
-	Request  string
-	Seen     time.Time // last report
+	Ends     int       // leaves that exited during attempts that no leaf answered
+	Crashes  int       // consecutive attempts with leaf exits
+	Attempts int       // consecutive unanswered attempts that reached leaves
+	Variants int       // narrower fingerprints among the reported requests
+	Blocked  bool      // attempts are not sent to any leaf
+	Request  string    // description for operators
+	Seen     time.Time // time of the last report
 }
 
-// Report is what became of the leaves that one attempt reached.
+// Report is the outcome of one attempt for the leaves that it reached.
 type Report struct {
 	Request  Fingerprints
-	Describe [widths]string // for operators
-	Ends     int            // leaves that ended under it
-	Survived bool           // a leaf answered it
-	Began    time.Duration  // how long before the report it arrived
+	Describe [widths]string // descriptions for operators, by scope
+	Ends     int            // leaves that exited during the attempt
+	Survived bool           // a leaf answered the attempt
+	Began    time.Duration  // time from the attempt's arrival to the report
 }
 
-// Name states which request the report is of, as a message does.
+// SetRequest sets the fingerprints and descriptions of the reported request from the fields
+// of a message.
 func (r *Report) Name(fingerprints [][]byte, describe []string) error {
 	var ok bool
 	if r.Request, ok = FingerprintsFromWire(fingerprints); !ok || len(describe) != len(r.Describe) {
@@ -51,8 +53,9 @@
 	return nil
 }
 
-// after returns the case with a report that is of an attempt after those that it knows of,
-// or, if follows is false, of one at the same time. It is false when the request is cleared.
+// withReport returns the case updated with a report. follows states that the reported
+// attempt began after the last report; otherwise it ran concurrently and counts no further
+// attempt. The result is false if the report clears the request.
 func (c Case) after(r *Report, w Width, follows bool, now time.Time) (Case, bool) {
 	if r.Survived {
 		return Case{}, false
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -9,41 +9,42 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fingerprint names a request by its content and its caller. It withstands forgery: nobody
-// can make a request that shares the fingerprint of another caller's.
+// Fingerprint identifies a request by its content and its caller. It resists forgery: no
+// caller can construct a request with the fingerprint of another caller's request.
 type Fingerprint [16]byte
 
-// Request is what fingerprints are made of.
+// Request holds the parts of a request that its fingerprints are computed from.
 type Request struct {
 	Method string
 	Host   string
 	URI    string // path and query
 	Caller string // address without the port
-	Body   []byte // whole, or the beginning of one that is passed on as it arrives
-	Length int64  // of the whole body; -1: not stated
+	Body   []byte // the whole body, or its beginning if it is streamed
+	Length int64  // length of the whole body; -1: not stated
 }
 
-// Width is how much of a request a fingerprint leaves open. What crashes a leaf may be in
-// any of it: a request that comes with another query each time, or from another address,
-// has no exact fingerprint twice. A wide one is held only against requests that vary.
+// Scope is the set of requests that a fingerprint covers. Any part of a request can cause
+// the crash, so a request whose query or caller address changes each time never has the same
+// exact fingerprint twice. A wider scope is blocked only if several narrower ones were
+// reported.
 type Width int
 
-// The widths.
+// The scopes.
 const (
-	Exact Width = iota
-	AnyQuery
-	AnyCaller
-	AnyBoth // any query of any caller
+	Exact     Width = iota // only the same request from the same caller
+	AnyQuery               // any query from the same caller
+	AnyCaller              // the same request from any caller
+	AnyBoth                // any query from any caller
 	widths
 )
 
-// narrower are the widths next below each.
+// narrowerScopes lists the next narrower scopes of each scope.
 var narrower = [widths][]Width{AnyQuery: {Exact}, AnyCaller: {Exact}, AnyBoth: {AnyQuery, AnyCaller}}
 
-// Fingerprints name one request, by width.
+// Fingerprints are the fingerprints of one request, by scope.
 type Fingerprints [widths]Fingerprint
 
-// Fingerprints returns the request's names.
+// Fingerprints returns the fingerprints of the request in every scope.
 func (r *Request) Fingerprints() Fingerprints {
 	path, _, _ := strings.Cut(r.URI, "?")
 	return Fingerprints{
@@ -54,7 +55,8 @@
 	}
 }
 
-// Describe says for operators what the fingerprint of a width stands for.
+// Describe returns a description, for operators, of the requests that the fingerprint of a
+// scope covers.
 func (r *Request) Describe(w Width) string {
 	path, _, _ := strings.Cut(r.URI, "?")
 	switch w {
@@ -73,7 +75,7 @@
 	var number [8]byte
 	add := func(n int64) {
 		binary.LittleEndian.PutUint64(number[:], uint64(n))
-		_, _ = h.Write(number[:]) // a hash takes everything
+		_, _ = h.Write(number[:]) // hash.Hash never returns an error
 	}
 	add(int64(w))
 	for _, s := range [...]string{r.Method, r.Host, uri, caller} {
@@ -89,7 +91,7 @@
 // String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ToWire returns the fingerprints as they go into messages.
+// ToWire returns the fingerprints in the form used in messages.
 func (fs *Fingerprints) ToWire() [][]byte {
 	out := make([][]byte, len(fs))
 	for w := range fs {
@@ -98,7 +100,8 @@
 	return out
 }
 
-// FingerprintsFromWire reads what ToWire returned; false if it can't be that.
+// FingerprintsFromWire decodes the output of ToWire. It returns false if the input is
+// malformed.
 func FingerprintsFromWire(in [][]byte) (fs Fingerprints, ok bool) {
 	if len(in) != len(fs) {
 		return fs, false
@@ -111,7 +114,8 @@
 	return fs, true
 }
 
-// FromBytes reads a fingerprint of a message; false if it can't be one.
+// FingerprintFromBytes decodes a fingerprint of a message. It returns false if the length is
+// wrong.
 func FromBytes(b []byte) (f Fingerprint, ok bool) {
 	if len(b) != len(f) {
 		return f, false
@@ -119,7 +123,7 @@
 	return Fingerprint(b), true
 }
 
-// Parse reads what String wrote.
+// ParseFingerprint parses the output of String.
 func Parse(text string) (Fingerprint, error) {
 	var f Fingerprint
 	raw, err := hex.DecodeString(text)
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -11,43 +11,44 @@
 )
 
 const (
-	// mostCases bounds the fingerprints that are agreed on.
+	// maxCases bounds the number of cases.
 	mostCases = 1024
-	// trialTime is how long a trial that is not reported holds up the next one.
+	// trialTimeout is how long a trial without a report holds up the next one.
 	trialTime = 10 * time.Second
 )
 
-// Ledger is what the leader of the control group knows beside the agreed cases: which
-// trial is under way, and when the last report came. It is safe for concurrent use.
+// Coordinator is the state that the leader of the control group keeps in memory besides the
+// cases: the trials in progress and the times of the last reports. It is safe for concurrent
+// use.
 type Ledger struct {
 	clock vm.Clock
 
 	mu     sync.Mutex
-	trials map[Fingerprint]vm.Instant // until when
-	last   map[Fingerprint]vm.Instant
+	trials map[Fingerprint]vm.Instant // expiry of the trials in progress
+	last   map[Fingerprint]vm.Instant // time of the last report
 }
 
-// NewLedger returns an empty ledger.
+// NewCoordinator returns a Coordinator without trials.
 func NewLedger(clock vm.Clock) *Ledger {
 	return &Ledger{clock: clock, trials: make(map[Fingerprint]vm.Instant), last: make(map[Fingerprint]vm.Instant)}
 }
 
-// Grant is the answer to a daemon that wants to try a suspected request.
+// Grant is the answer to a daemon that asks to try a suspected request.
 type Grant uint8
 
 // The grants.
 const (
 	Denied  Grant = iota // the request is blocked
-	Wait                 // another daemon tries it
-	Granted              // it may be tried at one leaf
+	Wait                 // another daemon is trying it
+	Granted              // the daemon may send it to one leaf
 )
 
 var grantNames = [...]string{Denied: "denied", Wait: "wait", Granted: "granted"}
 
-// String returns the grant in one word.
+// String returns the grant as one word.
 func (g Grant) String() string { return grantNames[g] }
 
-// Try answers a daemon that wants to try a request.
+// Try answers a daemon that asks to try a request.
 func (l *Ledger) Try(cases Cases, f Fingerprint) Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,16 +68,17 @@
 	return Granted
 }
 
-// Change is what a report made of a case.
+// Change is the effect of a report on a case.
 type Change struct {
 	Request Fingerprint
 	Before  Case
 	After   Case
 	Cleared bool
-	Dropped bool // to make room
+	Dropped bool // evicted because there were too many cases
 }
 
-// Apply joins reports to the cases and returns those that changed.
+// Apply merges reports into the cases and returns the resulting cases and the changes. The
+// argument is not modified.
 func (l *Ledger) Apply(cases Cases, reports []*Report, wall time.Time) (Cases, []Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +90,7 @@
 	var changes []Change
 	for _, r := range reports {
 		delete(l.trials, r.Request[Exact])
-		var knew [widths]bool // before this report
+		var knew [widths]bool // known before this report
 		for w, f := range r.Request {
 			_, knew[w] = out[f]
 		}
@@ -96,8 +98,9 @@
 			before, known := out[f], knew[w]
 			repeats := slices.ContainsFunc(narrower[w], func(n Width) bool { return knew[n] })
 			if !r.Survived && (r.Ends == 0 && (!known || Width(w) != Exact) || !known && repeats) {
-				// Without an end there is no new suspicion, and a request that is known by a
-				// narrow name brings none on others that share a wide one.
+				// A report without leaf exits raises no new suspicion. A request that is
+				// already known by a narrower fingerprint raises none against the other
+				// requests of a wider scope.
 				continue
 			}
 			last, seen := l.last[f]
@@ -121,15 +124,15 @@
 	return out, append(changes, l.drop(out)...)
 }
 
-// Release ends a trial that reached no leaf.
+// Release ends a trial that did not reach a leaf.
 func (l *Ledger) Release(f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.trials, f)
 }
 
-// drop removes the cases beyond mostCases: suspected ones first, and of each kind those
-// that were not reported for the longest time.
+// evict removes the cases beyond maxCases: suspected ones before blocked ones, and within
+// each kind those with the oldest last report.
 func (l *Ledger) drop(cases Cases) []Change {
 	if len(cases) <= mostCases {
 		return nil
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -11,7 +11,8 @@
 	"pearmoor/internal/vm"
 )
 
-// trail is a ledger with a clock of its own and the tree that its cases are kept in.
+// coordinatorFixture is a Coordinator with a manual clock and the settings tree that stores
+// its cases.
 type trail struct {
 	t      *testing.T
 	now    vm.Instant
@@ -25,7 +26,8 @@
 	return tr
 }
 
-// lead starts anew with what the tree holds, as another control VM does that leads.
+// changeLeader replaces the Coordinator by a new one, as when another control VM becomes the
+// leader. Only the cases in the tree are kept.
 func (tr *trail) lead() { tr.ledger = NewLedger(func() vm.Instant { return tr.now }) }
 
 func (tr *trail) cases() Cases { return FromTree(tr.tree) }
@@ -46,14 +48,15 @@
 	return (&Request{Method: "GET", URI: fmt.Sprint("/", i), Caller: "10.0.0.1"}).Fingerprints()
 }
 
-// crash is an attempt that took 100 ms.
+// crashReport is the report of an attempt that took 100 ms.
 func crash(f Fingerprints, ends int) *Report {
 	return &Report{Request: f, Describe: [widths]string{"GET shop/ from 10.0.0.1", "b", "c", "d"}, Ends: ends, Began: 100 * time.Millisecond}
 }
 
-// A request crashes leaves in each attempt, with minutes and changes of leader in between.
+// A request that crashes leaves in every attempt must be blocked even if hours and a change
+// of the leader lie between its attempts.
 func TestRequestThatGoesOnToCrashLeavesIsBlocked(t *testing.T) {
-	Convey("It is blocked after three attempts, for good", t, func() {
+	Convey("It is blocked permanently after three attempts", t, func() {
 		tr, f := newTrail(t), named(1)
 		for _, ends := range []int{20, 1, 1} {
 			So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
@@ -64,7 +67,7 @@
 		So(tr.cases()[f[Exact]].Blocked, ShouldBeTrue)
 		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Denied)
 	})
-	Convey("It is blocked after four attempts without an answer, however they end", t, func() {
+	Convey("It is blocked after four attempts without an answer, whether or not leaves exit", t, func() {
 		tr, f := newTrail(t), named(1)
 		tr.report(crash(f, 3))
 		for range 3 {
@@ -74,7 +77,7 @@
 		}
 		So(tr.cases()[f[Exact]].Blocked, ShouldBeTrue)
 	})
-	Convey("One daemon tries it at a time", t, func() {
+	Convey("Only one daemon tries it at a time", t, func() {
 		tr, f := newTrail(t), named(1)
 		tr.report(crash(f, 3))
 		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
@@ -86,7 +89,8 @@
 	})
 }
 
-// A request crashes leaves that comes with another query, or from another address, each time.
+// A request that crashes leaves must be blocked even if each attempt has another query or
+// comes from another address.
 func TestRequestThatVariesIsBlocked(t *testing.T) {
 	for _, c := range []struct {
 		what string
@@ -118,7 +122,7 @@
 		return g.Rule(r.Fingerprints())
 	}
 	fatal, other := &Request{URI: "/a?q=1", Caller: "10.0.0.1"}, &Request{URI: "/a?q=2", Caller: "10.0.0.1"}
-	Convey("One that does not vary is blocked alone, also where nobody is answered at its path", t, func() {
+	Convey("A request that does not vary is blocked alone, even if no request to its path is answered", t, func() {
 		tr := newTrail(t)
 		for range 3 {
 			tr.report(crash(fatal.Fingerprints(), 3))
@@ -137,9 +141,10 @@
 	})
 }
 
-// A rack loses power: twenty leaves end under each of the requests that were under way.
+// When a rack loses power, twenty leaves exit under each of the requests in flight. These
+// requests must not be blocked.
 func TestRequestsOfOneLossOfLeavesAreNotBlocked(t *testing.T) {
-	Convey("Copies of one request at one moment count once, and an answer clears it", t, func() {
+	Convey("Concurrent copies of a request count once, and an answer clears it", t, func() {
 		tr := newTrail(t)
 		for range 5 {
 			tr.report(crash(named(1), 20), crash(named(1), 20), crash(named(2), 7))
@@ -152,22 +157,23 @@
 		So(tr.cases(), ShouldNotContainKey, named(1)[Exact])
 		So(tr.cases(), ShouldContainKey, named(2)[Exact])
 	})
-	Convey("An attempt without ends is held against nothing", t, func() {
+	Convey("An attempt without leaf exits raises no suspicion", t, func() {
 		tr := newTrail(t)
 		tr.report(crash(named(1), 0), &Report{Request: named(2), Survived: true})
 		So(tr.cases(), ShouldBeEmpty)
 	})
 }
 
-// A caller makes up thousands of requests under which leaves end.
+// A caller that varies its requests can create thousands of cases. Their number and size
+// must stay bounded.
 func TestQuarantineIsBounded(t *testing.T) {
-	Convey("Blocked requests stay, and suspected ones that were seen long ago make room", t, func() {
+	Convey("Blocked requests are kept, and the suspected ones with the oldest report are evicted", t, func() {
 		tr := newTrail(t)
 		for range 3 {
 			tr.report(crash(named(0), 1))
 			tr.pass(time.Second)
 		}
-		const requests = mostCases / 2 // each has several names
+		const requests = mostCases / 2 // each has several fingerprints
 		for i := range requests {
 			tr.pass(time.Second)
 			tr.report(crash(named(i+1), 1))
@@ -177,7 +183,7 @@
 		So(tr.cases(), ShouldContainKey, named(requests)[Exact])
 		So(tr.cases(), ShouldNotContainKey, named(1)[Exact])
 	})
-	Convey("What a caller sends is stated as one printable line", t, func() {
+	Convey("Descriptions with text from a caller are a single printable line", t, func() {
 		tr := newTrail(t)
 		r := crash(named(1), 1)
 		r.Describe[Exact] = "GET shop/\x00\n\xff from 10.0.0.1" + string(make([]byte, 2*longestDescription))
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -13,9 +13,11 @@
 )
 
 const (
-	// mostLocal bounds the fingerprints that a daemon suspects by itself.
+	// maxObservations bounds the fingerprints that a daemon remembers from its own
+	// observations.
 	mostLocal = 1024
-	// loneTrials is how often a daemon that does not reach the leader tries a request.
+	// maxTrialsWithoutLeader is how often a daemon that cannot reach the leader tries a
+	// suspected request.
 	loneTrials = 1
 )
 
@@ -25,64 +27,65 @@
 	lonelyTrials = metrics.GetOrRegisterCounter("quarantine.trials.without_leader", metrics.DefaultRegistry)
 )
 
-// Ruling is what may be done with a request.
+// Ruling is how a request may be handled.
 type Ruling uint8
 
 // The rulings.
 const (
-	Free    Ruling = iota
-	Canary         // it is like suspected ones: it is sent to one leaf first
-	Suspect        // as Canary, and by one daemon at a time
-	Blocked        // it reaches no leaf
+	Free    Ruling = iota // no restriction
+	Canary                // matches a wider scope of a suspected request: sent to one leaf first
+	Suspect               // as Canary, and tried by one daemon at a time
+	Blocked               // not sent to any leaf
 )
 
 var rulingNames = [...]string{Free: "free", Canary: "canary", Suspect: "suspect", Blocked: "blocked"}
 
-// String returns the ruling in one word.
+// String returns the ruling as one word.
 func (r Ruling) String() string { return rulingNames[r] }
 
-// Leader is the leader of the control group, as a daemon reaches it.
+// Leader is a daemon's connection to the leader of the control group.
 type Leader interface {
-	// Report hands over what became of attempts.
+	// Report delivers reports of attempts.
 	Report(ctx context.Context, reports []*Report) error
 	// Try asks for permission to try a suspected request.
 	Try(ctx context.Context, f Fingerprint) (Grant, error)
-	// Release gives that back, since no leaf was reached.
+	// Release returns the permission after a trial that did not reach a leaf.
 	Release(ctx context.Context, f Fingerprint) error
 }
 
-// Registry is what one daemon knows of requests that crash leaves: what is agreed, and
-// what it has observed itself since. It is safe for concurrent use.
+// Registry is what one daemon knows about requests that crash leaves: the cases agreed by
+// the control group and its own observations since. It is safe for concurrent use.
 type Registry struct {
 	clock  vm.Clock
 	leader Leader
-	queued chan struct{}
+	queued chan struct{} // signals that queue is not empty
 
-	known   atomic.Bool   // there is a request to check others against
-	version atomic.Uint64 // of the tree that agreed is of
+	known   atomic.Bool   // there are cases or observations to check requests against
+	version atomic.Uint64 // version of the tree that cases was read from
 
 	mu     sync.Mutex
 	agreed Cases
-	local  map[Fingerprint]*sighting
-	queue  []queuedReport
+	local  map[Fingerprint]*sighting // own observations
+	queue  []queuedReport            // reports that wait for the leader
 }
 
-// sighting is what this daemon has observed of a fingerprint.
+// observation is what this daemon has observed of a fingerprint.
 type sighting struct {
-	cleared bool // a leaf answered it
-	tried   int  // trials made without the leader
-	until   vm.Instant
+	cleared bool       // a leaf answered the request
+	tried   int        // trials made without the leader
+	until   vm.Instant // the observation is discarded then
 }
 
-// NewRegistry returns a registry that knows nothing.
+// NewRegistry returns a Registry without cases.
 func NewRegistry(clock vm.Clock, leader Leader) *Registry {
 	return &Registry{clock: clock, leader: leader, queued: make(chan struct{}, 1), local: make(map[Fingerprint]*sighting)}
 }
 
-// Empty reports whether no request is suspected or blocked, so that none need be looked up.
+// Empty reports whether no request is suspected or blocked, so that lookups can be skipped.
 func (g *Registry) Empty() bool { return g == nil || !g.known.Load() }
 
-// Observe takes in what a version of the settings tree holds.
+// Update reads the cases from a version of the settings tree, unless a version at least as
+// new has been read.
 func (g *Registry) Observe(version uint64, t *settings.Tree) {
 	if g == nil || t == nil || g.version.Load() >= version {
 		return
@@ -96,7 +99,7 @@
 	}
 }
 
-// Install puts what is agreed in place.
+// SetCases replaces the cases agreed by the control group.
 func (g *Registry) Install(cases Cases) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -124,10 +127,10 @@
 	g.note()
 }
 
-// note keeps known; the lock is held.
+// updateNonEmpty recomputes nonEmpty. The caller holds g.mu.
 func (g *Registry) note() { g.known.Store(len(g.agreed)+len(g.local) > 0) }
 
-// Rule says what may be done with a request.
+// Check returns how a request with the fingerprints may be handled.
 func (g *Registry) Rule(fs Fingerprints) Ruling {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -147,7 +150,8 @@
 	return out
 }
 
-// suspects reports whether anything is held against a fingerprint; the lock is held.
+// isSuspected reports whether a fingerprint is suspected: by this daemon's own observation
+// if it has one, otherwise if a case exists. The caller holds g.mu.
 func (g *Registry) suspects(f Fingerprint, agreed bool) bool {
 	s := g.local[f]
 	switch {
@@ -161,8 +165,8 @@
 	return !s.cleared
 }
 
-// Try asks whether a suspected request may be sent to a leaf now. Every Granted ends in
-// Report or Release.
+// Try asks the leader whether a suspected request may be sent to a leaf now. Each Granted
+// must be followed by Report or Release.
 func (g *Registry) Try(ctx context.Context, f Fingerprint) Grant {
 	grant, err := g.leader.Try(ctx, f)
 	if err == nil {
@@ -181,7 +185,8 @@
 	return grant
 }
 
-// seen returns what this daemon has seen of a request; the lock is held.
+// refresh returns the observation of a fingerprint, creating it if needed, and extends its
+// lifetime. The caller holds g.mu.
 func (g *Registry) seen(f Fingerprint) *sighting {
 	s := g.local[f]
 	if s == nil {
@@ -194,7 +199,8 @@
 	return s
 }
 
-// sweep forgets what is settled, and at mostLocal whatever runs out next.
+// evictObservations removes expired observations and, at maxObservations, the one that
+// expires next.
 func (g *Registry) sweep() {
 	now := g.clock()
 	var next Fingerprint
@@ -212,13 +218,13 @@
 	}
 }
 
-// Release gives a trial back that reached no leaf.
+// Release returns the permission for a trial that did not reach a leaf.
 func (g *Registry) Release(f Fingerprint) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), reportPause)
 		defer cancel()
 		if err := g.leader.Release(ctx, f); err != nil {
-			klog.V(1).Infof("quarantine: trial of request=%s not given back, it runs out: %v", f, err)
+			klog.V(1).Infof("quarantine: failed to release the trial of request=%s, which will expire: %v", f, err)
 		}
 	}()
 }
--- a/internal/quarantine/registry_test.go
+++ b/internal/quarantine/registry_test.go
@@ -14,7 +14,7 @@
 	"pearmoor/internal/vm"
 )
 
-// fakeLeader refuses calls while it is down.
+// fakeLeader fails all calls while it is down.
 type fakeLeader struct {
 	mu   sync.Mutex
 	down bool
@@ -44,11 +44,11 @@
 
 func bubbleClock() vm.Instant { return vm.Instant(time.Now().UnixNano()) }
 
-// The leader is lost as a request crashes leaves: the daemon that saw it must not forget it,
-// nor try it again and again by itself.
+// The leader is lost while a request crashes leaves. The daemon that observed the crash must
+// keep the report and must not retry the request repeatedly without the leader.
 func TestReportWaitsForTheNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A report is kept until it is taken, and counts from when it was made", t, func() {
+		Convey("A report is kept until it is delivered, and includes the time that it waited", t, func() {
 			l := &fakeLeader{down: true}
 			g := NewRegistry(bubbleClock, l)
 			ctx, cancel := context.WithCancel(t.Context())
@@ -70,9 +70,10 @@
 	})
 }
 
-// A daemon takes in an older view after a newer one.
+// A daemon may receive an older version of the tree after a newer one, which must not
+// replace it.
 func TestObservedQuarantineNeverGoesBack(t *testing.T) {
-	Convey("The newest version holds", t, func() {
+	Convey("The newest version is kept", t, func() {
 		tr := newTrail(t)
 		tr.report(crash(named(1), 3))
 		g := NewRegistry(vm.Monotonic, nil)
--- a/internal/quarantine/remote.go
+++ b/internal/quarantine/remote.go
@@ -11,15 +11,16 @@
 	"pearmoor/internal/link/wire"
 )
 
-// callTime bounds one call to a control VM.
+// callTimeout bounds one call to a control VM.
 const callTime = time.Second
 
-// Remote reaches the leader of the control group over the network. It implements Leader.
+// RemoteLeader reaches the leader of the control group over the network. It implements
+// Leader.
 type Remote struct {
 	Conns interface {
 		Conn(ctx context.Context, addr string) (drpc.Conn, error)
 	}
-	// Contacts returns the control VMs to ask, best first.
+	// ControlAddrs returns the addresses of the control VMs to ask, best first.
 	Contacts func() []string
 }
 
@@ -57,7 +58,7 @@
 	})
 }
 
-// ask calls the control VMs in turn until the leader has answered.
+// callLeader calls the control VMs in turn until the leader has answered.
 func (l *Remote) ask(ctx context.Context, call func(context.Context, wire.DRPCQuarantineClient) (redirect string, err error)) error {
 	last := errors.New("quarantine: no control VM is known")
 	answered := peer.Walk(ctx, l.Contacts(), func(addr string) (string, bool) {
--- a/internal/quarantine/reports.go
+++ b/internal/quarantine/reports.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// mostReports bounds the reports that wait for the leader.
+	// maxQueuedReports bounds the reports that wait for the leader.
 	mostReports = 256
-	// reportPause is between two tries to reach the leader, and reportFor how long a report
-	// is tried.
+	// reportRetryInterval is the pause between two deliveries to the leader, and reportTTL
+	// is how long delivery of a report is attempted.
 	reportPause = 200 * time.Millisecond
 	reportFor   = time.Minute
-	// settleTime is how long a daemon goes by its own observation after the leader has taken
-	// its report: what was agreed on arrives within it.
+	// settlePeriod is how long a daemon uses its own observation after the leader has
+	// accepted its report. The resulting cases arrive within this time.
 	settleTime = 5 * time.Second
 )
 
@@ -29,7 +29,7 @@
 	at vm.Instant
 }
 
-// Report takes in what became of an attempt, and hands it to the leader.
+// Report records the outcome of an attempt and queues it for the leader.
 func (g *Registry) Report(r *Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -48,7 +48,7 @@
 	}
 }
 
-// Run hands reports to the leader until ctx ends.
+// Run delivers queued reports to the leader until ctx ends.
 func (g *Registry) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -64,7 +64,7 @@
 	}
 }
 
-// deliver hands over what waits, and reports whether it has to be tried again.
+// deliver sends the queued reports and reports whether another delivery is needed.
 func (g *Registry) deliver(ctx context.Context) (again bool) {
 	g.mu.Lock()
 	waiting := g.queue
--- a/internal/quarantine/tree.go
+++ b/internal/quarantine/tree.go
@@ -10,27 +10,28 @@
 	"pearmoor/internal/settings"
 )
 
-// Cases are the requests that are agreed on.
+// Cases maps fingerprints to their cases, as agreed by the control group.
 type Cases map[Fingerprint]Case
 
-// longestDescription bounds the text about a request, in bytes.
+// maxDescriptionLen bounds the description of a request, in bytes.
 const longestDescription = 200
 
-// FromTree reads the cases that a settings tree holds.
+// CasesFromTree reads the cases stored in a settings tree. Invalid nodes are logged and
+// skipped.
 func FromTree(t *settings.Tree) Cases {
 	names := t.Children(settings.QuarantinePath)
 	out := make(Cases, len(names))
 	for _, name := range names {
 		f, err := Parse(name)
 		if err != nil {
-			klog.Warningf("quarantine: node %s/%s has no effect: %v", settings.QuarantinePath, name, err)
+			klog.Warningf("quarantine: ignoring invalid node %s/%s: %v", settings.QuarantinePath, name, err)
 			continue
 		}
 		e, _ := t.Effective(pathOf(f))
 		q := &e.Quarantine
 		seen, err := time.Parse(time.RFC3339, q.Seen)
 		if err != nil && q.Seen != "" {
-			klog.Warningf("quarantine: %s states no time of its last report, it is the first to be dropped: %v", pathOf(f), err)
+			klog.Warningf("quarantine: %s has an invalid time of its last report and will be evicted first: %v", pathOf(f), err)
 		}
 		out[f] = Case{Ends: q.Ends, Crashes: q.Crashes, Attempts: q.Attempts, Variants: q.Variants, Blocked: q.Blocked, Request: q.Request, Seen: seen}
 	}
@@ -41,7 +42,7 @@
 	return settings.QuarantinePath + settings.Root + f.String()
 }
 
-// Edits returns what makes the tree hold the changed cases.
+// Edits returns the edits that apply the changes to the settings tree.
 func Edits(changes []Change) []settings.Edit {
 	var out []settings.Edit
 	for _, c := range changes {
@@ -66,7 +67,8 @@
 	return out
 }
 
-// describe makes a text of a caller's fit to be stated in the tree.
+// sanitizeDescription makes a description that contains text from a caller safe to store in
+// the tree: valid UTF-8, printable and of bounded length.
 func describe(text string) string {
 	text = strings.ToValidUTF8(text, "?")
 	text = strings.Map(func(r rune) rune {
--- a/internal/query/scatter/acquire.go
+++ b/internal/query/scatter/acquire.go
@@ -9,18 +9,18 @@
 	"pearmoor/internal/contract"
 )
 
-// acquired is a permit at a replica.
+// reservation is a permit to send to a replica.
 type acquired struct {
 	choice
 	permit *admit.Permit
 }
 
-// acquireAt gets a permit at one of the replicas ranked: at once where one is free,
-// the cheapest first, else from whichever queue gives one first.
+// acquire gets a permit at one of the ranked replicas: the first free one in order of cost,
+// or else the first that any of their queues grants.
 //
-// Waiting in one queue only would tie the attempt to the replica that looked best
-// on arrival; a straggler that takes a slot there for long is not known yet then,
-// and the attempt would wait for it while the other replica stands idle.
+// Waiting in a single queue would tie the attempt to the replica that was cheapest on
+// arrival. If a straggler later occupies a slot there, the attempt would wait for it while
+// another replica is idle.
 func (s *shardRun) acquireAt(ctx context.Context, ranked []choice, ask admit.Ask) (acquired, *contract.Error) {
 	if a, ok := s.takeFree(ranked); ok {
 		return a, nil
@@ -36,7 +36,8 @@
 	return acquired{ranked[at], permit}, nil
 }
 
-// takeFree takes a free permit at a replica that is not much slower than the best.
+// tryAcquire takes a free permit at a replica whose cost is at most maxCostRatio times that
+// of the cheapest one.
 func (s *shardRun) takeFree(ranked []choice) (acquired, bool) {
 	for _, c := range ranked {
 		if c.cost() > detourFactor*ranked[0].cost() {
@@ -49,7 +50,8 @@
 	return acquired{}, false
 }
 
-// refusalOf types an error of Acquire: nothing was sent.
+// refusalOf converts an error of AcquireAny, after which nothing was sent, to a typed
+// refusal.
 func refusalOf(ctx context.Context, err error) *contract.Error {
 	var e *contract.Error
 	if errors.As(err, &e) {
--- a/internal/query/scatter/attempt.go
+++ b/internal/query/scatter/attempt.go
@@ -11,31 +11,32 @@
 	"pearmoor/internal/settings"
 )
 
-// attempt is one send of one shard's request.
+// attempt is one send of the request for one shard.
 type attempt struct {
 	id       uint32
 	hedge    bool
 	borrowed bool // sent by another home
 }
 
+// attemptResult is the result of an ended attempt; err is nil if it succeeded.
 type attemptDone struct {
 	attempt
 	hits []contract.Hit
 	err  *contract.Error
 }
 
-// notHere is the replica index of an attempt that another home sends.
+// remoteReplica is the replica index of an attempt that another home sends.
 const notHere = -1
 
-// flight is an attempt that has not ended.
+// inFlightAttempt is an attempt that has not ended.
 type flight struct {
 	id      uint32
 	cancel  context.CancelFunc
-	replica int // index in holders, or notHere
+	replica int // index in replicas, or remoteReplica
 	dropped bool
 }
 
-// launch notes an attempt as under way and returns its context.
+// begin records an attempt as in flight and returns its context.
 func (s *shardRun) launch(id uint32, replica int) context.Context {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.guard.sent()
@@ -43,15 +44,16 @@
 	return ctx
 }
 
-// landed notes the end of an attempt.
+// end removes an attempt that has ended.
 func (s *shardRun) landed(id uint32) {
 	at := slices.IndexFunc(s.flights, func(f flight) bool { return f.id == id })
 	s.flights[at].cancel()
 	s.flights = slices.Delete(s.flights, at, at+1)
 }
 
-// drop cancels the oldest attempt so that its slot comes free at the leaf, and
-// opens its replica to the next one. It reports whether there was one to cancel.
+// cancelOldest cancels the oldest attempt so that its slot at the leaf becomes free, and
+// makes its replica available to the next attempt. It reports whether there was an attempt
+// to cancel.
 func (s *shardRun) drop() bool {
 	for i := range s.flights {
 		f := &s.flights[i]
@@ -68,7 +70,7 @@
 	return false
 }
 
-// send starts one attempt; its result arrives on s.results.
+// send starts one attempt. The result is sent to s.results.
 func (s *shardRun) send(a acquired, hedge bool) {
 	s.sent++
 	id := s.attemptNumber()
@@ -91,11 +93,11 @@
 	}()
 }
 
-// attemptNumber numbers the attempts of the shard, at this home and at others
-// that were asked for one.
+// attemptID returns the number of the latest attempt. Attempts of this home and those
+// borrowed from other homes share one sequence.
 func (s *shardRun) attemptNumber() uint32 { return s.job.AttemptBase + uint32(s.sent+s.asked) }
 
-// perform sends req; the Sender gives the permit back.
+// perform sends req and returns the hits of a valid reply. The Sender returns the permit.
 func (s *shardRun) perform(ctx context.Context, leaf settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) ([]contract.Hit, *contract.Error) {
 	s.g.meter.attempts.Inc(1)
 	began := s.g.clock()
@@ -123,7 +125,8 @@
 	return reply.Hits, nil
 }
 
-// attemptError types the error of a Sender; one that is not typed may have run.
+// attemptError returns the typed error of a Sender. After an untyped error the request may
+// have run.
 func attemptError(err error) *contract.Error {
 	var e *contract.Error
 	if errors.As(err, &e) {
--- a/internal/query/scatter/bench_test.go
+++ b/internal/query/scatter/bench_test.go
@@ -20,8 +20,8 @@
 	return &contract.LeafReply{ID: req.ID, Attempt: req.Attempt, Service: req.Service, Shard: req.Shard, IndexVersion: req.IndexVersion}, nil
 }
 
-// BenchmarkShardAttempt is what one shard's attempt costs beside the exchange
-// with the leaf: a query of 40 shards, divided by 40.
+// BenchmarkShardAttempt measures the cost of one attempt at a shard without the exchange
+// with the leaf: that of a query of 40 shards, divided by 40.
 func BenchmarkShardAttempt(b *testing.B) {
 	const shards = 40
 	gates := admit.NewGates(vm.Now)
--- a/internal/query/scatter/borrow.go
+++ b/internal/query/scatter/borrow.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	borrowsAtATime = 2 // of one shard: its first attempt and a hedge
-	borrowPause    = 2 * time.Millisecond
-	maxAsked       = 64 // times in all that one shard asks other homes
-	borrowBackoff  = 8  // longest pause, as a multiple of borrowPause
+	borrowsAtATime = 2                    // per shard: its first attempt and a hedge
+	borrowPause    = 2 * time.Millisecond // added to the pause for each consecutive refusal
+	maxAsked       = 64                   // total per shard
+	borrowBackoff  = 8                    // longest pause, as a multiple of borrowPauseStep
 )
 
-// lending keeps a home from asking others in vain: each refusal in a row lengthens
-// the pause until it asks again. At overload nobody has a free permit, and every
-// shard would cost a call that is refused.
+// borrowBackoff limits requests to other homes that would be refused: each consecutive
+// refusal lengthens the pause until the next one. Under overload no home has a free permit,
+// and every shard would make a call in vain.
 type lending struct {
 	notBefore atomic.Int64 // vm.Instant
-	refusals  atomic.Int32 // in a row
+	refusals  atomic.Int32 // consecutive refusals
 }
 
 func (l *lending) open(now vm.Instant) bool { return now >= vm.Instant(l.notBefore.Load()) }
@@ -34,12 +34,12 @@
 
 func (l *lending) granted() { l.refusals.Store(0) }
 
-// borrow has another home send the shard with a free permit of its own and reports
-// whether it was asked. The outcome arrives on s.results.
+// borrow asks another home to send the request of the shard with a free permit there, and
+// reports whether it asked. The result is sent to s.results.
 //
-// Each home has only a part of a leaf's slots, often one, so that requests queue
-// at one home while the other's slots are idle. Asked first, the homes together
-// serve nearly as one pool.
+// Each home has only a share of a leaf's slots, often a single one, so requests could queue
+// at one home while slots of another are idle. Asking other homes before queueing makes them
+// serve almost like one pool.
 func (s *shardRun) borrow(hedge bool) bool {
 	if s.job.Lender == nil || s.asked >= maxAsked || !s.g.lending.open(s.g.clock()) {
 		return false
@@ -66,6 +66,7 @@
 	return true
 }
 
+// triedAddrs returns the addresses of the replicas in s.tried.
 func (s *shardRun) triedAddrs() []string {
 	var addrs []string
 	for i, h := range s.holders {
@@ -85,12 +86,12 @@
 	}
 }
 
-// declined reports that another home had nothing free and sent nothing.
+// borrowRefused reports whether another home had no free permit and sent nothing.
 func (d *attemptDone) declined() bool {
 	return d.borrowed && d.err != nil && d.err.Verdict == contract.NotRun
 }
 
-// declined goes on at this home after another had nothing free.
+// handleBorrowRefused continues at this home after another home had no free permit.
 func (s *shardRun) declined(d attemptDone) (Shard, bool) {
 	if d.hedge {
 		s.extra.Add(-1)
@@ -113,5 +114,5 @@
 	return Shard{}, false
 }
 
-// errDeclined is the cause of a refusal to lend.
+// errNoFreePermit is the cause of the refusal of an immediate job.
 var errDeclined = errors.New("no permit is free")
--- a/internal/query/scatter/declined.go
+++ b/internal/query/scatter/declined.go
@@ -8,21 +8,22 @@
 	"pearmoor/internal/vm"
 )
 
-// declineLife is how long a target's word that it does not hold a shard goes
-// before its older status report. Probes have brought a newer one by then.
+// notHeldTTL is how long a leaf's statement that it does not hold a shard overrides its
+// older status report. Health probes have delivered a newer report by then.
 const declineLife = 2 * time.Second
 
-// held names a shard of an index version at a leaf.
+// shardKey identifies a shard of an index version at a leaf.
 type held struct {
 	addr    string
 	version uint64
 	shard   uint32
 }
 
-// declines remembers what leaves have said they don't hold.
+// notHeldCache remembers the shards that leaves have stated not to hold.
 //
-// Status reports lag by a probe interval. Without this, a query that starts over
-// because a leaf dropped the version would be sent there again until the next probe.
+// Status reports lag by up to a probe interval. Without the cache, a query that is restarted
+// because a leaf has dropped the version would be sent to that leaf again until the next
+// probe.
 type declines struct {
 	n  atomic.Int32
 	mu sync.Mutex
@@ -44,11 +45,12 @@
 	d.n.Store(int32(len(d.m)))
 }
 
-// Declined reports whether any leaf of the group has lately said that it does not
-// hold a shard it was believed to hold.
+// AnyNotHeld reports whether leaves of the group have stated not to hold a shard that they
+// were expected to hold. Expired statements may be included.
 func (g *Group) Declined() bool { return g.declines.n.Load() > 0 }
 
-// Holds reports whether the leaf at addr has not lately said that it lacks shard.
+// Holds reports whether the leaf at addr can be expected to hold the shard: it has not
+// denied this within notHeldTTL.
 func (g *Group) Holds(addr string, version uint64, shard uint32) bool {
 	now := g.clock()
 	g.declines.mu.Lock()
--- a/internal/query/scatter/fake_test.go
+++ b/internal/query/scatter/fake_test.go
@@ -17,22 +17,22 @@
 	"pearmoor/internal/vm"
 )
 
-// bubbleClock reads the fake time of a synctest bubble as an instant.
+// bubbleClock returns the fake time of a synctest bubble as an instant.
 func bubbleClock() vm.Instant { return vm.Instant(time.Now().UnixNano()) }
 
-// act is what a fake leaf does with one attempt.
+// leafAction is what a fake leaf does with one attempt.
 type act uint8
 
 const (
 	reply        act = iota
-	wrongVersion     // runs, answers for another version
-	otherRequest     // runs, answers for another request
-	reset            // runs, loses the connection before the reply
+	wrongVersion     // runs and replies for another version
+	otherRequest     // runs and replies for another request
+	reset            // runs and loses the connection before the reply
 	refuse           // 429 without running
 	conflict         // 409 without running
 	unreachable      // nothing was written
-	hang             // runs, never answers
-	ends             // crashes as it runs
+	hang             // runs and never replies
+	ends             // exits while running
 	actCount
 )
 
@@ -41,8 +41,8 @@
 	delay time.Duration
 }
 
-// fakeLeaves is a Sender over leaves whose behaviour a test scripts. It counts
-// runs, and what is in flight at each leaf as the leaf sees it.
+// fakeLeaves is a Sender to leaves whose behaviour a test defines. It counts the runs, and
+// the attempts in flight at each leaf as seen by the leaf.
 type fakeLeaves struct {
 	script func(leaf string, req *contract.LeafRequest) behavior
 
@@ -63,8 +63,8 @@
 	err   error
 }
 
-// Send keeps the Sender's contract: the permit stays out until the leaf is done,
-// also when the caller leaves first.
+// Send implements Sender: the permit is held until the leaf is done, even if the caller
+// returns first.
 func (f *fakeLeaves) Send(ctx context.Context, leaf settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) (*contract.LeafReply, error) {
 	b := f.script(leaf.Name, req)
 	if b.act == unreachable {
@@ -140,7 +140,7 @@
 	return fmt.Sprintf("%s/%d/%d", req.ID, req.Shard, req.IndexVersion)
 }
 
-// rig is a Group over fake leaves inside a bubble.
+// fixture is a Group with fake leaves inside a synctest bubble.
 type rig struct {
 	leaves *fakeLeaves
 	gates  *admit.Gates
@@ -172,14 +172,14 @@
 	return out
 }
 
-// run performs job within timeout and waits until every leaf is done.
+// run performs job with a timeout. Leaves may still be running when it returns.
 func (r *rig) run(job *Job, timeout time.Duration) *Result {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return r.group.Run(ctx, job)
 }
 
-// settle waits for attempts that were left behind.
+// waitIdle waits for the attempts that a finished job left in flight.
 func (r *rig) settle() {
 	r.leaves.busy.Wait()
 	r.group.Wait()
@@ -194,12 +194,12 @@
 	return j
 }
 
-// inBubble runs f with fake time.
+// inBubble runs f with fake time in a synctest bubble.
 func inBubble(t *testing.T, f func()) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) { f() })
 }
 
-// go-metrics starts one goroutine for all meters with the first of them; it must
-// not belong to a bubble, whose time would then never move.
+// go-metrics starts a single goroutine for all meters when the first one is created. It must
+// not belong to a bubble, whose fake time would then never advance.
 var _ = newMeters(metrics.DefaultRegistry)
--- a/internal/query/scatter/group.go
+++ b/internal/query/scatter/group.go
@@ -14,11 +14,11 @@
 	"pearmoor/internal/vm"
 )
 
-// maxReplicas bounds the replicas of a shard that are considered.
+// maxReplicas bounds the replicas considered for a shard.
 const maxReplicas = 64
 
-// Group is the lasting state of one query service at one home: what has been
-// learned of its leaves, and its budgets. It is safe for concurrent use.
+// Group is the state that one home keeps for a query service across jobs: learned reply
+// times and budgets. It is safe for concurrent use.
 type Group struct {
 	gates    *admit.Gates
 	sender   Sender
@@ -26,21 +26,21 @@
 	hedges   Budget
 	retries  Budget
 	latency  *Latency
-	turn     atomic.Uint32
-	pending  sync.WaitGroup // attempts that a finished run left behind
+	turn     atomic.Uint32  // rotates the replica that first attempts start at
+	pending  sync.WaitGroup // attempts that a finished job left in flight
 	lending  lending
 	declines declines
 	meter    *meters
 }
 
-// unlearnedDelay is how long a straggler is waited for while nothing is known of
-// the service's reply times.
+// defaultHedgeDelay is the hedge delay while there are too few samples of the service's
+// reply times.
 const unlearnedDelay = 100 * time.Millisecond
 
-// initialShare is the hedge share until the first Job names its own.
+// initialHedgeShare is the hedge share until the first Job states one.
 const initialShare = 0.02
 
-// NewGroup returns a Group with nothing learned.
+// NewGroup returns a Group without samples.
 func NewGroup(gates *admit.Gates, sender Sender, clock vm.Clock, hedges, retries Budget) *Group {
 	return &Group{
 		gates: gates, sender: sender, clock: clock,
@@ -49,14 +49,14 @@
 	}
 }
 
-// Latency returns what has been learned of the reply times.
+// Latency returns the learned reply times.
 func (g *Group) Latency() *Latency { return g.latency }
 
-// Wait returns when no attempt is in flight any more. No Run may start meanwhile.
+// Wait waits until no attempt is in flight. Run must not be called meanwhile.
 func (g *Group) Wait() { g.pending.Wait() }
 
-// Run sends job to its shards and returns at the latest when ctx ends, with an
-// outcome for every shard.
+// Run sends job to its shards and returns a result for every shard, at the latest when ctx
+// ends.
 func (g *Group) Run(ctx context.Context, job *Job) *Result {
 	if job.HedgeShare > 0 {
 		g.latency.SetShare(job.HedgeShare)
@@ -71,7 +71,7 @@
 	}
 }
 
-// run is one Job under way.
+// jobRun is a Job in progress.
 type run struct {
 	g          *Group
 	job        *Job
@@ -85,11 +85,13 @@
 	guard      guard
 }
 
+// finishedShard is the result of one shard, with its index.
 type shardDone struct {
 	shard uint32
 	out   Shard
 }
 
+// wantedShards returns the indexes of the shards to query.
 func (r *run) wanted() []uint32 {
 	if len(r.job.Only) > 0 {
 		return r.job.Only
@@ -101,7 +103,7 @@
 	return all
 }
 
-// gather starts a goroutine for each shard and collects the outcomes.
+// gather starts a goroutine for each shard and collects the results.
 func (r *run) gather() {
 	want := r.wanted()
 	done := make(chan shardDone, len(want))
@@ -132,12 +134,15 @@
 	r.markEarly()
 }
 
+// mayAnswerEarly reports whether the coverage suffices for an early answer and shards are
+// still missing.
 func (r *run) mayAnswerEarly(answered, want int) bool {
 	return r.job.EarlyAt > 0 && answered < want && float64(answered) >= r.job.EarlyAt*float64(want)
 }
 
-// earlyWait returns how long an early answer still waits for the rest: until the
-// shards left count as stragglers, so that ordinary replies are not cut off.
+// earlyDelay returns how long an early answer still waits for the missing shards: until they
+// count as stragglers, so that ordinary replies are not cut off. It is twice as long if the
+// goal is coverage.
 func (r *run) earlyWait() time.Duration {
 	patience := r.hedgeDelay()
 	if r.job.Goal == settings.Coverage {
@@ -146,7 +151,7 @@
 	return max(0, patience-r.g.clock().Sub(r.began))
 }
 
-// markEarly names the early answer as the reason of the shards it left out.
+// markEarly sets the reason of the shards that an early answer left out.
 func (r *run) markEarly() {
 	if !r.early {
 		return
@@ -162,7 +167,7 @@
 	r.early = left
 }
 
-// hedgeDelay returns how long after the send an attempt counts as a straggler.
+// hedgeDelay returns the time after the send at which an attempt counts as a straggler.
 func (r *run) hedgeDelay() time.Duration {
 	if r.job.HedgeAfter > 0 {
 		return r.job.HedgeAfter
@@ -177,6 +182,7 @@
 	return max(delay, hedgeFloor)
 }
 
+// recordRetryAfter keeps the shortest Retry-After, in milliseconds.
 func (r *run) noteRetryAfter(ms int64) {
 	d := ms * int64(time.Millisecond)
 	for d > 0 {
--- a/internal/query/scatter/guard.go
+++ b/internal/query/scatter/guard.go
@@ -8,23 +8,23 @@
 	"pearmoor/internal/policy"
 )
 
-// guard holds back further sends of a job under which leaves end, until a leaf has
-// answered it.
+// crashGuard restricts further sends of a job during which leaves have exited, until a leaf
+// has answered the job.
 type guard struct {
 	mu        sync.Mutex
 	suspicion policy.Suspicion
 	inFlight  int
-	changed   chan struct{} // closed at each change while somebody waits
+	changed   chan struct{} // closed at the next change; nil while nobody waits
 }
 
-// sent counts an attempt as under way.
+// recordSend counts an attempt as in flight.
 func (g *guard) sent() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight++
 }
 
-// landed counts an attempt out.
+// recordResult removes an ended attempt and updates the suspicion with its result.
 func (g *guard) landed(d *attemptDone) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -43,21 +43,22 @@
 	}
 }
 
-// holds reports whether further sends wait.
+// restricts reports whether sends must be made one at a time.
 func (g *guard) holds() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.suspicion.Guarded()
 }
 
-// ends returns how many leaves ended under the job.
+// leafExits returns how many leaves exited during the job.
 func (g *guard) ends() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.suspicion.Ends
 }
 
-// enter waits until one more send may be made; it is false when none may be any more.
+// waitToSend waits until another send is allowed. It returns false if ctx ends or no further
+// send will be allowed.
 func (g *guard) enter(ctx context.Context) bool {
 	for {
 		g.mu.Lock()
--- a/internal/query/scatter/hedge.go
+++ b/internal/query/scatter/hedge.go
@@ -6,17 +6,17 @@
 	"pearmoor/internal/admit"
 )
 
-// dropRoom is how many thresholds must be left until the deadline for a straggler
-// to be cancelled before another attempt has its place.
+// minDelaysLeft is how many hedge delays must remain until the deadline for a straggler to
+// be cancelled in favour of another attempt.
 const dropRoom = 4
 
-// straggle is called each threshold that passes without a reply. The first time
-// it hedges. When the hedge gets no permit, or straggles as well, the oldest
-// attempt is cancelled and its slot used again.
+// handleStraggler is called after each hedge delay without a reply. The first time it sends
+// a hedge. If the hedge gets no permit or straggles as well, it cancels the oldest attempt
+// and reuses its slot.
 //
-// Two stragglers that hold all slots of a home wait for each other's slot, and
-// everything behind them waits too, for as long as the faster of them takes: one
-// such pair in a service made the tail of every query that touched it.
+// Otherwise two stragglers that occupy all slots of a home would each wait for the other's
+// slot, and all later requests would wait until the faster one ends. One such pair in one
+// service determines the tail latency of every query to it.
 func (s *shardRun) straggle() {
 	if !s.job.Repeatable || s.job.Immediate || s.job.Canary || len(s.flights) == 0 || s.guard.holds() {
 		return
@@ -37,14 +37,14 @@
 	s.startHedge()
 }
 
+// hasTimeLeft reports whether minDelaysLeft hedge delays remain until the deadline.
 func (s *shardRun) hasRoom() bool {
 	at, ok := s.ctx.Deadline()
 	return !ok || time.Until(at) >= dropRoom*s.hedgeDelay()
 }
 
-// startHedge sends the request once more, paid for from the budget: with a free
-// permit here, else with one of another home, else after a wait. The straggler
-// goes on meanwhile.
+// startHedge sends the request once more, charged to the hedge budget: with a free permit
+// here, else with one of another home, else after a wait. The straggler continues meanwhile.
 func (s *shardRun) startHedge() {
 	if a, ok := s.takeFree(s.g.rank(s.buf[:0], s.holders, s.tried, 0)); ok {
 		s.sendHedge(a)
@@ -57,13 +57,12 @@
 	s.waitHedge()
 }
 
-// waitHedge begins to wait for a permit at another replica.
+// queueHedge starts to wait for a permit at another replica.
 //
-// The wait goes before that of first attempts. Were a hedge to take only a permit
-// that nobody waits for, hedges would end just when they are needed: a straggler
-// keeps its slot for long, which makes a queue at the other replica, which keeps
-// the hedge out. The hedge gives back more than it takes, since the straggler is
-// cancelled when it wins.
+// A hedge has precedence over first attempts in the queue. If hedges used only permits that
+// nobody waits for, hedging would stop when it is needed most: a straggler occupies its slot
+// for a long time, so a queue forms at the other replica and keeps the hedge out. A hedge
+// frees more capacity than it uses, because the straggler is cancelled when the hedge wins.
 func (s *shardRun) waitHedge() {
 	ranked := s.g.rank(nil, s.holders, s.tried, 0)
 	if len(ranked) == 0 || s.hedges != nil {
@@ -74,8 +73,8 @@
 	go s.acquireHedge(ranked, s.hedges)
 }
 
-// acquireHedge delivers a permit for a hedge, none if it is refused, or gives it
-// back when the shard has been answered meanwhile.
+// acquireHedge delivers a permit for a hedge, or a reservation without permit if it is
+// refused. It returns the permit if the shard has been answered meanwhile.
 func (s *shardRun) acquireHedge(ranked []choice, to chan<- acquired) {
 	a, err := s.acquireAt(s.ctx, ranked, admit.Ask{Priority: s.job.Priority, Order: s.job.Order, Hedge: true})
 	if err != nil {
@@ -92,7 +91,7 @@
 	}
 }
 
-// hedgeGranted ends the wait of a hedge.
+// handleHedgePermit sends the hedge that waited, if it got a permit.
 func (s *shardRun) hedgeGranted(a acquired) (Shard, bool) {
 	s.hedges = nil
 	if a.permit == nil {
--- a/internal/query/scatter/latency.go
+++ b/internal/query/scatter/latency.go
@@ -14,32 +14,32 @@
 	latencyLowest   = 10 * time.Microsecond
 	latencyHighest  = time.Minute
 	latencyDigits   = 2
-	latencyMinimum  = 16   // samples before a threshold is learned
+	latencyMinimum  = 16   // samples needed for a threshold
 	latencyRefresh  = 64   // samples between two computations of the threshold
-	latencyWindow   = 4096 // samples after which the older half is forgotten
+	latencyWindow   = 4096 // samples after which the older histogram is discarded
 	hedgeFloor      = 500 * time.Microsecond
-	ceilingCoverage = 4 // times the median
-	ceilingTail     = 3
-	spendTail       = 0.75 // part of the hedge budget that a learned threshold uses up
-	spendCoverage   = 0.5
+	ceilingCoverage = 4    // multiple of the median
+	ceilingTail     = 3    // multiple of the median
+	spendTail       = 0.75 // part of the hedge budget that the learned threshold uses
+	spendCoverage   = 0.5  // part of the hedge budget that the learned threshold uses
 )
 
-// Latency learns how long a service's leaves take to reply, over a sliding
-// window of one to two times latencyWindow samples. It is safe for concurrent use.
+// Latency learns the reply times of a service's leaves over a sliding window of one to two
+// times windowSamples samples. It is safe for concurrent use.
 type Latency struct {
 	mu        sync.Mutex
 	cur, prev *hdrhistogram.Histogram
 	since     int
 	share     float64
 	median    atomic.Int64
-	tail      atomic.Int64 // quantile 1 - spendTail*share
-	coverage  atomic.Int64 // quantile 1 - spendCoverage*share
+	tail      atomic.Int64 // quantile 1 - tailBudgetPart*share
+	coverage  atomic.Int64 // quantile 1 - coverageBudgetPart*share
 	samples   atomic.Int64
 }
 
-// NewLatency returns an empty Latency. share is the part of attempts that may be
-// hedged. The learned thresholds are quantiles that spend a part of it: spent to
-// the last, the budget would often be empty when a true straggler comes.
+// NewLatency returns an empty Latency. share is the part of attempts that may be hedged. The
+// learned thresholds are quantiles that use only a part of this budget; if they used all of
+// it, it would often be empty when a real straggler occurs.
 func NewLatency(share float64) *Latency {
 	return &Latency{cur: newHistogram(), prev: newHistogram(), share: share}
 }
@@ -48,14 +48,14 @@
 	return hdrhistogram.New(int64(latencyLowest/time.Microsecond), int64(latencyHighest/time.Microsecond), latencyDigits)
 }
 
-// Observe adds the time one attempt took. An attempt that was cancelled is added
-// with the time it had taken: leaving it out would drop the slowest replies, and
-// the threshold would creep down until everything is hedged.
+// Observe adds the duration of one attempt. A cancelled attempt is added with the time until
+// its cancellation: leaving it out would drop the slowest replies, and the threshold would
+// decrease until everything is hedged.
 func (l *Latency) Observe(d time.Duration) {
 	us := min(max(d, latencyLowest), latencyHighest) / time.Microsecond
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.cur.RecordValue(int64(us)) // in range by the clamp
+	_ = l.cur.RecordValue(int64(us)) // in range after clamping
 	l.samples.Add(1)
 	l.since++
 	if l.since%latencyRefresh == 0 || l.samples.Load() == latencyMinimum {
@@ -68,7 +68,7 @@
 	}
 }
 
-// SetShare changes the hedge budget that the thresholds are computed for.
+// SetShare changes the hedge share that the thresholds are computed for.
 func (l *Latency) SetShare(share float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +87,7 @@
 	l.coverage.Store(h.ValueAtQuantile(100 * (1 - spendCoverage*l.share)))
 }
 
-// Median returns the learned median, 0 while too few samples are known.
+// Median returns the learned median, or 0 while there are too few samples.
 func (l *Latency) Median() time.Duration {
 	if l.samples.Load() < latencyMinimum {
 		return 0
@@ -95,10 +95,10 @@
 	return time.Duration(l.median.Load()) * time.Microsecond
 }
 
-// Threshold returns after how long an attempt counts as a straggler, and false
-// while too few samples are known. The ceiling keeps hedging at work when more
-// attempts straggle than the budget covers: the quantile alone would then lie
-// among the stragglers.
+// Threshold returns the time after which an attempt counts as a straggler, or false while
+// there are too few samples. The ceiling, a multiple of the median, keeps hedging effective
+// when more attempts straggle than the budget covers, because the quantile alone would then
+// be the reply time of a straggler.
 func (l *Latency) Threshold(goal settings.Goal) (time.Duration, bool) {
 	median := l.Median()
 	if median == 0 {
--- a/internal/query/scatter/meters.go
+++ b/internal/query/scatter/meters.go
@@ -2,7 +2,7 @@
 
 import "github.com/rcrowley/go-metrics"
 
-// meters are the package's metrics, one set per registry.
+// meters holds the metrics of the package for one registry.
 type meters struct {
 	attempts   metrics.Counter
 	hedges     metrics.Counter
--- a/internal/query/scatter/property_test.go
+++ b/internal/query/scatter/property_test.go
@@ -11,13 +11,14 @@
 	"pearmoor/internal/settings"
 )
 
-// scenario is a drawn schedule: who holds what, and what every attempt meets.
+// scenario is a random schedule: the leaves, the shards that they hold and what each attempt
+// does.
 type scenario struct {
 	names    []string
 	job      *Job
 	timeout  time.Duration
 	queries  int
-	behavior []behavior // taken in turn, attempt by attempt
+	behavior []behavior // used in turn, one per attempt
 }
 
 func drawScenario(t *rapid.T) *scenario {
@@ -48,9 +49,9 @@
 	return s
 }
 
-// Whatever the leaves do, the caller sees every shard exactly once: either with
-// the hits of its own request, shard and version, or missing with a verdict that
-// the leaves' own count of runs bears out. No leaf sees more than its slots.
+// Whatever the leaves do, each shard has exactly one result: either the hits of its own
+// request, shard and version, or a verdict that agrees with the leaves' own count of runs.
+// No leaf receives more concurrent attempts than it has slots.
 func TestAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
@@ -101,7 +102,7 @@
 		case sh.Answered && sh.Verdict != contract.Ran:
 			return errors.Newf("shard %d answered with verdict %v", i, sh.Verdict)
 		case sh.Verdict == contract.NotRun && runs > 0:
-			return errors.Newf("shard %d ran %d times and is said not to have", i, runs)
+			return errors.Newf("shard %d ran %d times and has the verdict that it did not run", i, runs)
 		case !s.job.Repeatable && runs > 1:
 			return errors.Newf("shard %d of a request that is not repeatable ran %d times", i, runs)
 		case !sh.Answered && sh.Reason == "":
--- a/internal/query/scatter/replica.go
+++ b/internal/query/scatter/replica.go
@@ -8,11 +8,11 @@
 	"pearmoor/internal/settings"
 )
 
-// detourFactor bounds what a free replica may cost, as a multiple of the best
-// one's expected wait and reply: a slow replica is free because it is slow.
+// maxCostRatio bounds the cost of a free replica as a multiple of the cheapest one's
+// expected wait and reply time. A slow replica is often free because it is slow.
 const detourFactor = 2
 
-// choice is one replica with what an attempt there is expected to cost.
+// candidate is a replica with the load expected for an attempt there.
 type choice struct {
 	leaf  settings.Leaf
 	index int
@@ -21,8 +21,8 @@
 
 func (c *choice) cost() time.Duration { return c.load.Wait + c.load.Service }
 
-// rank orders the replicas not in tried: those this daemon has a share of first,
-// then by expected cost. Equal ones take turns.
+// rank appends the replicas that are not in tried to buf and sorts them: those that this
+// daemon has slots at first, then by expected cost. offset rotates replicas of equal cost.
 func (g *Group) rank(buf []choice, holders []settings.Leaf, tried uint64, turn int) []choice {
 	for i := range holders {
 		at := (i + turn) % len(holders)
@@ -35,6 +35,7 @@
 	return buf
 }
 
+// compareCandidates orders candidates as described at rank.
 func compareChoices(a, b choice) int {
 	if shareA, shareB := a.load.Slots > 0, b.load.Slots > 0; shareA != shareB {
 		if shareA {
--- a/internal/query/scatter/scatter_test.go
+++ b/internal/query/scatter/scatter_test.go
@@ -10,13 +10,13 @@
 	"pearmoor/internal/settings"
 )
 
-// The caller sees a whole answer. Each shard's first replica answers for another
-// version, or for another request; the reply is thrown away, counted, and the
-// other replica asked: taking it would mix versions, or show someone else's mail.
+// A replica that answers for another version or another request must not contribute hits:
+// they would mix versions or disclose another caller's data. The reply is discarded and the
+// other replica is tried.
 func TestWrongReplyIsRetriedElsewhere(t *testing.T) {
 	for _, wrong := range []act{wrongVersion, otherRequest} {
 		inBubble(t, func() {
-			Convey("Given a replica that answers wrongly", t, func() {
+			Convey("Given a replica that sends wrong replies", t, func() {
 				r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
 					if leaf == "a" {
 						return behavior{act: wrong, delay: time.Millisecond}
@@ -34,10 +34,10 @@
 	}
 }
 
-// Every replica that runs the query crashes: retries must not take the other ones too.
+// Every replica that runs the query crashes. Retries must not crash the other replicas too.
 func TestLeavesThatEndAreNotMadeUpForWithoutAnAnswer(t *testing.T) {
 	inBubble(t, func() {
-		Convey("Given a query that ends each leaf", t, func() {
+		Convey("Given a query that crashes each leaf", t, func() {
 			r := newRig(func(string, *contract.LeafRequest) behavior {
 				return behavior{act: ends, delay: time.Millisecond}
 			}, []string{"a", "b", "c", "d", "e", "f", "g", "h"})
@@ -53,10 +53,11 @@
 	})
 }
 
-// A replica crashes before any shard has answered: its shard must not be missing for that.
+// A replica crashes before any shard has answered. Its shard must still be answered by the
+// other replica.
 func TestLeafThatEndsIsMadeUpForOnceAnotherAnswers(t *testing.T) {
 	inBubble(t, func() {
-		Convey("Given one leaf that ends, and others that answer later", t, func() {
+		Convey("Given one leaf that exits, and others that answer later", t, func() {
 			r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
 				if leaf == "a" {
 					return behavior{act: ends, delay: time.Millisecond}
@@ -72,9 +73,9 @@
 	})
 }
 
-// The caller of a request that is not repeatable sees may_have_run. The replica
-// runs it and loses the connection before the reply; another replica is free,
-// but asking it would run the request twice.
+// A replica runs a request that is not repeatable and loses the connection before the reply.
+// Trying the free other replica would run the request twice, so the verdict must be
+// may_have_run.
 func TestNotRepeatableIsNotResentInDoubt(t *testing.T) {
 	for _, a := range []act{reset, hang, wrongVersion, otherRequest} {
 		inBubble(t, func() {
@@ -94,9 +95,8 @@
 	}
 }
 
-// The caller sees an answer although the request is not repeatable: the first
-// replica refused it before running, or was never reached, so that sending it to
-// the other one runs it once.
+// The first replica refused a request that is not repeatable before running it, or was never
+// reached. Sending it to the other replica runs it once, so the shard must be answered.
 func TestNotRepeatableMovesOnAfterProvenRefusal(t *testing.T) {
 	for _, a := range []act{refuse, conflict, unreachable} {
 		inBubble(t, func() {
@@ -122,8 +122,8 @@
 	}
 }
 
-// The caller is told not_run at once, not near its deadline, when every replica
-// of every shard has refused and the goal is the tail: nothing more will be tried.
+// When every replica of every shard has refused and the goal is the tail, nothing more will
+// be tried. The verdict not_run must be returned at once, not near the deadline.
 func TestRefusalByAllIsToldAtOnce(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given replicas that all refuse", t, func() {
@@ -145,9 +145,8 @@
 	})
 }
 
-// The caller sees an ordinary reply time while one replica hangs. The straggler
-// is hedged to the other replica after the threshold; without it the caller would
-// wait for the deadline and get a hole instead of the shard.
+// One replica hangs. The straggler must be hedged to the other replica after the threshold;
+// otherwise the caller would wait for the deadline and miss the shard.
 func TestStragglerIsHedged(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given a replica that hangs", t, func() {
@@ -159,7 +158,7 @@
 			}, []string{"a", "b"})
 			job := testJob(1, leavesOf("a", "b"))
 			job.HedgeAfter = 10 * time.Millisecond
-			for range 2 { // one of two takes the hanging replica first
+			for range 2 { // one of two queries uses the hanging replica first
 				began := time.Now()
 				res := r.run(job, time.Second)
 				So(res.Answered(), ShouldEqual, 1)
@@ -170,8 +169,9 @@
 	})
 }
 
-// The caller sees coverage 3 of 4 and early set, well before the deadline, because
-// tree and caller both allow it; the shard left out says so and may have run.
+// The replicas of one of four shards hang, and an early answer is allowed. The answer must
+// have coverage 3 of 4 and the early flag well before the deadline, and the missing shard
+// must have the reason early and the verdict may_have_run.
 func TestEarlyAnswerSaysWhatItLeftOut(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given one shard whose replicas hang", t, func() {
@@ -195,12 +195,12 @@
 	})
 }
 
-// The caller sees every shard although both slots of one replica are taken by
-// requests that hang: what waits in its queue moves to the other replica as soon
-// as that is free, and counts as no extra attempt since nothing was sent.
+// Both slots of one replica are occupied by requests that hang. Attempts in its queue must
+// move to the other replica as soon as that is free. They do not count as extra attempts,
+// because nothing was sent.
 func TestQueuedAttemptMovesToFreeReplica(t *testing.T) {
 	inBubble(t, func() {
-		Convey("Given a replica whose slots are stuck", t, func() {
+		Convey("Given a replica whose slots are all occupied", t, func() {
 			r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
 				return behavior{delay: 3 * time.Millisecond}
 			}, []string{"a", "b"})
--- a/internal/query/scatter/shard.go
+++ b/internal/query/scatter/shard.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	shortestRound = 5 * time.Millisecond // between two rounds over the same replicas
+	shortestRound = 5 * time.Millisecond // minimum pause between two rounds over the same replicas
 	longestPause  = time.Minute
 )
 
-// shardRun drives the attempts of one shard; only its own goroutine uses it.
+// shardRun drives the attempts of one shard. Only its own goroutine uses it.
 type shardRun struct {
 	*run
 	shard   uint32
 	holders []settings.Leaf
 	ctx     context.Context
-	cancel  context.CancelFunc // of all attempts
+	cancel  context.CancelFunc // cancels all attempts
 	results chan attemptDone
-	hedges  chan acquired // nil while no hedge waits for a permit
-	flights []flight      // in the order they were sent
-	sent    int           // attempts of this home
-	asked   int           // attempts that another home was asked for
-	tried   uint64        // bit by index in holders
-	verdict contract.Verdict
-	last    contract.Error // of the attempt that failed last
-	buf     [4]choice
+	hedges  chan acquired    // delivers the permit of a hedge; nil while none waits
+	flights []flight         // in the order in which they were sent
+	sent    int              // attempts of this home
+	asked   int              // attempts that another home was asked for
+	tried   uint64           // bit set by index in replicas
+	verdict contract.Verdict // joined over all ended attempts
+	last    contract.Error   // of the last failed attempt
+	buf     [4]choice        // avoids an allocation in rank
 }
 
 func newShardRun(r *run, shard uint32) *shardRun {
@@ -49,10 +49,10 @@
 	return s
 }
 
-// maxAttempts bounds the attempts of one shard, whatever the budgets allow.
+// maxAttempts bounds the attempts at one shard, whatever the budgets allow.
 func (s *shardRun) maxAttempts() int { return 2 * len(s.holders) }
 
-// do runs the shard to its outcome. Attempts still in flight are cancelled.
+// execute runs the shard until it has a result. Attempts still in flight are cancelled.
 func (s *shardRun) do() Shard {
 	defer s.cancel()
 	if len(s.holders) == 0 {
@@ -66,7 +66,7 @@
 	return s.wait()
 }
 
-// wait collects attempts until one succeeds or nothing more may be sent.
+// wait handles results until one succeeds or nothing more may be sent.
 func (s *shardRun) wait() Shard {
 	timer := time.NewTimer(s.hedgeDelay())
 	defer timer.Stop()
@@ -91,7 +91,7 @@
 	}
 }
 
-// take handles the end of one attempt and reports whether it ends the shard.
+// handleResult handles the end of one attempt and reports whether the shard is finished.
 func (s *shardRun) take(d attemptDone) (Shard, bool) {
 	s.landed(d.id)
 	s.guard.landed(&d)
@@ -105,8 +105,8 @@
 	return s.goOn()
 }
 
-// goOn retries when nothing is under way any more, and ends the shard when that
-// can't be.
+// retryOrFinish retries if no attempt is in flight and no hedge waits, and finishes the
+// shard if no retry is possible.
 func (s *shardRun) goOn() (Shard, bool) {
 	if len(s.flights) > 0 || s.hedges != nil {
 		return Shard{}, false
@@ -117,8 +117,8 @@
 	return Shard{}, false
 }
 
-// expired ends the shard at its deadline. The attempts end at once as well; their
-// results tell whether they had been sent, and one may just have been a reply.
+// finishExpired finishes the shard at its deadline. The attempts in flight end at once as
+// well. Their results show whether they had been sent, and one may still be a success.
 func (s *shardRun) expired() Shard {
 	for len(s.flights) > 0 {
 		d := <-s.results
@@ -145,8 +145,8 @@
 	s.noteRetryAfter(d.err.RetryAfter)
 }
 
-// missing returns the outcome of a shard that did not answer. An attempt whose
-// result is not known yet may have run.
+// missing returns the result of a shard that was not answered. An attempt still in flight
+// may have run.
 func (s *shardRun) missing(reason contract.Reason) Shard {
 	v := s.verdict
 	if len(s.flights) > 0 {
@@ -155,8 +155,8 @@
 	return Shard{Reason: reason, Verdict: v}
 }
 
-// start sends the first attempt, or the next after all have failed: with a free
-// permit here, else with one of another home, else after a wait in the queue.
+// start sends the first attempt, or a further one after all have failed: with a free permit
+// here, else with one of another home, else after a wait in the queue.
 func (s *shardRun) start() *contract.Error {
 	ranked := s.g.rank(s.buf[:0], s.holders, s.tried, int(s.g.turn.Add(1)))
 	if len(ranked) == 0 {
@@ -175,9 +175,9 @@
 	return s.queue(ranked)
 }
 
-// queue waits for a permit and sends. Where another home may have a free one, it
-// is asked again each threshold: the queue here may stand still behind stragglers.
-// Queues go by deadline, so that leaving one costs no place.
+// queueAndSend waits for a permit and sends. The queues here may be blocked by stragglers,
+// so another home is asked again after each hedge delay. Queues are ordered by deadline, so
+// leaving one and joining it again loses no position.
 func (s *shardRun) queue(ranked []choice) *contract.Error {
 	ask := admit.Ask{Priority: s.job.Priority, Order: s.job.Order}
 	for {
@@ -198,8 +198,9 @@
 	}
 }
 
-// queueContext ends after a threshold when there is another home to ask. It has
-// the shard's deadline, by which the queues judge whether the wait fits.
+// queueContext returns a context that ends after a hedge delay if there is another home to
+// ask. It keeps the shard's deadline, from which the queues decide whether the expected wait
+// is acceptable.
 func (s *shardRun) queueContext() (context.Context, context.CancelFunc) {
 	if s.job.Lender == nil {
 		return s.ctx, func() {}
@@ -212,8 +213,8 @@
 	}
 }
 
-// retry sends again after all attempts have failed, if the verdict, the budget
-// and the time left allow it. It returns why not.
+// retry sends again after all attempts have failed, if the verdict, the budget and the
+// remaining time allow it. Otherwise it returns the reason.
 func (s *shardRun) retry() (contract.Reason, bool) {
 	if s.ctx.Err() != nil {
 		return contract.ReasonDeadline, false
@@ -239,19 +240,21 @@
 	return "", true
 }
 
-// costless reports whether the failed attempt cost a target nothing worth
-// bounding: it never left, or the target does not hold the shard. The budget
-// stands for the load of extra attempts; were these charged, the loss of one
-// replica would use it up and shards that the other replica holds would be
-// missing. Each replica is tried once this way, which bounds it.
+// exemptFromBudget reports whether the retry after a failed attempt is not charged to the
+// budget: the attempt was not sent, or the target does not hold the shard. The budget limits
+// the load of extra attempts, and such an attempt causes almost none. If it were charged,
+// the loss of one replica could use up the budget, and shards that the other replica holds
+// would be missing. Only the first attempt at each replica is exempt, which bounds the
+// number.
 func costless(e *contract.Error) bool {
 	return e.Verdict == contract.NotRun && e.Reason != contract.ReasonRefused
 }
 
+// hasUntried reports whether a replica has not been tried in this round.
 func (s *shardRun) untried() bool { return s.tried != uint64(1)<<len(s.holders)-1 }
 
-// anotherRound reports whether a replica is left to try. When each has been
-// tried, a query whose goal is coverage starts over once a pause has passed.
+// nextRound reports whether a replica is left to try. If all have been tried and the goal is
+// coverage, it waits for a pause and makes all of them available again.
 func (s *shardRun) anotherRound() bool {
 	if s.untried() {
 		return true
@@ -274,7 +277,7 @@
 	return true
 }
 
-// shortestPause returns how long until the first replica is expected to be free.
+// roundPause returns the time until the first replica is expected to be free.
 func (s *shardRun) shortestPause() time.Duration {
 	shortest := longestPause
 	for _, h := range s.holders {
--- a/internal/query/scatter/straggler_test.go
+++ b/internal/query/scatter/straggler_test.go
@@ -15,8 +15,8 @@
 	"pearmoor/internal/settings"
 )
 
-// The desk that the straggler table is drawn for: 40 shards in 20 services of two
-// leaves with two slots each, every leaf holding both shards of its service.
+// The simulated tier has 40 shards in 20 services. Each service has two leaves with two
+// slots, and each leaf holds both shards of its service.
 const (
 	deskServices = 20
 	deskShards   = 2
@@ -28,12 +28,12 @@
 	capacityPart = 0.6
 )
 
-// desk plays one policy against fake leaves in virtual time.
+// simulation runs one policy with fake leaves in virtual time.
 type desk struct {
 	homes   int
-	slow    float64
+	slow    float64 // share of stragglers
 	hedges  float64 // hedge budget
-	naive   bool    // any replica at random, no limit of its own, no hedge
+	naive   bool    // random replica, unlimited queueing, no hedges
 	mu      sync.Mutex
 	rng     *rand.Rand
 	latency *hdrhistogram.Histogram
@@ -79,8 +79,8 @@
 	return groups
 }
 
-// draw returns how long the next attempt takes: uniform around serviceTime, and
-// slowFactor times that for the stragglers.
+// drawServiceTime returns the duration of the next attempt: uniform around serviceTime, and
+// slowFactor times as long for stragglers.
 func (d *desk) draw() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -91,7 +91,7 @@
 	return t
 }
 
-// Send runs one attempt; a cancelled one ends at the leaf at once.
+// Send runs one attempt. A cancelled attempt ends at the leaf at once.
 func (d *desk) Send(ctx context.Context, leaf settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) (*contract.LeafReply, error) {
 	timer := time.NewTimer(d.draw())
 	defer timer.Stop()
@@ -105,7 +105,7 @@
 	}
 }
 
-// ask sends one service's part and returns when it is whole.
+// queryService queries the shards of one service and waits for all of them.
 func (d *desk) ask(ctx context.Context, service int) {
 	if d.naive {
 		d.askNaive(service)
@@ -129,7 +129,7 @@
 	d.holes += deskShards - r.Answered()
 }
 
-// lender is another home, half a millisecond away.
+// lender is another home with a one-way network delay of half a millisecond.
 type lender struct{ g *Group }
 
 const oneWay = 500 * time.Microsecond
@@ -161,10 +161,10 @@
 	wg.Wait()
 }
 
-// play offers queries at capacityPart of the slots' capacity, on schedule, and
-// returns the latency quantiles of whole queries.
+// run starts queries at loadFactor of the slots' capacity, independent of their completion,
+// and returns quantiles of the latency of whole queries.
 func (d *desk) play() (p50, p99 time.Duration) {
-	perQuery := time.Duration(deskShards) * serviceTime / (2 * deskSlots) // at capacity
+	perQuery := time.Duration(deskShards) * serviceTime / (2 * deskSlots) // at full capacity
 	gap := time.Duration(float64(perQuery) / capacityPart)
 	var wg sync.WaitGroup
 	for i := range deskQueries {
@@ -182,7 +182,7 @@
 	return at(50), at(99)
 }
 
-// reset forgets what was measured while the thresholds were being learned.
+// resetStats discards the results from the time in which the thresholds were learned.
 func (d *desk) reset() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -204,9 +204,9 @@
 	_ = d.latency.RecordValue(time.Since(began).Microseconds())
 }
 
-// Callers see at most half the tail of a naive fan-out when one attempt in a
-// hundred is 20 times slow, for at most 3% more attempts. Time is virtual, so the
-// figures are of the policy alone. -v prints the table.
+// When one attempt in a hundred is 20 times slower, hedging must at least halve the tail
+// latency of a naive fan-out, with at most 3% extra attempts. Time is virtual, so the
+// results depend on the policy only. -v prints the table.
 func TestStragglersCostHalfTheTailAtMost(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays some hundred thousand attempts")
