--- a/internal/policy/budget_test.go
+++ b/internal/policy/budget_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-type at struct {
+type budgetEvent struct {
 	when  vm.Instant
 	extra bool
 }
@@ -31,19 +31,19 @@
 // when daemons are killed, lose their records and restart. While some are down, the others
 // see fewer daemons to share with; they must not receive what the lost daemons have already
 // spent.
-func TestBudgetOfAllDaemons(t *testing.T) {
-	terms := BudgetTerms{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
+func TestExtraSendsOfAllDaemonsStayWithinLimits(t *testing.T) {
+	limits := BudgetTerms{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "daemons")
 		now := vm.Instant(1)
 		clock := func() vm.Instant { return now }
 		daemons := make([]*Budgets, n)
 		alive := n
-		start := func(i int) { daemons[i] = NewBudgets(terms, clock, func() int { return alive }) }
+		start := func(i int) { daemons[i] = NewBudgets(limits, clock, func() int { return alive }) }
 		for i := range daemons {
 			start(i)
 		}
-		var log []at
+		var events []budgetEvent
 		for range rapid.IntRange(100, 1500).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, n-1).Draw(t, "daemon")
@@ -59,46 +59,46 @@
 			case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10:
 				if daemons[i] != nil {
 					daemons[i].Request("s")
-					log = append(log, at{now, false})
+					events = append(events, budgetEvent{now, false})
 				}
 			default:
 				if daemons[i] != nil && daemons[i].Spend("s", rapid.Bool().Draw(t, "hedge")) {
-					log = append(log, at{now, true})
+					events = append(events, budgetEvent{now, true})
 				}
 			}
 		}
-		checkTerms(t, terms, log)
+		checkLimits(t, limits, events)
 	})
 }
 
 // checkLimits checks each window that ends at an extra send against the limits. The number
 // of requests is the largest of three windows: the one that ends at the send, the one half a
 // window earlier and the one a whole window earlier.
-func checkTerms(t *rapid.T, terms BudgetTerms, log []at) {
+func checkLimits(t *rapid.T, limits BudgetTerms, events []budgetEvent) {
 	count := func(from, to vm.Instant, extra bool) float64 {
 		n := 0.0
-		for _, a := range log {
+		for _, a := range events {
 			if a.when > from && a.when <= to && a.extra == extra {
 				n++
 			}
 		}
 		return n
 	}
-	for _, a := range log {
+	for _, a := range events {
 		if !a.extra {
 			continue
 		}
-		from := a.when.Add(-terms.Window)
-		half := terms.Window / 2
-		requests := max(count(from, a.when, false), count(from.Add(-half), a.when.Add(-half), false), count(from.Add(-terms.Window), from, false))
-		if got, most := count(from, a.when, true), terms.Ratio*requests+terms.Burst; got > most {
+		from := a.when.Add(-limits.Window)
+		half := limits.Window / 2
+		requests := max(count(from, a.when, false), count(from.Add(-half), a.when.Add(-half), false), count(from.Add(-limits.Window), from, false))
+		if got, most := count(from, a.when, true), limits.Ratio*requests+limits.Burst; got > most {
 			t.Fatalf("%v extra sends in the window that ends at %v, %v are allowed for %v requests", got, a.when, most, requests)
 		}
 	}
 }
 
 // Hedges must leave a part of the allowance to retries of requests whose leaf has failed.
-func TestHedgesLeaveRoomForRetries(t *testing.T) {
+func TestHedgesLeaveAllowanceForRetries(t *testing.T) {
 	now := vm.Instant(1)
 	b := NewBudgets(BudgetTerms{Ratio: 0.2, Burst: 0, Window: 10 * time.Second}, func() vm.Instant { return now }, func() int { return 1 })
 	for range 1000 {
@@ -120,14 +120,14 @@
 // seven daemons to share the burst with. Within the same window the others must not receive
 // what the lost daemons have spent: an overloaded service would get more extra sends than
 // the limits allow.
-func TestLostDaemonsShareIsNotSpentTwice(t *testing.T) {
-	terms := BudgetTerms{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
+func TestSpentShareOfLostDaemonsIsNotReassigned(t *testing.T) {
+	limits := BudgetTerms{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
 	now, alive := vm.Instant(1), 11
 	var daemons []*Budgets
 	for range alive {
-		daemons = append(daemons, NewBudgets(terms, func() vm.Instant { return now }, func() int { return alive }))
+		daemons = append(daemons, NewBudgets(limits, func() vm.Instant { return now }, func() int { return alive }))
 	}
-	now = now.Add(2 * terms.Window)
+	now = now.Add(2 * limits.Window)
 	requests, extra := 0, 0
 	for _, d := range daemons {
 		for range 60 {
@@ -135,18 +135,18 @@
 			requests++
 		}
 	}
-	spend := func(ds []*Budgets) {
+	spendAll := func(ds []*Budgets) {
 		for _, d := range ds {
 			for d.Spend("s", false) {
 				extra++
 			}
 		}
 	}
-	spend(daemons)
+	spendAll(daemons)
 	now = now.Add(2 * time.Second)
 	alive = 7
-	spend(daemons[:7])
-	if most := terms.Ratio*float64(requests) + terms.Burst; float64(extra) > most*0.9 {
+	spendAll(daemons[:7])
+	if most := limits.Ratio*float64(requests) + limits.Burst; float64(extra) > most*0.9 {
 		t.Errorf("%d extra sends for %d requests, of %v that are allowed", extra, requests, most)
 	}
 }
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -3,12 +3,12 @@
 const (
 	// connectionShare is the part of a leaf's connections that is divided among the daemons.
 	// The rest is reserved for daemons that have just joined.
-	connectionUse = 0.9
+	connectionShare = 0.9
 	// minConnections is the minimum for each daemon, whatever its share: with only one
 	// connection, a request behind a straggler could not be sent at all.
-	leastConnections = 2
+	minConnections = 2
 	// defaultConnections is the limit for a leaf that does not state one.
-	unstatedConnections = 8
+	defaultConnections = 8
 )
 
 // ConnectionsPerDaemon returns how many connections each daemon may open to a leaf that
@@ -20,9 +20,9 @@
 // fewer requests in time than two for each (mean score 0.758 against 0.762 over three days
 // with slow shards): further sends to a shard whose nearby leaf is slow go to the other
 // domain.
-func Connections(most, daemons int) int {
-	if most <= 0 {
-		return unstatedConnections
+func Connections(limit, daemons int) int {
+	if limit <= 0 {
+		return defaultConnections
 	}
-	return max(leastConnections, int(connectionUse*float64(most)/float64(known(daemons))))
+	return max(minConnections, int(connectionShare*float64(limit)/float64(daemonsOrDefault(daemons))))
 }
--- a/internal/policy/eligible_test.go
+++ b/internal/policy/eligible_test.go
@@ -11,7 +11,7 @@
 	"pearmoor/internal/vm"
 )
 
-func daemons(n int, domain string, millicores uint32) []*vm.Member {
+func membersOf(n int, domain string, millicores uint32) []*vm.Member {
 	var out []*vm.Member
 	for i := range n {
 		out = append(out, &vm.Member{Identity: vm.Identity{Name: fmt.Sprintf("%s-%d-%d", domain, millicores, i), Domain: domain, Millicores: millicores}})
@@ -22,9 +22,9 @@
 // A gather over 90 shards takes 70 ms on a fifth of a core, longer than the callers wait.
 // Callers must be directed to the few larger VMs, unless so few of these are left that the
 // loss of one would direct all callers to the next.
-func TestCallersGoToVMsFitForTheWidestGather(t *testing.T) {
+func TestEligibleVMsHaveCPUForWidestGather(t *testing.T) {
 	Convey("Given six larger VMs among twenty small ones", t, func() {
-		all := append(daemons(6, "hall-1", 512), daemons(20, "hall-1", 192)...)
+		all := append(membersOf(6, "hall-1", 512), membersOf(20, "hall-1", 192)...)
 		need := Millicores(90, 60*time.Millisecond)
 		So(need, ShouldEqual, 450)
 
@@ -45,14 +45,14 @@
 
 // Guards against address lists whose daemons can all be lost together, and against lists
 // whose other daemons change whenever one member is lost.
-func TestFewFitVMsAreNamedWithOthers(t *testing.T) {
+func TestEligibleAddsOthersWhenSufficientCPUIsScarce(t *testing.T) {
 	need := Millicores(87, 60*time.Millisecond)
 	for _, c := range []struct{ domains, fitEach, othersEach int }{{5, 1, 39}, {3, 2, 27}, {5, 1, 12}} {
 		var all []*vm.Member
 		for d := range c.domains {
 			domain := fmt.Sprintf("hall-%d", d)
-			all = append(all, daemons(c.fitEach, domain, 512)...)
-			all = append(all, daemons(c.othersEach, domain, 192)...)
+			all = append(all, membersOf(c.fitEach, domain, 512)...)
+			all = append(all, membersOf(c.othersEach, domain, 192)...)
 		}
 		got := Eligible(all, need)
 		fit := c.domains * c.fitEach
@@ -64,7 +64,7 @@
 			inDomain[m.Domain]++
 		}
 		for domain, n := range inDomain {
-			if n != (1+othersPerFit)*c.fitEach {
+			if n != (1+extraPerSufficient)*c.fitEach {
 				t.Errorf("%+v: %d members in %s", c, n, domain)
 			}
 		}
--- a/internal/policy/lost.go
+++ b/internal/policy/lost.go
@@ -8,19 +8,19 @@
 // LostDaemons returns the daemons of unanswered that are lost: those that answer none of the
 // reporting peers. Without any report none counts as lost, since this daemon itself may be
 // the one that is cut off.
-func Lost(unanswered []string, witnesses []Witness) []string {
-	if len(witnesses) == 0 {
+func Lost(unanswered []string, reports []Witness) []string {
+	if len(reports) == 0 {
 		return nil
 	}
-	missed := make(map[string]int)
-	for _, w := range witnesses {
+	unreachableFor := make(map[string]int)
+	for _, w := range reports {
 		for _, addr := range w.Unanswered {
-			missed[addr]++
+			unreachableFor[addr]++
 		}
 	}
 	var lost []string
 	for _, addr := range unanswered {
-		if missed[addr] == len(witnesses) {
+		if unreachableFor[addr] == len(reports) {
 			lost = append(lost, addr)
 		}
 	}
--- a/internal/policy/lost_test.go
+++ b/internal/policy/lost_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against a daemon that is cut off from the network and considers all others lost.
-func TestLostOnlyWhereNoWitnessReachesIt(t *testing.T) {
+func TestLostDaemonsAnswerNoPeer(t *testing.T) {
 	Convey("A daemon that does not answer", t, func() {
 		unanswered := []string{"a", "b"}
 		Convey("is not lost without a report of a peer", func() {
--- a/internal/policy/pace.go
+++ b/internal/policy/pace.go
@@ -11,8 +11,8 @@
 // within some tens of replies.
 const (
 	stepShare   = 0.04 // part of the estimate by which one reply moves it
-	fewSamples  = 24   // replies before the threshold is used
-	shortestEst = 300 * time.Microsecond
+	minSamples  = 24   // replies before the threshold is used
+	minEstimate = 300 * time.Microsecond
 )
 
 // LatencyEstimator estimates the median and the late threshold of the reply times of one
@@ -21,42 +21,42 @@
 	mu      sync.Mutex
 	samples int
 	median  float64 // in nanoseconds
-	high    float64 // lateQuantile of the reply times, in nanoseconds
+	late    float64 // lateQuantile of the reply times, in nanoseconds
 }
 
 const (
 	// lateQuantile is the quantile above which a reply counts as late.
-	highQuantile = 0.9
+	lateQuantile = 0.9
 	// outlierFactor is the multiple of the median above which a reply does not change the
 	// late estimate, because its leaf is paused or slow. When all leaves of a sixth of the
 	// shards take ten times as long, the quantile over all replies would be that of the slow
 	// leaves. Hedges to the other shards, which the answer then depends on, would be sent
 	// too late.
-	trimAt = 4
+	outlierFactor = 4
 )
 
 // Observe adds a reply time.
 func (p *Pace) Observe(d time.Duration) {
-	x := float64(max(d, shortestEst))
+	x := float64(max(d, minEstimate))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.samples++
 	if p.samples == 1 {
-		p.median, p.high = x, 2*x
+		p.median, p.late = x, 2*x
 		return
 	}
 	share := stepShare
-	if p.samples < fewSamples {
+	if p.samples < minSamples {
 		share = 4 * stepShare
 	}
-	p.median = stepTo(p.median, x, 0.5, share)
-	if x <= trimAt*p.median {
-		p.high = max(stepTo(p.high, x, highQuantile, share), p.median)
+	p.median = adjustQuantile(p.median, x, 0.5, share)
+	if x <= outlierFactor*p.median {
+		p.late = max(adjustQuantile(p.late, x, lateQuantile, share), p.median)
 	}
 }
 
 // adjustQuantile moves the estimate of a quantile by one sample x.
-func stepTo(est, x, quantile, share float64) float64 {
+func adjustQuantile(est, x, quantile, share float64) float64 {
 	if x > est {
 		return est * (1 + share*quantile)
 	}
@@ -67,7 +67,7 @@
 func (p *Pace) Usual() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.samples < fewSamples/2 {
+	if p.samples < minSamples/2 {
 		return 0
 	}
 	return time.Duration(p.median)
@@ -78,5 +78,5 @@
 func (p *Pace) Late() (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Duration(p.high), p.samples >= fewSamples
+	return time.Duration(p.late), p.samples >= minSamples
 }
--- a/internal/policy/progress.go
+++ b/internal/policy/progress.go
@@ -5,8 +5,8 @@
 const (
 	// At most one in hedgeDivisor of the shards of a gather is hedged at a time, or
 	// minHedges for a small gather.
-	hedgeMost = 4
-	hedgeFew  = 2
+	hedgeDivisor = 4
+	minHedges    = 2
 	// HedgeRecheckInterval is the time until hedges are reconsidered after they were
 	// suppressed because too many shards were late.
 	HedgeAgain = 4 * time.Millisecond
@@ -15,12 +15,12 @@
 	MostSends = 8
 	// minRoundPause and maxRoundPause bound the pause after all leaves of a service were
 	// tried.
-	pauseAfterRound = 25 * time.Millisecond
-	pauseLongest    = 200 * time.Millisecond
+	minRoundPause = 25 * time.Millisecond
+	maxRoundPause = 200 * time.Millisecond
 
 	// defaultRetryAfter and maxRetryAfter set the Retry-After of a request that did not run.
-	comeBackFirst = 60 * time.Millisecond
-	comeBackMost  = time.Second
+	defaultRetryAfter = 60 * time.Millisecond
+	maxRetryAfter     = time.Second
 )
 
 // Progress is the state of a request. A request that is not a gather counts as one shard.
@@ -57,21 +57,21 @@
 // Before PartialAfter, answering without some of the parts has no advantage. After it, an
 // answer with enough parts is sent at once, because waiting for the rest would exceed the
 // target latency.
-func (p Progress) Decide(t Times) Step {
-	missable := p.Shards - p.Need
-	due := p.Passed >= t.AnswerBy
+func (p Progress) Decide(schedule Times) Step {
+	mayMiss := p.Shards - p.Need
+	partialAllowed := p.Passed >= schedule.AnswerBy
 	switch {
 	case p.Open+p.Stuck == 0:
 		return AnswerNow
-	case p.Have >= p.Need && (due || p.Open == 0 && p.Gone+p.Ended == p.Stuck):
+	case p.Have >= p.Need && (partialAllowed || p.Open == 0 && p.Gone+p.Ended == p.Stuck):
 		return AnswerNow
-	case p.Passed >= t.End:
+	case p.Passed >= schedule.End:
 		return GiveUpLate
-	case p.Ended > missable:
+	case p.Ended > mayMiss:
 		return GiveUpFailed
-	case p.Open == 0 && p.Unlisted > missable:
+	case p.Open == 0 && p.Unlisted > mayMiss:
 		return GiveUpNoLeaf
-	case p.Open == 0 && p.Have == 0 && p.Unsent && p.Passed > t.Patience:
+	case p.Open == 0 && p.Have == 0 && p.Unsent && p.Passed > schedule.Patience:
 		return GiveUpUnsent
 	}
 	return GoOn
@@ -79,19 +79,19 @@
 
 // SuppressHedges reports whether so many shards are late that the cause is probably this
 // daemon or all of the leaves. Hedging them all would slow down both further.
-func HoldHedges(late, shards int) bool { return late > hedgeFew && late > shards/hedgeMost }
+func HoldHedges(late, shards int) bool { return late > minHedges && late > shards/hedgeDivisor }
 
 // RoundPause returns the pause before the leaves of a service are tried again after all of
 // them were tried. It doubles from one round to the next; previous is the last pause.
-func RoundPause(before time.Duration) time.Duration {
-	return min(max(2*before, pauseAfterRound), pauseLongest)
+func RoundPause(previous time.Duration) time.Duration {
+	return min(max(2*previous, minRoundPause), maxRoundPause)
 }
 
 // RetryAfter returns the wait to tell a caller whose request did not run. stated is the wait
 // that a refusing leaf has asked for, or 0 if none has.
 func ComeBack(stated time.Duration) time.Duration {
 	if stated > 0 {
-		return min(stated, comeBackMost)
+		return min(stated, maxRetryAfter)
 	}
-	return comeBackFirst
+	return defaultRetryAfter
 }
--- a/internal/policy/standing.go
+++ b/internal/policy/standing.go
@@ -9,11 +9,11 @@
 
 // The cost of a leaf is a multiple of the usual reply time of its service.
 const (
-	paceWeight = 0.15 // weight of a new reply in the slowdown average
-	failWeight = 0.2  // weight of a new outcome in the failure rate
-	failCost   = 8.0  // added multiple at a failure rate of 1
-	coldCost   = 2.0  // multiple while the leaf warms up
-	silentCost = 8.0  // multiple while an earlier request to the leaf is overdue
+	slowdownWeight   = 0.15 // weight of a new reply in the slowdown average
+	failureWeight    = 0.2  // weight of a new outcome in the failure rate
+	failureCost      = 8.0  // added multiple at a failure rate of 1
+	coldCost         = 2.0  // multiple while the leaf warms up
+	unresponsiveCost = 8.0  // multiple while an earlier request to the leaf is overdue
 	// remoteCost is the multiple for leaves outside the daemon's own failure domain, because
 	// traffic between domains is billed by the byte. In a tier of 69 VMs at low load, 1.8
 	// instead of 1.3 reduced the bytes between domains by 12%.
@@ -21,38 +21,38 @@
 	loadCost   = 1.0 // added for each running or waiting request per slot
 	// loadMaxAge is how long a load reported by a leaf is used. A request takes about ten
 	// milliseconds, so an older report describes other requests.
-	loadAge = 100 * time.Millisecond
+	loadMaxAge = 100 * time.Millisecond
 	// unresponsiveAfter is the number of median reply times without any reply after which a
 	// leaf counts as unresponsive. A typical pause of a leaf lasts ten.
-	silentAfter = 2.5
+	unresponsiveAfter = 2.5
 	// minBackoff and maxBackoff bound the time for which a leaf is avoided after consecutive
 	// failures. The time doubles with each further failure.
-	restFirst   = 150 * time.Millisecond
-	restLongest = 3 * time.Second
-	restAfter   = 2 // consecutive failures
+	minBackoff           = 150 * time.Millisecond
+	maxBackoff           = 3 * time.Second
+	backoffAfterFailures = 2 // consecutive failures
 	// misplacedPeriod is how long a leaf is skipped after another leaf has answered at its
 	// address. It is longer than service discovery takes to remove the leaf. When eight such
 	// leaves were retried every 0.15 to 3 s instead, the service that had taken over their
 	// addresses received 50 requests in 10 s that its budget for extra sends did not account
 	// for.
-	misplacedFor = 10 * time.Second
+	misplacedPeriod = 10 * time.Second
 	// costJitter is the relative range of the random factor on each cost. It spreads
 	// requests over leaves of equal cost, whatever their order.
-	costSpread = 0.1
+	costJitter = 0.1
 )
 
 // LeafStats is what a daemon has observed of one leaf. Its zero value has no observations.
 type Standing struct {
-	inFlight int
-	oldest   []vm.Instant // start times of the requests in flight, oldest first
-	heard    vm.Instant   // time of the last reply of any kind
-	pace     float64      // average reply time as a multiple of the service's median; 0: unknown
-	failing  float64      // moving average, 0 to 1
-	failures int
-	restTill vm.Instant // avoided until then if there is an alternative
-	goneTill vm.Instant // another leaf has its address; never chosen until then
-	load     Load
-	loadAt   vm.Instant // when load was reported
+	inFlight            int
+	startTimes          []vm.Instant // start times of the requests in flight, oldest first
+	lastReply           vm.Instant   // time of the last reply of any kind
+	slowdown            float64      // average reply time as a multiple of the service's median; 0: unknown
+	failureRate         float64      // moving average, 0 to 1
+	consecutiveFailures int
+	backoffUntil        vm.Instant // avoided until then if there is an alternative
+	misplacedUntil      vm.Instant // another leaf has its address; never chosen until then
+	load                Load
+	loadAt              vm.Instant // when load was reported
 }
 
 // Outcome classifies the end of a request to a leaf for LeafStats.
@@ -83,89 +83,89 @@
 // Begin counts a request as in flight.
 func (s *Standing) Begin(now vm.Instant) {
 	s.inFlight++
-	s.oldest = append(s.oldest, now)
+	s.startTimes = append(s.startTimes, now)
 }
 
 // End removes the request that began at began from those in flight and updates the
 // statistics with its result.
-func (s *Standing) End(now, began vm.Instant, e Ended, rng *rand.Rand) {
+func (s *Standing) End(now, began vm.Instant, result Ended, rng *rand.Rand) {
 	s.inFlight--
-	for i, at := range s.oldest {
+	for i, at := range s.startTimes {
 		if at == began {
-			s.oldest = append(s.oldest[:i], s.oldest[i+1:]...)
+			s.startTimes = append(s.startTimes[:i], s.startTimes[i+1:]...)
 			break
 		}
 	}
-	if e.Heard {
-		s.heard = now
+	if result.Heard {
+		s.lastReply = now
 	}
-	if e.Load != nil {
-		s.load, s.loadAt = *e.Load, now
+	if result.Load != nil {
+		s.load, s.loadAt = *result.Load, now
 	}
-	s.learn(now, e, rng)
+	s.recordResult(now, result, rng)
 }
 
-func (s *Standing) learn(now vm.Instant, e Ended, rng *rand.Rand) {
-	switch e.Outcome {
+func (s *Standing) recordResult(now vm.Instant, result Ended, rng *rand.Rand) {
+	switch result.Outcome {
 	case Replied:
-		s.failures = 0
-		s.failing -= s.failing * failWeight
-		s.learnPace(e.Took, e.Usual)
+		s.consecutiveFailures = 0
+		s.failureRate -= s.failureRate * failureWeight
+		s.recordDuration(result.Took, result.Usual)
 	case Overdue:
-		s.learnPace(e.Took, e.Usual)
-		s.fail(now, rng)
+		s.recordDuration(result.Took, result.Usual)
+		s.recordFailure(now, rng)
 	case Rejected:
 		// Most rejections come from a leaf that is full, which its load shows. A leaf that
 		// rejects requests without reporting load is avoided like one that fails.
-		s.failing += (1 - s.failing) * failWeight
+		s.failureRate += (1 - s.failureRate) * failureWeight
 		if s.load.Slots > 0 {
 			s.load.Waiting = max(s.load.Waiting, s.load.Slots)
 			s.loadAt = now
 		}
 	case Failed, Misbehaved:
-		s.fail(now, rng)
+		s.recordFailure(now, rng)
 	}
 }
 
-func (s *Standing) fail(now vm.Instant, rng *rand.Rand) {
-	s.failing += (1 - s.failing) * failWeight
-	s.failures++
-	if s.failures >= restAfter {
-		s.rest(now, rng)
+func (s *Standing) recordFailure(now vm.Instant, rng *rand.Rand) {
+	s.failureRate += (1 - s.failureRate) * failureWeight
+	s.consecutiveFailures++
+	if s.consecutiveFailures >= backoffAfterFailures {
+		s.backOff(now, rng)
 	}
 }
 
 // backOff avoids the leaf for a while, longer with each consecutive failure. The time is
 // randomized.
-func (s *Standing) rest(now vm.Instant, rng *rand.Rand) {
-	d := min(restFirst<<min(s.failures-restAfter, 8), restLongest)
-	s.restTill = now.Add(d/2 + time.Duration(rng.Int64N(int64(d/2)+1)))
+func (s *Standing) backOff(now vm.Instant, rng *rand.Rand) {
+	d := min(minBackoff<<min(s.consecutiveFailures-backoffAfterFailures, 8), maxBackoff)
+	s.backoffUntil = now.Add(d/2 + time.Duration(rng.Int64N(int64(d/2)+1)))
 }
 
 // maxSlowdownSample bounds a single sample, so that one pause does not make a leaf look slow
 // for many requests.
-const paceMost = 6
+const maxSlowdownSample = 6
 
-func (s *Standing) learnPace(took, usual time.Duration) {
-	if usual <= 0 {
+func (s *Standing) recordDuration(elapsed, medianLatency time.Duration) {
+	if medianLatency <= 0 {
 		return
 	}
-	x := min(float64(took)/float64(usual), paceMost)
-	if s.pace == 0 {
-		s.pace = 1
+	x := min(float64(elapsed)/float64(medianLatency), maxSlowdownSample)
+	if s.slowdown == 0 {
+		s.slowdown = 1
 	}
-	s.pace += (x - s.pace) * paceWeight
+	s.slowdown += (x - s.slowdown) * slowdownWeight
 }
 
 // Unreachable records that no connection to the leaf could be opened. Nothing was sent, so a
 // single failure is enough to back off.
 func (s *Standing) Unreachable(now vm.Instant, rng *rand.Rand) {
-	s.failures = max(s.failures+1, restAfter)
-	s.rest(now, rng)
+	s.consecutiveFailures = max(s.consecutiveFailures+1, backoffAfterFailures)
+	s.backOff(now, rng)
 }
 
 // Misplaced records that another leaf answers at the leaf's address.
-func (s *Standing) Misplaced(now vm.Instant) { s.goneTill = now.Add(misplacedFor) }
+func (s *Standing) Misplaced(now vm.Instant) { s.misplacedUntil = now.Add(misplacedPeriod) }
 
 // Candidate is a leaf that a request may be sent to.
 type Candidate struct {
@@ -178,35 +178,35 @@
 // Choose returns the index of the candidate of least cost, or -1 if there is none. Leaves
 // whose address belongs to another leaf are never chosen; leaves in back-off are chosen only
 // if there is no other. medianLatency is the usual reply time of the request.
-func Choose(list []Candidate, now vm.Instant, usual time.Duration, rng *rand.Rand) int {
-	best, resting := -1, -1
+func Choose(candidates []Candidate, now vm.Instant, medianLatency time.Duration, rng *rand.Rand) int {
+	best, inBackoff := -1, -1
 	bestCost := 0.0
-	var restEnds vm.Instant
-	for i := range list {
-		c := &list[i]
+	var backoffEnds vm.Instant
+	for i := range candidates {
+		c := &candidates[i]
 		if s := c.Standing; s != nil {
-			if now < s.goneTill {
+			if now < s.misplacedUntil {
 				continue
 			}
-			if now < s.restTill {
-				if resting < 0 || s.restTill < restEnds {
-					resting, restEnds = i, s.restTill
+			if now < s.backoffUntil {
+				if inBackoff < 0 || s.backoffUntil < backoffEnds {
+					inBackoff, backoffEnds = i, s.backoffUntil
 				}
 				continue
 			}
 		}
-		cost := c.cost(now, usual) * (1 - costSpread/2 + costSpread*rng.Float64())
+		cost := c.cost(now, medianLatency) * (1 - costJitter/2 + costJitter*rng.Float64())
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
 	}
 	if best < 0 {
-		return resting
+		return inBackoff
 	}
 	return best
 }
 
-func (c *Candidate) cost(now vm.Instant, usual time.Duration) float64 {
+func (c *Candidate) cost(now vm.Instant, medianLatency time.Duration) float64 {
 	cost := 1.0
 	if !c.Near {
 		cost *= remoteCost
@@ -218,31 +218,31 @@
 	if s == nil {
 		return cost
 	}
-	if s.pace > 0 {
-		cost *= max(s.pace, 0.2)
+	if s.slowdown > 0 {
+		cost *= max(s.slowdown, 0.2)
 	}
-	cost *= 1 + failCost*s.failing
+	cost *= 1 + failureCost*s.failureRate
 	slots := float64(max(c.Slots, s.load.Slots, 1))
 	busy := float64(s.inFlight)
-	if now.Sub(s.loadAt) < loadAge {
+	if now.Sub(s.loadAt) < loadMaxAge {
 		busy = max(busy, float64(s.load.Running+s.load.Waiting))
 		if s.load.Pace > 0 {
 			cost *= s.load.Pace
 		}
 	}
 	cost *= 1 + loadCost*busy/slots
-	if s.silent(now, usual) {
-		cost *= silentCost
+	if s.unresponsive(now, medianLatency) {
+		cost *= unresponsiveCost
 	}
 	return cost
 }
 
 // unresponsive reports whether a request to the leaf is overdue and no reply of any kind has
 // come since it was sent.
-func (s *Standing) silent(now vm.Instant, usual time.Duration) bool {
-	if len(s.oldest) == 0 || usual <= 0 {
+func (s *Standing) unresponsive(now vm.Instant, medianLatency time.Duration) bool {
+	if len(s.startTimes) == 0 || medianLatency <= 0 {
 		return false
 	}
-	since := max(s.oldest[0], s.heard)
-	return now.Sub(since) > time.Duration(silentAfter*float64(usual))
+	since := max(s.startTimes[0], s.lastReply)
+	return now.Sub(since) > time.Duration(unresponsiveAfter*float64(medianLatency))
 }
--- a/internal/policy/standing_test.go
+++ b/internal/policy/standing_test.go
@@ -9,27 +9,27 @@
 )
 
 // choiceFixture chooses between two leaves, a and b, with statistics.
-type choiceRig struct {
+type choiceFixture struct {
 	now  vm.Instant
 	rng  *rand.Rand
 	a, b Candidate
 }
 
-func newChoiceRig() *choiceRig {
-	return &choiceRig{
+func newChoiceFixture() *choiceFixture {
+	return &choiceFixture{
 		now: 1, rng: rand.New(rand.NewPCG(1, 1)),
 		a: Candidate{Standing: &Standing{}, Near: true, Slots: 2},
 		b: Candidate{Standing: &Standing{}, Near: true, Slots: 2},
 	}
 }
 
-const usualTime = 20 * time.Millisecond
+const medianLatency = 20 * time.Millisecond
 
 // countA returns how many of 100 choices select a.
-func (r *choiceRig) share() int {
+func (r *choiceFixture) countA() int {
 	n := 0
 	for range 100 {
-		if Choose([]Candidate{r.a, r.b}, r.now, usualTime, r.rng) == 0 {
+		if Choose([]Candidate{r.a, r.b}, r.now, medianLatency, r.rng) == 0 {
 			n++
 		}
 	}
@@ -37,104 +37,106 @@
 }
 
 // choosesOnlyLeaf reports whether a is chosen when it is the only candidate.
-func (r *choiceRig) alone() bool { return Choose([]Candidate{r.a}, r.now, usualTime, r.rng) == 0 }
+func (r *choiceFixture) choosesOnlyLeaf() bool {
+	return Choose([]Candidate{r.a}, r.now, medianLatency, r.rng) == 0
+}
 
-func (r *choiceRig) exchange(c Candidate, took time.Duration, out Outcome, load *Load) {
+func (r *choiceFixture) completeRequest(c Candidate, took time.Duration, outcome Outcome, load *Load) {
 	began := r.now
 	c.Standing.Begin(began)
 	r.now = r.now.Add(took)
-	c.Standing.End(r.now, began, Ended{Outcome: out, Took: took, Usual: usualTime, Heard: true, Load: load}, r.rng)
+	c.Standing.End(r.now, began, Ended{Outcome: outcome, Took: took, Usual: medianLatency, Heard: true, Load: load}, r.rng)
 }
 
-func TestChoiceTakesTurns(t *testing.T) {
-	if n := newChoiceRig().share(); n < 20 || n > 80 {
+func TestChooseAlternatesBetweenEqualLeaves(t *testing.T) {
+	if n := newChoiceFixture().countA(); n < 20 || n > 80 {
 		t.Errorf("%d of 100 choices select one of two equal leaves", n)
 	}
 }
 
-func TestChoicePrefersOwnDomain(t *testing.T) {
-	r := newChoiceRig()
+func TestChoosePrefersOwnDomain(t *testing.T) {
+	r := newChoiceFixture()
 	r.b.Near = false
-	if n := r.share(); n != 100 {
+	if n := r.countA(); n != 100 {
 		t.Errorf("%d of 100 choices stay in the own domain", n)
 	}
 }
 
 // A leaf that answers three times slower than the other must not get first attempts, even if
 // it is the only one in the daemon's own failure domain.
-func TestChoiceLeavesSlowLeaf(t *testing.T) {
-	r := newChoiceRig()
+func TestChooseAvoidsSlowLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	r.b.Near = false
 	for range 20 {
-		r.exchange(r.a, 3*usualTime, Replied, nil)
-		r.exchange(r.b, usualTime, Replied, nil)
+		r.completeRequest(r.a, 3*medianLatency, Replied, nil)
+		r.completeRequest(r.b, medianLatency, Replied, nil)
 	}
-	if n := r.share(); n != 0 {
+	if n := r.countA(); n != 0 {
 		t.Errorf("%d of 100 choices select the slow leaf", n)
 	}
 }
 
 // A paused leaf has an overdue request and has sent nothing since. It must be avoided,
 // without any extra send, until it replies again.
-func TestChoicePassesSilentLeaf(t *testing.T) {
-	r := newChoiceRig()
+func TestChooseAvoidsUnresponsiveLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	began := r.now
 	r.a.Standing.Begin(began)
-	r.now = r.now.Add(3 * usualTime)
-	if n := r.share(); n != 0 {
+	r.now = r.now.Add(3 * medianLatency)
+	if n := r.countA(); n != 0 {
 		t.Errorf("%d of 100 choices select the unresponsive leaf", n)
 	}
-	r.a.Standing.End(r.now, began, Ended{Outcome: Replied, Took: 3 * usualTime, Usual: usualTime, Heard: true}, r.rng)
+	r.a.Standing.End(r.now, began, Ended{Outcome: Replied, Took: 3 * medianLatency, Usual: medianLatency, Heard: true}, r.rng)
 	r.now = r.now.Add(time.Second)
 	for range 30 {
-		r.exchange(r.a, usualTime, Replied, nil)
-		r.exchange(r.b, usualTime, Replied, nil)
+		r.completeRequest(r.a, medianLatency, Replied, nil)
+		r.completeRequest(r.b, medianLatency, Replied, nil)
 	}
-	if n := r.share(); n < 10 {
+	if n := r.countA(); n < 10 {
 		t.Errorf("%d of 100 choices select the leaf that answers again", n)
 	}
 }
 
 // A leaf that sheds half of its requests must be avoided although it reports little load.
-func TestChoiceLeavesSheddingLeaf(t *testing.T) {
-	r := newChoiceRig()
+func TestChooseAvoidsSheddingLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	for i := range 20 {
-		out := Replied
+		outcome := Replied
 		if i%2 == 0 {
-			out = Rejected
+			outcome = Rejected
 		}
-		r.exchange(r.a, usualTime, out, &Load{Slots: 2})
-		r.exchange(r.b, usualTime, Replied, &Load{Slots: 2})
+		r.completeRequest(r.a, medianLatency, outcome, &Load{Slots: 2})
+		r.completeRequest(r.b, medianLatency, Replied, &Load{Slots: 2})
 	}
 	r.now = r.now.Add(time.Second)
-	if n := r.share(); n > 5 {
+	if n := r.countA(); n > 5 {
 		t.Errorf("%d of 100 choices select the leaf that sheds load", n)
 	}
 }
 
 // An unreachable leaf is avoided for longer with each failure, but is still chosen when it
 // is the only one, because it may be reachable again.
-func TestChoiceRestsUnreachableLeaf(t *testing.T) {
-	r := newChoiceRig()
+func TestChooseBacksOffFromUnreachableLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	r.a.Standing.Unreachable(r.now, r.rng)
-	if n := r.share(); n != 0 {
+	if n := r.countA(); n != 0 {
 		t.Errorf("%d of 100 choices select the unreachable leaf", n)
 	}
-	if !r.alone() {
+	if !r.choosesOnlyLeaf() {
 		t.Errorf("the only leaf is not chosen")
 	}
 	for range 12 {
 		r.a.Standing.Unreachable(r.now, r.rng)
 	}
-	r.now = r.now.Add(restLongest)
-	if n := r.share(); n == 0 {
+	r.now = r.now.Add(maxBackoff)
+	if n := r.countA(); n == 0 {
 		t.Errorf("the unreachable leaf is never chosen again")
 	}
 }
 
 // The estimates must converge to the reply times: the late threshold is the time that one in
 // ten replies exceeds.
-func TestPaceLearns(t *testing.T) {
+func TestLatencyEstimatorConverges(t *testing.T) {
 	var p Pace
 	for i := range 2000 {
 		d := 10 * time.Millisecond
@@ -147,8 +149,8 @@
 		p.Observe(d + time.Duration(i%7)*time.Millisecond)
 	}
 	late, ok := p.Late()
-	if usual := p.Usual(); usual < 10*time.Millisecond || usual > 16*time.Millisecond {
-		t.Errorf("median %v", usual)
+	if median := p.Usual(); median < 10*time.Millisecond || median > 16*time.Millisecond {
+		t.Errorf("median %v", median)
 	}
 	if !ok || late < 13*time.Millisecond || late > 60*time.Millisecond {
 		t.Errorf("late threshold %v", late)
@@ -158,7 +160,7 @@
 // Callers of a route state a timeout of 1000 ms on the first attempt and the time that is
 // left on a retry. A few requests with a longer timeout must not make all others look like
 // retries.
-func TestWaitsTellSecondAttempts(t *testing.T) {
+func TestCallerTimeoutsDetectRetries(t *testing.T) {
 	var w Waits
 	for range 5 {
 		w.Passed(time.Second)
@@ -182,17 +184,17 @@
 // discovery still lists it. A request sent there counts against the other service, which may
 // be close to its limit of extra sends. The request must go to another leaf or fail for lack
 // of one.
-func TestChoiceNeverTakesMisplacedLeaf(t *testing.T) {
-	r := newChoiceRig()
+func TestChooseSkipsMisplacedLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	r.a.Standing.Misplaced(r.now)
-	if n := r.share(); n != 0 {
+	if n := r.countA(); n != 0 {
 		t.Errorf("%d of 100 choices select the leaf whose address was taken over", n)
 	}
-	if r.alone() {
+	if r.choosesOnlyLeaf() {
 		t.Error("the misplaced leaf is chosen when it is the only one")
 	}
-	r.now = r.now.Add(misplacedFor)
-	if !r.alone() {
+	r.now = r.now.Add(misplacedPeriod)
+	if !r.choosesOnlyLeaf() {
 		t.Error("the leaf is not chosen again after misplacedPeriod")
 	}
 }
--- a/internal/policy/suspicion.go
+++ b/internal/policy/suspicion.go
@@ -5,7 +5,7 @@
 const (
 	// maxProbes bounds the sends that one attempt of a suspected request makes one at a
 	// time.
-	mostProbes = 1
+	maxProbes = 1
 	// QuarantinedRetryAfter is the Retry-After for a blocked request. Retrying succeeds only
 	// after an operator has removed the block.
 	QuarantinedRetryAfter = time.Minute
@@ -32,7 +32,7 @@
 
 // MaySend reports whether another send is allowed while inFlight sends are in flight.
 func (s *Suspicion) MaySend(inFlight int) bool {
-	return !s.Guarded() || inFlight == 0 && s.probes < mostProbes
+	return !s.Guarded() || inFlight == 0 && s.probes < maxProbes
 }
 
 // RecordSend counts a send.
@@ -47,5 +47,5 @@
 
 // Exhausted reports whether the attempt is over: no send is in flight, and none is allowed.
 func (s *Suspicion) Spent(inFlight int) bool {
-	return s.Guarded() && inFlight == 0 && s.probes >= mostProbes
+	return s.Guarded() && inFlight == 0 && s.probes >= maxProbes
 }
--- a/internal/policy/times.go
+++ b/internal/policy/times.go
@@ -4,21 +4,21 @@
 
 const (
 	// answerMargin is reserved at the end of a request's time for sending the final answer.
-	returnMargin = 8 * time.Millisecond
+	answerMargin = 8 * time.Millisecond
 	// defaultLateShare is the part of the target latency after which a reply counts as late
 	// while there are too few samples of the route.
-	unlearnedShare = 0.3
-	unlearnedLate  = 100 * time.Millisecond // also the UnsentTimeout of a route without target latency
-	hedgeFloor     = 2 * time.Millisecond
+	defaultLateShare  = 0.3
+	defaultHedgeDelay = 100 * time.Millisecond // also the UnsentTimeout of a route without target latency
+	minHedgeDelay     = 2 * time.Millisecond
 	// hedgeMedians is the minimum delay of a hedge, in median reply times.
-	hedgeUsual = 1.5
+	hedgeMedians = 1.5
 	// connWaitMedians is the time that a send may wait for a connection, in median reply
 	// times.
-	connWaitUsual     = 1.5
-	unlearnedConnWait = 40 * time.Millisecond
+	connWaitMedians = 1.5
+	defaultConnWait = 40 * time.Millisecond
 	// unsentTimeoutShare is the part of the target latency for which a request that cannot
 	// be sent is held. A caller that is refused then still has time for another attempt.
-	patienceShare = 0.2
+	unsentTimeoutShare = 0.2
 )
 
 // TimeLimits are the time limits configured for a route.
@@ -39,35 +39,35 @@
 
 // NewSchedule returns the schedule of a request whose caller waits for timeout (0: not
 // stated) and sent its first attempt elapsed before this one.
-func TimesOf(t Terms, wait, passed time.Duration, pace *Pace) Times {
-	limit := t.Timeout
-	if wait > 0 && wait < limit {
-		limit = wait
+func TimesOf(limits Terms, timeout, elapsed time.Duration, latency *Pace) Times {
+	limit := limits.Timeout
+	if timeout > 0 && timeout < limit {
+		limit = timeout
 	}
-	out := Times{End: limit - returnMargin, Deadline: limit, Late: t.late(pace), Patience: unlearnedLate}
+	out := Times{End: limit - answerMargin, Deadline: limit, Late: limits.hedgeAfter(latency), Patience: defaultHedgeDelay}
 	out.AnswerBy = out.End
-	if t.Aim > 0 {
-		out.AnswerBy = min(max(0, t.Aim-t.Margin-passed), out.End)
-		out.Patience = time.Duration(patienceShare * float64(t.Aim))
+	if limits.Aim > 0 {
+		out.AnswerBy = min(max(0, limits.Aim-limits.Margin-elapsed), out.End)
+		out.Patience = time.Duration(unsentTimeoutShare * float64(limits.Aim))
 	}
 	return out
 }
 
 // hedgeAfter returns the time after which a reply is late enough for a hedge.
-func (t Terms) late(pace *Pace) time.Duration {
-	late, ok := pace.Late()
+func (t Terms) hedgeAfter(latency *Pace) time.Duration {
+	late, ok := latency.Late()
 	if !ok {
 		if t.Aim > 0 {
-			return time.Duration(unlearnedShare * float64(t.Aim))
+			return time.Duration(defaultLateShare * float64(t.Aim))
 		}
-		return unlearnedLate
+		return defaultHedgeDelay
 	}
-	usual := pace.Usual()
-	late = max(late, time.Duration(hedgeUsual*float64(usual)), hedgeFloor)
+	median := latency.Usual()
+	late = max(late, time.Duration(hedgeMedians*float64(median)), minHedgeDelay)
 	// A hedge that cannot return in time is of little use, so the latest time at which it
 	// still can takes precedence over the learned one.
 	if t.Aim > 0 {
-		late = min(late, max(t.Aim-t.Margin-2*usual, usual))
+		late = min(late, max(t.Aim-t.Margin-2*median, median))
 	}
 	return late
 }
@@ -75,9 +75,9 @@
 // ConnWait returns how long a send may wait for one of the daemon's connections to a leaf,
 // until the one in use is likely to be free again. After that another leaf is tried.
 // medianLatency is the median reply time, or 0 if unknown.
-func ConnWait(usual time.Duration) time.Duration {
-	if usual <= 0 {
-		return unlearnedConnWait
+func ConnWait(medianLatency time.Duration) time.Duration {
+	if medianLatency <= 0 {
+		return defaultConnWait
 	}
-	return time.Duration(connWaitUsual * float64(usual))
+	return time.Duration(connWaitMedians * float64(medianLatency))
 }
--- a/internal/policy/waits.go
+++ b/internal/policy/waits.go
@@ -10,44 +10,44 @@
 // left, which differs each time. It is safe for concurrent use.
 type Waits struct {
 	mu     sync.Mutex
-	values [4]waitCount
+	values [4]timeoutCount
 }
 
-type waitCount struct {
-	wait  time.Duration
-	count int
+type timeoutCount struct {
+	timeout time.Duration
+	count   int
 }
 
 const (
 	// minCount is how often a timeout must have been stated to count as that of a first
 	// attempt.
-	usualCount = 3
+	minCount = 3
 	// maxCount keeps the counts small enough that a new timeout can replace an old one.
-	mostCount = 64
+	maxCount = 64
 )
 
 // Elapsed returns how much of the caller's time had passed before this request, as far as
 // can be derived from the timeout that it states.
-func (w *Waits) Passed(wait time.Duration) time.Duration {
-	if wait <= 0 {
+func (w *Waits) Passed(timeout time.Duration) time.Duration {
+	if timeout <= 0 {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	usual := w.note(wait)
-	if usual.count < usualCount || wait >= usual.wait {
+	usual := w.record(timeout)
+	if usual.count < minCount || timeout >= usual.timeout {
 		return 0
 	}
-	return usual.wait - wait
+	return usual.timeout - timeout
 }
 
 // record counts a timeout and returns the one that is stated most often.
-func (w *Waits) note(wait time.Duration) waitCount {
+func (w *Waits) record(timeout time.Duration) timeoutCount {
 	least, most, found := 0, 0, false
 	for i := range w.values {
 		v := &w.values[i]
-		if v.wait == wait {
-			v.count = min(v.count+1, mostCount)
+		if v.timeout == timeout {
+			v.count = min(v.count+1, maxCount)
 			found = true
 		}
 		if v.count < w.values[least].count {
@@ -61,7 +61,7 @@
 		return w.values[most]
 	}
 	if v := &w.values[least]; v.count <= 1 {
-		*v = waitCount{wait, 1}
+		*v = timeoutCount{timeout, 1}
 	} else {
 		v.count--
 	}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -35,31 +35,31 @@
 	AnyQuery               // any query from the same caller
 	AnyCaller              // the same request from any caller
 	AnyBoth                // any query from any caller
-	widths
+	numScopes
 )
 
 // narrowerScopes lists the next narrower scopes of each scope.
-var narrower = [widths][]Width{AnyQuery: {Exact}, AnyCaller: {Exact}, AnyBoth: {AnyQuery, AnyCaller}}
+var narrowerScopes = [numScopes][]Width{AnyQuery: {Exact}, AnyCaller: {Exact}, AnyBoth: {AnyQuery, AnyCaller}}
 
 // Fingerprints are the fingerprints of one request, by scope.
-type Fingerprints [widths]Fingerprint
+type Fingerprints [numScopes]Fingerprint
 
 // Fingerprints returns the fingerprints of the request in every scope.
 func (r *Request) Fingerprints() Fingerprints {
 	path, _, _ := strings.Cut(r.URI, "?")
 	return Fingerprints{
-		Exact:     r.sum(Exact, r.URI, r.Caller),
-		AnyQuery:  r.sum(AnyQuery, path, r.Caller),
-		AnyCaller: r.sum(AnyCaller, r.URI, ""),
-		AnyBoth:   r.sum(AnyBoth, path, ""),
+		Exact:     r.hash(Exact, r.URI, r.Caller),
+		AnyQuery:  r.hash(AnyQuery, path, r.Caller),
+		AnyCaller: r.hash(AnyCaller, r.URI, ""),
+		AnyBoth:   r.hash(AnyBoth, path, ""),
 	}
 }
 
 // Describe returns a description, for operators, of the requests that the fingerprint of a
 // scope covers.
-func (r *Request) Describe(w Width) string {
+func (r *Request) Describe(scope Width) string {
 	path, _, _ := strings.Cut(r.URI, "?")
-	switch w {
+	switch scope {
 	case Exact:
 		return r.Method + " " + r.Host + r.URI + " from " + r.Caller
 	case AnyQuery:
@@ -70,14 +70,14 @@
 	return r.Method + " " + r.Host + path + " with any query from anybody"
 }
 
-func (r *Request) sum(w Width, uri, caller string) Fingerprint {
+func (r *Request) hash(scope Width, uri, caller string) Fingerprint {
 	h := sha256.New()
 	var number [8]byte
 	add := func(n int64) {
 		binary.LittleEndian.PutUint64(number[:], uint64(n))
 		_, _ = h.Write(number[:]) // hash.Hash never returns an error
 	}
-	add(int64(w))
+	add(int64(scope))
 	for _, s := range [...]string{r.Method, r.Host, uri, caller} {
 		add(int64(len(s)))
 		_, _ = h.Write([]byte(s))
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -12,9 +12,9 @@
 
 const (
 	// maxCases bounds the number of cases.
-	mostCases = 1024
+	maxCases = 1024
 	// trialTimeout is how long a trial without a report holds up the next one.
-	trialTime = 10 * time.Second
+	trialTimeout = 10 * time.Second
 )
 
 // Coordinator is the state that the leader of the control group keeps in memory besides the
@@ -23,14 +23,14 @@
 type Ledger struct {
 	clock vm.Clock
 
-	mu     sync.Mutex
-	trials map[Fingerprint]vm.Instant // expiry of the trials in progress
-	last   map[Fingerprint]vm.Instant // time of the last report
+	mu         sync.Mutex
+	trials     map[Fingerprint]vm.Instant // expiry of the trials in progress
+	lastReport map[Fingerprint]vm.Instant // time of the last report
 }
 
 // NewCoordinator returns a Coordinator without trials.
 func NewLedger(clock vm.Clock) *Ledger {
-	return &Ledger{clock: clock, trials: make(map[Fingerprint]vm.Instant), last: make(map[Fingerprint]vm.Instant)}
+	return &Ledger{clock: clock, trials: make(map[Fingerprint]vm.Instant), lastReport: make(map[Fingerprint]vm.Instant)}
 }
 
 // Grant is the answer to a daemon that asks to try a suspected request.
@@ -64,7 +64,7 @@
 	if _, ok := l.trials[f]; ok {
 		return Wait
 	}
-	l.trials[f] = now.Add(trialTime)
+	l.trials[f] = now.Add(trialTimeout)
 	return Granted
 }
 
@@ -79,49 +79,49 @@
 
 // Apply merges reports into the cases and returns the resulting cases and the changes. The
 // argument is not modified.
-func (l *Ledger) Apply(cases Cases, reports []*Report, wall time.Time) (Cases, []Change) {
+func (l *Ledger) Apply(cases Cases, reports []*Report, wallTime time.Time) (Cases, []Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
-	out := maps.Clone(cases)
-	if out == nil {
-		out = make(Cases)
+	updated := maps.Clone(cases)
+	if updated == nil {
+		updated = make(Cases)
 	}
 	var changes []Change
 	for _, r := range reports {
 		delete(l.trials, r.Request[Exact])
-		var knew [widths]bool // known before this report
-		for w, f := range r.Request {
-			_, knew[w] = out[f]
+		var wasKnown [numScopes]bool // known before this report
+		for scope, f := range r.Request {
+			_, wasKnown[scope] = updated[f]
 		}
-		for w, f := range r.Request {
-			before, known := out[f], knew[w]
-			repeats := slices.ContainsFunc(narrower[w], func(n Width) bool { return knew[n] })
-			if !r.Survived && (r.Ends == 0 && (!known || Width(w) != Exact) || !known && repeats) {
+		for scope, f := range r.Request {
+			before, known := updated[f], wasKnown[scope]
+			narrowerKnown := slices.ContainsFunc(narrowerScopes[scope], func(narrower Width) bool { return wasKnown[narrower] })
+			if !r.Survived && (r.Ends == 0 && (!known || Width(scope) != Exact) || !known && narrowerKnown) {
 				// A report without leaf exits raises no new suspicion. A request that is
 				// already known by a narrower fingerprint raises none against the other
 				// requests of a wider scope.
 				continue
 			}
-			last, seen := l.last[f]
+			last, seen := l.lastReport[f]
 			follows := !seen || now.Add(-r.Began) > last
-			if !repeats && (Width(w) != Exact || !known) {
+			if !narrowerKnown && (Width(scope) != Exact || !known) {
 				before.Variants++
 			}
-			next, kept := before.after(r, Width(w), follows, wall.UTC().Truncate(time.Second))
+			next, suspected := before.withReport(r, Width(scope), follows, wallTime.UTC().Truncate(time.Second))
 			switch {
-			case kept:
-				l.last[f] = now
-				out[f] = next
+			case suspected:
+				l.lastReport[f] = now
+				updated[f] = next
 				changes = append(changes, Change{Request: f, Before: before, After: next})
 			case known:
-				delete(l.last, f)
-				delete(out, f)
+				delete(l.lastReport, f)
+				delete(updated, f)
 				changes = append(changes, Change{Request: f, Before: before, Cleared: true})
 			}
 		}
 	}
-	return out, append(changes, l.drop(out)...)
+	return updated, append(changes, l.evict(updated)...)
 }
 
 // Release ends a trial that did not reach a leaf.
@@ -133,8 +133,8 @@
 
 // evict removes the cases beyond maxCases: suspected ones before blocked ones, and within
 // each kind those with the oldest last report.
-func (l *Ledger) drop(cases Cases) []Change {
-	if len(cases) <= mostCases {
+func (l *Ledger) evict(cases Cases) []Change {
+	if len(cases) <= maxCases {
 		return nil
 	}
 	oldest := slices.SortedFunc(maps.Keys(cases), func(a, b Fingerprint) int {
@@ -147,11 +147,11 @@
 		}
 		return cmp.Or(x.Seen.Compare(y.Seen), slices.Compare(a[:], b[:]))
 	})
-	var out []Change
-	for _, f := range oldest[:len(oldest)-mostCases] {
-		out = append(out, Change{Request: f, Before: cases[f], Dropped: true})
+	var changes []Change
+	for _, f := range oldest[:len(oldest)-maxCases] {
+		changes = append(changes, Change{Request: f, Before: cases[f], Dropped: true})
 		delete(cases, f)
-		delete(l.last, f)
+		delete(l.lastReport, f)
 	}
-	return out
+	return changes
 }
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -13,28 +13,30 @@
 
 // coordinatorFixture is a Coordinator with a manual clock and the settings tree that stores
 // its cases.
-type trail struct {
-	t      *testing.T
-	now    vm.Instant
-	ledger *Ledger
-	tree   *settings.Tree
+type coordinatorFixture struct {
+	t           *testing.T
+	now         vm.Instant
+	coordinator *Ledger
+	tree        *settings.Tree
 }
 
-func newTrail(t *testing.T) *trail {
-	tr := &trail{t: t, now: 1, tree: settings.New()}
-	tr.lead()
+func newCoordinatorFixture(t *testing.T) *coordinatorFixture {
+	tr := &coordinatorFixture{t: t, now: 1, tree: settings.New()}
+	tr.changeLeader()
 	return tr
 }
 
 // changeLeader replaces the Coordinator by a new one, as when another control VM becomes the
 // leader. Only the cases in the tree are kept.
-func (tr *trail) lead() { tr.ledger = NewLedger(func() vm.Instant { return tr.now }) }
+func (tr *coordinatorFixture) changeLeader() {
+	tr.coordinator = NewLedger(func() vm.Instant { return tr.now })
+}
 
-func (tr *trail) cases() Cases { return FromTree(tr.tree) }
+func (tr *coordinatorFixture) cases() Cases { return FromTree(tr.tree) }
 
-func (tr *trail) report(rs ...*Report) {
+func (tr *coordinatorFixture) report(rs ...*Report) {
 	tr.t.Helper()
-	_, changes := tr.ledger.Apply(tr.cases(), rs, time.Unix(0, 0).Add(time.Duration(tr.now)))
+	_, changes := tr.coordinator.Apply(tr.cases(), rs, time.Unix(0, 0).Add(time.Duration(tr.now)))
 	next, err := tr.tree.Apply(1, Edits(changes))
 	if err != nil {
 		tr.t.Fatal(err)
@@ -42,50 +44,50 @@
 	tr.tree = next
 }
 
-func (tr *trail) pass(d time.Duration) { tr.now = tr.now.Add(d) }
+func (tr *coordinatorFixture) advance(d time.Duration) { tr.now = tr.now.Add(d) }
 
-func named(i int) Fingerprints {
+func fingerprintsOf(i int) Fingerprints {
 	return (&Request{Method: "GET", URI: fmt.Sprint("/", i), Caller: "10.0.0.1"}).Fingerprints()
 }
 
 // crashReport is the report of an attempt that took 100 ms.
-func crash(f Fingerprints, ends int) *Report {
-	return &Report{Request: f, Describe: [widths]string{"GET shop/ from 10.0.0.1", "b", "c", "d"}, Ends: ends, Began: 100 * time.Millisecond}
+func crashReport(f Fingerprints, ends int) *Report {
+	return &Report{Request: f, Describe: [numScopes]string{"GET shop/ from 10.0.0.1", "b", "c", "d"}, Ends: ends, Began: 100 * time.Millisecond}
 }
 
 // A request that crashes leaves in every attempt must be blocked even if hours and a change
 // of the leader lie between its attempts.
-func TestRequestThatGoesOnToCrashLeavesIsBlocked(t *testing.T) {
+func TestRequestThatKeepsCrashingLeavesIsBlocked(t *testing.T) {
 	Convey("It is blocked permanently after three attempts", t, func() {
-		tr, f := newTrail(t), named(1)
+		tr, f := newCoordinatorFixture(t), fingerprintsOf(1)
 		for _, ends := range []int{20, 1, 1} {
-			So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
-			tr.report(crash(f, ends))
-			tr.pass(time.Hour)
-			tr.lead()
+			So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
+			tr.report(crashReport(f, ends))
+			tr.advance(time.Hour)
+			tr.changeLeader()
 		}
 		So(tr.cases()[f[Exact]].Blocked, ShouldBeTrue)
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Denied)
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Denied)
 	})
 	Convey("It is blocked after four attempts without an answer, whether or not leaves exit", t, func() {
-		tr, f := newTrail(t), named(1)
-		tr.report(crash(f, 3))
+		tr, f := newCoordinatorFixture(t), fingerprintsOf(1)
+		tr.report(crashReport(f, 3))
 		for range 3 {
 			So(tr.cases()[f[Exact]].Blocked, ShouldBeFalse)
-			tr.pass(time.Second)
-			tr.report(crash(f, 0))
+			tr.advance(time.Second)
+			tr.report(crashReport(f, 0))
 		}
 		So(tr.cases()[f[Exact]].Blocked, ShouldBeTrue)
 	})
 	Convey("Only one daemon tries it at a time", t, func() {
-		tr, f := newTrail(t), named(1)
-		tr.report(crash(f, 3))
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Wait)
-		tr.ledger.Release(f[Exact])
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
-		tr.pass(trialTime)
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
+		tr, f := newCoordinatorFixture(t), fingerprintsOf(1)
+		tr.report(crashReport(f, 3))
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Wait)
+		tr.coordinator.Release(f[Exact])
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
+		tr.advance(trialTimeout)
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
 	})
 }
 
@@ -105,34 +107,34 @@
 		}},
 	} {
 		Convey(c.what, t, func() {
-			tr := newTrail(t)
+			tr := newCoordinatorFixture(t)
 			for n := range 3 {
-				tr.report(crash(c.nth(n).Fingerprints(), 3))
-				tr.pass(time.Second)
+				tr.report(crashReport(c.nth(n).Fingerprints(), 3))
+				tr.advance(time.Second)
 			}
 			g := NewRegistry(vm.Monotonic, nil)
 			g.Install(tr.cases())
 			So(g.Rule(c.nth(4).Fingerprints()), ShouldEqual, Blocked)
-			So(g.Rule(named(9)), ShouldEqual, Free)
+			So(g.Rule(fingerprintsOf(9)), ShouldEqual, Free)
 		})
 	}
-	rule := func(tr *trail, r *Request) Ruling {
+	rule := func(tr *coordinatorFixture, r *Request) Ruling {
 		g := NewRegistry(vm.Monotonic, nil)
 		g.Install(tr.cases())
 		return g.Rule(r.Fingerprints())
 	}
 	fatal, other := &Request{URI: "/a?q=1", Caller: "10.0.0.1"}, &Request{URI: "/a?q=2", Caller: "10.0.0.1"}
 	Convey("A request that does not vary is blocked alone, even if no request to its path is answered", t, func() {
-		tr := newTrail(t)
+		tr := newCoordinatorFixture(t)
 		for range 3 {
-			tr.report(crash(fatal.Fingerprints(), 3))
-			tr.pass(time.Second)
+			tr.report(crashReport(fatal.Fingerprints(), 3))
+			tr.advance(time.Second)
 		}
 		So(rule(tr, fatal), ShouldEqual, Blocked)
 		So(rule(tr, other), ShouldEqual, Canary)
 		for n := range 5 {
-			tr.report(crash((&Request{URI: fmt.Sprint("/a?late=", n), Caller: "10.0.0.1"}).Fingerprints(), 0))
-			tr.pass(time.Second)
+			tr.report(crashReport((&Request{URI: fmt.Sprint("/a?late=", n), Caller: "10.0.0.1"}).Fingerprints(), 0))
+			tr.advance(time.Second)
 		}
 		So(rule(tr, other), ShouldEqual, Canary)
 		tr.report(&Report{Request: other.Fingerprints(), Survived: true})
@@ -143,23 +145,23 @@
 
 // When a rack loses power, twenty leaves exit under each of the requests in flight. These
 // requests must not be blocked.
-func TestRequestsOfOneLossOfLeavesAreNotBlocked(t *testing.T) {
+func TestRequestsInFlightDuringPowerLossAreNotBlocked(t *testing.T) {
 	Convey("Concurrent copies of a request count once, and an answer clears it", t, func() {
-		tr := newTrail(t)
+		tr := newCoordinatorFixture(t)
 		for range 5 {
-			tr.report(crash(named(1), 20), crash(named(1), 20), crash(named(2), 7))
-			tr.pass(20 * time.Millisecond)
+			tr.report(crashReport(fingerprintsOf(1), 20), crashReport(fingerprintsOf(1), 20), crashReport(fingerprintsOf(2), 7))
+			tr.advance(20 * time.Millisecond)
 		}
-		So(tr.cases()[named(1)[Exact]].Blocked, ShouldBeFalse)
-		So(tr.cases()[named(1)[Exact]].Crashes, ShouldEqual, 1)
-		So(tr.ledger.Try(tr.cases(), named(1)[Exact]), ShouldEqual, Granted)
-		tr.report(&Report{Request: named(1), Survived: true})
-		So(tr.cases(), ShouldNotContainKey, named(1)[Exact])
-		So(tr.cases(), ShouldContainKey, named(2)[Exact])
+		So(tr.cases()[fingerprintsOf(1)[Exact]].Blocked, ShouldBeFalse)
+		So(tr.cases()[fingerprintsOf(1)[Exact]].Crashes, ShouldEqual, 1)
+		So(tr.coordinator.Try(tr.cases(), fingerprintsOf(1)[Exact]), ShouldEqual, Granted)
+		tr.report(&Report{Request: fingerprintsOf(1), Survived: true})
+		So(tr.cases(), ShouldNotContainKey, fingerprintsOf(1)[Exact])
+		So(tr.cases(), ShouldContainKey, fingerprintsOf(2)[Exact])
 	})
 	Convey("An attempt without leaf exits raises no suspicion", t, func() {
-		tr := newTrail(t)
-		tr.report(crash(named(1), 0), &Report{Request: named(2), Survived: true})
+		tr := newCoordinatorFixture(t)
+		tr.report(crashReport(fingerprintsOf(1), 0), &Report{Request: fingerprintsOf(2), Survived: true})
 		So(tr.cases(), ShouldBeEmpty)
 	})
 }
@@ -168,27 +170,27 @@
 // must stay bounded.
 func TestQuarantineIsBounded(t *testing.T) {
 	Convey("Blocked requests are kept, and the suspected ones with the oldest report are evicted", t, func() {
-		tr := newTrail(t)
+		tr := newCoordinatorFixture(t)
 		for range 3 {
-			tr.report(crash(named(0), 1))
-			tr.pass(time.Second)
+			tr.report(crashReport(fingerprintsOf(0), 1))
+			tr.advance(time.Second)
 		}
-		const requests = mostCases / 2 // each has several fingerprints
+		const requests = maxCases / 2 // each has several fingerprints
 		for i := range requests {
-			tr.pass(time.Second)
-			tr.report(crash(named(i+1), 1))
+			tr.advance(time.Second)
+			tr.report(crashReport(fingerprintsOf(i+1), 1))
 		}
-		So(len(tr.cases()), ShouldEqual, mostCases)
-		So(tr.cases()[named(0)[Exact]].Blocked, ShouldBeTrue)
-		So(tr.cases(), ShouldContainKey, named(requests)[Exact])
-		So(tr.cases(), ShouldNotContainKey, named(1)[Exact])
+		So(len(tr.cases()), ShouldEqual, maxCases)
+		So(tr.cases()[fingerprintsOf(0)[Exact]].Blocked, ShouldBeTrue)
+		So(tr.cases(), ShouldContainKey, fingerprintsOf(requests)[Exact])
+		So(tr.cases(), ShouldNotContainKey, fingerprintsOf(1)[Exact])
 	})
 	Convey("Descriptions with text from a caller are a single printable line", t, func() {
-		tr := newTrail(t)
-		r := crash(named(1), 1)
-		r.Describe[Exact] = "GET shop/\x00\n\xff from 10.0.0.1" + string(make([]byte, 2*longestDescription))
+		tr := newCoordinatorFixture(t)
+		r := crashReport(fingerprintsOf(1), 1)
+		r.Describe[Exact] = "GET shop/\x00\n\xff from 10.0.0.1" + string(make([]byte, 2*maxDescriptionLen))
 		tr.report(r)
-		So(tr.cases()[named(1)[Exact]].Request, ShouldStartWith, "GET shop/??")
-		So(len(tr.cases()[named(1)[Exact]].Request), ShouldBeLessThanOrEqualTo, longestDescription)
+		So(tr.cases()[fingerprintsOf(1)[Exact]].Request, ShouldStartWith, "GET shop/??")
+		So(len(tr.cases()[fingerprintsOf(1)[Exact]].Request), ShouldBeLessThanOrEqualTo, maxDescriptionLen)
 	})
 }
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -15,16 +15,16 @@
 const (
 	// maxObservations bounds the fingerprints that a daemon remembers from its own
 	// observations.
-	mostLocal = 1024
+	maxObservations = 1024
 	// maxTrialsWithoutLeader is how often a daemon that cannot reach the leader tries a
 	// suspected request.
-	loneTrials = 1
+	maxTrialsWithoutLeader = 1
 )
 
 var (
-	suspectGauge = metrics.GetOrRegisterGauge("quarantine.suspected", metrics.DefaultRegistry)
-	blockedGauge = metrics.GetOrRegisterGauge("quarantine.blocked", metrics.DefaultRegistry)
-	lonelyTrials = metrics.GetOrRegisterCounter("quarantine.trials.without_leader", metrics.DefaultRegistry)
+	suspectedGauge      = metrics.GetOrRegisterGauge("quarantine.suspected", metrics.DefaultRegistry)
+	blockedGauge        = metrics.GetOrRegisterGauge("quarantine.blocked", metrics.DefaultRegistry)
+	trialsWithoutLeader = metrics.GetOrRegisterCounter("quarantine.trials.without_leader", metrics.DefaultRegistry)
 )
 
 // Ruling is how a request may be handled.
@@ -56,33 +56,33 @@
 // Registry is what one daemon knows about requests that crash leaves: the cases agreed by
 // the control group and its own observations since. It is safe for concurrent use.
 type Registry struct {
-	clock  vm.Clock
-	leader Leader
-	queued chan struct{} // signals that queue is not empty
+	clock       vm.Clock
+	leader      Leader
+	queueSignal chan struct{} // signals that queue is not empty
 
-	known   atomic.Bool   // there are cases or observations to check requests against
-	version atomic.Uint64 // version of the tree that cases was read from
+	nonEmpty atomic.Bool   // there are cases or observations to check requests against
+	version  atomic.Uint64 // version of the tree that cases was read from
 
-	mu     sync.Mutex
-	agreed Cases
-	local  map[Fingerprint]*sighting // own observations
-	queue  []queuedReport            // reports that wait for the leader
+	mu           sync.Mutex
+	cases        Cases
+	observations map[Fingerprint]*observation // own observations
+	queue        []queuedReport               // reports that wait for the leader
 }
 
 // observation is what this daemon has observed of a fingerprint.
-type sighting struct {
+type observation struct {
 	cleared bool       // a leaf answered the request
-	tried   int        // trials made without the leader
-	until   vm.Instant // the observation is discarded then
+	trials  int        // trials made without the leader
+	expires vm.Instant // the observation is discarded then
 }
 
 // NewRegistry returns a Registry without cases.
 func NewRegistry(clock vm.Clock, leader Leader) *Registry {
-	return &Registry{clock: clock, leader: leader, queued: make(chan struct{}, 1), local: make(map[Fingerprint]*sighting)}
+	return &Registry{clock: clock, leader: leader, queueSignal: make(chan struct{}, 1), observations: make(map[Fingerprint]*observation)}
 }
 
 // Empty reports whether no request is suspected or blocked, so that lookups can be skipped.
-func (g *Registry) Empty() bool { return g == nil || !g.known.Load() }
+func (g *Registry) Empty() bool { return g == nil || !g.nonEmpty.Load() }
 
 // Update reads the cases from a version of the settings tree, unless a version at least as
 // new has been read.
@@ -94,7 +94,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.version.Load() < version {
-		g.install(cases)
+		g.setCases(cases)
 		g.version.Store(version)
 	}
 }
@@ -103,64 +103,64 @@
 func (g *Registry) Install(cases Cases) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.install(cases)
+	g.setCases(cases)
 }
 
-func (g *Registry) install(cases Cases) {
+func (g *Registry) setCases(cases Cases) {
 	blocked := 0
 	for f, c := range cases {
 		if c.Blocked {
 			blocked++
 		}
-		if before, known := g.agreed[f]; !known || before.Blocked != c.Blocked {
+		if before, known := g.cases[f]; !known || before.Blocked != c.Blocked {
 			klog.Infof("quarantine: request=%s blocked=%v leaf_ends=%d crashes=%d attempts=%d what=%q", f, c.Blocked, c.Ends, c.Crashes, c.Attempts, c.Request)
 		}
 	}
-	for f := range g.agreed {
+	for f := range g.cases {
 		if _, ok := cases[f]; !ok {
 			klog.Infof("quarantine: request=%s is free", f)
 		}
 	}
-	g.agreed = cases
-	suspectGauge.Update(int64(len(cases) - blocked))
+	g.cases = cases
+	suspectedGauge.Update(int64(len(cases) - blocked))
 	blockedGauge.Update(int64(blocked))
-	g.note()
+	g.updateNonEmpty()
 }
 
 // updateNonEmpty recomputes nonEmpty. The caller holds g.mu.
-func (g *Registry) note() { g.known.Store(len(g.agreed)+len(g.local) > 0) }
+func (g *Registry) updateNonEmpty() { g.nonEmpty.Store(len(g.cases)+len(g.observations) > 0) }
 
 // Check returns how a request with the fingerprints may be handled.
 func (g *Registry) Rule(fs Fingerprints) Ruling {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := Free
-	for w, f := range fs {
+	ruling := Free
+	for scope, f := range fs {
 		suspect := Canary
-		if Width(w) == Exact {
+		if Width(scope) == Exact {
 			suspect = Suspect
 		}
-		switch c, known := g.agreed[f]; {
+		switch c, known := g.cases[f]; {
 		case known && c.Blocked:
 			return Blocked
-		case g.suspects(f, known):
-			out = max(out, suspect)
+		case g.isSuspected(f, known):
+			ruling = max(ruling, suspect)
 		}
 	}
-	return out
+	return ruling
 }
 
 // isSuspected reports whether a fingerprint is suspected: by this daemon's own observation
 // if it has one, otherwise if a case exists. The caller holds g.mu.
-func (g *Registry) suspects(f Fingerprint, agreed bool) bool {
-	s := g.local[f]
+func (g *Registry) isSuspected(f Fingerprint, hasCase bool) bool {
+	s := g.observations[f]
 	switch {
 	case s == nil:
-		return agreed
-	case g.clock() >= s.until:
-		delete(g.local, f)
-		g.note()
-		return agreed
+		return hasCase
+	case g.clock() >= s.expires:
+		delete(g.observations, f)
+		g.updateNonEmpty()
+		return hasCase
 	}
 	return !s.cleared
 }
@@ -174,11 +174,11 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	s := g.seen(f)
+	s := g.refresh(f)
 	grant = Wait
-	if s.tried < loneTrials {
-		s.tried++
-		lonelyTrials.Inc(1)
+	if s.trials < maxTrialsWithoutLeader {
+		s.trials++
+		trialsWithoutLeader.Inc(1)
 		grant = Granted
 	}
 	klog.Warningf("quarantine: request=%s granted=%v without the leader: %v", f, grant == Granted, err)
@@ -187,41 +187,41 @@
 
 // refresh returns the observation of a fingerprint, creating it if needed, and extends its
 // lifetime. The caller holds g.mu.
-func (g *Registry) seen(f Fingerprint) *sighting {
-	s := g.local[f]
+func (g *Registry) refresh(f Fingerprint) *observation {
+	s := g.observations[f]
 	if s == nil {
-		g.sweep()
-		s = &sighting{}
-		g.local[f] = s
+		g.evictObservations()
+		s = &observation{}
+		g.observations[f] = s
 	}
-	s.until = g.clock().Add(reportFor)
-	g.note()
+	s.expires = g.clock().Add(reportTTL)
+	g.updateNonEmpty()
 	return s
 }
 
 // evictObservations removes expired observations and, at maxObservations, the one that
 // expires next.
-func (g *Registry) sweep() {
+func (g *Registry) evictObservations() {
 	now := g.clock()
 	var next Fingerprint
-	least := vm.Instant(0)
-	for f, s := range g.local {
-		if now >= s.until {
-			delete(g.local, f)
-		} else if least == 0 || s.until < least {
-			next, least = f, s.until
+	earliest := vm.Instant(0)
+	for f, s := range g.observations {
+		if now >= s.expires {
+			delete(g.observations, f)
+		} else if earliest == 0 || s.expires < earliest {
+			next, earliest = f, s.expires
 		}
 	}
-	if len(g.local) >= mostLocal {
-		klog.Warningf("quarantine: request=%s is forgotten here: %d others were seen since", next, len(g.local))
-		delete(g.local, next)
+	if len(g.observations) >= maxObservations {
+		klog.Warningf("quarantine: request=%s is forgotten here: %d others were seen since", next, len(g.observations))
+		delete(g.observations, next)
 	}
 }
 
 // Release returns the permission for a trial that did not reach a leaf.
 func (g *Registry) Release(f Fingerprint) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), reportPause)
+		ctx, cancel := context.WithTimeout(context.Background(), reportRetryInterval)
 		defer cancel()
 		if err := g.leader.Release(ctx, f); err != nil {
 			klog.V(1).Infof("quarantine: failed to release the trial of request=%s, which will expire: %v", f, err)
--- a/internal/quarantine/registry_test.go
+++ b/internal/quarantine/registry_test.go
@@ -16,9 +16,9 @@
 
 // fakeLeader fails all calls while it is down.
 type fakeLeader struct {
-	mu   sync.Mutex
-	down bool
-	got  []*Report
+	mu      sync.Mutex
+	down    bool
+	reports []*Report
 }
 
 var errDown = errors.New("no leader")
@@ -29,14 +29,14 @@
 	if l.down {
 		return errDown
 	}
-	l.got = append(l.got, rs...)
+	l.reports = append(l.reports, rs...)
 	return nil
 }
 
 func (l *fakeLeader) Try(context.Context, Fingerprint) (Grant, error) { return Denied, errDown }
 func (l *fakeLeader) Release(context.Context, Fingerprint) error      { return errDown }
 
-func (l *fakeLeader) set(down bool) {
+func (l *fakeLeader) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
@@ -46,39 +46,39 @@
 
 // The leader is lost while a request crashes leaves. The daemon that observed the crash must
 // keep the report and must not retry the request repeatedly without the leader.
-func TestReportWaitsForTheNextLeader(t *testing.T) {
+func TestReportIsKeptUntilLeaderIsReachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A report is kept until it is delivered, and includes the time that it waited", t, func() {
 			l := &fakeLeader{down: true}
 			g := NewRegistry(bubbleClock, l)
 			ctx, cancel := context.WithCancel(t.Context())
 			go g.Run(ctx)
-			g.Report(crash(named(1), 3))
+			g.Report(crashReport(fingerprintsOf(1), 3))
 			time.Sleep(20 * time.Second)
-			So(g.Rule(named(1)), ShouldEqual, Suspect)
-			So(g.Try(ctx, named(1)[Exact]), ShouldEqual, Granted)
-			So(g.Try(ctx, named(1)[Exact]), ShouldEqual, Wait)
-			l.set(false)
+			So(g.Rule(fingerprintsOf(1)), ShouldEqual, Suspect)
+			So(g.Try(ctx, fingerprintsOf(1)[Exact]), ShouldEqual, Granted)
+			So(g.Try(ctx, fingerprintsOf(1)[Exact]), ShouldEqual, Wait)
+			l.setDown(false)
 			time.Sleep(time.Second)
 			cancel()
 			synctest.Wait()
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			So(len(l.got), ShouldEqual, 1)
-			So(l.got[0].Began, ShouldBeGreaterThan, 20*time.Second)
+			So(len(l.reports), ShouldEqual, 1)
+			So(l.reports[0].Began, ShouldBeGreaterThan, 20*time.Second)
 		})
 	})
 }
 
 // A daemon may receive an older version of the tree after a newer one, which must not
 // replace it.
-func TestObservedQuarantineNeverGoesBack(t *testing.T) {
+func TestOlderTreeVersionIsIgnored(t *testing.T) {
 	Convey("The newest version is kept", t, func() {
-		tr := newTrail(t)
-		tr.report(crash(named(1), 3))
+		tr := newCoordinatorFixture(t)
+		tr.report(crashReport(fingerprintsOf(1), 3))
 		g := NewRegistry(vm.Monotonic, nil)
 		g.Observe(7, tr.tree)
 		g.Observe(6, settings.New())
-		So(g.Rule(named(1)), ShouldEqual, Suspect)
+		So(g.Rule(fingerprintsOf(1)), ShouldEqual, Suspect)
 	})
 }
--- a/internal/quarantine/remote.go
+++ b/internal/quarantine/remote.go
@@ -12,7 +12,7 @@
 )
 
 // callTimeout bounds one call to a control VM.
-const callTime = time.Second
+const callTimeout = time.Second
 
 // RemoteLeader reaches the leader of the control group over the network. It implements
 // Leader.
@@ -33,7 +33,7 @@
 			BeganMs: uint32(r.Began.Milliseconds()),
 		}
 	}
-	return l.ask(ctx, func(ctx context.Context, c wire.DRPCQuarantineClient) (string, error) {
+	return l.callLeader(ctx, func(ctx context.Context, c wire.DRPCQuarantineClient) (string, error) {
 		out, err := c.Report(ctx, req)
 		return out.GetRedirect(), err
 	})
@@ -42,7 +42,7 @@
 // Try implements Leader.
 func (l *Remote) Try(ctx context.Context, f Fingerprint) (Grant, error) {
 	grant := Denied
-	err := l.ask(ctx, func(ctx context.Context, c wire.DRPCQuarantineClient) (string, error) {
+	err := l.callLeader(ctx, func(ctx context.Context, c wire.DRPCQuarantineClient) (string, error) {
 		out, err := c.Trial(ctx, &wire.TrialRequest{Fingerprint: f[:]})
 		grant = Grant(min(out.GetGrant(), uint32(Granted)))
 		return out.GetRedirect(), err
@@ -52,30 +52,30 @@
 
 // Release implements Leader.
 func (l *Remote) Release(ctx context.Context, f Fingerprint) error {
-	return l.ask(ctx, func(ctx context.Context, c wire.DRPCQuarantineClient) (string, error) {
+	return l.callLeader(ctx, func(ctx context.Context, c wire.DRPCQuarantineClient) (string, error) {
 		out, err := c.Trial(ctx, &wire.TrialRequest{Fingerprint: f[:], Release: true})
 		return out.GetRedirect(), err
 	})
 }
 
 // callLeader calls the control VMs in turn until the leader has answered.
-func (l *Remote) ask(ctx context.Context, call func(context.Context, wire.DRPCQuarantineClient) (redirect string, err error)) error {
-	last := errors.New("quarantine: no control VM is known")
+func (l *Remote) callLeader(ctx context.Context, call func(context.Context, wire.DRPCQuarantineClient) (redirect string, err error)) error {
+	lastErr := errors.New("quarantine: no control VM is known")
 	answered := peer.Walk(ctx, l.Contacts(), func(addr string) (string, bool) {
-		redirect, err := l.askOne(ctx, addr, call)
+		redirect, err := l.callOne(ctx, addr, call)
 		if err != nil {
-			last = err
+			lastErr = err
 		}
 		return redirect, err == nil && redirect == ""
 	})
 	if answered {
 		return nil
 	}
-	return errors.CombineErrors(last, ctx.Err())
+	return errors.CombineErrors(lastErr, ctx.Err())
 }
 
-func (l *Remote) askOne(ctx context.Context, addr string, call func(context.Context, wire.DRPCQuarantineClient) (string, error)) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+func (l *Remote) callOne(ctx context.Context, addr string, call func(context.Context, wire.DRPCQuarantineClient) (string, error)) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	conn, err := l.Conns.Conn(ctx, addr)
 	if err != nil {
--- a/internal/quarantine/reports.go
+++ b/internal/quarantine/reports.go
@@ -12,21 +12,21 @@
 
 const (
 	// maxQueuedReports bounds the reports that wait for the leader.
-	mostReports = 256
+	maxQueuedReports = 256
 	// reportRetryInterval is the pause between two deliveries to the leader, and reportTTL
 	// is how long delivery of a report is attempted.
-	reportPause = 200 * time.Millisecond
-	reportFor   = time.Minute
+	reportRetryInterval = 200 * time.Millisecond
+	reportTTL           = time.Minute
 	// settlePeriod is how long a daemon uses its own observation after the leader has
 	// accepted its report. The resulting cases arrive within this time.
-	settleTime = 5 * time.Second
+	settlePeriod = 5 * time.Second
 )
 
 var reportsLost = metrics.GetOrRegisterCounter("quarantine.reports.lost", metrics.DefaultRegistry)
 
 type queuedReport struct {
 	*Report
-	at vm.Instant
+	queuedAt vm.Instant
 }
 
 // Report records the outcome of an attempt and queues it for the leader.
@@ -34,16 +34,16 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, f := range r.Request {
-		g.seen(f).cleared = r.Survived
+		g.refresh(f).cleared = r.Survived
 	}
-	if len(g.queue) >= mostReports {
+	if len(g.queue) >= maxQueuedReports {
 		reportsLost.Inc(1)
 		klog.Errorf("quarantine: report of request=%s leaf_ends=%d is lost, %d wait for the leader", r.Request[Exact], r.Ends, len(g.queue))
 		return
 	}
 	g.queue = append(g.queue, queuedReport{r, g.clock()})
 	select {
-	case g.queued <- struct{}{}:
+	case g.queueSignal <- struct{}{}:
 	default:
 	}
 }
@@ -52,12 +52,12 @@
 func (g *Registry) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
-		case <-g.queued:
+		case <-g.queueSignal:
 		case <-ctx.Done():
 			return
 		}
 		for g.deliver(ctx) {
-			if !vm.Sleep(ctx, reportPause) {
+			if !vm.Sleep(ctx, reportRetryInterval) {
 				return
 			}
 		}
@@ -77,7 +77,7 @@
 	reports := make([]*Report, 0, len(waiting))
 	for _, w := range waiting {
 		r := *w.Report
-		r.Began += now.Sub(w.at)
+		r.Began += now.Sub(w.queuedAt)
 		reports = append(reports, &r)
 	}
 	err := g.leader.Report(ctx, reports)
@@ -86,8 +86,8 @@
 	if err == nil {
 		for _, w := range waiting {
 			for _, f := range w.Request {
-				if s := g.local[f]; s != nil {
-					s.until = g.clock().Add(settleTime)
+				if s := g.observations[f]; s != nil {
+					s.expires = g.clock().Add(settlePeriod)
 				}
 			}
 		}
@@ -95,7 +95,7 @@
 	}
 	kept := waiting[:0]
 	for _, w := range waiting {
-		if now.Sub(w.at) < reportFor {
+		if now.Sub(w.queuedAt) < reportTTL {
 			kept = append(kept, w)
 			continue
 		}
--- a/internal/quarantine/tree.go
+++ b/internal/quarantine/tree.go
@@ -14,7 +14,7 @@
 type Cases map[Fingerprint]Case
 
 // maxDescriptionLen bounds the description of a request, in bytes.
-const longestDescription = 200
+const maxDescriptionLen = 200
 
 // CasesFromTree reads the cases stored in a settings tree. Invalid nodes are logged and
 // skipped.
@@ -27,18 +27,18 @@
 			klog.Warningf("quarantine: ignoring invalid node %s/%s: %v", settings.QuarantinePath, name, err)
 			continue
 		}
-		e, _ := t.Effective(pathOf(f))
+		e, _ := t.Effective(casePath(f))
 		q := &e.Quarantine
 		seen, err := time.Parse(time.RFC3339, q.Seen)
 		if err != nil && q.Seen != "" {
-			klog.Warningf("quarantine: %s has an invalid time of its last report and will be evicted first: %v", pathOf(f), err)
+			klog.Warningf("quarantine: %s has an invalid time of its last report and will be evicted first: %v", casePath(f), err)
 		}
 		out[f] = Case{Ends: q.Ends, Crashes: q.Crashes, Attempts: q.Attempts, Variants: q.Variants, Blocked: q.Blocked, Request: q.Request, Seen: seen}
 	}
 	return out
 }
 
-func pathOf(f Fingerprint) string {
+func casePath(f Fingerprint) string {
 	return settings.QuarantinePath + settings.Root + f.String()
 }
 
@@ -46,7 +46,7 @@
 func Edits(changes []Change) []settings.Edit {
 	var out []settings.Edit
 	for _, c := range changes {
-		path := pathOf(c.Request)
+		path := casePath(c.Request)
 		if c.Cleared || c.Dropped {
 			out = append(out, settings.Edit{Path: path, Op: settings.Remove})
 			continue
@@ -56,7 +56,7 @@
 				out = append(out, settings.Edit{Path: path, Name: name, Value: value, Op: settings.Set})
 			}
 		}
-		set(settings.NameQuarantineRequest, describe(c.After.Request))
+		set(settings.NameQuarantineRequest, sanitizeDescription(c.After.Request))
 		set(settings.NameQuarantineEnds, strconv.Itoa(c.After.Ends))
 		set(settings.NameQuarantineCrashes, strconv.Itoa(c.After.Crashes))
 		set(settings.NameQuarantineAttempts, strconv.Itoa(c.After.Attempts))
@@ -69,7 +69,7 @@
 
 // sanitizeDescription makes a description that contains text from a caller safe to store in
 // the tree: valid UTF-8, printable and of bounded length.
-func describe(text string) string {
+func sanitizeDescription(text string) string {
 	text = strings.ToValidUTF8(text, "?")
 	text = strings.Map(func(r rune) rune {
 		if !strconv.IsPrint(r) {
@@ -77,8 +77,8 @@
 		}
 		return r
 	}, text)
-	if len(text) > longestDescription {
-		text = strings.ToValidUTF8(text[:longestDescription], "")
+	if len(text) > maxDescriptionLen {
+		text = strings.ToValidUTF8(text[:maxDescriptionLen], "")
 	}
 	return strings.TrimSpace(text)
 }
--- a/internal/query/scatter/acquire.go
+++ b/internal/query/scatter/acquire.go
@@ -10,8 +10,8 @@
 )
 
 // reservation is a permit to send to a replica.
-type acquired struct {
-	choice
+type reservation struct {
+	candidate
 	permit *admit.Permit
 }
 
@@ -21,8 +21,8 @@
 // Waiting in a single queue would tie the attempt to the replica that was cheapest on
 // arrival. If a straggler later occupies a slot there, the attempt would wait for it while
 // another replica is idle.
-func (s *shardRun) acquireAt(ctx context.Context, ranked []choice, ask admit.Ask) (acquired, *contract.Error) {
-	if a, ok := s.takeFree(ranked); ok {
+func (s *shardRun) acquire(ctx context.Context, ranked []candidate, ask admit.Ask) (reservation, *contract.Error) {
+	if a, ok := s.tryAcquire(ranked); ok {
 		return a, nil
 	}
 	addrs := make([]string, len(ranked))
@@ -31,23 +31,23 @@
 	}
 	permit, at, err := s.g.gates.AcquireAny(ctx, addrs, ask)
 	if err != nil {
-		return acquired{}, refusalOf(ctx, err)
+		return reservation{}, refusalOf(ctx, err)
 	}
-	return acquired{ranked[at], permit}, nil
+	return reservation{ranked[at], permit}, nil
 }
 
 // tryAcquire takes a free permit at a replica whose cost is at most maxCostRatio times that
 // of the cheapest one.
-func (s *shardRun) takeFree(ranked []choice) (acquired, bool) {
+func (s *shardRun) tryAcquire(ranked []candidate) (reservation, bool) {
 	for _, c := range ranked {
-		if c.cost() > detourFactor*ranked[0].cost() {
+		if c.cost() > maxCostRatio*ranked[0].cost() {
 			break
 		}
 		if permit, ok := s.g.gates.TryAcquire(c.leaf.Addr); ok {
-			return acquired{c, permit}, true
+			return reservation{c, permit}, true
 		}
 	}
-	return acquired{}, false
+	return reservation{}, false
 }
 
 // refusalOf converts an error of AcquireAny, after which nothing was sent, to a typed
--- a/internal/query/scatter/borrow.go
+++ b/internal/query/scatter/borrow.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	borrowsAtATime = 2                    // per shard: its first attempt and a hedge
-	borrowPause    = 2 * time.Millisecond // added to the pause for each consecutive refusal
-	maxAsked       = 64                   // total per shard
-	borrowBackoff  = 8                    // longest pause, as a multiple of borrowPauseStep
+	maxConcurrentBorrows = 2                    // per shard: its first attempt and a hedge
+	borrowPauseStep      = 2 * time.Millisecond // added to the pause for each consecutive refusal
+	maxBorrowsPerShard   = 64                   // total per shard
+	maxBorrowPauseSteps  = 8                    // longest pause, as a multiple of borrowPauseStep
 )
 
 // borrowBackoff limits requests to other homes that would be refused: each consecutive
 // refusal lengthens the pause until the next one. Under overload no home has a free permit,
 // and every shard would make a call in vain.
-type lending struct {
+type borrowBackoff struct {
 	notBefore atomic.Int64 // vm.Instant
 	refusals  atomic.Int32 // consecutive refusals
 }
 
-func (l *lending) open(now vm.Instant) bool { return now >= vm.Instant(l.notBefore.Load()) }
+func (l *borrowBackoff) ready(now vm.Instant) bool { return now >= vm.Instant(l.notBefore.Load()) }
 
-func (l *lending) refused(now vm.Instant) {
-	n := min(l.refusals.Add(1), borrowBackoff)
-	l.notBefore.Store(int64(now.Add(time.Duration(n) * borrowPause)))
+func (l *borrowBackoff) refused(now vm.Instant) {
+	n := min(l.refusals.Add(1), maxBorrowPauseSteps)
+	l.notBefore.Store(int64(now.Add(time.Duration(n) * borrowPauseStep)))
 }
 
-func (l *lending) granted() { l.refusals.Store(0) }
+func (l *borrowBackoff) granted() { l.refusals.Store(0) }
 
 // borrow asks another home to send the request of the shard with a free permit there, and
 // reports whether it asked. The result is sent to s.results.
@@ -41,27 +41,27 @@
 // at one home while slots of another are idle. Asking other homes before queueing makes them
 // serve almost like one pool.
 func (s *shardRun) borrow(hedge bool) bool {
-	if s.job.Lender == nil || s.asked >= maxAsked || !s.g.lending.open(s.g.clock()) {
+	if s.job.Lender == nil || s.borrowed >= maxBorrowsPerShard || !s.g.borrowBackoff.ready(s.g.clock()) {
 		return false
 	}
-	base := s.attemptNumber()
-	s.asked++
-	id := s.attemptNumber()
-	ctx := s.launch(id, notHere)
+	base := s.attemptID()
+	s.borrowed++
+	id := s.attemptID()
+	ctx := s.begin(id, remoteReplica)
 	avoid := s.triedAddrs()
 	s.g.pending.Add(1)
 	go func() {
 		defer s.g.pending.Done()
 		began := s.g.clock()
 		hits, err := s.job.Lender.Lend(ctx, s.job, s.shard, base, avoid)
-		d := attemptDone{attempt: attempt{id: id, hedge: hedge, borrowed: true}, hits: hits}
+		result := attemptResult{attempt: attempt{id: id, hedge: hedge, borrowed: true}, hits: hits}
 		if err != nil {
-			d.err = attemptError(err)
+			result.err = attemptError(err)
 		} else {
 			s.g.latency.Observe(s.g.clock().Sub(began))
 		}
-		s.g.lending.note(d, s.g.clock())
-		s.results <- d
+		s.g.borrowBackoff.record(result, s.g.clock())
+		s.results <- result
 	}()
 	return true
 }
@@ -69,50 +69,50 @@
 // triedAddrs returns the addresses of the replicas in s.tried.
 func (s *shardRun) triedAddrs() []string {
 	var addrs []string
-	for i, h := range s.holders {
+	for i, leaf := range s.replicas {
 		if s.tried&(1<<i) != 0 {
-			addrs = append(addrs, h.Addr)
+			addrs = append(addrs, leaf.Addr)
 		}
 	}
 	return addrs
 }
 
-func (l *lending) note(d attemptDone, now vm.Instant) {
+func (l *borrowBackoff) record(result attemptResult, now vm.Instant) {
 	switch {
-	case d.declined():
+	case result.borrowRefused():
 		l.refused(now)
-	case d.err == nil:
+	case result.err == nil:
 		l.granted()
 	}
 }
 
 // borrowRefused reports whether another home had no free permit and sent nothing.
-func (d *attemptDone) declined() bool {
+func (d *attemptResult) borrowRefused() bool {
 	return d.borrowed && d.err != nil && d.err.Verdict == contract.NotRun
 }
 
 // handleBorrowRefused continues at this home after another home had no free permit.
-func (s *shardRun) declined(d attemptDone) (Shard, bool) {
-	if d.hedge {
-		s.extra.Add(-1)
-		s.waitHedge()
-		return s.goOn()
+func (s *shardRun) handleBorrowRefused(result attemptResult) (Shard, bool) {
+	if result.hedge {
+		s.extraSends.Add(-1)
+		s.queueHedge()
+		return s.retryOrFinish()
 	}
-	if len(s.flights) > 0 || s.hedges != nil {
+	if len(s.inFlight) > 0 || s.hedgePermits != nil {
 		return Shard{}, false
 	}
 	if s.ctx.Err() != nil {
 		return s.missing(contract.ReasonDeadline), true
 	}
-	ranked := s.g.rank(s.buf[:0], s.holders, s.tried, int(s.g.turn.Add(1)))
+	ranked := s.g.rank(s.rankBuf[:0], s.replicas, s.tried, int(s.g.rotation.Add(1)))
 	if len(ranked) == 0 {
 		return s.missing(contract.ReasonNoReplica), true
 	}
-	if err := s.queue(ranked); err != nil {
+	if err := s.queueAndSend(ranked); err != nil {
 		return s.missing(err.Reason), true
 	}
 	return Shard{}, false
 }
 
 // errNoFreePermit is the cause of the refusal of an immediate job.
-var errDeclined = errors.New("no permit is free")
+var errNoFreePermit = errors.New("no permit is free")
--- a/internal/query/scatter/fake_test.go
+++ b/internal/query/scatter/fake_test.go
@@ -21,41 +21,41 @@
 func bubbleClock() vm.Instant { return vm.Instant(time.Now().UnixNano()) }
 
 // leafAction is what a fake leaf does with one attempt.
-type act uint8
+type leafAction uint8
 
 const (
-	reply        act = iota
-	wrongVersion     // runs and replies for another version
-	otherRequest     // runs and replies for another request
-	reset            // runs and loses the connection before the reply
-	refuse           // 429 without running
-	conflict         // 409 without running
-	unreachable      // nothing was written
-	hang             // runs and never replies
-	ends             // exits while running
-	actCount
+	succeed          leafAction = iota
+	wrongVersion                // runs and replies for another version
+	wrongRequest                // runs and replies for another request
+	resetConnection             // runs and loses the connection before the reply
+	refuse                      // 429 without running
+	declineShard                // 409 without running
+	refuseConnection            // nothing was written
+	hang                        // runs and never replies
+	crash                       // exits while running
+	actionCount
 )
 
 type behavior struct {
-	act   act
-	delay time.Duration
+	action leafAction
+	delay  time.Duration
 }
 
 // fakeLeaves is a Sender to leaves whose behaviour a test defines. It counts the runs, and
 // the attempts in flight at each leaf as seen by the leaf.
 type fakeLeaves struct {
-	script func(leaf string, req *contract.LeafRequest) behavior
+	behave func(leaf string, req *contract.LeafRequest) behavior
 
 	mu       sync.Mutex
 	runs     map[uint32]int // by shard
 	inFlight map[string]int
 	peak     map[string]int
 	sent     int
-	busy     sync.WaitGroup
+	active   sync.WaitGroup
 }
 
-func newFakeLeaves(script func(string, *contract.LeafRequest) behavior) *fakeLeaves {
-	return &fakeLeaves{script: script, runs: map[uint32]int{}, inFlight: map[string]int{}, peak: map[string]int{}}
+func newFakeLeaves(behave func(string, *contract.LeafRequest) behavior) *fakeLeaves {
+	return &fakeLeaves{behave: behave, runs: map[uint32]int{}, inFlight: map[string]int{}, peak: map[string]int{}}
 }
 
 type sendResult struct {
@@ -66,8 +66,8 @@
 // Send implements Sender: the permit is held until the leaf is done, even if the caller
 // returns first.
 func (f *fakeLeaves) Send(ctx context.Context, leaf settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) (*contract.LeafReply, error) {
-	b := f.script(leaf.Name, req)
-	if b.act == unreachable {
+	b := f.behave(leaf.Name, req)
+	if b.action == refuseConnection {
 		permit.Done(admit.Failed, 0)
 		return nil, contract.Refuse(contract.ReasonTargetFailed, errors.New("connection refused"))
 	}
@@ -75,9 +75,9 @@
 		permit.Release()
 		return nil, err
 	}
-	f.enter(leaf.Name, req.Shard, b.act)
+	f.enter(leaf.Name, req.Shard, b.action)
 	done := make(chan sendResult, 1)
-	f.busy.Add(1)
+	f.active.Add(1)
 	go f.run(ctx, leaf.Name, b, *req, permit, done)
 	select {
 	case r := <-done:
@@ -87,20 +87,20 @@
 	}
 }
 
-func (f *fakeLeaves) enter(leaf string, shard uint32, a act) {
+func (f *fakeLeaves) enter(leaf string, shard uint32, a leafAction) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sent++
 	f.inFlight[leaf]++
 	f.peak[leaf] = max(f.peak[leaf], f.inFlight[leaf])
-	if a != refuse && a != conflict {
+	if a != refuse && a != declineShard {
 		f.runs[shard]++
 	}
 }
 
 func (f *fakeLeaves) run(ctx context.Context, leaf string, b behavior, req contract.LeafRequest, permit *admit.Permit, done chan sendResult) {
-	defer f.busy.Done()
-	if b.act == hang {
+	defer f.active.Done()
+	if b.action == hang {
 		<-ctx.Done()
 	} else {
 		time.Sleep(b.delay)
@@ -114,21 +114,21 @@
 func (f *fakeLeaves) finish(b behavior, req contract.LeafRequest, permit *admit.Permit) sendResult {
 	r := &contract.LeafReply{ID: req.ID, Attempt: req.Attempt, Service: req.Service, Shard: req.Shard, IndexVersion: req.IndexVersion}
 	r.Hits = []contract.Hit{{ID: hitID(&req)}}
-	switch b.act {
+	switch b.action {
 	case wrongVersion:
 		r.IndexVersion++
-	case otherRequest:
+	case wrongRequest:
 		r.ID += "x"
 	case refuse:
 		permit.Done(admit.Refused, 0)
 		return sendResult{err: contract.Refuse(contract.ReasonRefused, nil)}
-	case conflict:
+	case declineShard:
 		permit.Done(admit.Declined, 0)
 		return sendResult{err: contract.Refuse(contract.ReasonNoReplica, nil)}
-	case ends:
+	case crash:
 		permit.Done(admit.Failed, 0)
 		return sendResult{err: &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonTargetFailed, Cause: contract.ErrLeafEnded}}
-	case reset, hang:
+	case resetConnection, hang:
 		permit.Done(admit.Failed, 0)
 		return sendResult{err: &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonTargetFailed}}
 	}
@@ -141,7 +141,7 @@
 }
 
 // fixture is a Group with fake leaves inside a synctest bubble.
-type rig struct {
+type fixture struct {
 	leaves *fakeLeaves
 	gates  *admit.Gates
 	group  *Group
@@ -149,8 +149,8 @@
 
 const testSlots = 2
 
-func newRig(script func(string, *contract.LeafRequest) behavior, names []string) *rig {
-	r := &rig{leaves: newFakeLeaves(script), gates: admit.NewGates(bubbleClock)}
+func newFixture(behave func(string, *contract.LeafRequest) behavior, names []string) *fixture {
+	r := &fixture{leaves: newFakeLeaves(behave), gates: admit.NewGates(bubbleClock)}
 	for _, n := range names {
 		r.gates.Configure(addrOf(n), admit.Limits{Slots: testSlots, Queue: 64})
 	}
@@ -173,15 +173,15 @@
 }
 
 // run performs job with a timeout. Leaves may still be running when it returns.
-func (r *rig) run(job *Job, timeout time.Duration) *Result {
+func (r *fixture) run(job *Job, timeout time.Duration) *Result {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	return r.group.Run(ctx, job)
 }
 
 // waitIdle waits for the attempts that a finished job left in flight.
-func (r *rig) settle() {
-	r.leaves.busy.Wait()
+func (r *fixture) waitIdle() {
+	r.leaves.active.Wait()
 	r.group.Wait()
 	synctest.Wait()
 }
--- a/internal/query/scatter/guard.go
+++ b/internal/query/scatter/guard.go
@@ -10,7 +10,7 @@
 
 // crashGuard restricts further sends of a job during which leaves have exited, until a leaf
 // has answered the job.
-type guard struct {
+type crashGuard struct {
 	mu        sync.Mutex
 	suspicion policy.Suspicion
 	inFlight  int
@@ -18,23 +18,23 @@
 }
 
 // recordSend counts an attempt as in flight.
-func (g *guard) sent() {
+func (g *crashGuard) recordSend() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight++
 }
 
 // recordResult removes an ended attempt and updates the suspicion with its result.
-func (g *guard) landed(d *attemptDone) {
+func (g *crashGuard) recordResult(result *attemptResult) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
 	switch {
-	case d.err == nil:
+	case result.err == nil:
 		g.suspicion.Survived = true
-	case d.err.LeafEnded():
+	case result.err.LeafEnded():
 		g.suspicion.Ends++
-	case d.err.Verdict == contract.NotRun:
+	case result.err.Verdict == contract.NotRun:
 		g.suspicion.Unsent()
 	}
 	if g.changed != nil {
@@ -44,14 +44,14 @@
 }
 
 // restricts reports whether sends must be made one at a time.
-func (g *guard) holds() bool {
+func (g *crashGuard) restricts() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.suspicion.Guarded()
 }
 
 // leafExits returns how many leaves exited during the job.
-func (g *guard) ends() int {
+func (g *crashGuard) leafExits() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.suspicion.Ends
@@ -59,7 +59,7 @@
 
 // waitToSend waits until another send is allowed. It returns false if ctx ends or no further
 // send will be allowed.
-func (g *guard) enter(ctx context.Context) bool {
+func (g *crashGuard) waitToSend(ctx context.Context) bool {
 	for {
 		g.mu.Lock()
 		switch {
--- a/internal/query/scatter/hedge.go
+++ b/internal/query/scatter/hedge.go
@@ -8,7 +8,7 @@
 
 // minDelaysLeft is how many hedge delays must remain until the deadline for a straggler to
 // be cancelled in favour of another attempt.
-const dropRoom = 4
+const minDelaysLeft = 4
 
 // handleStraggler is called after each hedge delay without a reply. The first time it sends
 // a hedge. If the hedge gets no permit or straggles as well, it cancels the oldest attempt
@@ -17,44 +17,44 @@
 // Otherwise two stragglers that occupy all slots of a home would each wait for the other's
 // slot, and all later requests would wait until the faster one ends. One such pair in one
 // service determines the tail latency of every query to it.
-func (s *shardRun) straggle() {
-	if !s.job.Repeatable || s.job.Immediate || s.job.Canary || len(s.flights) == 0 || s.guard.holds() {
+func (s *shardRun) handleStraggler() {
+	if !s.job.Repeatable || s.job.Immediate || s.job.Canary || len(s.inFlight) == 0 || s.guard.restricts() {
 		return
 	}
-	if s.hedges != nil {
-		if s.hasRoom() {
-			s.drop()
+	if s.hedgePermits != nil {
+		if s.hasTimeLeft() {
+			s.cancelOldest()
 		}
 		return
 	}
-	second := len(s.flights) > 1
-	if s.sent >= s.maxAttempts() || (second && !s.hasRoom()) || !s.g.hedges.Spend() {
+	second := len(s.inFlight) > 1
+	if s.sent >= s.maxAttempts() || (second && !s.hasTimeLeft()) || !s.g.hedges.Spend() {
 		return
 	}
 	if second {
-		s.drop()
+		s.cancelOldest()
 	}
 	s.startHedge()
 }
 
 // hasTimeLeft reports whether minDelaysLeft hedge delays remain until the deadline.
-func (s *shardRun) hasRoom() bool {
+func (s *shardRun) hasTimeLeft() bool {
 	at, ok := s.ctx.Deadline()
-	return !ok || time.Until(at) >= dropRoom*s.hedgeDelay()
+	return !ok || time.Until(at) >= minDelaysLeft*s.hedgeDelay()
 }
 
 // startHedge sends the request once more, charged to the hedge budget: with a free permit
 // here, else with one of another home, else after a wait. The straggler continues meanwhile.
 func (s *shardRun) startHedge() {
-	if a, ok := s.takeFree(s.g.rank(s.buf[:0], s.holders, s.tried, 0)); ok {
+	if a, ok := s.tryAcquire(s.g.rank(s.rankBuf[:0], s.replicas, s.tried, 0)); ok {
 		s.sendHedge(a)
 		return
 	}
 	if s.borrow(true) {
-		s.extra.Add(1)
+		s.extraSends.Add(1)
 		return
 	}
-	s.waitHedge()
+	s.queueHedge()
 }
 
 // queueHedge starts to wait for a permit at another replica.
@@ -63,26 +63,26 @@
 // nobody waits for, hedging would stop when it is needed most: a straggler occupies its slot
 // for a long time, so a queue forms at the other replica and keeps the hedge out. A hedge
 // frees more capacity than it uses, because the straggler is cancelled when the hedge wins.
-func (s *shardRun) waitHedge() {
-	ranked := s.g.rank(nil, s.holders, s.tried, 0)
-	if len(ranked) == 0 || s.hedges != nil {
+func (s *shardRun) queueHedge() {
+	ranked := s.g.rank(nil, s.replicas, s.tried, 0)
+	if len(ranked) == 0 || s.hedgePermits != nil {
 		s.g.hedges.Refund()
 		return
 	}
-	s.hedges = make(chan acquired)
-	go s.acquireHedge(ranked, s.hedges)
+	s.hedgePermits = make(chan reservation)
+	go s.acquireHedge(ranked, s.hedgePermits)
 }
 
 // acquireHedge delivers a permit for a hedge, or a reservation without permit if it is
 // refused. It returns the permit if the shard has been answered meanwhile.
-func (s *shardRun) acquireHedge(ranked []choice, to chan<- acquired) {
-	a, err := s.acquireAt(s.ctx, ranked, admit.Ask{Priority: s.job.Priority, Order: s.job.Order, Hedge: true})
+func (s *shardRun) acquireHedge(ranked []candidate, granted chan<- reservation) {
+	a, err := s.acquire(s.ctx, ranked, admit.Ask{Priority: s.job.Priority, Order: s.job.Order, Hedge: true})
 	if err != nil {
-		a = acquired{}
+		a = reservation{}
 		s.g.hedges.Refund()
 	}
 	select {
-	case to <- a:
+	case granted <- a:
 	case <-s.ctx.Done():
 		if a.permit != nil {
 			a.permit.Release()
@@ -92,17 +92,17 @@
 }
 
 // handleHedgePermit sends the hedge that waited, if it got a permit.
-func (s *shardRun) hedgeGranted(a acquired) (Shard, bool) {
-	s.hedges = nil
+func (s *shardRun) handleHedgePermit(a reservation) (Shard, bool) {
+	s.hedgePermits = nil
 	if a.permit == nil {
-		return s.goOn()
+		return s.retryOrFinish()
 	}
 	s.sendHedge(a)
 	return Shard{}, false
 }
 
-func (s *shardRun) sendHedge(a acquired) {
-	s.extra.Add(1)
+func (s *shardRun) sendHedge(a reservation) {
+	s.extraSends.Add(1)
 	s.g.meter.hedges.Inc(1)
 	s.send(a, true)
 }
--- a/internal/query/scatter/latency.go
+++ b/internal/query/scatter/latency.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	latencyLowest   = 10 * time.Microsecond
-	latencyHighest  = time.Minute
-	latencyDigits   = 2
-	latencyMinimum  = 16   // samples needed for a threshold
-	latencyRefresh  = 64   // samples between two computations of the threshold
-	latencyWindow   = 4096 // samples after which the older histogram is discarded
-	hedgeFloor      = 500 * time.Microsecond
-	ceilingCoverage = 4    // multiple of the median
-	ceilingTail     = 3    // multiple of the median
-	spendTail       = 0.75 // part of the hedge budget that the learned threshold uses
-	spendCoverage   = 0.5  // part of the hedge budget that the learned threshold uses
+	minLatency         = 10 * time.Microsecond
+	maxLatency         = time.Minute
+	significantDigits  = 2
+	minSamples         = 16   // samples needed for a threshold
+	refreshInterval    = 64   // samples between two computations of the threshold
+	windowSamples      = 4096 // samples after which the older histogram is discarded
+	minHedgeDelay      = 500 * time.Microsecond
+	coverageCeiling    = 4    // multiple of the median
+	tailCeiling        = 3    // multiple of the median
+	tailBudgetPart     = 0.75 // part of the hedge budget that the learned threshold uses
+	coverageBudgetPart = 0.5  // part of the hedge budget that the learned threshold uses
 )
 
 // Latency learns the reply times of a service's leaves over a sliding window of one to two
 // times windowSamples samples. It is safe for concurrent use.
 type Latency struct {
-	mu        sync.Mutex
-	cur, prev *hdrhistogram.Histogram
-	since     int
-	share     float64
-	median    atomic.Int64
-	tail      atomic.Int64 // quantile 1 - tailBudgetPart*share
-	coverage  atomic.Int64 // quantile 1 - coverageBudgetPart*share
-	samples   atomic.Int64
+	mu             sync.Mutex
+	cur, prev      *hdrhistogram.Histogram
+	currentSamples int
+	share          float64
+	median         atomic.Int64
+	tail           atomic.Int64 // quantile 1 - tailBudgetPart*share
+	coverage       atomic.Int64 // quantile 1 - coverageBudgetPart*share
+	samples        atomic.Int64
 }
 
 // NewLatency returns an empty Latency. share is the part of attempts that may be hedged. The
@@ -45,26 +45,26 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(int64(latencyLowest/time.Microsecond), int64(latencyHighest/time.Microsecond), latencyDigits)
+	return hdrhistogram.New(int64(minLatency/time.Microsecond), int64(maxLatency/time.Microsecond), significantDigits)
 }
 
 // Observe adds the duration of one attempt. A cancelled attempt is added with the time until
 // its cancellation: leaving it out would drop the slowest replies, and the threshold would
 // decrease until everything is hedged.
 func (l *Latency) Observe(d time.Duration) {
-	us := min(max(d, latencyLowest), latencyHighest) / time.Microsecond
+	us := min(max(d, minLatency), maxLatency) / time.Microsecond
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_ = l.cur.RecordValue(int64(us)) // in range after clamping
 	l.samples.Add(1)
-	l.since++
-	if l.since%latencyRefresh == 0 || l.samples.Load() == latencyMinimum {
+	l.currentSamples++
+	if l.currentSamples%refreshInterval == 0 || l.samples.Load() == minSamples {
 		l.refresh()
 	}
-	if l.since >= latencyWindow {
+	if l.currentSamples >= windowSamples {
 		l.cur, l.prev = l.prev, l.cur
 		l.cur.Reset()
-		l.since = 0
+		l.currentSamples = 0
 	}
 }
 
@@ -83,13 +83,13 @@
 	h.Merge(l.prev)
 	h.Merge(l.cur)
 	l.median.Store(h.ValueAtQuantile(50))
-	l.tail.Store(h.ValueAtQuantile(100 * (1 - spendTail*l.share)))
-	l.coverage.Store(h.ValueAtQuantile(100 * (1 - spendCoverage*l.share)))
+	l.tail.Store(h.ValueAtQuantile(100 * (1 - tailBudgetPart*l.share)))
+	l.coverage.Store(h.ValueAtQuantile(100 * (1 - coverageBudgetPart*l.share)))
 }
 
 // Median returns the learned median, or 0 while there are too few samples.
 func (l *Latency) Median() time.Duration {
-	if l.samples.Load() < latencyMinimum {
+	if l.samples.Load() < minSamples {
 		return 0
 	}
 	return time.Duration(l.median.Load()) * time.Microsecond
@@ -104,10 +104,10 @@
 	if median == 0 {
 		return 0, false
 	}
-	quantile, ceiling := l.coverage.Load(), time.Duration(ceilingCoverage)
+	quantile, ceiling := l.coverage.Load(), time.Duration(coverageCeiling)
 	if goal == settings.Tail {
-		quantile, ceiling = l.tail.Load(), ceilingTail
+		quantile, ceiling = l.tail.Load(), tailCeiling
 	}
 	d := min(time.Duration(quantile)*time.Microsecond, ceiling*median)
-	return max(d, hedgeFloor), true
+	return max(d, minHedgeDelay), true
 }
--- a/internal/query/scatter/property_test.go
+++ b/internal/query/scatter/property_test.go
@@ -42,8 +42,8 @@
 	s.queries = rapid.IntRange(1, 4).Draw(t, "queries")
 	s.behavior = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) behavior {
 		return behavior{
-			act:   act(rapid.IntRange(0, int(actCount)-1).Draw(t, "act")),
-			delay: time.Duration(rapid.IntRange(0, 50).Draw(t, "delay")) * time.Millisecond,
+			action: leafAction(rapid.IntRange(0, int(actionCount)-1).Draw(t, "act")),
+			delay:  time.Duration(rapid.IntRange(0, 50).Draw(t, "delay")) * time.Millisecond,
 		}
 	}), 1, 24).Draw(t, "behavior")
 	return s
@@ -52,21 +52,21 @@
 // Whatever the leaves do, each shard has exactly one result: either the hits of its own
 // request, shard and version, or a verdict that agrees with the leaves' own count of runs.
 // No leaf receives more concurrent attempts than it has slots.
-func TestAnySchedule(t *testing.T) {
+func TestResultsMatchLeafRunsUnderAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
 		var err error
-		inBubble(t, func() { err = s.play() })
+		inBubble(t, func() { err = s.run() })
 		if err != nil {
 			rt.Fatal(err)
 		}
 	})
 }
 
-func (s *scenario) play() error {
+func (s *scenario) run() error {
 	at := 0
-	r := newRig(func(string, *contract.LeafRequest) behavior { return behavior{} }, s.names)
-	r.leaves.script = func(string, *contract.LeafRequest) behavior {
+	r := newFixture(func(string, *contract.LeafRequest) behavior { return behavior{} }, s.names)
+	r.leaves.behave = func(string, *contract.LeafRequest) behavior {
 		r.leaves.mu.Lock()
 		defer r.leaves.mu.Unlock()
 		at++
@@ -79,7 +79,7 @@
 		if took := time.Since(began); took > s.timeout {
 			return errors.Newf("took %v of %v", took, s.timeout)
 		}
-		r.settle()
+		r.waitIdle()
 		if err := s.check(r, res); err != nil {
 			return err
 		}
@@ -92,7 +92,7 @@
 	return nil
 }
 
-func (s *scenario) check(r *rig, res *Result) error {
+func (s *scenario) check(r *fixture, res *Result) error {
 	for i, sh := range res.Shards {
 		runs := r.leaves.runs[uint32(i)]
 		want := hitID(&contract.LeafRequest{ID: "q", Shard: uint32(i), IndexVersion: 7})
--- a/internal/query/scatter/scatter_test.go
+++ b/internal/query/scatter/scatter_test.go
@@ -14,17 +14,17 @@
 // they would mix versions or disclose another caller's data. The reply is discarded and the
 // other replica is tried.
 func TestWrongReplyIsRetriedElsewhere(t *testing.T) {
-	for _, wrong := range []act{wrongVersion, otherRequest} {
+	for _, wrong := range []leafAction{wrongVersion, wrongRequest} {
 		inBubble(t, func() {
 			Convey("Given a replica that sends wrong replies", t, func() {
-				r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+				r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 					if leaf == "a" {
-						return behavior{act: wrong, delay: time.Millisecond}
+						return behavior{action: wrong, delay: time.Millisecond}
 					}
 					return behavior{delay: time.Millisecond}
 				}, []string{"a", "b"})
 				res := r.run(testJob(2, leavesOf("a", "b")), time.Second)
-				r.settle()
+				r.waitIdle()
 				So(res.Answered(), ShouldEqual, 2)
 				for s, sh := range res.Shards {
 					So(sh.Hits, ShouldResemble, []contract.Hit{{ID: hitID(&contract.LeafRequest{ID: "q", Shard: uint32(s), IndexVersion: 7})}})
@@ -35,18 +35,18 @@
 }
 
 // Every replica that runs the query crashes. Retries must not crash the other replicas too.
-func TestLeavesThatEndAreNotMadeUpForWithoutAnAnswer(t *testing.T) {
+func TestCrashingQueryIsNotRetriedAtEveryReplica(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given a query that crashes each leaf", t, func() {
-			r := newRig(func(string, *contract.LeafRequest) behavior {
-				return behavior{act: ends, delay: time.Millisecond}
+			r := newFixture(func(string, *contract.LeafRequest) behavior {
+				return behavior{action: crash, delay: time.Millisecond}
 			}, []string{"a", "b", "c", "d", "e", "f", "g", "h"})
 			job := testJob(4, leavesOf("a", "b"))
 			for i, pair := range [][]string{{"a", "b"}, {"c", "d"}, {"e", "f"}, {"g", "h"}} {
 				job.Holders[i] = leavesOf(pair...)
 			}
 			res := r.run(job, time.Second)
-			r.settle()
+			r.waitIdle()
 			So(res.Answered(), ShouldEqual, 0)
 			So(res.LeafEnds, ShouldBeLessThanOrEqualTo, 5)
 		})
@@ -55,19 +55,19 @@
 
 // A replica crashes before any shard has answered. Its shard must still be answered by the
 // other replica.
-func TestLeafThatEndsIsMadeUpForOnceAnotherAnswers(t *testing.T) {
+func TestShardOfCrashedLeafIsRetriedAfterAnotherLeafAnswers(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given one leaf that exits, and others that answer later", t, func() {
-			r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+			r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 				if leaf == "a" {
-					return behavior{act: ends, delay: time.Millisecond}
+					return behavior{action: crash, delay: time.Millisecond}
 				}
 				return behavior{delay: 20 * time.Millisecond}
 			}, []string{"a", "b", "c", "d"})
 			job := testJob(2, leavesOf("c", "d"))
 			job.Holders[0] = leavesOf("a", "b")
 			res := r.run(job, time.Second)
-			r.settle()
+			r.waitIdle()
 			So(res.Answered(), ShouldEqual, 2)
 		})
 	})
@@ -76,17 +76,17 @@
 // A replica runs a request that is not repeatable and loses the connection before the reply.
 // Trying the free other replica would run the request twice, so the verdict must be
 // may_have_run.
-func TestNotRepeatableIsNotResentInDoubt(t *testing.T) {
-	for _, a := range []act{reset, hang, wrongVersion, otherRequest} {
+func TestNotRepeatableIsNotResentIfItMayHaveRun(t *testing.T) {
+	for _, a := range []leafAction{resetConnection, hang, wrongVersion, wrongRequest} {
 		inBubble(t, func() {
 			Convey("Given a replica that runs and does not answer", t, func() {
-				r := newRig(func(string, *contract.LeafRequest) behavior {
-					return behavior{act: a, delay: time.Millisecond}
+				r := newFixture(func(string, *contract.LeafRequest) behavior {
+					return behavior{action: a, delay: time.Millisecond}
 				}, []string{"a", "b"})
 				job := testJob(1, leavesOf("a", "b"))
 				job.Repeatable = false
 				res := r.run(job, time.Second)
-				r.settle()
+				r.waitIdle()
 				So(res.Shards[0].Answered, ShouldBeFalse)
 				So(res.Shards[0].Verdict, ShouldEqual, contract.MayHaveRun)
 				So(r.leaves.runs[0], ShouldEqual, 1)
@@ -97,24 +97,24 @@
 
 // The first replica refused a request that is not repeatable before running it, or was never
 // reached. Sending it to the other replica runs it once, so the shard must be answered.
-func TestNotRepeatableMovesOnAfterProvenRefusal(t *testing.T) {
-	for _, a := range []act{refuse, conflict, unreachable} {
+func TestNotRepeatableIsResentAfterNotRun(t *testing.T) {
+	for _, a := range []leafAction{refuse, declineShard, refuseConnection} {
 		inBubble(t, func() {
 			Convey("Given a replica that does not run the request", t, func() {
 				first := ""
-				r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+				r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 					if first == "" {
 						first = leaf
 					}
 					if leaf == first {
-						return behavior{act: a, delay: time.Millisecond}
+						return behavior{action: a, delay: time.Millisecond}
 					}
 					return behavior{delay: time.Millisecond}
 				}, []string{"a", "b"})
 				job := testJob(1, leavesOf("a", "b"))
 				job.Repeatable = false
 				res := r.run(job, time.Second)
-				r.settle()
+				r.waitIdle()
 				So(res.Shards[0].Answered, ShouldBeTrue)
 				So(r.leaves.runs[0], ShouldEqual, 1)
 			})
@@ -124,18 +124,18 @@
 
 // When every replica of every shard has refused and the goal is the tail, nothing more will
 // be tried. The verdict not_run must be returned at once, not near the deadline.
-func TestRefusalByAllIsToldAtOnce(t *testing.T) {
+func TestRefusalByAllReplicasReturnsAtOnce(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given replicas that all refuse", t, func() {
-			r := newRig(func(string, *contract.LeafRequest) behavior {
-				return behavior{act: refuse, delay: time.Millisecond}
+			r := newFixture(func(string, *contract.LeafRequest) behavior {
+				return behavior{action: refuse, delay: time.Millisecond}
 			}, []string{"a", "b"})
 			job := testJob(3, leavesOf("a", "b"))
 			job.Goal = settings.Tail
 			began := time.Now()
 			res := r.run(job, 10*time.Second)
 			So(time.Since(began), ShouldBeLessThan, time.Second)
-			r.settle()
+			r.waitIdle()
 			for _, s := range res.Shards {
 				So(s.Verdict, ShouldEqual, contract.NotRun)
 				So(s.Answered, ShouldBeFalse)
@@ -150,9 +150,9 @@
 func TestStragglerIsHedged(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given a replica that hangs", t, func() {
-			r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+			r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 				if leaf == "a" {
-					return behavior{act: hang}
+					return behavior{action: hang}
 				}
 				return behavior{delay: 2 * time.Millisecond}
 			}, []string{"a", "b"})
@@ -164,7 +164,7 @@
 				So(res.Answered(), ShouldEqual, 1)
 				So(time.Since(began), ShouldBeLessThanOrEqualTo, 15*time.Millisecond)
 			}
-			r.settle()
+			r.waitIdle()
 		})
 	})
 }
@@ -172,12 +172,12 @@
 // The replicas of one of four shards hang, and an early answer is allowed. The answer must
 // have coverage 3 of 4 and the early flag well before the deadline, and the missing shard
 // must have the reason early and the verdict may_have_run.
-func TestEarlyAnswerSaysWhatItLeftOut(t *testing.T) {
+func TestEarlyAnswerMarksMissingShards(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given one shard whose replicas hang", t, func() {
-			r := newRig(func(_ string, req *contract.LeafRequest) behavior {
+			r := newFixture(func(_ string, req *contract.LeafRequest) behavior {
 				if req.Shard == 2 {
-					return behavior{act: hang}
+					return behavior{action: hang}
 				}
 				return behavior{delay: time.Millisecond}
 			}, []string{"a", "b", "c", "d"})
@@ -186,7 +186,7 @@
 			began := time.Now()
 			res := r.run(job, 8*time.Second)
 			So(time.Since(began), ShouldBeLessThan, 8*time.Second)
-			r.settle()
+			r.waitIdle()
 			So(res.Early, ShouldBeTrue)
 			So(res.Answered(), ShouldEqual, 3)
 			So(res.Shards[2].Reason, ShouldEqual, contract.ReasonEarly)
@@ -201,7 +201,7 @@
 func TestQueuedAttemptMovesToFreeReplica(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given a replica whose slots are all occupied", t, func() {
-			r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+			r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 				return behavior{delay: 3 * time.Millisecond}
 			}, []string{"a", "b"})
 			for range testSlots {
@@ -212,7 +212,7 @@
 			job.Repeatable = false
 			job.HedgeAfter = 5 * time.Millisecond
 			res := r.run(job, 5*time.Second)
-			r.settle()
+			r.waitIdle()
 			So(res.Answered(), ShouldEqual, 8)
 			So(res.Extra, ShouldEqual, 0)
 			So(r.leaves.sent, ShouldEqual, 8)
--- a/internal/query/scatter/shard.go
+++ b/internal/query/scatter/shard.go
@@ -11,51 +11,51 @@
 )
 
 const (
-	shortestRound = 5 * time.Millisecond // minimum pause between two rounds over the same replicas
-	longestPause  = time.Minute
+	minRoundPause = 5 * time.Millisecond // minimum pause between two rounds over the same replicas
+	maxRoundPause = time.Minute
 )
 
 // shardRun drives the attempts of one shard. Only its own goroutine uses it.
 type shardRun struct {
-	*run
-	shard   uint32
-	holders []settings.Leaf
-	ctx     context.Context
-	cancel  context.CancelFunc // cancels all attempts
-	results chan attemptDone
-	hedges  chan acquired    // delivers the permit of a hedge; nil while none waits
-	flights []flight         // in the order in which they were sent
-	sent    int              // attempts of this home
-	asked   int              // attempts that another home was asked for
-	tried   uint64           // bit set by index in replicas
-	verdict contract.Verdict // joined over all ended attempts
-	last    contract.Error   // of the last failed attempt
-	buf     [4]choice        // avoids an allocation in rank
+	*jobRun
+	shard        uint32
+	replicas     []settings.Leaf
+	ctx          context.Context
+	cancel       context.CancelFunc // cancels all attempts
+	results      chan attemptResult
+	hedgePermits chan reservation  // delivers the permit of a hedge; nil while none waits
+	inFlight     []inFlightAttempt // in the order in which they were sent
+	sent         int               // attempts of this home
+	borrowed     int               // attempts that another home was asked for
+	tried        uint64            // bit set by index in replicas
+	verdict      contract.Verdict  // joined over all ended attempts
+	lastErr      contract.Error    // of the last failed attempt
+	rankBuf      [4]candidate      // avoids an allocation in rank
 }
 
-func newShardRun(r *run, shard uint32) *shardRun {
-	holders := r.job.Holders[shard]
-	if len(holders) > maxReplicas {
-		holders = holders[:maxReplicas]
+func newShardRun(r *jobRun, shard uint32) *shardRun {
+	replicas := r.job.Holders[shard]
+	if len(replicas) > maxReplicas {
+		replicas = replicas[:maxReplicas]
 	}
-	s := &shardRun{run: r, shard: shard, holders: holders, verdict: contract.NotRun}
+	s := &shardRun{jobRun: r, shard: shard, replicas: replicas, verdict: contract.NotRun}
 	s.ctx, s.cancel = context.WithCancel(r.ctx)
-	for i := range holders {
-		if slices.Contains(r.job.Avoid, holders[i].Addr) {
+	for i := range replicas {
+		if slices.Contains(r.job.Avoid, replicas[i].Addr) {
 			s.tried |= 1 << i
 		}
 	}
-	s.results = make(chan attemptDone, s.maxAttempts()+borrowsAtATime)
+	s.results = make(chan attemptResult, s.maxAttempts()+maxConcurrentBorrows)
 	return s
 }
 
 // maxAttempts bounds the attempts at one shard, whatever the budgets allow.
-func (s *shardRun) maxAttempts() int { return 2 * len(s.holders) }
+func (s *shardRun) maxAttempts() int { return 2 * len(s.replicas) }
 
 // execute runs the shard until it has a result. Attempts still in flight are cancelled.
-func (s *shardRun) do() Shard {
+func (s *shardRun) execute() Shard {
 	defer s.cancel()
-	if len(s.holders) == 0 {
+	if len(s.replicas) == 0 {
 		return s.missing(contract.ReasonNoReplica)
 	}
 	s.g.hedges.Primary()
@@ -73,42 +73,42 @@
 	for {
 		select {
 		case d := <-s.results:
-			if out, ended := s.take(d); ended {
+			if out, ended := s.handleResult(d); ended {
 				return out
 			}
 			timer.Reset(s.hedgeDelay())
 		case <-timer.C:
-			s.straggle()
+			s.handleStraggler()
 			timer.Reset(s.hedgeDelay())
-		case a := <-s.hedges:
-			if out, ended := s.hedgeGranted(a); ended {
+		case a := <-s.hedgePermits:
+			if out, ended := s.handleHedgePermit(a); ended {
 				return out
 			}
 			timer.Reset(s.hedgeDelay())
 		case <-s.ctx.Done():
-			return s.expired()
+			return s.finishExpired()
 		}
 	}
 }
 
 // handleResult handles the end of one attempt and reports whether the shard is finished.
-func (s *shardRun) take(d attemptDone) (Shard, bool) {
-	s.landed(d.id)
-	s.guard.landed(&d)
-	if d.err == nil {
-		return s.answered(d), true
+func (s *shardRun) handleResult(result attemptResult) (Shard, bool) {
+	s.end(result.id)
+	s.guard.recordResult(&result)
+	if result.err == nil {
+		return s.answered(result), true
 	}
-	if d.declined() {
-		return s.declined(d)
+	if result.borrowRefused() {
+		return s.handleBorrowRefused(result)
 	}
-	s.failed(d)
-	return s.goOn()
+	s.recordFailure(result)
+	return s.retryOrFinish()
 }
 
 // retryOrFinish retries if no attempt is in flight and no hedge waits, and finishes the
 // shard if no retry is possible.
-func (s *shardRun) goOn() (Shard, bool) {
-	if len(s.flights) > 0 || s.hedges != nil {
+func (s *shardRun) retryOrFinish() (Shard, bool) {
+	if len(s.inFlight) > 0 || s.hedgePermits != nil {
 		return Shard{}, false
 	}
 	if reason, ok := s.retry(); !ok {
@@ -119,37 +119,37 @@
 
 // finishExpired finishes the shard at its deadline. The attempts in flight end at once as
 // well. Their results show whether they had been sent, and one may still be a success.
-func (s *shardRun) expired() Shard {
-	for len(s.flights) > 0 {
-		d := <-s.results
-		s.landed(d.id)
-		s.guard.landed(&d)
-		if d.err == nil {
-			return s.answered(d)
+func (s *shardRun) finishExpired() Shard {
+	for len(s.inFlight) > 0 {
+		result := <-s.results
+		s.end(result.id)
+		s.guard.recordResult(&result)
+		if result.err == nil {
+			return s.answered(result)
 		}
-		s.failed(d)
+		s.recordFailure(result)
 	}
 	return s.missing(contract.ReasonDeadline)
 }
 
-func (s *shardRun) answered(d attemptDone) Shard {
-	if d.hedge {
+func (s *shardRun) answered(result attemptResult) Shard {
+	if result.hedge {
 		s.g.meter.hedgesWon.Inc(1)
 	}
-	return Shard{Answered: true, Hits: d.hits, Verdict: contract.Ran}
+	return Shard{Answered: true, Hits: result.hits, Verdict: contract.Ran}
 }
 
-func (s *shardRun) failed(d attemptDone) {
-	s.verdict = s.verdict.Join(d.err.Verdict)
-	s.last = *d.err
-	s.noteRetryAfter(d.err.RetryAfter)
+func (s *shardRun) recordFailure(result attemptResult) {
+	s.verdict = s.verdict.Join(result.err.Verdict)
+	s.lastErr = *result.err
+	s.recordRetryAfter(result.err.RetryAfter)
 }
 
 // missing returns the result of a shard that was not answered. An attempt still in flight
 // may have run.
 func (s *shardRun) missing(reason contract.Reason) Shard {
 	v := s.verdict
-	if len(s.flights) > 0 {
+	if len(s.inFlight) > 0 {
 		v = v.Join(contract.MayHaveRun)
 	}
 	return Shard{Reason: reason, Verdict: v}
@@ -158,39 +158,39 @@
 // start sends the first attempt, or a further one after all have failed: with a free permit
 // here, else with one of another home, else after a wait in the queue.
 func (s *shardRun) start() *contract.Error {
-	ranked := s.g.rank(s.buf[:0], s.holders, s.tried, int(s.g.turn.Add(1)))
+	ranked := s.g.rank(s.rankBuf[:0], s.replicas, s.tried, int(s.g.rotation.Add(1)))
 	if len(ranked) == 0 {
 		return contract.Refuse(contract.ReasonNoReplica, nil)
 	}
-	if a, ok := s.takeFree(ranked); ok {
+	if a, ok := s.tryAcquire(ranked); ok {
 		s.send(a, false)
 		return nil
 	}
 	if s.job.Immediate {
-		return contract.Refuse(contract.ReasonOverload, errDeclined)
+		return contract.Refuse(contract.ReasonOverload, errNoFreePermit)
 	}
 	if s.borrow(false) {
 		return nil
 	}
-	return s.queue(ranked)
+	return s.queueAndSend(ranked)
 }
 
 // queueAndSend waits for a permit and sends. The queues here may be blocked by stragglers,
 // so another home is asked again after each hedge delay. Queues are ordered by deadline, so
 // leaving one and joining it again loses no position.
-func (s *shardRun) queue(ranked []choice) *contract.Error {
+func (s *shardRun) queueAndSend(ranked []candidate) *contract.Error {
 	ask := admit.Ask{Priority: s.job.Priority, Order: s.job.Order}
 	for {
 		ctx, cancel := s.queueContext()
-		a, err := s.acquireAt(ctx, ranked, ask)
-		waited := ctx.Err() != nil && s.ctx.Err() == nil
+		a, err := s.acquire(ctx, ranked, ask)
+		delayElapsed := ctx.Err() != nil && s.ctx.Err() == nil
 		cancel()
 		switch {
 		case err == nil:
 			s.send(a, false)
 			return nil
-		case !waited:
-			s.noteRetryAfter(err.RetryAfter)
+		case !delayElapsed:
+			s.recordRetryAfter(err.RetryAfter)
 			return err
 		case s.borrow(false):
 			return nil
@@ -220,22 +220,22 @@
 		return contract.ReasonDeadline, false
 	}
 	if s.job.Immediate || s.job.Canary || (!s.job.Repeatable && s.verdict != contract.NotRun) {
-		return s.last.Reason, false
+		return s.lastErr.Reason, false
 	}
-	free := s.untried() && costless(&s.last)
-	if s.sent >= s.maxAttempts() || !s.anotherRound() {
-		return s.last.Reason, false
+	exempt := s.hasUntried() && exemptFromBudget(&s.lastErr)
+	if s.sent >= s.maxAttempts() || !s.nextRound() {
+		return s.lastErr.Reason, false
 	}
-	if !s.guard.enter(s.ctx) {
-		return s.last.Reason, false
+	if !s.guard.waitToSend(s.ctx) {
+		return s.lastErr.Reason, false
 	}
-	if !free && !s.g.retries.Spend() {
+	if !exempt && !s.g.retries.Spend() {
 		return contract.ReasonBudget, false
 	}
 	if err := s.start(); err != nil {
-		return s.last.Reason, false
+		return s.lastErr.Reason, false
 	}
-	s.extra.Add(1)
+	s.extraSends.Add(1)
 	s.g.meter.retries.Inc(1)
 	return "", true
 }
@@ -246,23 +246,23 @@
 // the loss of one replica could use up the budget, and shards that the other replica holds
 // would be missing. Only the first attempt at each replica is exempt, which bounds the
 // number.
-func costless(e *contract.Error) bool {
+func exemptFromBudget(e *contract.Error) bool {
 	return e.Verdict == contract.NotRun && e.Reason != contract.ReasonRefused
 }
 
 // hasUntried reports whether a replica has not been tried in this round.
-func (s *shardRun) untried() bool { return s.tried != uint64(1)<<len(s.holders)-1 }
+func (s *shardRun) hasUntried() bool { return s.tried != uint64(1)<<len(s.replicas)-1 }
 
 // nextRound reports whether a replica is left to try. If all have been tried and the goal is
 // coverage, it waits for a pause and makes all of them available again.
-func (s *shardRun) anotherRound() bool {
-	if s.untried() {
+func (s *shardRun) nextRound() bool {
+	if s.hasUntried() {
 		return true
 	}
 	if s.job.Goal != settings.Coverage {
 		return false
 	}
-	pause := s.shortestPause()
+	pause := s.roundPause()
 	if at, ok := s.ctx.Deadline(); ok && time.Until(at) <= pause+s.g.latency.Median() {
 		return false
 	}
@@ -278,10 +278,10 @@
 }
 
 // roundPause returns the time until the first replica is expected to be free.
-func (s *shardRun) shortestPause() time.Duration {
-	shortest := longestPause
-	for _, h := range s.holders {
-		shortest = min(shortest, s.g.gates.Load(h.Addr).Wait)
+func (s *shardRun) roundPause() time.Duration {
+	shortest := maxRoundPause
+	for _, leaf := range s.replicas {
+		shortest = min(shortest, s.g.gates.Load(leaf.Addr).Wait)
 	}
-	return max(shortest, shortestRound)
+	return max(shortest, minRoundPause)
 }
