--- a/internal/policy/budget.go
+++ b/internal/policy/budget.go
@@ -59,7 +59,7 @@
 	return &Budgets{limits: limits, clock: clock, started: clock(), daemons: daemons, services: make(map[string]*serviceCounts)}
 }
 
-// budget counts the requests and the extra sends of one window plus one slot, in a ring of
+// serviceCounts counts the requests and the extra sends of one window plus one slot, in a ring of
 // slots.
 type serviceCounts struct {
 	slot       int64 // number of the newest slot
--- a/internal/policy/budget_test.go
+++ b/internal/policy/budget_test.go
@@ -91,8 +91,8 @@
 		from := a.when.Add(-limits.Window)
 		half := limits.Window / 2
 		requests := max(count(from, a.when, false), count(from.Add(-half), a.when.Add(-half), false), count(from.Add(-limits.Window), from, false))
-		if got, most := count(from, a.when, true), limits.Ratio*requests+limits.Burst; got > most {
-			t.Fatalf("%v extra sends in the window that ends at %v, %v are allowed for %v requests", got, a.when, most, requests)
+		if got, limit := count(from, a.when, true), limits.Ratio*requests+limits.Burst; got > limit {
+			t.Fatalf("%v extra sends in the window that ends at %v, %v are allowed for %v requests", got, a.when, limit, requests)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 	now = now.Add(2 * time.Second)
 	alive = 7
 	spendAll(daemons[:7])
-	if most := limits.Ratio*float64(requests) + limits.Burst; float64(extra) > most*0.9 {
-		t.Errorf("%d extra sends for %d requests, of %v that are allowed", extra, requests, most)
+	if limit := limits.Ratio*float64(requests) + limits.Burst; float64(extra) > limit*0.9 {
+		t.Errorf("%d extra sends for %d requests, of %v that are allowed", extra, requests, limit)
 	}
 }
--- a/internal/policy/connections_test.go
+++ b/internal/policy/connections_test.go
@@ -11,17 +11,17 @@
 // larger.
 func TestConnectionsStayWithinLeafLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 2000).Draw(t, "most")
+		limit := rapid.IntRange(1, 2000).Draw(t, "most")
 		daemons := rapid.IntRange(1, 300).Draw(t, "daemons")
-		each := Connections(most, daemons)
-		if each < minConnections {
-			t.Fatalf("%d each", each)
+		perDaemon := Connections(limit, daemons)
+		if perDaemon < minConnections {
+			t.Fatalf("%d connections per daemon", perDaemon)
 		}
-		if sum := each * daemons; sum > max(most, minConnections*daemons) {
-			t.Fatalf("%d each of %d daemons: %d of %d", each, daemons, sum, most)
+		if sum := perDaemon * daemons; sum > max(limit, minConnections*daemons) {
+			t.Fatalf("%d connections for each of %d daemons: %d in all, limit %d", perDaemon, daemons, sum, limit)
 		}
 	})
 	if got := Connections(0, 11); got != defaultConnections {
-		t.Errorf("%d to a leaf that states no limit", got)
+		t.Errorf("%d connections to a leaf that states no limit", got)
 	}
 }
--- a/internal/policy/eligible.go
+++ b/internal/policy/eligible.go
@@ -20,7 +20,7 @@
 	// and the caller and for the leaves' own work.
 	gatherCPUShare = 0.5
 	// minSufficient is how many daemons must have enough CPU before the others are left out.
-	// With fewer, the loss of one would direct all callers to the next.
+	// With fewer, the loss of one could direct all callers to a single other daemon.
 	minSufficient = 3
 	// Daemons with enough CPU are scarce when they are fewer than one in scarcityDivisor.
 	// Then extraPerSufficient other daemons are listed for each of them, so that at most a
--- a/internal/policy/standing_test.go
+++ b/internal/policy/standing_test.go
@@ -41,11 +41,11 @@
 	return Choose([]Candidate{r.a}, r.now, medianLatency, r.rng) == 0
 }
 
-func (r *choiceFixture) completeRequest(c Candidate, took time.Duration, outcome Outcome, load *Load) {
+func (r *choiceFixture) completeRequest(c Candidate, elapsed time.Duration, outcome Outcome, load *Load) {
 	began := r.now
 	c.Standing.Begin(began)
-	r.now = r.now.Add(took)
-	c.Standing.End(r.now, began, Ended{Outcome: outcome, Took: took, Usual: medianLatency, Heard: true, Load: load}, r.rng)
+	r.now = r.now.Add(elapsed)
+	c.Standing.End(r.now, began, Ended{Outcome: outcome, Took: elapsed, Usual: medianLatency, Heard: true, Load: load}, r.rng)
 }
 
 func TestChooseAlternatesBetweenEqualLeaves(t *testing.T) {
@@ -58,7 +58,7 @@
 	r := newChoiceFixture()
 	r.b.Near = false
 	if n := r.countA(); n != 100 {
-		t.Errorf("%d of 100 choices stay in the own domain", n)
+		t.Errorf("%d of 100 choices select the leaf in the daemon's own domain", n)
 	}
 }
 
--- a/internal/quarantine/tree.go
+++ b/internal/quarantine/tree.go
@@ -29,11 +29,11 @@
 		}
 		e, _ := t.Effective(casePath(f))
 		q := &e.Quarantine
-		seen, err := time.Parse(time.RFC3339, q.Seen)
+		lastReport, err := time.Parse(time.RFC3339, q.Seen)
 		if err != nil && q.Seen != "" {
 			klog.Warningf("quarantine: %s has an invalid time of its last report and will be evicted first: %v", casePath(f), err)
 		}
-		out[f] = Case{Ends: q.Ends, Crashes: q.Crashes, Attempts: q.Attempts, Variants: q.Variants, Blocked: q.Blocked, Request: q.Request, Seen: seen}
+		out[f] = Case{Ends: q.Ends, Crashes: q.Crashes, Attempts: q.Attempts, Variants: q.Variants, Blocked: q.Blocked, Request: q.Request, Seen: lastReport}
 	}
 	return out
 }
--- a/internal/query/scatter/fake_test.go
+++ b/internal/query/scatter/fake_test.go
@@ -75,7 +75,7 @@
 		permit.Release()
 		return nil, err
 	}
-	f.enter(leaf.Name, req.Shard, b.action)
+	f.recordStart(leaf.Name, req.Shard, b.action)
 	done := make(chan sendResult, 1)
 	f.active.Add(1)
 	go f.run(ctx, leaf.Name, b, *req, permit, done)
@@ -87,7 +87,7 @@
 	}
 }
 
-func (f *fakeLeaves) enter(leaf string, shard uint32, a leafAction) {
+func (f *fakeLeaves) recordStart(leaf string, shard uint32, a leafAction) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sent++
@@ -186,10 +186,10 @@
 	synctest.Wait()
 }
 
-func testJob(shards int, holders []settings.Leaf) *Job {
+func testJob(shards int, replicas []settings.Leaf) *Job {
 	j := &Job{ID: "q", Service: "/s", Version: 7, Repeatable: true, HedgeShare: 0.5}
 	for range shards {
-		j.Holders = append(j.Holders, holders)
+		j.Holders = append(j.Holders, replicas)
 	}
 	return j
 }
--- a/internal/query/scatter/latency.go
+++ b/internal/query/scatter/latency.go
@@ -27,21 +27,21 @@
 // Latency learns the reply times of a service's leaves over a sliding window of one to two
 // times windowSamples samples. It is safe for concurrent use.
 type Latency struct {
-	mu             sync.Mutex
-	cur, prev      *hdrhistogram.Histogram
-	currentSamples int
-	share          float64
-	median         atomic.Int64
-	tail           atomic.Int64 // quantile 1 - tailBudgetPart*share
-	coverage       atomic.Int64 // quantile 1 - coverageBudgetPart*share
-	samples        atomic.Int64
+	mu                sync.Mutex
+	current, previous *hdrhistogram.Histogram
+	currentSamples    int
+	share             float64
+	median            atomic.Int64
+	tail              atomic.Int64 // quantile 1 - tailBudgetPart*share
+	coverage          atomic.Int64 // quantile 1 - coverageBudgetPart*share
+	samples           atomic.Int64
 }
 
 // NewLatency returns an empty Latency. share is the part of attempts that may be hedged. The
 // learned thresholds are quantiles that use only a part of this budget; if they used all of
 // it, it would often be empty when a real straggler occurs.
 func NewLatency(share float64) *Latency {
-	return &Latency{cur: newHistogram(), prev: newHistogram(), share: share}
+	return &Latency{current: newHistogram(), previous: newHistogram(), share: share}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
@@ -55,15 +55,15 @@
 	us := min(max(d, minLatency), maxLatency) / time.Microsecond
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.cur.RecordValue(int64(us)) // in range after clamping
+	_ = l.current.RecordValue(int64(us)) // in range after clamping
 	l.samples.Add(1)
 	l.currentSamples++
 	if l.currentSamples%refreshInterval == 0 || l.samples.Load() == minSamples {
 		l.refresh()
 	}
 	if l.currentSamples >= windowSamples {
-		l.cur, l.prev = l.prev, l.cur
-		l.cur.Reset()
+		l.current, l.previous = l.previous, l.current
+		l.current.Reset()
 		l.currentSamples = 0
 	}
 }
@@ -80,8 +80,8 @@
 
 func (l *Latency) refresh() {
 	h := newHistogram()
-	h.Merge(l.prev)
-	h.Merge(l.cur)
+	h.Merge(l.previous)
+	h.Merge(l.current)
 	l.median.Store(h.ValueAtQuantile(50))
 	l.tail.Store(h.ValueAtQuantile(100 * (1 - tailBudgetPart*l.share)))
 	l.coverage.Store(h.ValueAtQuantile(100 * (1 - coverageBudgetPart*l.share)))
--- a/internal/query/scatter/property_test.go
+++ b/internal/query/scatter/property_test.go
@@ -30,13 +30,13 @@
 	s.job.EarlyAt = rapid.SampledFrom([]float64{0, 0, 0.5, 0.9}).Draw(t, "early")
 	for range rapid.IntRange(1, 5).Draw(t, "shards") {
 		mask := rapid.IntRange(0, 1<<len(s.names)-1).Draw(t, "holders")
-		var hold []string
+		var held []string
 		for i, n := range s.names {
 			if mask&(1<<i) != 0 {
-				hold = append(hold, n)
+				held = append(held, n)
 			}
 		}
-		s.job.Holders = append(s.job.Holders, leavesOf(hold...))
+		s.job.Holders = append(s.job.Holders, leavesOf(held...))
 	}
 	s.timeout = time.Duration(rapid.IntRange(5, 200).Draw(t, "timeout")) * time.Millisecond
 	s.queries = rapid.IntRange(1, 4).Draw(t, "queries")
--- a/internal/query/scatter/straggler_test.go
+++ b/internal/query/scatter/straggler_test.go
@@ -209,7 +209,7 @@
 // results depend on the policy only. -v prints the table.
 func TestHedgingHalvesTailLatencyOfStragglers(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays some hundred thousand attempts")
+		t.Skip("simulates several hundred thousand attempts")
 	}
 	rows := []struct {
 		name string
