--- a/internal/policy/connections_test.go
+++ b/internal/policy/connections_test.go
@@ -6,21 +6,22 @@
 	"pgregory.net/rapid"
 )
 
-// A leaf resets the connections beyond its limit, with whatever is on them: the shares
-// of all daemons stay within it, unless the least that each needs is more.
-func TestConnectionsStayWithinTheLeafsLimit(t *testing.T) {
+// A leaf resets connections beyond its limit together with the requests on them, so the
+// shares of all daemons must stay within it, except where the minimum for each daemon is
+// larger.
+func TestConnectionsStayWithinLeafLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := rapid.IntRange(1, 2000).Draw(t, "most")
+		limit := rapid.IntRange(1, 2000).Draw(t, "most")
 		daemons := rapid.IntRange(1, 300).Draw(t, "daemons")
-		each := Connections(most, daemons)
-		if each < leastConnections {
-			t.Fatalf("%d each", each)
+		perDaemon := Connections(limit, daemons)
+		if perDaemon < minConnections {
+			t.Fatalf("%d connections per daemon", perDaemon)
 		}
-		if sum := each * daemons; sum > max(most, leastConnections*daemons) {
-			t.Fatalf("%d each of %d daemons: %d of %d", each, daemons, sum, most)
+		if sum := perDaemon * daemons; sum > max(limit, minConnections*daemons) {
+			t.Fatalf("%d connections for each of %d daemons: %d in all, limit %d", perDaemon, daemons, sum, limit)
 		}
 	})
-	if got := Connections(0, 11); got != unstatedConnections {
-		t.Errorf("%d to a leaf that states no limit", got)
+	if got := Connections(0, 11); got != defaultConnections {
+		t.Errorf("%d connections to a leaf that states no limit", got)
 	}
 }
--- a/internal/policy/lost.go
+++ b/internal/policy/lost.go
@@ -1,26 +1,26 @@
 package policy
 
-// Witness is what another daemon found when it tried to reach some that do not answer here.
+// PeerReport is the result of another daemon's probe of the daemons that do not answer here.
 type Witness struct {
-	Unanswered []string // of those it was asked about
+	Unanswered []string // addresses that did not answer that daemon either
 }
 
-// Lost returns which of the daemons that do not answer here are lost: those that no other
-// daemon reaches either. Without any witness none is known to be, since the daemon that
-// asks may itself be the one that is cut off.
-func Lost(unanswered []string, witnesses []Witness) []string {
-	if len(witnesses) == 0 {
+// LostDaemons returns the daemons of unanswered that are lost: those that answer none of the
+// reporting peers. Without any report none counts as lost, since this daemon itself may be
+// the one that is cut off.
+func Lost(unanswered []string, reports []Witness) []string {
+	if len(reports) == 0 {
 		return nil
 	}
-	missed := make(map[string]int)
-	for _, w := range witnesses {
+	unreachableFor := make(map[string]int)
+	for _, w := range reports {
 		for _, addr := range w.Unanswered {
-			missed[addr]++
+			unreachableFor[addr]++
 		}
 	}
 	var lost []string
 	for _, addr := range unanswered {
-		if missed[addr] == len(witnesses) {
+		if unreachableFor[addr] == len(reports) {
 			lost = append(lost, addr)
 		}
 	}
--- a/internal/policy/standing_test.go
+++ b/internal/policy/standing_test.go
@@ -8,132 +8,135 @@
 	"pearmoor/internal/vm"
 )
 
-// choiceRig is a choice between two leaves of which something is learned.
-type choiceRig struct {
+// choiceFixture chooses between two leaves, a and b, with statistics.
+type choiceFixture struct {
 	now  vm.Instant
 	rng  *rand.Rand
 	a, b Candidate
 }
 
-func newChoiceRig() *choiceRig {
-	return &choiceRig{
+func newChoiceFixture() *choiceFixture {
+	return &choiceFixture{
 		now: 1, rng: rand.New(rand.NewPCG(1, 1)),
 		a: Candidate{Standing: &Standing{}, Near: true, Slots: 2},
 		b: Candidate{Standing: &Standing{}, Near: true, Slots: 2},
 	}
 }
 
-const usualTime = 20 * time.Millisecond
+const medianLatency = 20 * time.Millisecond
 
-// share returns how many of 100 choices fall on a.
-func (r *choiceRig) share() int {
+// countA returns how many of 100 choices select a.
+func (r *choiceFixture) countA() int {
 	n := 0
 	for range 100 {
-		if Choose([]Candidate{r.a, r.b}, r.now, usualTime, r.rng) == 0 {
+		if Choose([]Candidate{r.a, r.b}, r.now, medianLatency, r.rng) == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// alone reports whether a is taken where no other is there.
-func (r *choiceRig) alone() bool { return Choose([]Candidate{r.a}, r.now, usualTime, r.rng) == 0 }
+// choosesOnlyLeaf reports whether a is chosen when it is the only candidate.
+func (r *choiceFixture) choosesOnlyLeaf() bool {
+	return Choose([]Candidate{r.a}, r.now, medianLatency, r.rng) == 0
+}
 
-func (r *choiceRig) exchange(c Candidate, took time.Duration, out Outcome, load *Load) {
+func (r *choiceFixture) completeRequest(c Candidate, elapsed time.Duration, outcome Outcome, load *Load) {
 	began := r.now
 	c.Standing.Begin(began)
-	r.now = r.now.Add(took)
-	c.Standing.End(r.now, began, Ended{Outcome: out, Took: took, Usual: usualTime, Heard: true, Load: load}, r.rng)
+	r.now = r.now.Add(elapsed)
+	c.Standing.End(r.now, began, Ended{Outcome: outcome, Took: elapsed, Usual: medianLatency, Heard: true, Load: load}, r.rng)
 }
 
-func TestChoiceTakesTurns(t *testing.T) {
-	if n := newChoiceRig().share(); n < 20 || n > 80 {
-		t.Errorf("%d of 100 choices fall on one of two equal leaves", n)
+func TestChooseAlternatesBetweenEqualLeaves(t *testing.T) {
+	if n := newChoiceFixture().countA(); n < 20 || n > 80 {
+		t.Errorf("%d of 100 choices select one of two equal leaves", n)
 	}
 }
 
-func TestChoicePrefersOwnDomain(t *testing.T) {
-	r := newChoiceRig()
+func TestChoosePrefersOwnDomain(t *testing.T) {
+	r := newChoiceFixture()
 	r.b.Near = false
-	if n := r.share(); n != 100 {
-		t.Errorf("%d of 100 choices stay in the own domain", n)
+	if n := r.countA(); n != 100 {
+		t.Errorf("%d of 100 choices select the leaf in the daemon's own domain", n)
 	}
 }
 
-// A leaf answers three times slower than the other: first tries go elsewhere, also
-// when the slow one is in the own domain.
-func TestChoiceLeavesSlowLeaf(t *testing.T) {
-	r := newChoiceRig()
+// A leaf that answers three times slower than the other must not get first attempts, even if
+// it is the only one in the daemon's own failure domain.
+func TestChooseAvoidsSlowLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	r.b.Near = false
 	for range 20 {
-		r.exchange(r.a, 3*usualTime, Replied, nil)
-		r.exchange(r.b, usualTime, Replied, nil)
+		r.completeRequest(r.a, 3*medianLatency, Replied, nil)
+		r.completeRequest(r.b, medianLatency, Replied, nil)
 	}
-	if n := r.share(); n != 0 {
-		t.Errorf("%d of 100 choices fall on the slow leaf", n)
+	if n := r.countA(); n != 0 {
+		t.Errorf("%d of 100 choices select the slow leaf", n)
 	}
 }
 
-// A leaf has paused: a request there is overdue and nothing was heard since. It is
-// passed over until it is heard again, at the cost of no extra send.
-func TestChoicePassesSilentLeaf(t *testing.T) {
-	r := newChoiceRig()
+// A paused leaf has an overdue request and has sent nothing since. It must be avoided,
+// without any extra send, until it replies again.
+func TestChooseAvoidsUnresponsiveLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	began := r.now
 	r.a.Standing.Begin(began)
-	r.now = r.now.Add(3 * usualTime)
-	if n := r.share(); n != 0 {
-		t.Errorf("%d of 100 choices fall on the silent leaf", n)
+	r.now = r.now.Add(3 * medianLatency)
+	if n := r.countA(); n != 0 {
+		t.Errorf("%d of 100 choices select the unresponsive leaf", n)
 	}
-	r.a.Standing.End(r.now, began, Ended{Outcome: Replied, Took: 3 * usualTime, Usual: usualTime, Heard: true}, r.rng)
+	r.a.Standing.End(r.now, began, Ended{Outcome: Replied, Took: 3 * medianLatency, Usual: medianLatency, Heard: true}, r.rng)
 	r.now = r.now.Add(time.Second)
 	for range 30 {
-		r.exchange(r.a, usualTime, Replied, nil)
-		r.exchange(r.b, usualTime, Replied, nil)
+		r.completeRequest(r.a, medianLatency, Replied, nil)
+		r.completeRequest(r.b, medianLatency, Replied, nil)
 	}
-	if n := r.share(); n < 10 {
-		t.Errorf("%d of 100 choices fall on the leaf that answers again", n)
+	if n := r.countA(); n < 10 {
+		t.Errorf("%d of 100 choices select the leaf that answers again", n)
 	}
 }
 
-// A leaf sheds a good part of its requests while its load and its health look well.
-func TestChoiceLeavesSheddingLeaf(t *testing.T) {
-	r := newChoiceRig()
+// A leaf that sheds half of its requests must be avoided although it reports little load.
+func TestChooseAvoidsSheddingLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	for i := range 20 {
-		out := Replied
+		outcome := Replied
 		if i%2 == 0 {
-			out = Rejected
+			outcome = Rejected
 		}
-		r.exchange(r.a, usualTime, out, &Load{Slots: 2})
-		r.exchange(r.b, usualTime, Replied, &Load{Slots: 2})
+		r.completeRequest(r.a, medianLatency, outcome, &Load{Slots: 2})
+		r.completeRequest(r.b, medianLatency, Replied, &Load{Slots: 2})
 	}
 	r.now = r.now.Add(time.Second)
-	if n := r.share(); n > 5 {
-		t.Errorf("%d of 100 choices fall on the leaf that sheds", n)
+	if n := r.countA(); n > 5 {
+		t.Errorf("%d of 100 choices select the leaf that sheds load", n)
 	}
 }
 
-// A leaf that can't be reached rests, longer each time, and is still asked when no
-// other is there: it may be back.
-func TestChoiceRestsUnreachableLeaf(t *testing.T) {
-	r := newChoiceRig()
+// An unreachable leaf is avoided for longer with each failure, but is still chosen when it
+// is the only one, because it may be reachable again.
+func TestChooseBacksOffFromUnreachableLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	r.a.Standing.Unreachable(r.now, r.rng)
-	if n := r.share(); n != 0 {
-		t.Errorf("%d of 100 choices fall on the leaf that can't be reached", n)
+	if n := r.countA(); n != 0 {
+		t.Errorf("%d of 100 choices select the unreachable leaf", n)
 	}
-	if !r.alone() {
-		t.Errorf("the only leaf is not asked")
+	if !r.choosesOnlyLeaf() {
+		t.Errorf("the only leaf is not chosen")
 	}
 	for range 12 {
 		r.a.Standing.Unreachable(r.now, r.rng)
 	}
-	r.now = r.now.Add(restLongest)
-	if n := r.share(); n == 0 {
-		t.Errorf("it is never asked again")
+	r.now = r.now.Add(maxBackoff)
+	if n := r.countA(); n == 0 {
+		t.Errorf("the unreachable leaf is never chosen again")
 	}
 }
 
-// The learned times follow the leaves, and late is where one in ten replies lies.
-func TestPaceLearns(t *testing.T) {
+// The estimates must converge to the reply times: the late threshold is the time that one in
+// ten replies exceeds.
+func TestLatencyEstimatorConverges(t *testing.T) {
 	var p Pace
 	for i := range 2000 {
 		d := 10 * time.Millisecond
@@ -146,51 +149,52 @@
 		p.Observe(d + time.Duration(i%7)*time.Millisecond)
 	}
 	late, ok := p.Late()
-	if usual := p.Usual(); usual < 10*time.Millisecond || usual > 16*time.Millisecond {
-		t.Errorf("usual %v", usual)
+	if median := p.Usual(); median < 10*time.Millisecond || median > 16*time.Millisecond {
+		t.Errorf("median %v", median)
 	}
 	if !ok || late < 13*time.Millisecond || late > 60*time.Millisecond {
-		t.Errorf("late %v", late)
+		t.Errorf("late threshold %v", late)
 	}
 }
 
-// Callers of a route wait 1000 ms when they first ask; one that asks again states
-// what is left. A few requests that state more must not make all others look late.
-func TestWaitsTellSecondAttempts(t *testing.T) {
+// Callers of a route state a timeout of 1000 ms on the first attempt and the time that is
+// left on a retry. A few requests with a longer timeout must not make all others look like
+// retries.
+func TestCallerTimeoutsDetectRetries(t *testing.T) {
 	var w Waits
 	for range 5 {
 		w.Passed(time.Second)
 	}
 	w.Passed(5 * time.Second)
 	if got := w.Passed(time.Second); got != 0 {
-		t.Errorf("%v of a first attempt's time was gone", got)
+		t.Errorf("%v elapsed before a first attempt", got)
 	}
 	if got := w.Passed(700 * time.Millisecond); got != 300*time.Millisecond {
-		t.Errorf("%v of a second attempt's time was gone", got)
+		t.Errorf("%v elapsed before a second attempt", got)
 	}
 	for range 300 {
 		w.Passed(4 * time.Second)
 	}
 	if got := w.Passed(3 * time.Second); got != time.Second {
-		t.Errorf("%v after the route's callers wait longer", got)
+		t.Errorf("%v elapsed after the route's usual timeout has grown", got)
 	}
 }
 
-// A leaf has ended and another service's leaf answers at its address, while the list
-// still shows it. Every request sent there is an arrival at that other service, which
-// may be close to its limit of extra ones; callers are served by the other leaf, or
-// told that there is none.
-func TestChoiceNeverTakesMisplacedLeaf(t *testing.T) {
-	r := newChoiceRig()
+// A leaf has exited and a leaf of another service answers at its address while service
+// discovery still lists it. A request sent there counts against the other service, which may
+// be close to its limit of extra sends. The request must go to another leaf or fail for lack
+// of one.
+func TestChooseSkipsMisplacedLeaf(t *testing.T) {
+	r := newChoiceFixture()
 	r.a.Standing.Misplaced(r.now)
-	if n := r.share(); n != 0 {
-		t.Errorf("%d of 100 go to the leaf that has lost its address", n)
+	if n := r.countA(); n != 0 {
+		t.Errorf("%d of 100 choices select the leaf whose address was taken over", n)
 	}
-	if r.alone() {
-		t.Error("it is asked as the only one there")
+	if r.choosesOnlyLeaf() {
+		t.Error("the misplaced leaf is chosen when it is the only one")
 	}
-	r.now = r.now.Add(misplacedFor)
-	if !r.alone() {
-		t.Error("it is not asked again when the list has had time to change")
+	r.now = r.now.Add(misplacedPeriod)
+	if !r.choosesOnlyLeaf() {
+		t.Error("the leaf is not chosen again after misplacedPeriod")
 	}
 }
--- a/internal/policy/times.go
+++ b/internal/policy/times.go
@@ -3,81 +3,81 @@
 import "time"
 
 const (
-	// returnMargin is kept before the end of a request's time for its final answer.
-	returnMargin = 8 * time.Millisecond
-	// unlearnedShare is the part of the target latency after which a reply is late
-	// while nothing is known of the route.
-	unlearnedShare = 0.3
-	unlearnedLate  = 100 * time.Millisecond
-	hedgeFloor     = 2 * time.Millisecond
-	// hedgeUsual is how many usual reply times pass before a second send.
-	hedgeUsual = 1.5
-	// connWaitUsual is how many usual reply times a send may wait for a connection.
-	connWaitUsual     = 1.5
-	unlearnedConnWait = 40 * time.Millisecond
-	// patienceShare is the part of the target latency for which a request that could
-	// not be sent anywhere is kept: refused by then, its caller still has the time for
-	// another attempt.
-	patienceShare = 0.2
+	// answerMargin is reserved at the end of a request's time for sending the final answer.
+	answerMargin = 8 * time.Millisecond
+	// defaultLateShare is the part of the target latency after which a reply counts as late
+	// while there are too few samples of the route.
+	defaultLateShare  = 0.3
+	defaultHedgeDelay = 100 * time.Millisecond // also the UnsentTimeout of a route without target latency
+	minHedgeDelay     = 2 * time.Millisecond
+	// hedgeMedians is the minimum delay of a hedge, in median reply times.
+	hedgeMedians = 1.5
+	// connWaitMedians is the time that a send may wait for a connection, in median reply
+	// times.
+	connWaitMedians = 1.5
+	defaultConnWait = 40 * time.Millisecond
+	// unsentTimeoutShare is the part of the target latency for which a request that cannot
+	// be sent is held. A caller that is refused then still has time for another attempt.
+	unsentTimeoutShare = 0.2
 )
 
-// Terms are what a route asks of its answers.
+// TimeLimits are the time limits configured for a route.
 type Terms struct {
-	Timeout time.Duration // the longest that the operator wants a caller kept waiting
-	Aim     time.Duration // target latency; 0: none
-	Margin  time.Duration // of the aim, for the way to the caller
+	Timeout time.Duration // the longest time that a caller may be kept waiting
+	Aim     time.Duration // 0: none
+	Margin  time.Duration // part of TargetLatency reserved for delivering the answer to the caller
 }
 
-// Times are when something is due for a request, counted from its arrival.
+// Schedule holds the due times of a request, relative to its arrival.
 type Times struct {
-	End      time.Duration // the final answer at the latest
-	Deadline time.Duration // what leaves are told
-	AnswerBy time.Duration // with the parts there are, if they are enough
-	Late     time.Duration // a reply that is not there calls for a second send
-	Patience time.Duration // the refusal of a request that could be sent nowhere
+	End      time.Duration // the final answer is due
+	Deadline time.Duration // the deadline passed to leaves
+	AnswerBy time.Duration // an answer with missing parts may be sent from here on
+	Late     time.Duration // a shard without a reply is hedged
+	Patience time.Duration // a request that could not be sent is refused
 }
 
-// TimesOf returns the times of a request whose caller waits for wait (0: not stated) and
-// had asked for the first time passed before.
-func TimesOf(t Terms, wait, passed time.Duration, pace *Pace) Times {
-	limit := t.Timeout
-	if wait > 0 && wait < limit {
-		limit = wait
+// NewSchedule returns the schedule of a request whose caller waits for timeout (0: not
+// stated) and sent its first attempt elapsed before this one.
+func TimesOf(limits Terms, timeout, elapsed time.Duration, latency *Pace) Times {
+	limit := limits.Timeout
+	if timeout > 0 && timeout < limit {
+		limit = timeout
 	}
-	out := Times{End: limit - returnMargin, Deadline: limit, Late: t.late(pace), Patience: unlearnedLate}
+	out := Times{End: limit - answerMargin, Deadline: limit, Late: limits.hedgeAfter(latency), Patience: defaultHedgeDelay}
 	out.AnswerBy = out.End
-	if t.Aim > 0 {
-		out.AnswerBy = min(max(0, t.Aim-t.Margin-passed), out.End)
-		out.Patience = time.Duration(patienceShare * float64(t.Aim))
+	if limits.Aim > 0 {
+		out.AnswerBy = min(max(0, limits.Aim-limits.Margin-elapsed), out.End)
+		out.Patience = time.Duration(unsentTimeoutShare * float64(limits.Aim))
 	}
 	return out
 }
 
-// late returns the time after which a reply is late enough for a second send.
-func (t Terms) late(pace *Pace) time.Duration {
-	late, ok := pace.Late()
+// hedgeAfter returns the time after which a reply is late enough for a hedge.
+func (t Terms) hedgeAfter(latency *Pace) time.Duration {
+	late, ok := latency.Late()
 	if !ok {
 		if t.Aim > 0 {
-			return time.Duration(unlearnedShare * float64(t.Aim))
+			return time.Duration(defaultLateShare * float64(t.Aim))
 		}
-		return unlearnedLate
+		return defaultHedgeDelay
 	}
-	usual := pace.Usual()
-	late = max(late, time.Duration(hedgeUsual*float64(usual)), hedgeFloor)
-	// A second send that can't be back in time is worth little; the last moment
-	// for one that can goes before the learned one.
+	median := latency.Usual()
+	late = max(late, time.Duration(hedgeMedians*float64(median)), minHedgeDelay)
+	// A hedge that cannot return in time is of little use, so the latest time at which it
+	// still can takes precedence over the learned one.
 	if t.Aim > 0 {
-		late = min(late, max(t.Aim-t.Margin-2*usual, usual))
+		late = min(late, max(t.Aim-t.Margin-2*median, median))
 	}
 	return late
 }
 
-// ConnWait is how long a send may wait for one of the daemon's connections to a leaf, by
-// how long a reply usually takes: until the one in use should be free again. Another
-// leaf is tried after it.
-func ConnWait(usual time.Duration) time.Duration {
-	if usual <= 0 {
-		return unlearnedConnWait
+// ConnWait returns how long a send may wait for one of the daemon's connections to a leaf,
+// until the one in use is likely to be free again. After that another leaf is tried.
+// medianLatency is the median reply time, or 0 if unknown.
+func ConnWait(medianLatency time.Duration) time.Duration {
+	if medianLatency <= 0 {
+		return defaultConnWait
 	}
-	return time.Duration(connWaitUsual * float64(usual))
+	return time.Duration(connWaitMedians * float64(medianLatency))
 }
--- a/internal/policy/waits.go
+++ b/internal/policy/waits.go
@@ -5,48 +5,49 @@
 	"time"
 )
 
-// Waits learns how long a route's callers wait when they first ask. Callers of a
-// route all state the same for that; what they state when they ask again is less
-// by the time that has passed, and is different each time. It is safe for concurrent use.
+// CallerTimeouts learns the timeout that the callers of a route state on their first
+// attempt. All callers of a route state the same one; on a retry they state the time that is
+// left, which differs each time. It is safe for concurrent use.
 type Waits struct {
 	mu     sync.Mutex
-	values [4]waitCount
+	values [4]timeoutCount
 }
 
-type waitCount struct {
-	wait  time.Duration
-	count int
+type timeoutCount struct {
+	timeout time.Duration
+	count   int
 }
 
 const (
-	// usualCount is how often a wait must have been stated to count as a first one.
-	usualCount = 3
-	// mostCount keeps the counts small enough for a new value to take over.
-	mostCount = 64
+	// minCount is how often a timeout must have been stated to count as that of a first
+	// attempt.
+	minCount = 3
+	// maxCount keeps the counts small enough that a new timeout can replace an old one.
+	maxCount = 64
 )
 
-// Passed returns how much of a caller's time was gone before the request, as far
-// as can be told from the wait that it states.
-func (w *Waits) Passed(wait time.Duration) time.Duration {
-	if wait <= 0 {
+// Elapsed returns how much of the caller's time had passed before this request, as far as
+// can be derived from the timeout that it states.
+func (w *Waits) Passed(timeout time.Duration) time.Duration {
+	if timeout <= 0 {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	usual := w.note(wait)
-	if usual.count < usualCount || wait >= usual.wait {
+	usual := w.record(timeout)
+	if usual.count < minCount || timeout >= usual.timeout {
 		return 0
 	}
-	return usual.wait - wait
+	return usual.timeout - timeout
 }
 
-// note counts a wait and returns the one stated most often.
-func (w *Waits) note(wait time.Duration) waitCount {
+// record counts a timeout and returns the one that is stated most often.
+func (w *Waits) record(timeout time.Duration) timeoutCount {
 	least, most, found := 0, 0, false
 	for i := range w.values {
 		v := &w.values[i]
-		if v.wait == wait {
-			v.count = min(v.count+1, mostCount)
+		if v.timeout == timeout {
+			v.count = min(v.count+1, maxCount)
 			found = true
 		}
 		if v.count < w.values[least].count {
@@ -60,7 +61,7 @@
 		return w.values[most]
 	}
 	if v := &w.values[least]; v.count <= 1 {
-		*v = waitCount{wait, 1}
+		*v = timeoutCount{timeout, 1}
 	} else {
 		v.count--
 	}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -9,55 +9,57 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fingerprint names a request by its content and its caller. It withstands forgery: nobody
-// can make a request that shares the fingerprint of another caller's.
+// Fingerprint identifies a request by its content and its caller. It resists forgery: no
+// caller can construct a request with the fingerprint of another caller's request.
 type Fingerprint [16]byte
 
-// Request is what fingerprints are made of.
+// Request holds the parts of a request that its fingerprints are computed from.
 type Request struct {
 	Method string
 	Host   string
 	URI    string // path and query
 	Caller string // address without the port
-	Body   []byte // whole, or the beginning of one that is passed on as it arrives
-	Length int64  // of the whole body; -1: not stated
+	Body   []byte // the whole body, or its beginning if it is streamed
+	Length int64  // length of the whole body; -1: not stated
 }
 
-// Width is how much of a request a fingerprint leaves open. What crashes a leaf may be in
-// any of it: a request that comes with another query each time, or from another address,
-// has no exact fingerprint twice. A wide one is held only against requests that vary.
+// Scope is the set of requests that a fingerprint covers. Any part of a request can cause
+// the crash, so a request whose query or caller address changes each time never has the same
+// exact fingerprint twice. A wider scope is blocked only if several narrower ones were
+// reported.
 type Width int
 
-// The widths.
+// The scopes.
 const (
-	Exact Width = iota
-	AnyQuery
-	AnyCaller
-	AnyBoth // any query of any caller
-	widths
+	Exact     Width = iota // only the same request from the same caller
+	AnyQuery               // any query from the same caller
+	AnyCaller              // the same request from any caller
+	AnyBoth                // any query from any caller
+	numScopes
 )
 
-// narrower are the widths next below each.
-var narrower = [widths][]Width{AnyQuery: {Exact}, AnyCaller: {Exact}, AnyBoth: {AnyQuery, AnyCaller}}
+// narrowerScopes lists the next narrower scopes of each scope.
+var narrowerScopes = [numScopes][]Width{AnyQuery: {Exact}, AnyCaller: {Exact}, AnyBoth: {AnyQuery, AnyCaller}}
 
-// Fingerprints name one request, by width.
-type Fingerprints [widths]Fingerprint
+// Fingerprints are the fingerprints of one request, by scope.
+type Fingerprints [numScopes]Fingerprint
 
-// Fingerprints returns the request's names.
+// Fingerprints returns the fingerprints of the request in every scope.
 func (r *Request) Fingerprints() Fingerprints {
 	path, _, _ := strings.Cut(r.URI, "?")
 	return Fingerprints{
-		Exact:     r.sum(Exact, r.URI, r.Caller),
-		AnyQuery:  r.sum(AnyQuery, path, r.Caller),
-		AnyCaller: r.sum(AnyCaller, r.URI, ""),
-		AnyBoth:   r.sum(AnyBoth, path, ""),
+		Exact:     r.hash(Exact, r.URI, r.Caller),
+		AnyQuery:  r.hash(AnyQuery, path, r.Caller),
+		AnyCaller: r.hash(AnyCaller, r.URI, ""),
+		AnyBoth:   r.hash(AnyBoth, path, ""),
 	}
 }
 
-// Describe says for operators what the fingerprint of a width stands for.
-func (r *Request) Describe(w Width) string {
+// Describe returns a description, for operators, of the requests that the fingerprint of a
+// scope covers.
+func (r *Request) Describe(scope Width) string {
 	path, _, _ := strings.Cut(r.URI, "?")
-	switch w {
+	switch scope {
 	case Exact:
 		return r.Method + " " + r.Host + r.URI + " from " + r.Caller
 	case AnyQuery:
@@ -68,14 +70,14 @@
 	return r.Method + " " + r.Host + path + " with any query from anybody"
 }
 
-func (r *Request) sum(w Width, uri, caller string) Fingerprint {
+func (r *Request) hash(scope Width, uri, caller string) Fingerprint {
 	h := sha256.New()
 	var number [8]byte
 	add := func(n int64) {
 		binary.LittleEndian.PutUint64(number[:], uint64(n))
-		_, _ = h.Write(number[:]) // a hash takes everything
+		_, _ = h.Write(number[:]) // hash.Hash never returns an error
 	}
-	add(int64(w))
+	add(int64(scope))
 	for _, s := range [...]string{r.Method, r.Host, uri, caller} {
 		add(int64(len(s)))
 		_, _ = h.Write([]byte(s))
@@ -89,7 +91,7 @@
 // String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ToWire returns the fingerprints as they go into messages.
+// ToWire returns the fingerprints in the form used in messages.
 func (fs *Fingerprints) ToWire() [][]byte {
 	out := make([][]byte, len(fs))
 	for w := range fs {
@@ -98,7 +100,8 @@
 	return out
 }
 
-// FingerprintsFromWire reads what ToWire returned; false if it can't be that.
+// FingerprintsFromWire decodes the output of ToWire. It returns false if the input is
+// malformed.
 func FingerprintsFromWire(in [][]byte) (fs Fingerprints, ok bool) {
 	if len(in) != len(fs) {
 		return fs, false
@@ -111,7 +114,8 @@
 	return fs, true
 }
 
-// FromBytes reads a fingerprint of a message; false if it can't be one.
+// FingerprintFromBytes decodes a fingerprint of a message. It returns false if the length is
+// wrong.
 func FromBytes(b []byte) (f Fingerprint, ok bool) {
 	if len(b) != len(f) {
 		return f, false
@@ -119,7 +123,7 @@
 	return Fingerprint(b), true
 }
 
-// Parse reads what String wrote.
+// ParseFingerprint parses the output of String.
 func Parse(text string) (Fingerprint, error) {
 	var f Fingerprint
 	raw, err := hex.DecodeString(text)
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -11,28 +11,32 @@
 	"pearmoor/internal/vm"
 )
 
-// trail is a ledger with a clock of its own and the tree that its cases are kept in.
-type trail struct {
-	t      *testing.T
-	now    vm.Instant
-	ledger *Ledger
-	tree   *settings.Tree
+// coordinatorFixture is a Coordinator with a manual clock and the settings tree that stores
+// its cases.
+type coordinatorFixture struct {
+	t           *testing.T
+	now         vm.Instant
+	coordinator *Ledger
+	tree        *settings.Tree
 }
 
-func newTrail(t *testing.T) *trail {
-	tr := &trail{t: t, now: 1, tree: settings.New()}
-	tr.lead()
+func newCoordinatorFixture(t *testing.T) *coordinatorFixture {
+	tr := &coordinatorFixture{t: t, now: 1, tree: settings.New()}
+	tr.changeLeader()
 	return tr
 }
 
-// lead starts anew with what the tree holds, as another control VM does that leads.
-func (tr *trail) lead() { tr.ledger = NewLedger(func() vm.Instant { return tr.now }) }
+// changeLeader replaces the Coordinator by a new one, as when another control VM becomes the
+// leader. Only the cases in the tree are kept.
+func (tr *coordinatorFixture) changeLeader() {
+	tr.coordinator = NewLedger(func() vm.Instant { return tr.now })
+}
 
-func (tr *trail) cases() Cases { return FromTree(tr.tree) }
+func (tr *coordinatorFixture) cases() Cases { return FromTree(tr.tree) }
 
-func (tr *trail) report(rs ...*Report) {
+func (tr *coordinatorFixture) report(rs ...*Report) {
 	tr.t.Helper()
-	_, changes := tr.ledger.Apply(tr.cases(), rs, time.Unix(0, 0).Add(time.Duration(tr.now)))
+	_, changes := tr.coordinator.Apply(tr.cases(), rs, time.Unix(0, 0).Add(time.Duration(tr.now)))
 	next, err := tr.tree.Apply(1, Edits(changes))
 	if err != nil {
 		tr.t.Fatal(err)
@@ -40,53 +44,55 @@
 	tr.tree = next
 }
 
-func (tr *trail) pass(d time.Duration) { tr.now = tr.now.Add(d) }
+func (tr *coordinatorFixture) advance(d time.Duration) { tr.now = tr.now.Add(d) }
 
-func named(i int) Fingerprints {
+func fingerprintsOf(i int) Fingerprints {
 	return (&Request{Method: "GET", URI: fmt.Sprint("/", i), Caller: "10.0.0.1"}).Fingerprints()
 }
 
-// crash is an attempt that took 100 ms.
-func crash(f Fingerprints, ends int) *Report {
-	return &Report{Request: f, Describe: [widths]string{"GET shop/ from 10.0.0.1", "b", "c", "d"}, Ends: ends, Began: 100 * time.Millisecond}
+// crashReport is the report of an attempt that took 100 ms.
+func crashReport(f Fingerprints, ends int) *Report {
+	return &Report{Request: f, Describe: [numScopes]string{"GET shop/ from 10.0.0.1", "b", "c", "d"}, Ends: ends, Began: 100 * time.Millisecond}
 }
 
-// A request crashes leaves in each attempt, with minutes and changes of leader in between.
-func TestRequestThatGoesOnToCrashLeavesIsBlocked(t *testing.T) {
-	Convey("It is blocked after three attempts, for good", t, func() {
-		tr, f := newTrail(t), named(1)
+// A request that crashes leaves in every attempt must be blocked even if hours and a change
+// of the leader lie between its attempts.
+func TestRequestThatKeepsCrashingLeavesIsBlocked(t *testing.T) {
+	Convey("It is blocked permanently after three attempts", t, func() {
+		tr, f := newCoordinatorFixture(t), fingerprintsOf(1)
 		for _, ends := range []int{20, 1, 1} {
-			So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
-			tr.report(crash(f, ends))
-			tr.pass(time.Hour)
-			tr.lead()
+			So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
+			tr.report(crashReport(f, ends))
+			tr.advance(time.Hour)
+			tr.changeLeader()
 		}
 		So(tr.cases()[f[Exact]].Blocked, ShouldBeTrue)
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Denied)
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Denied)
 	})
-	Convey("It is blocked after four attempts without an answer, however they end", t, func() {
-		tr, f := newTrail(t), named(1)
-		tr.report(crash(f, 3))
+	Convey("It is blocked after four attempts without an answer, whether or not leaves exit", t, func() {
+		tr, f := newCoordinatorFixture(t), fingerprintsOf(1)
+		tr.report(crashReport(f, 3))
 		for range 3 {
 			So(tr.cases()[f[Exact]].Blocked, ShouldBeFalse)
-			tr.pass(time.Second)
-			tr.report(crash(f, 0))
+			tr.advance(time.Second)
+			tr.report(crashReport(f, 0))
 		}
 		So(tr.cases()[f[Exact]].Blocked, ShouldBeTrue)
 	})
-	Convey("One daemon tries it at a time", t, func() {
-		tr, f := newTrail(t), named(1)
-		tr.report(crash(f, 3))
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Wait)
-		tr.ledger.Release(f[Exact])
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
-		tr.pass(trialTime)
-		So(tr.ledger.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
+	Convey("Only one daemon tries it at a time", t, func() {
+		tr, f := newCoordinatorFixture(t), fingerprintsOf(1)
+		tr.report(crashReport(f, 3))
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Wait)
+		tr.coordinator.Release(f[Exact])
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
+		tr.advance(trialTimeout)
+		So(tr.coordinator.Try(tr.cases(), f[Exact]), ShouldEqual, Granted)
 	})
 }
 
-// A request crashes leaves that comes with another query, or from another address, each time.
+// A request that crashes leaves must be blocked even if each attempt has another query or
+// comes from another address.
 func TestRequestThatVariesIsBlocked(t *testing.T) {
 	for _, c := range []struct {
 		what string
@@ -101,34 +107,34 @@
 		}},
 	} {
 		Convey(c.what, t, func() {
-			tr := newTrail(t)
+			tr := newCoordinatorFixture(t)
 			for n := range 3 {
-				tr.report(crash(c.nth(n).Fingerprints(), 3))
-				tr.pass(time.Second)
+				tr.report(crashReport(c.nth(n).Fingerprints(), 3))
+				tr.advance(time.Second)
 			}
 			g := NewRegistry(vm.Monotonic, nil)
 			g.Install(tr.cases())
 			So(g.Rule(c.nth(4).Fingerprints()), ShouldEqual, Blocked)
-			So(g.Rule(named(9)), ShouldEqual, Free)
+			So(g.Rule(fingerprintsOf(9)), ShouldEqual, Free)
 		})
 	}
-	rule := func(tr *trail, r *Request) Ruling {
+	rule := func(tr *coordinatorFixture, r *Request) Ruling {
 		g := NewRegistry(vm.Monotonic, nil)
 		g.Install(tr.cases())
 		return g.Rule(r.Fingerprints())
 	}
 	fatal, other := &Request{URI: "/a?q=1", Caller: "10.0.0.1"}, &Request{URI: "/a?q=2", Caller: "10.0.0.1"}
-	Convey("One that does not vary is blocked alone, also where nobody is answered at its path", t, func() {
-		tr := newTrail(t)
+	Convey("A request that does not vary is blocked alone, even if no request to its path is answered", t, func() {
+		tr := newCoordinatorFixture(t)
 		for range 3 {
-			tr.report(crash(fatal.Fingerprints(), 3))
-			tr.pass(time.Second)
+			tr.report(crashReport(fatal.Fingerprints(), 3))
+			tr.advance(time.Second)
 		}
 		So(rule(tr, fatal), ShouldEqual, Blocked)
 		So(rule(tr, other), ShouldEqual, Canary)
 		for n := range 5 {
-			tr.report(crash((&Request{URI: fmt.Sprint("/a?late=", n), Caller: "10.0.0.1"}).Fingerprints(), 0))
-			tr.pass(time.Second)
+			tr.report(crashReport((&Request{URI: fmt.Sprint("/a?late=", n), Caller: "10.0.0.1"}).Fingerprints(), 0))
+			tr.advance(time.Second)
 		}
 		So(rule(tr, other), ShouldEqual, Canary)
 		tr.report(&Report{Request: other.Fingerprints(), Survived: true})
@@ -137,52 +143,54 @@
 	})
 }
 
-// A rack loses power: twenty leaves end under each of the requests that were under way.
-func TestRequestsOfOneLossOfLeavesAreNotBlocked(t *testing.T) {
-	Convey("Copies of one request at one moment count once, and an answer clears it", t, func() {
-		tr := newTrail(t)
+// When a rack loses power, twenty leaves exit under each of the requests in flight. These
+// requests must not be blocked.
+func TestRequestsInFlightDuringPowerLossAreNotBlocked(t *testing.T) {
+	Convey("Concurrent copies of a request count once, and an answer clears it", t, func() {
+		tr := newCoordinatorFixture(t)
 		for range 5 {
-			tr.report(crash(named(1), 20), crash(named(1), 20), crash(named(2), 7))
-			tr.pass(20 * time.Millisecond)
+			tr.report(crashReport(fingerprintsOf(1), 20), crashReport(fingerprintsOf(1), 20), crashReport(fingerprintsOf(2), 7))
+			tr.advance(20 * time.Millisecond)
 		}
-		So(tr.cases()[named(1)[Exact]].Blocked, ShouldBeFalse)
-		So(tr.cases()[named(1)[Exact]].Crashes, ShouldEqual, 1)
-		So(tr.ledger.Try(tr.cases(), named(1)[Exact]), ShouldEqual, Granted)
-		tr.report(&Report{Request: named(1), Survived: true})
-		So(tr.cases(), ShouldNotContainKey, named(1)[Exact])
-		So(tr.cases(), ShouldContainKey, named(2)[Exact])
+		So(tr.cases()[fingerprintsOf(1)[Exact]].Blocked, ShouldBeFalse)
+		So(tr.cases()[fingerprintsOf(1)[Exact]].Crashes, ShouldEqual, 1)
+		So(tr.coordinator.Try(tr.cases(), fingerprintsOf(1)[Exact]), ShouldEqual, Granted)
+		tr.report(&Report{Request: fingerprintsOf(1), Survived: true})
+		So(tr.cases(), ShouldNotContainKey, fingerprintsOf(1)[Exact])
+		So(tr.cases(), ShouldContainKey, fingerprintsOf(2)[Exact])
 	})
-	Convey("An attempt without ends is held against nothing", t, func() {
-		tr := newTrail(t)
-		tr.report(crash(named(1), 0), &Report{Request: named(2), Survived: true})
+	Convey("An attempt without leaf exits raises no suspicion", t, func() {
+		tr := newCoordinatorFixture(t)
+		tr.report(crashReport(fingerprintsOf(1), 0), &Report{Request: fingerprintsOf(2), Survived: true})
 		So(tr.cases(), ShouldBeEmpty)
 	})
 }
 
-// A caller makes up thousands of requests under which leaves end.
+// A caller that varies its requests can create thousands of cases. Their number and size
+// must stay bounded.
 func TestQuarantineIsBounded(t *testing.T) {
-	Convey("Blocked requests stay, and suspected ones that were seen long ago make room", t, func() {
-		tr := newTrail(t)
+	Convey("Blocked requests are kept, and the suspected ones with the oldest report are evicted", t, func() {
+		tr := newCoordinatorFixture(t)
 		for range 3 {
-			tr.report(crash(named(0), 1))
-			tr.pass(time.Second)
+			tr.report(crashReport(fingerprintsOf(0), 1))
+			tr.advance(time.Second)
 		}
-		const requests = mostCases / 2 // each has several names
+		const requests = maxCases / 2 // each has several fingerprints
 		for i := range requests {
-			tr.pass(time.Second)
-			tr.report(crash(named(i+1), 1))
+			tr.advance(time.Second)
+			tr.report(crashReport(fingerprintsOf(i+1), 1))
 		}
-		So(len(tr.cases()), ShouldEqual, mostCases)
-		So(tr.cases()[named(0)[Exact]].Blocked, ShouldBeTrue)
-		So(tr.cases(), ShouldContainKey, named(requests)[Exact])
-		So(tr.cases(), ShouldNotContainKey, named(1)[Exact])
+		So(len(tr.cases()), ShouldEqual, maxCases)
+		So(tr.cases()[fingerprintsOf(0)[Exact]].Blocked, ShouldBeTrue)
+		So(tr.cases(), ShouldContainKey, fingerprintsOf(requests)[Exact])
+		So(tr.cases(), ShouldNotContainKey, fingerprintsOf(1)[Exact])
 	})
-	Convey("What a caller sends is stated as one printable line", t, func() {
-		tr := newTrail(t)
-		r := crash(named(1), 1)
-		r.Describe[Exact] = "GET shop/\x00\n\xff from 10.0.0.1" + string(make([]byte, 2*longestDescription))
+	Convey("Descriptions with text from a caller are a single printable line", t, func() {
+		tr := newCoordinatorFixture(t)
+		r := crashReport(fingerprintsOf(1), 1)
+		r.Describe[Exact] = "GET shop/\x00\n\xff from 10.0.0.1" + string(make([]byte, 2*maxDescriptionLen))
 		tr.report(r)
-		So(tr.cases()[named(1)[Exact]].Request, ShouldStartWith, "GET shop/??")
-		So(len(tr.cases()[named(1)[Exact]].Request), ShouldBeLessThanOrEqualTo, longestDescription)
+		So(tr.cases()[fingerprintsOf(1)[Exact]].Request, ShouldStartWith, "GET shop/??")
+		So(len(tr.cases()[fingerprintsOf(1)[Exact]].Request), ShouldBeLessThanOrEqualTo, maxDescriptionLen)
 	})
 }
--- a/internal/quarantine/tree.go
+++ b/internal/quarantine/tree.go
@@ -10,42 +10,43 @@
 	"pearmoor/internal/settings"
 )
 
-// Cases are the requests that are agreed on.
+// Cases maps fingerprints to their cases, as agreed by the control group.
 type Cases map[Fingerprint]Case
 
-// longestDescription bounds the text about a request, in bytes.
-const longestDescription = 200
+// maxDescriptionLen bounds the description of a request, in bytes.
+const maxDescriptionLen = 200
 
-// FromTree reads the cases that a settings tree holds.
+// CasesFromTree reads the cases stored in a settings tree. Invalid nodes are logged and
+// skipped.
 func FromTree(t *settings.Tree) Cases {
 	names := t.Children(settings.QuarantinePath)
 	out := make(Cases, len(names))
 	for _, name := range names {
 		f, err := Parse(name)
 		if err != nil {
-			klog.Warningf("quarantine: node %s/%s has no effect: %v", settings.QuarantinePath, name, err)
+			klog.Warningf("quarantine: ignoring invalid node %s/%s: %v", settings.QuarantinePath, name, err)
 			continue
 		}
-		e, _ := t.Effective(pathOf(f))
+		e, _ := t.Effective(casePath(f))
 		q := &e.Quarantine
-		seen, err := time.Parse(time.RFC3339, q.Seen)
+		lastReport, err := time.Parse(time.RFC3339, q.Seen)
 		if err != nil && q.Seen != "" {
-			klog.Warningf("quarantine: %s states no time of its last report, it is the first to be dropped: %v", pathOf(f), err)
+			klog.Warningf("quarantine: %s has an invalid time of its last report and will be evicted first: %v", casePath(f), err)
 		}
-		out[f] = Case{Ends: q.Ends, Crashes: q.Crashes, Attempts: q.Attempts, Variants: q.Variants, Blocked: q.Blocked, Request: q.Request, Seen: seen}
+		out[f] = Case{Ends: q.Ends, Crashes: q.Crashes, Attempts: q.Attempts, Variants: q.Variants, Blocked: q.Blocked, Request: q.Request, Seen: lastReport}
 	}
 	return out
 }
 
-func pathOf(f Fingerprint) string {
+func casePath(f Fingerprint) string {
 	return settings.QuarantinePath + settings.Root + f.String()
 }
 
-// Edits returns what makes the tree hold the changed cases.
+// Edits returns the edits that apply the changes to the settings tree.
 func Edits(changes []Change) []settings.Edit {
 	var out []settings.Edit
 	for _, c := range changes {
-		path := pathOf(c.Request)
+		path := casePath(c.Request)
 		if c.Cleared || c.Dropped {
 			out = append(out, settings.Edit{Path: path, Op: settings.Remove})
 			continue
@@ -55,7 +56,7 @@
 				out = append(out, settings.Edit{Path: path, Name: name, Value: value, Op: settings.Set})
 			}
 		}
-		set(settings.NameQuarantineRequest, describe(c.After.Request))
+		set(settings.NameQuarantineRequest, sanitizeDescription(c.After.Request))
 		set(settings.NameQuarantineEnds, strconv.Itoa(c.After.Ends))
 		set(settings.NameQuarantineCrashes, strconv.Itoa(c.After.Crashes))
 		set(settings.NameQuarantineAttempts, strconv.Itoa(c.After.Attempts))
@@ -66,8 +67,9 @@
 	return out
 }
 
-// describe makes a text of a caller's fit to be stated in the tree.
-func describe(text string) string {
+// sanitizeDescription makes a description that contains text from a caller safe to store in
+// the tree: valid UTF-8, printable and of bounded length.
+func sanitizeDescription(text string) string {
 	text = strings.ToValidUTF8(text, "?")
 	text = strings.Map(func(r rune) rune {
 		if !strconv.IsPrint(r) {
@@ -75,8 +77,8 @@
 		}
 		return r
 	}, text)
-	if len(text) > longestDescription {
-		text = strings.ToValidUTF8(text[:longestDescription], "")
+	if len(text) > maxDescriptionLen {
+		text = strings.ToValidUTF8(text[:maxDescriptionLen], "")
 	}
 	return strings.TrimSpace(text)
 }
--- a/internal/query/scatter/acquire.go
+++ b/internal/query/scatter/acquire.go
@@ -9,20 +9,20 @@
 	"pearmoor/internal/contract"
 )
 
-// acquired is a permit at a replica.
-type acquired struct {
-	choice
+// reservation is a permit to send to a replica.
+type reservation struct {
+	candidate
 	permit *admit.Permit
 }
 
-// acquireAt gets a permit at one of the replicas ranked: at once where one is free,
-// the cheapest first, else from whichever queue gives one first.
+// acquire gets a permit at one of the ranked replicas: the first free one in order of cost,
+// or else the first that any of their queues grants.
 //
-// Waiting in one queue only would tie the attempt to the replica that looked best
-// on arrival; a straggler that takes a slot there for long is not known yet then,
-// and the attempt would wait for it while the other replica stands idle.
-func (s *shardRun) acquireAt(ctx context.Context, ranked []choice, ask admit.Ask) (acquired, *contract.Error) {
-	if a, ok := s.takeFree(ranked); ok {
+// Waiting in a single queue would tie the attempt to the replica that was cheapest on
+// arrival. If a straggler later occupies a slot there, the attempt would wait for it while
+// another replica is idle.
+func (s *shardRun) acquire(ctx context.Context, ranked []candidate, ask admit.Ask) (reservation, *contract.Error) {
+	if a, ok := s.tryAcquire(ranked); ok {
 		return a, nil
 	}
 	addrs := make([]string, len(ranked))
@@ -31,25 +31,27 @@
 	}
 	permit, at, err := s.g.gates.AcquireAny(ctx, addrs, ask)
 	if err != nil {
-		return acquired{}, refusalOf(ctx, err)
+		return reservation{}, refusalOf(ctx, err)
 	}
-	return acquired{ranked[at], permit}, nil
+	return reservation{ranked[at], permit}, nil
 }
 
-// takeFree takes a free permit at a replica that is not much slower than the best.
-func (s *shardRun) takeFree(ranked []choice) (acquired, bool) {
+// tryAcquire takes a free permit at a replica whose cost is at most maxCostRatio times that
+// of the cheapest one.
+func (s *shardRun) tryAcquire(ranked []candidate) (reservation, bool) {
 	for _, c := range ranked {
-		if c.cost() > detourFactor*ranked[0].cost() {
+		if c.cost() > maxCostRatio*ranked[0].cost() {
 			break
 		}
 		if permit, ok := s.g.gates.TryAcquire(c.leaf.Addr); ok {
-			return acquired{c, permit}, true
+			return reservation{c, permit}, true
 		}
 	}
-	return acquired{}, false
+	return reservation{}, false
 }
 
-// refusalOf types an error of Acquire: nothing was sent.
+// refusalOf converts an error of AcquireAny, after which nothing was sent, to a typed
+// refusal.
 func refusalOf(ctx context.Context, err error) *contract.Error {
 	var e *contract.Error
 	if errors.As(err, &e) {
--- a/internal/query/scatter/guard.go
+++ b/internal/query/scatter/guard.go
@@ -8,33 +8,33 @@
 	"pearmoor/internal/policy"
 )
 
-// guard holds back further sends of a job under which leaves end, until a leaf has
-// answered it.
-type guard struct {
+// crashGuard restricts further sends of a job during which leaves have exited, until a leaf
+// has answered the job.
+type crashGuard struct {
 	mu        sync.Mutex
 	suspicion policy.Suspicion
 	inFlight  int
-	changed   chan struct{} // closed at each change while somebody waits
+	changed   chan struct{} // closed at the next change; nil while nobody waits
 }
 
-// sent counts an attempt as under way.
-func (g *guard) sent() {
+// recordSend counts an attempt as in flight.
+func (g *crashGuard) recordSend() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight++
 }
 
-// landed counts an attempt out.
-func (g *guard) landed(d *attemptDone) {
+// recordResult removes an ended attempt and updates the suspicion with its result.
+func (g *crashGuard) recordResult(result *attemptResult) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
 	switch {
-	case d.err == nil:
+	case result.err == nil:
 		g.suspicion.Survived = true
-	case d.err.LeafEnded():
+	case result.err.LeafEnded():
 		g.suspicion.Ends++
-	case d.err.Verdict == contract.NotRun:
+	case result.err.Verdict == contract.NotRun:
 		g.suspicion.Unsent()
 	}
 	if g.changed != nil {
@@ -43,22 +43,23 @@
 	}
 }
 
-// holds reports whether further sends wait.
-func (g *guard) holds() bool {
+// restricts reports whether sends must be made one at a time.
+func (g *crashGuard) restricts() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.suspicion.Guarded()
 }
 
-// ends returns how many leaves ended under the job.
-func (g *guard) ends() int {
+// leafExits returns how many leaves exited during the job.
+func (g *crashGuard) leafExits() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.suspicion.Ends
 }
 
-// enter waits until one more send may be made; it is false when none may be any more.
-func (g *guard) enter(ctx context.Context) bool {
+// waitToSend waits until another send is allowed. It returns false if ctx ends or no further
+// send will be allowed.
+func (g *crashGuard) waitToSend(ctx context.Context) bool {
 	for {
 		g.mu.Lock()
 		switch {
--- a/internal/query/scatter/property_test.go
+++ b/internal/query/scatter/property_test.go
@@ -11,13 +11,14 @@
 	"pearmoor/internal/settings"
 )
 
-// scenario is a drawn schedule: who holds what, and what every attempt meets.
+// scenario is a random schedule: the leaves, the shards that they hold and what each attempt
+// does.
 type scenario struct {
 	names    []string
 	job      *Job
 	timeout  time.Duration
 	queries  int
-	behavior []behavior // taken in turn, attempt by attempt
+	behavior []behavior // used in turn, one per attempt
 }
 
 func drawScenario(t *rapid.T) *scenario {
@@ -29,43 +30,43 @@
 	s.job.EarlyAt = rapid.SampledFrom([]float64{0, 0, 0.5, 0.9}).Draw(t, "early")
 	for range rapid.IntRange(1, 5).Draw(t, "shards") {
 		mask := rapid.IntRange(0, 1<<len(s.names)-1).Draw(t, "holders")
-		var hold []string
+		var held []string
 		for i, n := range s.names {
 			if mask&(1<<i) != 0 {
-				hold = append(hold, n)
+				held = append(held, n)
 			}
 		}
-		s.job.Holders = append(s.job.Holders, leavesOf(hold...))
+		s.job.Holders = append(s.job.Holders, leavesOf(held...))
 	}
 	s.timeout = time.Duration(rapid.IntRange(5, 200).Draw(t, "timeout")) * time.Millisecond
 	s.queries = rapid.IntRange(1, 4).Draw(t, "queries")
 	s.behavior = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) behavior {
 		return behavior{
-			act:   act(rapid.IntRange(0, int(actCount)-1).Draw(t, "act")),
-			delay: time.Duration(rapid.IntRange(0, 50).Draw(t, "delay")) * time.Millisecond,
+			action: leafAction(rapid.IntRange(0, int(actionCount)-1).Draw(t, "act")),
+			delay:  time.Duration(rapid.IntRange(0, 50).Draw(t, "delay")) * time.Millisecond,
 		}
 	}), 1, 24).Draw(t, "behavior")
 	return s
 }
 
-// Whatever the leaves do, the caller sees every shard exactly once: either with
-// the hits of its own request, shard and version, or missing with a verdict that
-// the leaves' own count of runs bears out. No leaf sees more than its slots.
-func TestAnySchedule(t *testing.T) {
+// Whatever the leaves do, each shard has exactly one result: either the hits of its own
+// request, shard and version, or a verdict that agrees with the leaves' own count of runs.
+// No leaf receives more concurrent attempts than it has slots.
+func TestResultsMatchLeafRunsUnderAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawScenario(rt)
 		var err error
-		inBubble(t, func() { err = s.play() })
+		inBubble(t, func() { err = s.run() })
 		if err != nil {
 			rt.Fatal(err)
 		}
 	})
 }
 
-func (s *scenario) play() error {
+func (s *scenario) run() error {
 	at := 0
-	r := newRig(func(string, *contract.LeafRequest) behavior { return behavior{} }, s.names)
-	r.leaves.script = func(string, *contract.LeafRequest) behavior {
+	r := newFixture(func(string, *contract.LeafRequest) behavior { return behavior{} }, s.names)
+	r.leaves.behave = func(string, *contract.LeafRequest) behavior {
 		r.leaves.mu.Lock()
 		defer r.leaves.mu.Unlock()
 		at++
@@ -78,7 +79,7 @@
 		if took := time.Since(began); took > s.timeout {
 			return errors.Newf("took %v of %v", took, s.timeout)
 		}
-		r.settle()
+		r.waitIdle()
 		if err := s.check(r, res); err != nil {
 			return err
 		}
@@ -91,7 +92,7 @@
 	return nil
 }
 
-func (s *scenario) check(r *rig, res *Result) error {
+func (s *scenario) check(r *fixture, res *Result) error {
 	for i, sh := range res.Shards {
 		runs := r.leaves.runs[uint32(i)]
 		want := hitID(&contract.LeafRequest{ID: "q", Shard: uint32(i), IndexVersion: 7})
@@ -101,7 +102,7 @@
 		case sh.Answered && sh.Verdict != contract.Ran:
 			return errors.Newf("shard %d answered with verdict %v", i, sh.Verdict)
 		case sh.Verdict == contract.NotRun && runs > 0:
-			return errors.Newf("shard %d ran %d times and is said not to have", i, runs)
+			return errors.Newf("shard %d ran %d times and has the verdict that it did not run", i, runs)
 		case !s.job.Repeatable && runs > 1:
 			return errors.Newf("shard %d of a request that is not repeatable ran %d times", i, runs)
 		case !sh.Answered && sh.Reason == "":
--- a/internal/query/scatter/scatter_test.go
+++ b/internal/query/scatter/scatter_test.go
@@ -10,21 +10,21 @@
 	"pearmoor/internal/settings"
 )
 
-// The caller sees a whole answer. Each shard's first replica answers for another
-// version, or for another request; the reply is thrown away, counted, and the
-// other replica asked: taking it would mix versions, or show someone else's mail.
+// A replica that answers for another version or another request must not contribute hits:
+// they would mix versions or disclose another caller's data. The reply is discarded and the
+// other replica is tried.
 func TestWrongReplyIsRetriedElsewhere(t *testing.T) {
-	for _, wrong := range []act{wrongVersion, otherRequest} {
+	for _, wrong := range []leafAction{wrongVersion, wrongRequest} {
 		inBubble(t, func() {
-			Convey("Given a replica that answers wrongly", t, func() {
-				r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+			Convey("Given a replica that sends wrong replies", t, func() {
+				r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 					if leaf == "a" {
-						return behavior{act: wrong, delay: time.Millisecond}
+						return behavior{action: wrong, delay: time.Millisecond}
 					}
 					return behavior{delay: time.Millisecond}
 				}, []string{"a", "b"})
 				res := r.run(testJob(2, leavesOf("a", "b")), time.Second)
-				r.settle()
+				r.waitIdle()
 				So(res.Answered(), ShouldEqual, 2)
 				for s, sh := range res.Shards {
 					So(sh.Hits, ShouldResemble, []contract.Hit{{ID: hitID(&contract.LeafRequest{ID: "q", Shard: uint32(s), IndexVersion: 7})}})
@@ -34,58 +34,59 @@
 	}
 }
 
-// Every replica that runs the query crashes: retries must not take the other ones too.
-func TestLeavesThatEndAreNotMadeUpForWithoutAnAnswer(t *testing.T) {
+// Every replica that runs the query crashes. Retries must not crash the other replicas too.
+func TestCrashingQueryIsNotRetriedAtEveryReplica(t *testing.T) {
 	inBubble(t, func() {
-		Convey("Given a query that ends each leaf", t, func() {
-			r := newRig(func(string, *contract.LeafRequest) behavior {
-				return behavior{act: ends, delay: time.Millisecond}
+		Convey("Given a query that crashes each leaf", t, func() {
+			r := newFixture(func(string, *contract.LeafRequest) behavior {
+				return behavior{action: crash, delay: time.Millisecond}
 			}, []string{"a", "b", "c", "d", "e", "f", "g", "h"})
 			job := testJob(4, leavesOf("a", "b"))
 			for i, pair := range [][]string{{"a", "b"}, {"c", "d"}, {"e", "f"}, {"g", "h"}} {
 				job.Holders[i] = leavesOf(pair...)
 			}
 			res := r.run(job, time.Second)
-			r.settle()
+			r.waitIdle()
 			So(res.Answered(), ShouldEqual, 0)
 			So(res.LeafEnds, ShouldBeLessThanOrEqualTo, 5)
 		})
 	})
 }
 
-// A replica crashes before any shard has answered: its shard must not be missing for that.
-func TestLeafThatEndsIsMadeUpForOnceAnotherAnswers(t *testing.T) {
+// A replica crashes before any shard has answered. Its shard must still be answered by the
+// other replica.
+func TestShardOfCrashedLeafIsRetriedAfterAnotherLeafAnswers(t *testing.T) {
 	inBubble(t, func() {
-		Convey("Given one leaf that ends, and others that answer later", t, func() {
-			r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+		Convey("Given one leaf that exits, and others that answer later", t, func() {
+			r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 				if leaf == "a" {
-					return behavior{act: ends, delay: time.Millisecond}
+					return behavior{action: crash, delay: time.Millisecond}
 				}
 				return behavior{delay: 20 * time.Millisecond}
 			}, []string{"a", "b", "c", "d"})
 			job := testJob(2, leavesOf("c", "d"))
 			job.Holders[0] = leavesOf("a", "b")
 			res := r.run(job, time.Second)
-			r.settle()
+			r.waitIdle()
 			So(res.Answered(), ShouldEqual, 2)
 		})
 	})
 }
 
-// The caller of a request that is not repeatable sees may_have_run. The replica
-// runs it and loses the connection before the reply; another replica is free,
-// but asking it would run the request twice.
-func TestNotRepeatableIsNotResentInDoubt(t *testing.T) {
-	for _, a := range []act{reset, hang, wrongVersion, otherRequest} {
+// A replica runs a request that is not repeatable and loses the connection before the reply.
+// Trying the free other replica would run the request twice, so the verdict must be
+// may_have_run.
+func TestNotRepeatableIsNotResentIfItMayHaveRun(t *testing.T) {
+	for _, a := range []leafAction{resetConnection, hang, wrongVersion, wrongRequest} {
 		inBubble(t, func() {
 			Convey("Given a replica that runs and does not answer", t, func() {
-				r := newRig(func(string, *contract.LeafRequest) behavior {
-					return behavior{act: a, delay: time.Millisecond}
+				r := newFixture(func(string, *contract.LeafRequest) behavior {
+					return behavior{action: a, delay: time.Millisecond}
 				}, []string{"a", "b"})
 				job := testJob(1, leavesOf("a", "b"))
 				job.Repeatable = false
 				res := r.run(job, time.Second)
-				r.settle()
+				r.waitIdle()
 				So(res.Shards[0].Answered, ShouldBeFalse)
 				So(res.Shards[0].Verdict, ShouldEqual, contract.MayHaveRun)
 				So(r.leaves.runs[0], ShouldEqual, 1)
@@ -94,27 +95,26 @@
 	}
 }
 
-// The caller sees an answer although the request is not repeatable: the first
-// replica refused it before running, or was never reached, so that sending it to
-// the other one runs it once.
-func TestNotRepeatableMovesOnAfterProvenRefusal(t *testing.T) {
-	for _, a := range []act{refuse, conflict, unreachable} {
+// The first replica refused a request that is not repeatable before running it, or was never
+// reached. Sending it to the other replica runs it once, so the shard must be answered.
+func TestNotRepeatableIsResentAfterNotRun(t *testing.T) {
+	for _, a := range []leafAction{refuse, declineShard, refuseConnection} {
 		inBubble(t, func() {
 			Convey("Given a replica that does not run the request", t, func() {
 				first := ""
-				r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+				r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 					if first == "" {
 						first = leaf
 					}
 					if leaf == first {
-						return behavior{act: a, delay: time.Millisecond}
+						return behavior{action: a, delay: time.Millisecond}
 					}
 					return behavior{delay: time.Millisecond}
 				}, []string{"a", "b"})
 				job := testJob(1, leavesOf("a", "b"))
 				job.Repeatable = false
 				res := r.run(job, time.Second)
-				r.settle()
+				r.waitIdle()
 				So(res.Shards[0].Answered, ShouldBeTrue)
 				So(r.leaves.runs[0], ShouldEqual, 1)
 			})
@@ -122,20 +122,20 @@
 	}
 }
 
-// The caller is told not_run at once, not near its deadline, when every replica
-// of every shard has refused and the goal is the tail: nothing more will be tried.
-func TestRefusalByAllIsToldAtOnce(t *testing.T) {
+// When every replica of every shard has refused and the goal is the tail, nothing more will
+// be tried. The verdict not_run must be returned at once, not near the deadline.
+func TestRefusalByAllReplicasReturnsAtOnce(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given replicas that all refuse", t, func() {
-			r := newRig(func(string, *contract.LeafRequest) behavior {
-				return behavior{act: refuse, delay: time.Millisecond}
+			r := newFixture(func(string, *contract.LeafRequest) behavior {
+				return behavior{action: refuse, delay: time.Millisecond}
 			}, []string{"a", "b"})
 			job := testJob(3, leavesOf("a", "b"))
 			job.Goal = settings.Tail
 			began := time.Now()
 			res := r.run(job, 10*time.Second)
 			So(time.Since(began), ShouldBeLessThan, time.Second)
-			r.settle()
+			r.waitIdle()
 			for _, s := range res.Shards {
 				So(s.Verdict, ShouldEqual, contract.NotRun)
 				So(s.Answered, ShouldBeFalse)
@@ -145,39 +145,39 @@
 	})
 }
 
-// The caller sees an ordinary reply time while one replica hangs. The straggler
-// is hedged to the other replica after the threshold; without it the caller would
-// wait for the deadline and get a hole instead of the shard.
+// One replica hangs. The straggler must be hedged to the other replica after the threshold;
+// otherwise the caller would wait for the deadline and miss the shard.
 func TestStragglerIsHedged(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given a replica that hangs", t, func() {
-			r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+			r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 				if leaf == "a" {
-					return behavior{act: hang}
+					return behavior{action: hang}
 				}
 				return behavior{delay: 2 * time.Millisecond}
 			}, []string{"a", "b"})
 			job := testJob(1, leavesOf("a", "b"))
 			job.HedgeAfter = 10 * time.Millisecond
-			for range 2 { // one of two takes the hanging replica first
+			for range 2 { // one of two queries uses the hanging replica first
 				began := time.Now()
 				res := r.run(job, time.Second)
 				So(res.Answered(), ShouldEqual, 1)
 				So(time.Since(began), ShouldBeLessThanOrEqualTo, 15*time.Millisecond)
 			}
-			r.settle()
+			r.waitIdle()
 		})
 	})
 }
 
-// The caller sees coverage 3 of 4 and early set, well before the deadline, because
-// tree and caller both allow it; the shard left out says so and may have run.
-func TestEarlyAnswerSaysWhatItLeftOut(t *testing.T) {
+// The replicas of one of four shards hang, and an early answer is allowed. The answer must
+// have coverage 3 of 4 and the early flag well before the deadline, and the missing shard
+// must have the reason early and the verdict may_have_run.
+func TestEarlyAnswerMarksMissingShards(t *testing.T) {
 	inBubble(t, func() {
 		Convey("Given one shard whose replicas hang", t, func() {
-			r := newRig(func(_ string, req *contract.LeafRequest) behavior {
+			r := newFixture(func(_ string, req *contract.LeafRequest) behavior {
 				if req.Shard == 2 {
-					return behavior{act: hang}
+					return behavior{action: hang}
 				}
 				return behavior{delay: time.Millisecond}
 			}, []string{"a", "b", "c", "d"})
@@ -186,7 +186,7 @@
 			began := time.Now()
 			res := r.run(job, 8*time.Second)
 			So(time.Since(began), ShouldBeLessThan, 8*time.Second)
-			r.settle()
+			r.waitIdle()
 			So(res.Early, ShouldBeTrue)
 			So(res.Answered(), ShouldEqual, 3)
 			So(res.Shards[2].Reason, ShouldEqual, contract.ReasonEarly)
@@ -195,13 +195,13 @@
 	})
 }
 
-// The caller sees every shard although both slots of one replica are taken by
-// requests that hang: what waits in its queue moves to the other replica as soon
-// as that is free, and counts as no extra attempt since nothing was sent.
+// Both slots of one replica are occupied by requests that hang. Attempts in its queue must
+// move to the other replica as soon as that is free. They do not count as extra attempts,
+// because nothing was sent.
 func TestQueuedAttemptMovesToFreeReplica(t *testing.T) {
 	inBubble(t, func() {
-		Convey("Given a replica whose slots are stuck", t, func() {
-			r := newRig(func(leaf string, _ *contract.LeafRequest) behavior {
+		Convey("Given a replica whose slots are all occupied", t, func() {
+			r := newFixture(func(leaf string, _ *contract.LeafRequest) behavior {
 				return behavior{delay: 3 * time.Millisecond}
 			}, []string{"a", "b"})
 			for range testSlots {
@@ -212,7 +212,7 @@
 			job.Repeatable = false
 			job.HedgeAfter = 5 * time.Millisecond
 			res := r.run(job, 5*time.Second)
-			r.settle()
+			r.waitIdle()
 			So(res.Answered(), ShouldEqual, 8)
 			So(res.Extra, ShouldEqual, 0)
 			So(r.leaves.sent, ShouldEqual, 8)
--- a/internal/query/scatter/shard.go
+++ b/internal/query/scatter/shard.go
@@ -11,51 +11,51 @@
 )
 
 const (
-	shortestRound = 5 * time.Millisecond // between two rounds over the same replicas
-	longestPause  = time.Minute
+	minRoundPause = 5 * time.Millisecond // minimum pause between two rounds over the same replicas
+	maxRoundPause = time.Minute
 )
 
-// shardRun drives the attempts of one shard; only its own goroutine uses it.
+// shardRun drives the attempts of one shard. Only its own goroutine uses it.
 type shardRun struct {
-	*run
-	shard   uint32
-	holders []settings.Leaf
-	ctx     context.Context
-	cancel  context.CancelFunc // of all attempts
-	results chan attemptDone
-	hedges  chan acquired // nil while no hedge waits for a permit
-	flights []flight      // in the order they were sent
-	sent    int           // attempts of this home
-	asked   int           // attempts that another home was asked for
-	tried   uint64        // bit by index in holders
-	verdict contract.Verdict
-	last    contract.Error // of the attempt that failed last
-	buf     [4]choice
+	*jobRun
+	shard        uint32
+	replicas     []settings.Leaf
+	ctx          context.Context
+	cancel       context.CancelFunc // cancels all attempts
+	results      chan attemptResult
+	hedgePermits chan reservation  // delivers the permit of a hedge; nil while none waits
+	inFlight     []inFlightAttempt // in the order in which they were sent
+	sent         int               // attempts of this home
+	borrowed     int               // attempts that another home was asked for
+	tried        uint64            // bit set by index in replicas
+	verdict      contract.Verdict  // joined over all ended attempts
+	lastErr      contract.Error    // of the last failed attempt
+	rankBuf      [4]candidate      // avoids an allocation in rank
 }
 
-func newShardRun(r *run, shard uint32) *shardRun {
-	holders := r.job.Holders[shard]
-	if len(holders) > maxReplicas {
-		holders = holders[:maxReplicas]
+func newShardRun(r *jobRun, shard uint32) *shardRun {
+	replicas := r.job.Holders[shard]
+	if len(replicas) > maxReplicas {
+		replicas = replicas[:maxReplicas]
 	}
-	s := &shardRun{run: r, shard: shard, holders: holders, verdict: contract.NotRun}
+	s := &shardRun{jobRun: r, shard: shard, replicas: replicas, verdict: contract.NotRun}
 	s.ctx, s.cancel = context.WithCancel(r.ctx)
-	for i := range holders {
-		if slices.Contains(r.job.Avoid, holders[i].Addr) {
+	for i := range replicas {
+		if slices.Contains(r.job.Avoid, replicas[i].Addr) {
 			s.tried |= 1 << i
 		}
 	}
-	s.results = make(chan attemptDone, s.maxAttempts()+borrowsAtATime)
+	s.results = make(chan attemptResult, s.maxAttempts()+maxConcurrentBorrows)
 	return s
 }
 
-// maxAttempts bounds the attempts of one shard, whatever the budgets allow.
-func (s *shardRun) maxAttempts() int { return 2 * len(s.holders) }
+// maxAttempts bounds the attempts at one shard, whatever the budgets allow.
+func (s *shardRun) maxAttempts() int { return 2 * len(s.replicas) }
 
-// do runs the shard to its outcome. Attempts still in flight are cancelled.
-func (s *shardRun) do() Shard {
+// execute runs the shard until it has a result. Attempts still in flight are cancelled.
+func (s *shardRun) execute() Shard {
 	defer s.cancel()
-	if len(s.holders) == 0 {
+	if len(s.replicas) == 0 {
 		return s.missing(contract.ReasonNoReplica)
 	}
 	s.g.hedges.Primary()
@@ -66,49 +66,49 @@
 	return s.wait()
 }
 
-// wait collects attempts until one succeeds or nothing more may be sent.
+// wait handles results until one succeeds or nothing more may be sent.
 func (s *shardRun) wait() Shard {
 	timer := time.NewTimer(s.hedgeDelay())
 	defer timer.Stop()
 	for {
 		select {
 		case d := <-s.results:
-			if out, ended := s.take(d); ended {
+			if out, ended := s.handleResult(d); ended {
 				return out
 			}
 			timer.Reset(s.hedgeDelay())
 		case <-timer.C:
-			s.straggle()
+			s.handleStraggler()
 			timer.Reset(s.hedgeDelay())
-		case a := <-s.hedges:
-			if out, ended := s.hedgeGranted(a); ended {
+		case a := <-s.hedgePermits:
+			if out, ended := s.handleHedgePermit(a); ended {
 				return out
 			}
 			timer.Reset(s.hedgeDelay())
 		case <-s.ctx.Done():
-			return s.expired()
+			return s.finishExpired()
 		}
 	}
 }
 
-// take handles the end of one attempt and reports whether it ends the shard.
-func (s *shardRun) take(d attemptDone) (Shard, bool) {
-	s.landed(d.id)
-	s.guard.landed(&d)
-	if d.err == nil {
-		return s.answered(d), true
+// handleResult handles the end of one attempt and reports whether the shard is finished.
+func (s *shardRun) handleResult(result attemptResult) (Shard, bool) {
+	s.end(result.id)
+	s.guard.recordResult(&result)
+	if result.err == nil {
+		return s.answered(result), true
 	}
-	if d.declined() {
-		return s.declined(d)
+	if result.borrowRefused() {
+		return s.handleBorrowRefused(result)
 	}
-	s.failed(d)
-	return s.goOn()
+	s.recordFailure(result)
+	return s.retryOrFinish()
 }
 
-// goOn retries when nothing is under way any more, and ends the shard when that
-// can't be.
-func (s *shardRun) goOn() (Shard, bool) {
-	if len(s.flights) > 0 || s.hedges != nil {
+// retryOrFinish retries if no attempt is in flight and no hedge waits, and finishes the
+// shard if no retry is possible.
+func (s *shardRun) retryOrFinish() (Shard, bool) {
+	if len(s.inFlight) > 0 || s.hedgePermits != nil {
 		return Shard{}, false
 	}
 	if reason, ok := s.retry(); !ok {
@@ -117,80 +117,80 @@
 	return Shard{}, false
 }
 
-// expired ends the shard at its deadline. The attempts end at once as well; their
-// results tell whether they had been sent, and one may just have been a reply.
-func (s *shardRun) expired() Shard {
-	for len(s.flights) > 0 {
-		d := <-s.results
-		s.landed(d.id)
-		s.guard.landed(&d)
-		if d.err == nil {
-			return s.answered(d)
+// finishExpired finishes the shard at its deadline. The attempts in flight end at once as
+// well. Their results show whether they had been sent, and one may still be a success.
+func (s *shardRun) finishExpired() Shard {
+	for len(s.inFlight) > 0 {
+		result := <-s.results
+		s.end(result.id)
+		s.guard.recordResult(&result)
+		if result.err == nil {
+			return s.answered(result)
 		}
-		s.failed(d)
+		s.recordFailure(result)
 	}
 	return s.missing(contract.ReasonDeadline)
 }
 
-func (s *shardRun) answered(d attemptDone) Shard {
-	if d.hedge {
+func (s *shardRun) answered(result attemptResult) Shard {
+	if result.hedge {
 		s.g.meter.hedgesWon.Inc(1)
 	}
-	return Shard{Answered: true, Hits: d.hits, Verdict: contract.Ran}
+	return Shard{Answered: true, Hits: result.hits, Verdict: contract.Ran}
 }
 
-func (s *shardRun) failed(d attemptDone) {
-	s.verdict = s.verdict.Join(d.err.Verdict)
-	s.last = *d.err
-	s.noteRetryAfter(d.err.RetryAfter)
+func (s *shardRun) recordFailure(result attemptResult) {
+	s.verdict = s.verdict.Join(result.err.Verdict)
+	s.lastErr = *result.err
+	s.recordRetryAfter(result.err.RetryAfter)
 }
 
-// missing returns the outcome of a shard that did not answer. An attempt whose
-// result is not known yet may have run.
+// missing returns the result of a shard that was not answered. An attempt still in flight
+// may have run.
 func (s *shardRun) missing(reason contract.Reason) Shard {
 	v := s.verdict
-	if len(s.flights) > 0 {
+	if len(s.inFlight) > 0 {
 		v = v.Join(contract.MayHaveRun)
 	}
 	return Shard{Reason: reason, Verdict: v}
 }
 
-// start sends the first attempt, or the next after all have failed: with a free
-// permit here, else with one of another home, else after a wait in the queue.
+// start sends the first attempt, or a further one after all have failed: with a free permit
+// here, else with one of another home, else after a wait in the queue.
 func (s *shardRun) start() *contract.Error {
-	ranked := s.g.rank(s.buf[:0], s.holders, s.tried, int(s.g.turn.Add(1)))
+	ranked := s.g.rank(s.rankBuf[:0], s.replicas, s.tried, int(s.g.rotation.Add(1)))
 	if len(ranked) == 0 {
 		return contract.Refuse(contract.ReasonNoReplica, nil)
 	}
-	if a, ok := s.takeFree(ranked); ok {
+	if a, ok := s.tryAcquire(ranked); ok {
 		s.send(a, false)
 		return nil
 	}
 	if s.job.Immediate {
-		return contract.Refuse(contract.ReasonOverload, errDeclined)
+		return contract.Refuse(contract.ReasonOverload, errNoFreePermit)
 	}
 	if s.borrow(false) {
 		return nil
 	}
-	return s.queue(ranked)
+	return s.queueAndSend(ranked)
 }
 
-// queue waits for a permit and sends. Where another home may have a free one, it
-// is asked again each threshold: the queue here may stand still behind stragglers.
-// Queues go by deadline, so that leaving one costs no place.
-func (s *shardRun) queue(ranked []choice) *contract.Error {
+// queueAndSend waits for a permit and sends. The queues here may be blocked by stragglers,
+// so another home is asked again after each hedge delay. Queues are ordered by deadline, so
+// leaving one and joining it again loses no position.
+func (s *shardRun) queueAndSend(ranked []candidate) *contract.Error {
 	ask := admit.Ask{Priority: s.job.Priority, Order: s.job.Order}
 	for {
 		ctx, cancel := s.queueContext()
-		a, err := s.acquireAt(ctx, ranked, ask)
-		waited := ctx.Err() != nil && s.ctx.Err() == nil
+		a, err := s.acquire(ctx, ranked, ask)
+		delayElapsed := ctx.Err() != nil && s.ctx.Err() == nil
 		cancel()
 		switch {
 		case err == nil:
 			s.send(a, false)
 			return nil
-		case !waited:
-			s.noteRetryAfter(err.RetryAfter)
+		case !delayElapsed:
+			s.recordRetryAfter(err.RetryAfter)
 			return err
 		case s.borrow(false):
 			return nil
@@ -198,8 +198,9 @@
 	}
 }
 
-// queueContext ends after a threshold when there is another home to ask. It has
-// the shard's deadline, by which the queues judge whether the wait fits.
+// queueContext returns a context that ends after a hedge delay if there is another home to
+// ask. It keeps the shard's deadline, from which the queues decide whether the expected wait
+// is acceptable.
 func (s *shardRun) queueContext() (context.Context, context.CancelFunc) {
 	if s.job.Lender == nil {
 		return s.ctx, func() {}
@@ -212,54 +213,56 @@
 	}
 }
 
-// retry sends again after all attempts have failed, if the verdict, the budget
-// and the time left allow it. It returns why not.
+// retry sends again after all attempts have failed, if the verdict, the budget and the
+// remaining time allow it. Otherwise it returns the reason.
 func (s *shardRun) retry() (contract.Reason, bool) {
 	if s.ctx.Err() != nil {
 		return contract.ReasonDeadline, false
 	}
 	if s.job.Immediate || s.job.Canary || (!s.job.Repeatable && s.verdict != contract.NotRun) {
-		return s.last.Reason, false
+		return s.lastErr.Reason, false
 	}
-	free := s.untried() && costless(&s.last)
-	if s.sent >= s.maxAttempts() || !s.anotherRound() {
-		return s.last.Reason, false
+	exempt := s.hasUntried() && exemptFromBudget(&s.lastErr)
+	if s.sent >= s.maxAttempts() || !s.nextRound() {
+		return s.lastErr.Reason, false
 	}
-	if !s.guard.enter(s.ctx) {
-		return s.last.Reason, false
+	if !s.guard.waitToSend(s.ctx) {
+		return s.lastErr.Reason, false
 	}
-	if !free && !s.g.retries.Spend() {
+	if !exempt && !s.g.retries.Spend() {
 		return contract.ReasonBudget, false
 	}
 	if err := s.start(); err != nil {
-		return s.last.Reason, false
+		return s.lastErr.Reason, false
 	}
-	s.extra.Add(1)
+	s.extraSends.Add(1)
 	s.g.meter.retries.Inc(1)
 	return "", true
 }
 
-// costless reports whether the failed attempt cost a target nothing worth
-// bounding: it never left, or the target does not hold the shard. The budget
-// stands for the load of extra attempts; were these charged, the loss of one
-// replica would use it up and shards that the other replica holds would be
-// missing. Each replica is tried once this way, which bounds it.
-func costless(e *contract.Error) bool {
+// exemptFromBudget reports whether the retry after a failed attempt is not charged to the
+// budget: the attempt was not sent, or the target does not hold the shard. The budget limits
+// the load of extra attempts, and such an attempt causes almost none. If it were charged,
+// the loss of one replica could use up the budget, and shards that the other replica holds
+// would be missing. Only the first attempt at each replica is exempt, which bounds the
+// number.
+func exemptFromBudget(e *contract.Error) bool {
 	return e.Verdict == contract.NotRun && e.Reason != contract.ReasonRefused
 }
 
-func (s *shardRun) untried() bool { return s.tried != uint64(1)<<len(s.holders)-1 }
+// hasUntried reports whether a replica has not been tried in this round.
+func (s *shardRun) hasUntried() bool { return s.tried != uint64(1)<<len(s.replicas)-1 }
 
-// anotherRound reports whether a replica is left to try. When each has been
-// tried, a query whose goal is coverage starts over once a pause has passed.
-func (s *shardRun) anotherRound() bool {
-	if s.untried() {
+// nextRound reports whether a replica is left to try. If all have been tried and the goal is
+// coverage, it waits for a pause and makes all of them available again.
+func (s *shardRun) nextRound() bool {
+	if s.hasUntried() {
 		return true
 	}
 	if s.job.Goal != settings.Coverage {
 		return false
 	}
-	pause := s.shortestPause()
+	pause := s.roundPause()
 	if at, ok := s.ctx.Deadline(); ok && time.Until(at) <= pause+s.g.latency.Median() {
 		return false
 	}
@@ -274,11 +277,11 @@
 	return true
 }
 
-// shortestPause returns how long until the first replica is expected to be free.
-func (s *shardRun) shortestPause() time.Duration {
-	shortest := longestPause
-	for _, h := range s.holders {
-		shortest = min(shortest, s.g.gates.Load(h.Addr).Wait)
+// roundPause returns the time until the first replica is expected to be free.
+func (s *shardRun) roundPause() time.Duration {
+	shortest := maxRoundPause
+	for _, leaf := range s.replicas {
+		shortest = min(shortest, s.g.gates.Load(leaf.Addr).Wait)
 	}
-	return max(shortest, shortestRound)
+	return max(shortest, minRoundPause)
 }
