--- a/internal/query/burst_test.go
+++ b/internal/query/burst_test.go
@@ -11,7 +11,9 @@
 	"pearmoor/internal/vm"
 )
 
-// Guards against queries refused as overload that a daemon could serve in time after a stall, when they come at once.
+// After a stall of a daemon, queries arrive in a burst. They can all be served within their
+// deadline and must not be refused as overload; a queue that persists for a deadline must
+// lower the admission level.
 func TestBurstIsNotOverload(t *testing.T) {
 	const waiting, service, deadline = 30, 20 * time.Millisecond, 800 * time.Millisecond
 	var now atomic.Int64
@@ -22,12 +24,12 @@
 	gates.Configure(leaf.Addr, admit.Limits{Slots: 1, Queue: 2 * waiting})
 	p, ok := gates.TryAcquire(leaf.Addr)
 	if !ok {
-		t.Fatal("no permit")
+		t.Fatal("no permit for the only slot")
 	}
 	now.Add(int64(service))
 	p.Done(admit.Answered, 0)
 	if p, ok = gates.TryAcquire(leaf.Addr); !ok {
-		t.Fatal("no permit")
+		t.Fatal("no permit for the only slot")
 	}
 	defer p.Done(admit.Answered, 0)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -41,29 +43,30 @@
 	}
 	for end := time.Now().Add(10 * time.Second); gates.Load(leaf.Addr).Waiting < waiting; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d wait", gates.Load(leaf.Addr).Waiting)
+			t.Fatalf("%d requests wait in the queue after 10 s", gates.Load(leaf.Addr).Waiting)
 		}
 	}
 	level := func() float64 { return levelAt(queueOf(gates, []settings.Leaf{leaf}).wait(deadline), deadline) }
 	if got := level(); got != 1 {
-		t.Errorf("%.2f of the queries are taken while a burst is served", got)
+		t.Errorf("admission level is %.2f while a burst is served, want 1", got)
 	}
 	now.Add(int64(deadline))
 	if got := level(); got > 0.5 {
-		t.Errorf("%.2f of the queries are taken by a queue that stands", got)
+		t.Errorf("admission level is %.2f, want at most 0.5 set by a queue that persists", got)
 	}
 }
 
-// Guards against queries refused for seconds by what a home told of a queue that it has served since.
+// A home reports a low admission level and then serves its queue. The entry must not refuse
+// queries because of the old level once a default deadline has passed.
 func TestLevelHeardLastsNoLongerThanItsQueue(t *testing.T) {
 	const deadline = 800 * time.Millisecond
 	r := &route{hints: make(map[string]hint)}
 	homes := []vm.Member{{Identity: vm.Identity{Name: "a"}}}
 	r.learn("a", &part{level: 0.5}, vm.Instant(time.Hour))
 	if got := r.meanLevel(homes, vm.Instant(time.Hour), deadline); got != 0.5 {
-		t.Errorf("level %.2f when it is told", got)
+		t.Errorf("level is %.2f when it was just reported, want 0.5", got)
 	}
 	if got := r.meanLevel(homes, vm.Instant(time.Hour).Add(deadline), deadline); got != 1 {
-		t.Errorf("level %.2f a default deadline later", got)
+		t.Errorf("level is %.2f a default deadline after the report, want 1", got)
 	}
 }
--- a/internal/query/call.go
+++ b/internal/query/call.go
@@ -11,15 +11,17 @@
 	"pearmoor/internal/vm"
 )
 
-// attemptStride keeps the attempt numbers of different homes and rounds apart, so
-// that a reply crossed between them never matches.
+// attemptStride is the distance between the attempt numbers of different homes, and its
+// square the distance between those of different rounds, so that a late reply to one of
+// them never matches the attempt of another.
 const attemptStride = 1 << 10
 
-// expiredWait bounds the wait for the ends of remote calls after their deadline; it is
-// taken from wayBack.
+// remoteResultWait bounds how long the results of remote calls are awaited after their
+// deadline. It is part of replyMargin.
 const expiredWait = 2 * time.Millisecond
 
-// call asks the homes of one unit until one answers or none is left.
+// call sends a sub-query to the homes of one leaf group, one after the other, until a
+// home answers or none is left.
 type call struct {
 	e        *Engine
 	st       state
@@ -30,12 +32,13 @@
 	results  chan callDone
 	sent     int
 	inFlight int
-	local    int // of those in flight, run by this daemon itself
+	local    int // calls in flight that this daemon serves itself
 	refused  *part
-	first    *part // answered with gaps that another home is asked to fill
-	doubt    bool  // a home that did not answer may have sent
+	first    *part // answer with missing shards that another home is being asked for
+	doubt    bool  // a home that gave no answer may have sent the request to leaves
 }
 
+// callResult is the result of one home: an answer or an error.
 type callDone struct {
 	home  vm.Member
 	local bool
@@ -43,7 +46,7 @@
 	err   *contract.Error
 }
 
-// ask sends q to a home of t and returns its part, never nil.
+// queryGroup sends q to the homes of a leaf group and returns the group's answer, never nil.
 func (e *Engine) ask(ctx context.Context, st state, t *target, q *subquery) *part {
 	r := e.route(t)
 	c := &call{e: e, st: st, t: t, r: r, q: q, homes: e.order(t, r)}
@@ -77,6 +80,7 @@
 	}
 }
 
+// hedgeDelay returns how long to wait for the first home before a second one is asked.
 func (c *call) patience(ctx context.Context) time.Duration {
 	left := time.Minute
 	if at, ok := ctx.Deadline(); ok {
@@ -85,7 +89,8 @@
 	return c.r.patience(left)
 }
 
-// take handles one result and returns the part that ends the call, if it does.
+// handleResult processes the result of one home. It returns the answer of the group when
+// that ends the call, else nil.
 func (c *call) take(ctx context.Context, d callDone) *part {
 	c.landed(&d)
 	if c.first != nil {
@@ -112,7 +117,8 @@
 	return c.refused
 }
 
-// landed counts a result out and learns from it.
+// recordResult removes a finished call from the counts and records what the home reported
+// about its load and its index versions.
 func (c *call) landed(d *callDone) {
 	c.inFlight--
 	if d.local {
@@ -126,23 +132,25 @@
 	}
 }
 
-// settle raises what p says was not run when another home was asked as well and
-// has not proved that it sent nothing: p only knows of its own home's attempts.
+// raiseIfUncertain turns the "not run" verdicts of p into "may have run" when another home
+// was asked as well and has not proved that it sent nothing: p covers only the attempts of
+// its own home.
 func (c *call) settle(p *part) {
 	if c.doubt || c.inFlight > 0 {
 		p.raise(c.q.service)
 	}
 }
 
-// crossed reports a part of another index version than the pinned one. Taken, it
-// would mix two versions in one answer.
+// wrongVersion reports whether p is of another index version than the pinned one. Accepting
+// it would mix two versions in one answer.
 func (c *call) crossed(p *part) bool {
 	return p.refusal == "" && c.q.pin != 0 && p.version != c.q.pin
 }
 
-// next asks another home after one has refused or was lost. A refusal proves that
-// nothing was sent, so it costs no budget and is open to every request; a lost
-// home may have sent, and asking again could run the request twice.
+// tryNextHome asks another home after one refused or failed. A refusal proves that nothing
+// was sent to a leaf, so the retry is free of the retry budget and allowed for every
+// request. A home that failed may have sent the request, and asking another could run it
+// twice: only repeatable requests are retried then, within the budget.
 func (c *call) next(ctx context.Context, d callDone) bool {
 	if ctx.Err() != nil || c.sent >= len(c.homes) {
 		return false
@@ -158,7 +166,7 @@
 	return c.send(ctx)
 }
 
-// hedge asks a second home when the first is silent.
+// hedge asks a second home when the first has not answered within the hedge delay.
 func (c *call) hedge(ctx context.Context) {
 	if !c.q.repeatable || c.q.canary || c.inFlight != 1 || c.sent >= len(c.homes) || !c.r.hedges.Spend() {
 		return
@@ -168,9 +176,10 @@
 	}
 }
 
-// expired ends the call at its deadline. A part run by this daemon itself ends at the same
-// deadline with what it has, and a call to another home that was never sent says so: both
-// are worth a moment's wait.
+// finishAtDeadline ends the call at its deadline. It first waits for the sub-query that this
+// daemon serves itself, which ends at the same deadline with the shards answered by then,
+// and up to remoteResultWait for remote calls, whose errors prove that nothing was sent when
+// the home was never reached.
 func (c *call) expired() *part {
 	timer := time.NewTimer(expiredWait)
 	defer timer.Stop()
@@ -199,7 +208,7 @@
 	return c.lost(contract.ReasonDeadline)
 }
 
-// send asks the next home in order.
+// send sends the sub-query to the next home. It returns false when there is none left.
 func (c *call) send(ctx context.Context) bool {
 	if c.sent >= len(c.homes) {
 		return false
@@ -229,7 +238,7 @@
 	return true
 }
 
-// askRemote sends q to another daemon.
+// queryRemote sends q to a home on another daemon.
 func (e *Engine) askRemote(ctx context.Context, st state, home vm.Member, q *subquery) (*part, *contract.Error) {
 	left := time.Minute
 	if at, ok := ctx.Deadline(); ok {
@@ -253,7 +262,8 @@
 	return partFromWire(w), nil
 }
 
-// lostHome types the error of a call to a home.
+// homeError converts the error of a call to a home: "not run" if the call was never sent,
+// else "may have run".
 func lostHome(err error) *contract.Error {
 	if peer.NotSent(err) {
 		return contract.Refuse(contract.ReasonHomeLost, err)
@@ -261,8 +271,8 @@
 	return &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonHomeLost, Cause: err}
 }
 
-// better returns the refusal that tells more: one that knows versions, then one
-// that knows the partition map, else the one that names the sooner return.
+// betterRefusal returns the refusal with more information: one that lists index versions,
+// then one with the size of the partition map, else the one with the shorter Retry-After.
 func better(a, b *part) *part {
 	switch {
 	case a == nil || (len(a.versions) == 0 && len(b.versions) > 0):
@@ -277,9 +287,9 @@
 	return a
 }
 
-// lost returns the part of a unit that no home answered for: every shard it was
-// asked for is missing. The partition map is that of the pinned version as last
-// seen; unknown, it counts as one shard, and no version is stated.
+// unanswered returns the answer of a leaf group whose homes gave none: every requested
+// shard is missing. The number of shards is that of the pinned version as last reported;
+// when it is unknown, the group counts as one shard and the answer has no version.
 func (c *call) lost(reason contract.Reason) *part {
 	verdict := contract.NotRun
 	if c.doubt || c.inFlight > 0 {
@@ -305,7 +315,8 @@
 	return p
 }
 
-// expected returns the state of the pinned version, or of the newest one.
+// findVersion returns the state of the pinned version, or of the newest one if pin is 0.
+// It returns nil when states lacks the version.
 func expected(states []versionState, pin uint64) *versionState {
 	at := slices.IndexFunc(states, func(v versionState) bool { return pin == 0 || v.version == pin })
 	if at < 0 {
@@ -314,6 +325,7 @@
 	return &states[at]
 }
 
+// allShards returns the numbers of all shards of a partition map of n shards.
 func firstShards(n uint32) []uint32 {
 	out := make([]uint32, n)
 	for i := range out {
--- a/internal/query/config.go
+++ b/internal/query/config.go
@@ -10,19 +10,20 @@
 	"pearmoor/internal/vm"
 )
 
-// Catalog knows which leaves hold what, as far as this daemon probes them. The
-// caller doesn't change what Snapshots returns.
+// Catalog lists the index versions and shards that the leaves probed by this daemon hold.
+// Callers must not modify what Snapshots returns.
 type Catalog interface {
 	Snapshots(service string) []leaf.Snapshot
 }
 
-// Knower is a Catalog that tells whether every leaf of a service that is probed
-// here has been heard of, or found out of reach, since it is.
+// ProbeStatus is implemented by a Catalog that can report whether each leaf of a service
+// that this daemon probes has answered a probe, or was found unreachable, since probing of
+// it began.
 type Knower interface {
 	Known(service string) bool
 }
 
-// Config is what an Engine works with.
+// Config holds the dependencies and limits of an Engine.
 type Config struct {
 	Self    vm.Identity
 	Source  relay.Source
@@ -31,11 +32,11 @@
 	Catalog Catalog
 	Conns   relay.Conns
 	Clock   vm.Clock
-	Keys    session.Limits // zero: DefaultKeys
-	// Quarantine knows the queries that crash leaves; nil: none.
+	Keys    session.Limits // DefaultKeyLimits if zero
+	// Quarantine lists the queries that crash leaves. If nil, no query is quarantined.
 	Quarantine *quarantine.Registry
 }
 
-// DefaultKeys bounds the memory for keys and kept answers of requests that are
-// not repeatable, to some 64 MB.
+// DefaultKeyLimits bounds the memory for the keys and stored answers of non-repeatable
+// requests to about 64 MB.
 var DefaultKeys = session.Limits{Keys: 100_000, AnswerBytes: 64 << 10, TotalBytes: 48 << 20}
--- a/internal/query/conn_test.go
+++ b/internal/query/conn_test.go
@@ -17,7 +17,7 @@
 	return &worldConn{w: w, addr: addr}, nil
 }
 
-// worldConn calls a daemon through the encoding that drpc would use.
+// fakeConn calls a daemon directly. It copies the messages as if they were sent over DRPC.
 type worldConn struct {
 	drpc.Conn
 	w    *world
@@ -66,7 +66,7 @@
 	case *wire.KeyedQuery:
 		reply, err = d.engine.Home().Keyed(ctx, req)
 	default:
-		return errors.Newf("no such call %s", rpc)
+		return errors.Newf("unknown call %s", rpc)
 	}
 	if err == nil {
 		proto.Merge(out.(proto.Message), reply)
--- a/internal/query/decode.go
+++ b/internal/query/decode.go
@@ -12,12 +12,12 @@
 	"pearmoor/internal/contract"
 )
 
-// maxShown bounds how much of a bad value an error repeats.
+// maxValueBytes bounds how much of an invalid value an error message quotes.
 const maxShown = 64
 
-// DecodeRequest reads the JSON body of a query of at most limit bytes. It fails
-// with contract.Faults: a field that is not known may be a setting the caller
-// relies on, so it is refused instead of dropped.
+// DecodeRequest decodes the JSON body of a query, of at most limit bytes. Its errors are
+// contract.Faults. An unknown field may be an option that the caller relies on, so it is an
+// error and is not ignored.
 func DecodeRequest(b []byte, limit int) (*contract.Request, error) {
 	if limit > 0 && len(b) > limit {
 		return nil, fault("body", fmt.Sprintf("%d bytes", len(b)),
@@ -35,9 +35,11 @@
 	return &r, nil
 }
 
-// unknownField is how encoding/json starts its error, which has no type of its own.
+// unknownFieldPrefix starts the error that encoding/json returns for an unknown field. That
+// error has no type of its own to test for.
 const unknownField = "json: unknown field "
 
+// decodeFault converts an error of encoding/json to contract.Faults.
 func decodeFault(b []byte, err error) error {
 	var typ *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
@@ -55,6 +57,7 @@
 	return fault("request", shown(b), err.Error(), "send one JSON object")
 }
 
+// truncated returns b as text, cut to maxValueBytes.
 func shown(b []byte) string {
 	if len(b) > maxShown {
 		return string(b[:maxShown]) + "..."
@@ -62,6 +65,7 @@
 	return string(b)
 }
 
+// fault returns contract.Faults with a single fault.
 func fault(field, value, why, fix string) contract.Faults {
 	return contract.Faults{{Field: field, Value: value, Why: why, Fix: fix}}
 }
--- a/internal/query/decode_test.go
+++ b/internal/query/decode_test.go
@@ -9,8 +9,8 @@
 	"pearmoor/internal/query/session"
 )
 
-// FuzzDecodeRequest feeds what callers may send: a request or faults that each
-// name a field or the request and a fix, never a panic.
+// FuzzDecodeRequest decodes arbitrary bytes. The result must be a request, or faults whose
+// first one has a reason and a fix, and never a panic.
 func FuzzDecodeRequest(f *testing.F) {
 	for _, s := range []string{`{"path":"a","body":1}`, `{"path":1}`, `{"limt":3}`, `{`, `{} {}`, ``, `{"min_coverage":1e999}`, `[]`} {
 		f.Add([]byte(s))
@@ -23,7 +23,7 @@
 			return
 		}
 		if !errors.As(err, &faults) || len(faults) == 0 || faults[0].Fix == "" || faults[0].Why == "" {
-			t.Fatalf("%q: %v", b, err)
+			t.Fatalf("body %q: %v", b, err)
 		}
 	})
 }
--- a/internal/query/engine.go
+++ b/internal/query/engine.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// wayBack is kept free at the end of a deadline for the answer to reach the
-	// caller, but at most a tenth of the deadline.
+	// replyMargin is reserved at the end of a deadline for the answer to reach the
+	// caller. It is at most a tenth of the deadline.
 	wayBack         = 5 * time.Millisecond
-	unconfirmedWait = time.Second // until a lost lease may be back
+	unconfirmedWait = time.Second // a daemon usually renews a lost lease within this time
 	drainingWait    = 100 * time.Millisecond
 )
 
-// Engine answers queries: as the entry that a caller reached, and as a home that
-// other entries ask. It is safe for concurrent use.
+// Engine answers queries of callers, as their entry, and sub-queries of other daemons, as a
+// home of leaf groups. It is safe for concurrent use.
 type Engine struct {
 	Config
 	view   func() state
 	issuer *session.Issuer
 	keys   *session.Table
-	homes  sync.Map // service -> *home
-	routes sync.Map // unit -> *route
+	homes  sync.Map // service -> *homeState
+	routes sync.Map // leafGroup -> *groupRoute
 	work   inFlight
 }
 
@@ -48,9 +48,8 @@
 	return e
 }
 
-// Query answers r. The error is a *contract.Error; faults of the request are its
-// cause, as contract.Faults. The answer comes at the latest at the deadline of r,
-// and at once when r is refused.
+// Query answers r. The error is a *contract.Error; if the request is invalid, its cause is
+// contract.Faults. Query returns by the deadline of r, and at once when r is refused.
 func (e *Engine) Query(ctx context.Context, requestID string, r *contract.Request) (*contract.Answer, error) {
 	began := time.Now()
 	a, err := e.query(ctx, requestID, r)
@@ -82,7 +81,7 @@
 	return e.confirmed(ctx, st, p)
 }
 
-// confirmed runs p if the daemon's lease covers the present.
+// runConfirmed runs p if the daemon's lease is valid now.
 func (e *Engine) confirmed(ctx context.Context, st state, p *plan) (*contract.Answer, *contract.Error) {
 	if !st.Confirmed(e.Clock()) {
 		return nil, unconfirmedError()
@@ -92,12 +91,13 @@
 	return e.guarded(ctx, st, p)
 }
 
-// sessionSlack is how much longer than its list a session takes new keys: for the way of
-// the list to its caller and of a request back that was begun while the list was valid.
+// sessionGrace is how long a session accepts new keys after the address list that it came
+// with has expired. It covers the time that the list takes to reach the caller, and that a
+// request begun while the list was valid takes to reach the daemon.
 const sessionSlack = 500 * time.Millisecond
 
-// IssueSession returns a session for requests that are not repeatable, bound to
-// this run of the daemon.
+// IssueSession returns a session for non-repeatable requests, bound to this incarnation of
+// the daemon.
 func (e *Engine) IssueSession() string {
 	var tier settings.Tier
 	if st := e.view(); st != nil {
@@ -106,7 +106,8 @@
 	return e.issuer.Issue(e.Clock(), tier.AddressLifetime+sessionSlack, tier.ResendWindow)
 }
 
-// Drain refuses new work and waits for what is in flight, or for ctx.
+// Drain refuses new queries and waits until those in flight have ended, or until ctx is
+// done.
 func (e *Engine) Drain(ctx context.Context) error {
 	idle := e.work.close()
 	select {
@@ -117,7 +118,7 @@
 	}
 }
 
-// InFlight returns the number of queries and sub-queries under way.
+// InFlight returns the number of queries and sub-queries in flight.
 func (e *Engine) InFlight() int { return e.work.count() }
 
 func unconfirmedError() *contract.Error {
@@ -130,6 +131,7 @@
 		RetryAfter: drainingWait.Milliseconds()}
 }
 
+// recordAnswer updates the metrics for an answer.
 func count(a *contract.Answer, took time.Duration) {
 	meter.latency.Update(took)
 	meter.coverage.Update(int64(100 * a.Coverage.Fraction()))
@@ -146,15 +148,16 @@
 	}
 }
 
-// inFlight counts work and tells when the last of it has ended.
+// workTracker counts queries and sub-queries in flight and signals when the last one has
+// ended.
 type inFlight struct {
 	mu     sync.Mutex
 	n      int
 	closed bool
-	idle   chan struct{}
+	idle   chan struct{} // closed when no query is in flight after close
 }
 
-// start counts one more; false once closed.
+// start adds one query. It returns false after close.
 func (f *inFlight) start() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,7 +179,7 @@
 	}
 }
 
-// close refuses new work; the channel it returns is closed when none is left.
+// close refuses new queries. The channel that it returns is closed once none is in flight.
 func (f *inFlight) close() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/query/engine_test.go
+++ b/internal/query/engine_test.go
@@ -16,14 +16,14 @@
 	return w.engine(daemon).Query(context.Background(), key, &contract.Request{Path: "/desk", Body: body(key)})
 }
 
-// Callers see full coverage and one version in every answer while the index goes
-// from version to version. Each leaf drops the old one as it takes the new, so
-// that homes believe for up to a poll that a leaf still holds what it has dropped,
-// and entries pin what a home has just lost.
+// Every answer has full coverage and one index version while the leaves change versions. Each
+// leaf drops the old version as it loads the new one, so that until its next poll a home
+// still lists a version that a leaf has dropped, and entries pin versions that homes no
+// longer have.
 func TestRollingIndexChangeIsFullyCovered(t *testing.T) {
 	for _, gap := range []time.Duration{7 * time.Millisecond, 111 * time.Millisecond, 411 * time.Millisecond} {
 		if err := queryWhileRolling(t, gap); err != nil {
-			t.Fatalf("a query each %v: %v", gap, err)
+			t.Fatalf("one query every %v: %v", gap, err)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 				return errors.Wrapf(err, "query %d", i)
 			}
 			if len(a.Coverage.Missing) > 0 {
-				return errors.Newf("query %d at %v misses %v", i, a.IndexVersions, a.Coverage.Missing)
+				return errors.Newf("query %d at versions %v has missing shards %v", i, a.IndexVersions, a.Coverage.Missing)
 			}
 			time.Sleep(gap)
 		}
@@ -70,9 +70,9 @@
 	w.leaves[addr].versions = map[uint64]uint32{version: shardsAt(version)}
 }
 
-// Callers see whole answers although one replica of each shard is lost at once and
-// nobody has noticed yet: connections fail before anything is sent, which proves
-// that the other replica may be asked, without a charge to the retry budget.
+// Answers keep full coverage right after one leaf of each shard goes down. Connections to it
+// fail before anything is sent, so the other leaf of the shard may be asked without using the
+// retry budget.
 func TestLostReplicaKeepsCoverage(t *testing.T) {
 	err := inWorld(t, 2, "", func(w *world) error {
 		for s := range worldServices {
@@ -84,7 +84,7 @@
 				return err
 			}
 			if len(a.Coverage.Missing) > 0 {
-				return errors.Newf("query %d misses %v", i, a.Coverage.Missing)
+				return errors.Newf("query %d has missing shards %v", i, a.Coverage.Missing)
 			}
 		}
 		return nil
@@ -94,7 +94,8 @@
 	}
 }
 
-// Guards against "may have run" for shards whose homes could not be connected to until the deadline.
+// Connections to the homes of some shards are not established before the deadline. These
+// shards must be reported as not run, because nothing was sent.
 func TestShardsOfUnreachableHomesAreNotRun(t *testing.T) {
 	err := inWorld(t, 2, "", func(w *world) error {
 		w.daemons["b"].unreachable.Store(true)
@@ -104,11 +105,11 @@
 			return err
 		}
 		if len(a.Coverage.Missing) == 0 {
-			return errors.New("every home was reached")
+			return errors.New("no shard is missing, want those of the unreachable homes")
 		}
 		for _, m := range a.Coverage.Missing {
 			if m.Verdict != contract.NotRun {
-				return errors.Newf("shard %d of %s: %s, %v", m.Shard, m.Service, m.Reason, m.Verdict)
+				return errors.Newf("shard %d of %s is missing with reason %s and verdict %v, want not run", m.Shard, m.Service, m.Reason, m.Verdict)
 			}
 		}
 		return nil
@@ -118,8 +119,8 @@
 	}
 }
 
-// The caller is told not_run at once by a daemon whose lease has run out, with
-// when to come back, and no leaf has run anything.
+// A daemon whose lease has expired refuses queries with verdict not_run and a Retry-After,
+// and sends nothing to leaves.
 func TestLostLeaseRefuses(t *testing.T) {
 	err := inWorld(t, 3, "", func(w *world) error {
 		lapsed := *w.view.Load()
@@ -128,10 +129,10 @@
 		_, err := ask(w, "a", "q")
 		var e *contract.Error
 		if !errors.As(err, &e) || e.Verdict != contract.NotRun || e.Reason != contract.ReasonUnconfirmed || e.RetryAfter <= 0 {
-			return errors.Newf("got %v", err)
+			return errors.Newf("got %v, want unconfirmed, not run, with a Retry-After", err)
 		}
 		if total, _ := w.ran("q"); total != 0 {
-			return errors.Newf("ran %d times", total)
+			return errors.Newf("query ran %d times, want 0", total)
 		}
 		return nil
 	})
@@ -140,8 +141,8 @@
 	}
 }
 
-// Callers get their answers while a planned stop is under way: Drain refuses new
-// queries as not_run and returns only when the last one in flight has ended.
+// A planned stop does not interrupt queries: Drain refuses new ones with not_run and returns
+// only when the last query in flight has ended.
 func TestDrainCutsOffNothing(t *testing.T) {
 	Convey("Given queries in flight", t, func() {
 		err := inWorld(t, 4, "", func(w *world) error {
@@ -151,7 +152,7 @@
 				go func() {
 					a, err := ask(w, "a", fmt.Sprint("q", i))
 					if err == nil && len(a.Coverage.Missing) > 0 {
-						err = errors.Newf("misses %v", a.Coverage.Missing)
+						err = errors.Newf("answer has missing shards %v", a.Coverage.Missing)
 					}
 					results <- err
 				}()
@@ -161,7 +162,7 @@
 				return err
 			}
 			if n := e.InFlight(); n != 0 {
-				return errors.Newf("%d in flight after Drain", n)
+				return errors.Newf("%d queries in flight after Drain, want 0", n)
 			}
 			for range cap(results) {
 				if err := <-results; err != nil {
@@ -170,7 +171,7 @@
 			}
 			_, err := ask(w, "a", "late")
 			if contract.VerdictOf(err) != contract.NotRun {
-				return errors.Newf("a late query got %v", err)
+				return errors.Newf("late query, sent after Drain, got %v, want not run", err)
 			}
 			return nil
 		})
--- a/internal/query/entry.go
+++ b/internal/query/entry.go
@@ -8,10 +8,10 @@
 	"pearmoor/internal/settings"
 )
 
-// maxRepins bounds how often a query starts over at another index version.
+// maxRepins bounds how often a query is restarted at another index version.
 const maxRepins = 2
 
-// execute scatters p over its services and merges the answer.
+// execute sends p to all services below its path and merges their answers.
 func (e *Engine) execute(ctx context.Context, st state, p *plan) (*contract.Answer, *contract.Error) {
 	scopes := scopesOf(st, p)
 	if err := e.shed(p, scopes); err != nil {
@@ -33,7 +33,9 @@
 	return e.merge(st, p, outs)
 }
 
-// scopesOf groups the targets of p that have to share one index version.
+// versionScopes returns the leaf groups of p, divided into scopes. The groups of one scope
+// must answer at the same index version: all groups of the query if the snapshot setting is
+// Joint, else the groups of one service.
 func scopesOf(st state, p *plan) [][]*target {
 	var scopes [][]*target
 	for _, service := range p.services {
@@ -47,7 +49,7 @@
 	return scopes
 }
 
-// targetsOf returns the units of a service, at least one.
+// serviceGroups returns the leaf groups of a service, at least one.
 func targetsOf(st state, service string) []*target {
 	eff, ok := st.Effective(service)
 	if !ok {
@@ -63,17 +65,17 @@
 	return ts
 }
 
-// outcome is what the units of one scope came to, at one index version.
+// scopeResult holds the answers of the leaf groups of one scope at one index version.
 type outcome struct {
 	targets []*target
 	parts   map[unit]*part
-	pin     uint64 // 0: the only unit chose itself
-	shards  map[string]uint32
-	split   map[unit][]uint32 // shards asked of each unit, of services with several
-	wasted  int               // attempts whose answers were given up
+	pin     uint64            // index version of all answers; 0 if the scope has one group, whose home chose the version
+	shards  map[string]uint32 // number of shards, for services with several groups
+	split   map[unit][]uint32 // shards requested from each group, for services with several groups
+	wasted  int               // attempts whose answers were discarded by restarts
 }
 
-// scopeRun is one scope of a query under way.
+// scopeRun is the execution of a query over one scope.
 type scopeRun struct {
 	e       *Engine
 	st      state
@@ -81,12 +83,13 @@
 	targets []*target
 	out     *outcome
 	known   catalog
-	partial bool
+	partial bool // accept missing shards at the pinned version
 	round   int
-	ran     map[string]bool // services of which a round that was given up may have run
-	wasted  int             // attempts whose answers were given up with their version
+	ran     map[string]bool // services on which a discarded round may have run the request
+	wasted  int             // attempts whose answers were discarded by restarts
 }
 
+// runScope runs p over the groups of one scope, in up to 1+maxRepins rounds.
 func (e *Engine) runScope(ctx context.Context, st state, p *plan, targets []*target) *outcome {
 	s := &scopeRun{e: e, st: st, p: p, targets: targets, known: make(catalog), ran: make(map[string]bool)}
 	s.reset(0)
@@ -104,8 +107,9 @@
 	return s.out
 }
 
-// pinFirst pins the version that several units are to share; false when no
-// version is known. A single unit's home chooses itself.
+// pinVersion pins the index version that the leaf groups of the scope share. It returns false
+// when no version is known. It is not needed for a scope of one group, whose home chooses
+// the version.
 func (s *scopeRun) pinFirst(ctx context.Context) bool {
 	s.known = s.e.known(ctx, s.targets, versionsLife)
 	pin, complete := s.known.pick()
@@ -118,8 +122,8 @@
 	return true
 }
 
-// refuseAll ends a scope of which no version is known. Left to choose themselves,
-// its homes could each choose another version.
+// refuseAll refuses the query for all groups of the scope because no index version is known.
+// Without a pin, each home could choose a different version.
 func (s *scopeRun) refuseAll() {
 	for _, t := range s.targets {
 		s.out.parts[t.unit] = refusedPart(contract.ReasonNoSnapshot, t.eff.ProbeInterval)
@@ -127,7 +131,7 @@
 	s.out.shards = nil
 }
 
-// reset drops what was answered and starts over at pin.
+// restart discards the answers so far and prepares a new round at pin.
 func (s *scopeRun) reset(pin uint64) {
 	if s.out != nil {
 		for u, p := range s.out.parts {
@@ -139,10 +143,11 @@
 	s.divide()
 }
 
-// again prepares another round and reports whether one is needed. A home may not
-// have the pinned version any more, or its leaves dropped it under the query: then
-// another version is wholly there, as a rule, and the scope starts over with it.
-// When there is none, the units that refused are asked for what they have.
+// prepareRound prepares another round and reports whether one is needed. It is when a home
+// no longer has the pinned version, or when leaves dropped that version during the query.
+// Usually another version is complete by then, and the scope is restarted with it. If there
+// is none, the groups that refused are asked again for the shards of the pinned version that
+// they still hold.
 func (s *scopeRun) again(ctx context.Context) bool {
 	refused, gaps := s.refused(), s.gaps()
 	if s.round >= maxRepins || ctx.Err() != nil || (len(refused) == 0 && !gaps) {
@@ -162,8 +167,9 @@
 	return true
 }
 
-// repin starts over at another version that is complete everywhere, if there is
-// one. What homes said a while ago is asked for anew before it is given up.
+// repin restarts the scope at another version that is complete in all groups, and reports
+// whether there is one. If the known versions show none, it fetches versions that are not
+// fresh from their homes again before giving up.
 func (s *scopeRun) repin(ctx context.Context) bool {
 	pin, complete := s.known.pick()
 	if !complete || pin == s.version() {
@@ -182,7 +188,7 @@
 	return true
 }
 
-// version returns the index version of the round that has ended.
+// version returns the index version of the round that has just ended.
 func (s *scopeRun) version() uint64 {
 	if s.out.pin == 0 {
 		for _, p := range s.out.parts {
@@ -192,7 +198,7 @@
 	return s.out.pin
 }
 
-// mayStartOver reports whether the request may be sent again as a whole.
+// canRestart reports whether the request may be sent again to all groups.
 func (s *scopeRun) mayStartOver() bool {
 	if s.p.req.IsRepeatable() {
 		return true
@@ -205,7 +211,8 @@
 	return true
 }
 
-// refused returns the units that can't serve the pin.
+// refusedGroups returns the leaf groups that refused because they can't serve the pinned
+// version.
 func (s *scopeRun) refused() []unit {
 	var us []unit
 	for u, p := range s.out.parts {
@@ -216,7 +223,8 @@
 	return us
 }
 
-// gaps reports whether shards are missing that no leaf held at the pin.
+// hasUnheldShards reports whether shards are missing because no leaf held them at the pinned
+// version.
 func (s *scopeRun) gaps() bool {
 	for _, p := range s.out.parts {
 		for _, m := range p.missing {
@@ -233,7 +241,7 @@
 	p *part
 }
 
-// askAll asks the units that have no part, in parallel.
+// queryGroups queries, in parallel, the leaf groups that have no answer yet.
 func (s *scopeRun) askAll(ctx context.Context) {
 	if len(s.targets) == 1 {
 		t := s.targets[0]
@@ -255,11 +263,12 @@
 		d := <-done
 		s.keep(d.t, d.p)
 		if d.p.refusal == contract.ReasonNoSnapshot && s.willRepin() {
-			cancel() // what the others would answer is of a version that is given up
+			cancel() // the other groups would answer at a version that is about to be discarded
 		}
 	}
 }
 
+// store records the answer of a leaf group and the index versions that its home reported.
 func (s *scopeRun) keep(t *target, p *part) {
 	s.out.parts[t.unit] = p
 	if len(p.versions) > 0 {
@@ -267,6 +276,7 @@
 	}
 }
 
+// willRepin reports whether the scope will be restarted at another version after this round.
 func (s *scopeRun) willRepin() bool {
 	if s.round >= maxRepins || !s.p.req.IsRepeatable() {
 		return false
@@ -275,6 +285,7 @@
 	return complete && pin != s.out.pin
 }
 
+// subquery returns the sub-query for a leaf group in the current round.
 func (s *scopeRun) subquery(t *target) *subquery {
 	r := s.p.req
 	q := &subquery{
@@ -288,10 +299,11 @@
 	return q
 }
 
-// leastCoverage stands for a caller that takes any coverage.
+// minPositiveCoverage replaces a min_coverage of 0, which accepts any coverage: in a
+// subquery, 0 means that no early answer is wanted.
 const leastCoverage = 1e-9
 
-// limit returns the most hits of the answer; 0 means all.
+// hitLimit returns the maximum number of hits in the answer, or 0 for all.
 func (p *plan) limit() int {
 	if p.req.Limit == 0 || (p.at.HitLimit > 0 && p.at.HitLimit < p.req.Limit) {
 		return p.at.HitLimit
@@ -299,9 +311,9 @@
 	return p.req.Limit
 }
 
-// divide deals out the shards of the pinned version over the units of each
-// service that has several. A shard goes to exactly one unit, so that replicas in
-// two groups never answer for it twice.
+// assignShards assigns the shards of the pinned version to the leaf groups of each service
+// that has several. Each shard is assigned to at most one group, so that replicas in two
+// groups never answer for it twice.
 func (s *scopeRun) divide() {
 	s.out.shards = make(map[string]uint32)
 	s.out.split = make(map[unit][]uint32)
@@ -324,12 +336,15 @@
 	}
 }
 
-// idle reports whether t is one of several units of its service and has no shard.
+// hasNoShards reports whether the service has several leaf groups and this one was assigned
+// no shard.
 func (s *scopeRun) idle(t *target) bool {
 	_, several := s.out.shards[t.service]
 	return several && len(s.out.split[t.unit]) == 0
 }
 
+// groupHolding returns the first of groups that has a live leaf for shard at the pinned
+// version, or nil.
 func holder(c catalog, ts []*target, pin uint64, shard uint32) *target {
 	for _, t := range ts {
 		if v := expected(c[t.unit], pin); v != nil && v.live.has(shard) {
--- a/internal/query/fill.go
+++ b/internal/query/fill.go
@@ -6,9 +6,9 @@
 	"pearmoor/internal/contract"
 )
 
-// fill asks another home for the shards that p lacks although nothing of them was
-// sent: its home has no permit for them, or doesn't know their leaves yet, as
-// after it has just become a home. It reports whether there was anyone to ask.
+// fillGaps asks another home for the shards that are missing from p and provably did not
+// run: the home had no permit for them, or did not know their leaves yet because it has just
+// become a home. It reports whether a home was asked.
 func (c *call) fill(ctx context.Context, p *part) bool {
 	if ctx.Err() != nil || c.inFlight > 0 || c.sent >= len(c.homes) {
 		return false
@@ -28,11 +28,13 @@
 	return c.send(ctx)
 }
 
+// canFill reports whether a missing shard may be requested from another home.
 func fillable(m contract.Missing) bool {
 	return m.Verdict == contract.NotRun && (m.Reason == contract.ReasonNoReplica || m.Reason == contract.ReasonOverload)
 }
 
-// filled joins what a second home answered for the gaps of the first part.
+// mergeFill merges the second home's result for the missing shards into the first answer and
+// returns that.
 func (c *call) filled(d callDone) *part {
 	p := c.first
 	switch {
@@ -44,7 +46,8 @@
 	return p
 }
 
-// markDoubt says of the shards that a lost home was asked for that they may have run.
+// markGapsMayHaveRun marks the shards of p that the second home was asked for as "may have
+// run", because that home gave no answer.
 func (c *call) markDoubt(p *part) {
 	for i := range p.missing {
 		if fillable(p.missing[i]) {
@@ -53,7 +56,8 @@
 	}
 }
 
-// join takes the outcome of the shards asked again from o.
+// mergeAnswer replaces the outcome in p of the shards that the second home was asked for by
+// that in other.
 func (c *call) join(p, o *part) {
 	asked := make(map[uint32]bool, len(c.q.shards))
 	for _, s := range c.q.shards {
--- a/internal/query/gather.go
+++ b/internal/query/gather.go
@@ -6,14 +6,14 @@
 	"pearmoor/internal/contract"
 )
 
-// gathered collects the parts of a query into one answer.
+// answerBuilder merges the answers of all leaf groups into the answer to the caller.
 type gathered struct {
 	answer     *contract.Answer
 	retryAfter time.Duration
 	verdict    contract.Verdict
 }
 
-// merge joins the scopes' parts. It returns an error when no shard answered.
+// mergeScopes merges the answers of all scopes. It returns an error when no shard answered.
 func (e *Engine) merge(st state, p *plan, outs []*outcome) (*contract.Answer, *contract.Error) {
 	g := &gathered{verdict: contract.NotRun, answer: &contract.Answer{
 		RequestID: p.id, ServedBy: e.Self.Name, ConfigVersion: st.ConfigVersion(),
@@ -48,6 +48,7 @@
 	}
 }
 
+// addAnswer adds the answer of a leaf group.
 func (g *gathered) addPart(service string, p *part) {
 	a := g.answer
 	if p.refusal != "" {
@@ -73,8 +74,8 @@
 	g.noteRetryAfter(p.retryAfter)
 }
 
-// addRefusal counts the shards of a unit that nothing was sent for; an unknown
-// partition map counts as one shard.
+// addRefusal counts the shards of a leaf group that refused as missing. If their number is
+// unknown, the group counts as one shard.
 func (g *gathered) addRefusal(service string, p *part) {
 	c := &g.answer.Coverage
 	g.noteRetryAfter(p.retryAfter)
@@ -88,7 +89,8 @@
 	c.Missing = append(c.Missing, missing...)
 }
 
-// addUnassigned counts the shards of a service of several units that no unit has.
+// addUnassigned counts the shards that no group holds as missing, for a service with several
+// leaf groups.
 func (g *gathered) addUnassigned(service string, shards uint32, out *outcome) {
 	assigned := newShardSet(shards)
 	for u, list := range out.split {
@@ -112,13 +114,14 @@
 	}
 }
 
+// noteRetryAfter keeps the shortest Retry-After of the answers.
 func (g *gathered) noteRetryAfter(d time.Duration) {
 	if d > 0 && (g.retryAfter == 0 || d < g.retryAfter) {
 		g.retryAfter = d
 	}
 }
 
-// failure is the error of a query that no shard answered.
+// failure returns the error of a query that no shard answered.
 func (g *gathered) failure() *contract.Error {
 	err := &contract.Error{Verdict: g.verdict, Reason: contract.ReasonInternal}
 	if missing := g.answer.Coverage.Missing; len(missing) > 0 {
--- a/internal/query/home.go
+++ b/internal/query/home.go
@@ -16,27 +16,29 @@
 	"pearmoor/internal/settings"
 )
 
-// extraFloor is how many hedges or retries a second a service may send whatever
-// its traffic, so that one with little traffic can use any.
+// minExtraRate is the number of hedges and of retries per second that a service may always
+// send, so that a service with little traffic can use them at all.
 const extraFloor = 1
 
-// learningWait is the Retry-After while the leaves have not been heard of yet.
+// unknownLeavesRetryAfter is the Retry-After of a home that has not probed all leaves yet.
 const learningWait = 100 * time.Millisecond
 
-// home is what this daemon keeps for a service whose leaves it sends to.
+// homeState is the state that a daemon keeps for a service as a home of its leaf groups.
 type home struct {
 	group      *scatter.Group
 	hedgeShare share
 	retryShare share
-	waiting    atomic.Int64 // shards that wait or run here
+	waiting    atomic.Int64 // shards queued or running at this home
 }
 
-// share is a float64 that is read and written concurrently.
+// atomicFloat is a float64 that is safe for concurrent use.
 type share struct{ bits atomic.Uint64 }
 
 func (s *share) set(v float64) { s.bits.Store(math.Float64bits(v)) }
 func (s *share) get() float64  { return math.Float64frombits(s.bits.Load()) }
 
+// homeStateFor returns the homeState of a service, and updates its hedge and retry shares from
+// the settings.
 func (e *Engine) homeOf(service string, eff *settings.Effective) *home {
 	v, ok := e.homes.Load(service)
 	if !ok {
@@ -56,7 +58,8 @@
 	return h
 }
 
-// serve answers q from the leaves of its group, at the latest when ctx ends.
+// serve answers q, as a home, from the leaves of its group. It returns when ctx ends at the
+// latest.
 func (e *Engine) serve(ctx context.Context, st state, q *subquery) *part {
 	if st == nil || !st.Confirmed(e.Clock()) {
 		return refusedPart(contract.ReasonUnconfirmed, unconfirmedWait)
@@ -69,8 +72,8 @@
 		return refusedPart(contract.ReasonUnknownPath, 0)
 	}
 	if k, ok := e.Catalog.(Knower); ok && !k.Known(q.service) {
-		// A daemon that has just become a home would answer for the leaves it has
-		// heard of so far; the other home knows all of them.
+		// A daemon that has just become a home would answer only from the leaves that it
+		// has probed so far. Another home knows all of them.
 		return refusedPart(contract.ReasonNoReplica, learningWait)
 	}
 	snaps := e.snapshots(q.unit, eff)
@@ -79,6 +82,8 @@
 	return p
 }
 
+// serveFrom answers q from the snapshot of snaps that chooseSnapshot selects. It refuses if
+// there is none, or if the pinned version is incomplete and q does not accept that.
 func (e *Engine) serveFrom(ctx context.Context, st state, eff *settings.Effective, snaps []leaf.Snapshot, q *subquery) *part {
 	snap := choose(snaps, q)
 	if snap == nil {
@@ -105,6 +110,7 @@
 	return p
 }
 
+// newJob returns the scatter job for q at the version of snap.
 func newJob(eff *settings.Effective, snap *leaf.Snapshot, q *subquery) *scatter.Job {
 	job := &scatter.Job{
 		ID: q.id, AttemptBase: q.attemptBase, Service: q.service,
@@ -123,13 +129,13 @@
 	return job
 }
 
-// firstHeld returns the first shard with a live replica.
+// firstLiveShard returns the first shard with a live leaf, or 0.
 func firstHeld(s *leaf.Snapshot) uint32 {
 	i := slices.IndexFunc(s.Holders, func(h []settings.Leaf) bool { return len(h) > 0 })
 	return uint32(max(i, 0))
 }
 
-// inside drops shards that the version does not have.
+// existingShards returns those of shards that exist in a partition map of n shards.
 func inside(shards []uint32, n int) []uint32 {
 	kept := shards[:0:0]
 	for _, s := range shards {
@@ -140,8 +146,8 @@
 	return kept
 }
 
-// newPart turns the outcome of the shards into a part. It is a refusal when no
-// leaf ran anything.
+// newPartialAnswer builds the answer of a home from the outcomes of its shards. The answer is
+// a refusal when shards are missing and no leaf ran anything.
 func newPart(job *scatter.Job, r *scatter.Result, q *subquery) *part {
 	p := &part{leafEnds: r.LeafEnds, version: job.Version, shards: uint32(len(r.Shards)), extra: r.Extra, early: r.Early, retryAfter: r.RetryAfter}
 	nothingRan := true
@@ -166,6 +172,7 @@
 	return p
 }
 
+// forEachShard calls f for each shard that job requests.
 func eachWanted(job *scatter.Job, f func(shard uint32)) {
 	if len(job.Only) > 0 {
 		for _, s := range job.Only {
@@ -178,7 +185,7 @@
 	}
 }
 
-// commonReason returns the reason that most of missing give, the first on a tie.
+// mostCommonReason returns the most frequent reason in missing.
 func commonReason(missing []contract.Missing) contract.Reason {
 	n := make(map[contract.Reason]int, 2)
 	best := missing[0].Reason
@@ -191,7 +198,7 @@
 	return best
 }
 
-// snapshots returns the index versions of u's leaves, newest first.
+// snapshots returns the index versions that the leaves of group g hold, newest first.
 func (e *Engine) snapshots(u unit, eff *settings.Effective) []leaf.Snapshot {
 	snaps := e.Catalog.Snapshots(u.service)
 	if g := e.homeOf(u.service, eff).group; g.Declined() {
@@ -203,7 +210,8 @@
 	return ofGroup(snaps, u.group, eff)
 }
 
-// held drops the holders that have lately said they don't hold a shard.
+// dropDeclined returns snaps without the holders that recently declined a shard because they
+// no longer hold it.
 func held(snaps []leaf.Snapshot, g *scatter.Group) []leaf.Snapshot {
 	out := make([]leaf.Snapshot, len(snaps))
 	for i, s := range snaps {
@@ -219,7 +227,8 @@
 	return out
 }
 
-// ofGroup keeps the holders that belong to one group of the service's leaves.
+// filterGroup returns snaps with only the holders that belong to the given group of the
+// service's leaves.
 func ofGroup(snaps []leaf.Snapshot, group int, eff *settings.Effective) []leaf.Snapshot {
 	member := make(map[string]bool)
 	for i, l := range eff.Leaves {
@@ -241,8 +250,9 @@
 	return out
 }
 
-// choose returns the snapshot q pins; without a pin the newest complete one, or
-// else the best covered, the newest of equals. nil means there is none.
+// chooseSnapshot returns the snapshot of the version that q pins. Without a pin it returns
+// the one with the largest fraction of live shards, and the newest of those that tie. It
+// returns nil if there is none.
 func choose(snaps []leaf.Snapshot, q *subquery) *leaf.Snapshot {
 	var best *leaf.Snapshot
 	most := -1.0
@@ -261,7 +271,7 @@
 	return best
 }
 
-// covered returns the share of shards with a live replica.
+// liveFraction returns the fraction of the shards that have a live leaf.
 func covered(s *leaf.Snapshot) float64 {
 	if len(s.Holders) == 0 {
 		return 0
@@ -275,7 +285,8 @@
 	return float64(n) / float64(len(s.Holders))
 }
 
-// covers reports whether each of shards, or every shard, has a live replica.
+// allLive reports whether each of shards has a live leaf, or each shard of s if shards is
+// empty.
 func covers(s *leaf.Snapshot, shards []uint32) bool {
 	if len(shards) == 0 {
 		return covered(s) == 1
@@ -288,6 +299,7 @@
 	return true
 }
 
+// versionStates converts snapshots to the form in which homes report them.
 func states(snaps []leaf.Snapshot) []versionState {
 	out := make([]versionState, len(snaps))
 	for i, s := range snaps {
@@ -302,9 +314,9 @@
 	return out
 }
 
-// hopMargin is kept free for a reply to come back from a home, but at most a
-// tenth of the time left.
+// homeReplyMargin is reserved at the end of a deadline for the reply of a home to arrive. It
+// is at most a tenth of the time left.
 const hopMargin = 2 * time.Millisecond
 
-// hopLeft returns what of left a home may use.
+// homeTimeLeft returns how much of the time left a home may use.
 func hopLeft(left time.Duration) time.Duration { return left - min(hopMargin, left/10) }
--- a/internal/query/keyed.go
+++ b/internal/query/keyed.go
@@ -17,11 +17,11 @@
 
 const (
 	inProgressWait = 100 * time.Millisecond
-	longestKeyed   = time.Second // where the path says nothing
+	longestKeyed   = time.Second // for a path without settings
 )
 
-// keyed runs a request that is not repeatable, here if this run of the daemon
-// issued its session, else at the daemon that did.
+// queryKeyed runs a non-repeatable request: here if this incarnation of the daemon issued its
+// session, else on the daemon that did.
 func (e *Engine) keyed(ctx context.Context, st state, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
 	token, err := sessionOf(r)
 	if err != nil {
@@ -37,19 +37,19 @@
 	return e.passOn(ctx, st, owner, id, r)
 }
 
-// unlimited is the time of a request that came from the caller itself; its own
-// deadline holds.
+// noTimeLimit is the time left of a request that came directly from a caller: only the
+// deadline in the request applies.
 const unlimited = time.Duration(1<<63 - 1)
 
-// inDoubt answers for a key of which nothing can be known: its first attempt may
-// have run, so it is not run now.
+// keyInDoubt returns the error for a key whose history is unknown. An earlier attempt may
+// have run, so the request is not run now.
 func inDoubt(cause error) *contract.Error {
 	return &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonKeyInDoubt, Cause: cause}
 }
 
-// runKeyed runs r unless its key is remembered. What the table knows comes before
-// everything else that could be said of r: a resend that were refused as invalid,
-// or for a lost lease, would be told not_run of a request that ran.
+// runKeyed runs r unless the key table has its key. The table is consulted before the request
+// is validated and the lease is checked: a resend that was refused for one of these would be
+// answered with not_run although the request ran.
 func (e *Engine) runKeyed(ctx context.Context, st state, token *session.Token, id string, r *contract.Request, left time.Duration) (*contract.Answer, *contract.Error) {
 	if !e.issuer.Verify(token) {
 		return nil, invalid(contract.ReasonInvalid, fault("session", shown([]byte(r.Session)),
@@ -71,15 +71,15 @@
 	if s, o := e.keys.Begin(key, fingerprint(r), token.KeepUntil(), now); s != session.New {
 		return remembered(s, o, r)
 	}
-	// The caller's hanging up must not end the run: its resend is to find the
-	// outcome, not one more doubt.
+	// The run continues when the caller disconnects, so that a resend finds a definite
+	// outcome.
 	a, err := e.confirmed(context.WithoutCancel(ctx), st, p)
 	e.keys.Finish(key, session.Outcome{Answer: a, Err: err})
 	return a, err
 }
 
-// mayStart refuses a key that is not remembered when its session has ended. Up to
-// the end of the resend window it is certain that the key has not run.
+// checkNotExpired returns an error for a key that is not in the table if its session has
+// expired. Until the end of the resend window it is certain that the key has not run.
 func mayStart(token *session.Token, now vm.Instant) *contract.Error {
 	switch {
 	case now >= token.KeepUntil():
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// remembered answers for a key that was seen before.
+// knownOutcome returns the answer or error for a key that the table did not accept as new.
 func remembered(s session.State, o session.Outcome, r *contract.Request) (*contract.Answer, *contract.Error) {
 	switch s {
 	case session.Done:
@@ -111,7 +111,8 @@
 		Cause: errors.New("no more keys can be remembered")}
 }
 
-// fingerprint tells a resend from another request under the same key.
+// fingerprint returns a hash of r that distinguishes a resend from a different request under
+// the same key.
 func fingerprint(r *contract.Request) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(r.Path)
@@ -120,9 +121,9 @@
 	return d.Sum64()
 }
 
-// passOn sends r to the daemon that issued its session. Whatever goes wrong on
-// the way, an earlier send of the key may have run there, so the verdict is in
-// doubt even when this one provably never left.
+// forwardToOwner sends r to the daemon that issued its session. If the call fails, the key is
+// in doubt even when this call was provably never sent: an earlier attempt under the key may
+// have run there.
 func (e *Engine) passOn(ctx context.Context, st state, owner vm.Member, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
 	timeout := keyedTimeout(st, r)
 	ctx, cancel := context.WithTimeout(ctx, timeout-min(wayBack, timeout/10))
@@ -152,8 +153,8 @@
 	return decodeKeyed(reply)
 }
 
-// keyedTimeout returns how long the owner of a session is waited for. The owner
-// checks the deadline; here it only has to be bounded.
+// keyedTimeout returns how long to wait for the owner of a session. The owner validates the
+// deadline of r; here it is only clamped.
 func keyedTimeout(st state, r *contract.Request) time.Duration {
 	longest := longestKeyed
 	if eff, ok := st.Effective(r.Path); ok {
@@ -165,6 +166,7 @@
 	return min(time.Duration(max(r.DeadlineMS, shortestDeadline.Milliseconds()))*time.Millisecond, longest)
 }
 
+// decodeKeyed decodes the reply of the daemon that issued the session.
 func decodeKeyed(w *wire.KeyedAnswer) (*contract.Answer, *contract.Error) {
 	if len(w.Answer) > 0 {
 		var a contract.Answer
@@ -186,7 +188,7 @@
 	return nil, e
 }
 
-// serveKeyed answers a request that another daemon passed on.
+// serveKeyed answers a non-repeatable request that another daemon forwarded.
 func (e *Engine) serveKeyed(ctx context.Context, w *wire.KeyedQuery) *wire.KeyedAnswer {
 	a, err := e.ownKeyed(ctx, w)
 	if err == nil {
@@ -200,6 +202,8 @@
 	return &wire.KeyedAnswer{Failure: raw}
 }
 
+// runForwarded runs a non-repeatable request that another daemon forwarded, if this
+// incarnation issued its session.
 func (e *Engine) ownKeyed(ctx context.Context, w *wire.KeyedQuery) (*contract.Answer, *contract.Error) {
 	if w.Incarnation != e.Self.Incarnation {
 		return nil, inDoubt(errors.Newf("the run of daemon %s that issued the session has ended", e.Self.Name))
@@ -227,7 +231,7 @@
 	return e.runKeyed(ctx, st, token, w.RequestId, &r, time.Duration(w.DeadlineMs)*time.Millisecond)
 }
 
-// failureOf writes err as the failure that callers see.
+// toFailure converts err to the failure that is returned to callers.
 func failureOf(id string, err *contract.Error) *contract.Failure {
 	f := &contract.Failure{RequestID: id, Verdict: err.Verdict, Reason: err.Reason, RetryAfterMS: err.RetryAfter}
 	var faults contract.Faults
--- a/internal/query/keyed_test.go
+++ b/internal/query/keyed_test.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/settings"
 )
 
-// charge sends a request that is not repeatable through a daemon.
+// sendKeyed sends a non-repeatable request through a daemon.
 func charge(w *world, daemon, sess, key string) (*contract.Answer, *contract.Error) {
 	no := false
 	r := &contract.Request{Path: "/desk/s0", Body: body(key), Repeatable: &no, Key: key, Session: sess}
@@ -32,8 +32,8 @@
 	}
 }
 
-// The caller loses the reply and sends the key again, to the same daemon and to
-// another one: both give the first outcome, and the fee is charged once.
+// The caller loses the reply and sends the key again, to the same daemon and to others. Each
+// returns the first outcome, and the request runs once.
 func TestResendGivesFirstOutcome(t *testing.T) {
 	keyedTest(t, 11, func(w *world) error {
 		sess := w.engine("a").IssueSession()
@@ -47,7 +47,7 @@
 				return errors.Wrap(err, d)
 			}
 			if len(again.Hits) != len(first.Hits) || again.RequestID != first.RequestID {
-				return errors.Newf("%s gave another outcome", d)
+				return errors.Newf("daemon %s returned another outcome than the first", d)
 			}
 		}
 		return w.ranOnce("k")
@@ -56,13 +56,13 @@
 
 func (w *world) ranOnce(key string) error {
 	if total, most := w.ran(key); most != 1 {
-		return errors.Newf("key %s ran %d times, %d at one shard", key, total, most)
+		return errors.Newf("key %s ran %d times, up to %d times at one shard, want 1", key, total, most)
 	}
 	return nil
 }
 
-// The caller resends while the first attempt still runs: it is told so, with
-// verdict may_have_run, and nothing runs a second time.
+// A resend that arrives while the first attempt is still running is refused as in progress
+// with verdict may_have_run, and the request does not run a second time.
 func TestResendWhileRunning(t *testing.T) {
 	keyedTest(t, 12, func(w *world) error {
 		sess := w.engine("a").IssueSession()
@@ -74,7 +74,7 @@
 		time.Sleep(3 * time.Millisecond)
 		_, err := charge(w, "b", sess, "k")
 		if err == nil || err.Reason != contract.ReasonKeyInProgress || err.Verdict != contract.MayHaveRun {
-			return errors.Newf("got %v", err)
+			return errors.Newf("resend got %v, want key in progress, may have run", err)
 		}
 		if err := <-done; err != nil {
 			return err
@@ -83,9 +83,9 @@
 	})
 }
 
-// The caller's daemon crashes, right after or long after the request ran, and
-// starts again with the same name. Whoever is asked says key_in_doubt with verdict
-// may_have_run, and nobody runs it: the memory of what ran is gone.
+// The daemon that issued the session crashes after the request ran, and is restarted with the
+// same name. Its key table is lost, so every daemon must answer a resend with key_in_doubt
+// and may_have_run, before and after the restart, and none may run the request.
 func TestResendAfterCrashIsInDoubt(t *testing.T) {
 	keyedTest(t, 13, func(w *world) error {
 		sess := w.engine("a").IssueSession()
@@ -109,12 +109,13 @@
 func inDoubtAt(w *world, daemon, sess string) error {
 	_, err := charge(w, daemon, sess, "k")
 	if err == nil || err.Reason != contract.ReasonKeyInDoubt || err.Verdict != contract.MayHaveRun {
-		return errors.Newf("%s said %v", daemon, err)
+		return errors.Newf("daemon %s returned %v, want key in doubt, may have run", daemon, err)
 	}
 	return nil
 }
 
-// The caller hangs up and the request runs on: its resend finds the outcome.
+// The caller disconnects while its request is running. The run continues, so that a resend
+// finds its outcome.
 func TestHangUpLeavesAnOutcome(t *testing.T) {
 	keyedTest(t, 14, func(w *world) error {
 		sess := w.engine("a").IssueSession()
@@ -131,9 +132,9 @@
 	})
 }
 
-// The caller is told not_run of a first send while the lease is out, and may send
-// the key again; of a key that ran before, the first outcome is told whatever has
-// become of the lease, the path or the limits since.
+// While the lease is expired and the settings tree is empty, a new key is refused with
+// not_run and may be sent again later, but a key that ran before must still return its first
+// outcome. A refusal would report a request as not run that did run.
 func TestWhatRanIsNeverSaidNotToHave(t *testing.T) {
 	keyedTest(t, 15, func(w *world) error {
 		sess := w.engine("a").IssueSession()
@@ -146,22 +147,22 @@
 		lapsed.Tree = settings.New()
 		w.view.Store(&lapsed)
 		if _, err := charge(w, "a", sess, "old"); err != nil {
-			return errors.Wrap(err, "resend")
+			return errors.Wrap(err, "resend of a key that ran")
 		}
 		if _, err := charge(w, "a", sess, "new"); err == nil || err.Verdict != contract.NotRun {
-			return errors.Newf("a new key got %v", err)
+			return errors.Newf("new key got %v, want not run", err)
 		}
 		w.view.Store(before)
 		if _, err := charge(w, "a", sess, "new"); err != nil {
-			return errors.Wrap(err, "the same key after not_run")
+			return errors.Wrap(err, "resend of a key that was refused with not_run")
 		}
 		return w.ranOnce("new")
 	})
 }
 
-// The caller sends after its session has ended: a key that has not run is refused
-// as not_run within the resend window, and is in doubt after it, when a key that
-// ran would have been forgotten too. Raising resend-window changes neither.
+// After a session has expired, a new key is refused with not_run within the resend window.
+// After the window every key is in doubt, because keys that ran have been removed from the
+// table. Raising the resend-window setting does not extend the window of an issued session.
 func TestSessionEnds(t *testing.T) {
 	keyedTest(t, 16, func(w *world) error {
 		tier := w.view.Load().Tree.Tier()
@@ -171,10 +172,10 @@
 		}
 		time.Sleep(tier.AddressLifetime + time.Second)
 		if _, err := charge(w, "a", sess, "new"); err == nil || err.Verdict != contract.NotRun {
-			return errors.Newf("within the window: %v", err)
+			return errors.Newf("new key within the resend window got %v, want not run", err)
 		}
 		if _, err := charge(w, "a", sess, "ran"); err != nil {
-			return errors.Wrap(err, "a key that ran")
+			return errors.Wrap(err, "resend within the resend window")
 		}
 		raised := *w.view.Load()
 		raised.Tree = mustApply(w.view.Load().Tree, settings.Edit{Path: "/", Name: "resend-window", Value: "10m"})
@@ -184,17 +185,18 @@
 			return err
 		}
 		if _, err := charge(w, "a", sess, "ran"); err == nil || err.Reason != contract.ReasonKeyInDoubt {
-			return errors.Newf("a forgotten key got %v", err)
+			return errors.Newf("resend after the resend window got %v, want key in doubt", err)
 		}
 		return w.ranOnce("ran")
 	})
 }
 
-// Guards against a request refused for its session though it was begun while its address list was valid.
+// A request that was begun while the caller's address list was valid may arrive just after the
+// list has expired. It must not be refused because of its session.
 func TestSessionOutlastsItsList(t *testing.T) {
 	keyedTest(t, 18, func(w *world) error {
 		sess := w.engine("a").IssueSession()
-		time.Sleep(w.view.Load().Tree.Tier().AddressLifetime + 100*time.Millisecond) // begun before, on its way since
+		time.Sleep(w.view.Load().Tree.Tier().AddressLifetime + 100*time.Millisecond) // a request that took 100 ms to arrive
 		if _, err := charge(w, "a", sess, "k"); err != nil {
 			return err
 		}
@@ -202,25 +204,25 @@
 	})
 }
 
-// The caller makes up a session, or changes one: it is refused as not_run, since
-// no run of a daemon can have taken a key under it.
+// A forged or malformed session is refused with not_run, since no daemon can have accepted a
+// key under it.
 func TestForgedSessionIsRefused(t *testing.T) {
 	keyedTest(t, 17, func(w *world) error {
 		forged := session.NewIssuer(w.engine("a").Self).Issue(bubbleClock(), 1000*time.Hour, time.Hour)
 		for _, sess := range []string{forged, "", "x", "AAAA"} {
 			if _, err := charge(w, "a", sess, "k"); err == nil || err.Verdict != contract.NotRun {
-				return errors.Newf("session %q got %v", sess, err)
+				return errors.Newf("session %q got %v, want not run", sess, err)
 			}
 		}
 		if total, _ := w.ran("k"); total != 0 {
-			return errors.New("it ran")
+			return errors.New("request with a forged session ran")
 		}
 		return nil
 	})
 }
 
-// The caller is told not_run when no more keys can be remembered, and a key that
-// ran is still known: forgetting one to make room could let it run twice.
+// A full table refuses new keys and does not evict a key that ran, which could otherwise run
+// twice.
 func TestFullTableRefuses(t *testing.T) {
 	tab := session.NewTable(session.Limits{Keys: 3, AnswerBytes: 100, TotalBytes: 200})
 	ran := &contract.Answer{Verdict: contract.Ran}
@@ -232,20 +234,20 @@
 		tab.Finish(k, session.Outcome{Answer: ran})
 	}
 	if s, _ := tab.Begin(session.Key{Key: "x"}, 1, 100, 50); s != session.Full {
-		t.Fatal("not full:", s)
+		t.Fatal("new key in a full table, state:", s)
 	}
 	if s, o := tab.Begin(session.Key{Key: "0"}, 1, 100, 50); s != session.Done || o.Answer != ran {
-		t.Fatal("forgotten:", s)
+		t.Fatal("key that ran was evicted, state:", s)
 	}
 	if s, _ := tab.Begin(session.Key{Key: "0"}, 2, 100, 50); s != session.Mismatch {
-		t.Fatal("another request:", s)
+		t.Fatal("key reused for another request, state:", s)
 	}
 	if s, _ := tab.Begin(session.Key{Key: "x"}, 1, 200, 100); s != session.New {
-		t.Fatal("not expired:", s)
+		t.Fatal("key was not accepted after others expired, state:", s)
 	}
 	big := &contract.Answer{Verdict: contract.Ran, Hits: make([]contract.ServiceHit, 10)}
 	tab.Finish(session.Key{Key: "x"}, session.Outcome{Answer: big})
 	if _, o := tab.Begin(session.Key{Key: "x"}, 1, 200, 100); o.Err == nil || o.Err.Verdict != contract.Ran {
-		t.Fatal("a large answer is kept:", o)
+		t.Fatal("answer above the size limit was stored:", o)
 	}
 }
--- a/internal/query/lend.go
+++ b/internal/query/lend.go
@@ -12,7 +12,8 @@
 	"pearmoor/internal/vm"
 )
 
-// lender asks the other homes of a unit for free permits.
+// otherHomes sends the request for a shard through another home of the same leaf group when
+// this daemon has no free permit for it.
 type lender struct {
 	e      *Engine
 	st     state
@@ -20,7 +21,8 @@
 	others []vm.Member
 }
 
-// lenderOf returns the lender of a unit, nil when this daemon is its only home.
+// otherHomesOf returns the otherHomes of leaf group g, or nil when this daemon is its only
+// home.
 func (e *Engine) lenderOf(st state, u unit, eff *settings.Effective) scatter.Lender {
 	placed := st.Placement(u.service, eff)
 	if u.group >= len(placed) {
@@ -52,7 +54,7 @@
 	return lentHits(p, job.Version)
 }
 
-// lentHits reads the part that another home answered for one shard.
+// shardHits returns the hits in the answer of another home for one shard.
 func lentHits(p *part, version uint64) ([]contract.Hit, error) {
 	switch {
 	case p.refusal != "":
--- a/internal/query/merge.go
+++ b/internal/query/merge.go
@@ -7,8 +7,8 @@
 	"pearmoor/internal/contract"
 )
 
-// rank sorts hits by score, best first, then by service, shard and ID, so that
-// the same hits always come in the same order.
+// sortHits sorts hits by score, highest first, then by service, shard and ID, so that the
+// same hits always have the same order.
 func rank(hits []contract.ServiceHit) {
 	slices.SortFunc(hits, func(a, b contract.ServiceHit) int {
 		return cmp.Or(
@@ -25,9 +25,9 @@
 	id      string
 }
 
-// unique drops the later of two hits with the same ID from one service. Shards of
-// one partition map are disjoint; a target that goes on serving a moved range for
-// a while after a split would otherwise have the hit billed twice. hits are ranked.
+// dropDuplicates drops the later of two hits of one service with the same ID. Shards of one
+// partition map are disjoint, but a target may still serve a range for a while after a split
+// moved it to another shard, and the hit would then be billed twice. hits must be sorted.
 func unique(hits []contract.ServiceHit) (kept []contract.ServiceHit, dropped int) {
 	seen := make(map[hitKey]struct{}, len(hits))
 	kept = hits[:0]
@@ -43,7 +43,7 @@
 	return kept, dropped
 }
 
-// top ranks hits, drops doubled ones and cuts the rest to limit; 0 means all.
+// topHits sorts hits, drops duplicates and truncates the rest to limit, or not if it is 0.
 func top(hits []contract.ServiceHit, limit int) (kept []contract.ServiceHit, omitted int) {
 	rank(hits)
 	kept, dropped := unique(hits)
--- a/internal/query/meters.go
+++ b/internal/query/meters.go
@@ -9,7 +9,7 @@
 var meter = struct {
 	latency    metrics.Timer
 	inFlight   metrics.Counter
-	full       metrics.Counter // answers of full coverage
+	full       metrics.Counter // answers with full coverage
 	partial    metrics.Counter
 	early      metrics.Counter
 	coverage   metrics.Histogram // percent
@@ -37,7 +37,7 @@
 	metrics.GetOrRegisterCounter("query.refused."+string(reason), nil).Inc(1)
 }
 
-// countMissing counts a shard that an answer lacks.
+// countMissing counts a shard that is missing from an answer.
 func countMissing(reason contract.Reason) {
 	metrics.GetOrRegisterCounter("query.missing."+string(reason), nil).Inc(1)
 }
--- a/internal/query/overload.go
+++ b/internal/query/overload.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	levelLeast = 0.05                   // some queries always get in, so that recovery is seen
-	shedWait   = 500 * time.Millisecond // shortest Retry-After of a query that was shed
-	waitFree   = 0.1                    // queue wait, as a part of the default deadline, up to which every query is taken
-	waitFull   = 0.4                    // the same from which levelLeast is
+	levelLeast = 0.05                   // some queries are always admitted, so that recovery is noticed
+	shedWait   = 500 * time.Millisecond // smallest Retry-After of a query that was shed
+	waitFree   = 0.1                    // queue wait, as a fraction of the default deadline, up to which all queries are admitted
+	waitFull   = 0.4                    // queue wait, as a fraction of the default deadline, from which on minLevel applies
 )
 
-// levelAt returns the share of queries that a home wants to be sent while its
-// leaves' queues mean this wait, out of a deadline.
+// levelForWait returns the admission level of a home: the fraction of the offered queries
+// that it should be sent when the queues of its leaves cause the given wait and queries have
+// the given deadline.
 //
-// The failure: each of 20 services admits by itself, at twice the load each takes
-// a different half of the queries, and nearly every query gets half of its
-// services: the targets work all the time and hardly any answer is whole. With one
-// decision for the query, before anything is sent, what is admitted is admitted
-// everywhere.
+// The level is applied once per query, before anything is sent. If each of 20 services
+// admitted queries on its own, then at twice the capacity each would take a different half
+// of them and nearly every query would be answered by only half of its services: the targets
+// would be fully used and hardly any answer complete. With a single decision, a query that is
+// admitted is admitted by all services.
 //
-// The level follows the wait alone. A level that is stepped up and down until the
-// wait is right never settles: the queue adds up what the level lets in, and the
-// level would add up what the queue is off by.
+// The level is a function of the current wait only. A level that is adjusted step by step
+// until the wait is right oscillates: the queue integrates the admitted rate, and the level
+// would integrate the error of the queue.
 func levelAt(wait, deadline time.Duration) float64 {
 	if deadline <= 0 {
 		return 1
@@ -40,16 +41,17 @@
 	return max(levelLeast, min(1, (waitFull-part)/(waitFull-waitFree)))
 }
 
-// queue is what the queues for a service's leaves have come to.
+// queueLoad summarizes the queues for the leaves of a service.
 type queue struct {
-	waiting  int           // at the leaf with the longest
-	service  time.Duration // of the slowest leaf
-	slots    int           // of all
-	standing time.Duration // of the queue that has not been empty for longest
+	waiting  int           // requests queued for the leaf with the longest queue
+	service  time.Duration // service time of the slowest leaf
+	slots    int           // sum over all leaves
+	standing time.Duration // longest time for which a queue has not been empty
 }
 
-// queueOf returns the queues for leaves. Leaves that fail don't count: a service that is
-// down is said to be missing and must not shut out queries for the others.
+// queueLoadOf returns the load of the queues for leaves. Failing leaves are not counted: the
+// shards of a service that is down are reported as missing, and its queues must not cause
+// queries for other services to be shed.
 func queueOf(gates *admit.Gates, leaves []settings.Leaf) (q queue) {
 	for _, leaf := range leaves {
 		load := gates.Load(leaf.Addr)
@@ -64,9 +66,9 @@
 	return q
 }
 
-// wait returns the wait that the queues mean for a new request, which waits in all of
-// them. Queues that have stood for less than burst don't count: what came at once, as
-// after a stall of a daemon, is served within its deadline.
+// expectedWait returns how long a new request is expected to wait in the queues. It returns 0
+// while no queue has been non-empty for minBacklog: requests that arrived in a burst, as
+// after a stall of a daemon, are served within their deadline.
 func (q queue) wait(burst time.Duration) time.Duration {
 	if q.slots == 0 || q.standing < burst {
 		return 0
@@ -74,20 +76,20 @@
 	return time.Duration(q.waiting) * q.service / time.Duration(q.slots)
 }
 
-// admitLevel returns the level of a service that this daemon is home of, and the queue that
-// it goes by.
+// ownLevel returns the admission level of a service that this daemon is a home of, and the
+// queue load that it was computed from.
 func (e *Engine) admitLevel(eff *settings.Effective) (float64, queue) {
 	q := queueOf(e.Gates, eff.Leaves)
 	return levelAt(q.wait(eff.DeadlineDefault), eff.DeadlineDefault), q
 }
 
-// shed refuses p before anything is sent when a service of its path wants fewer
-// queries than it is offered. The decision is a hash of the request, so that it is
-// the same whichever of the services is the most loaded one.
+// shed refuses p, before anything is sent, when the lowest admission level of its services
+// excludes it. The decision depends on a hash of the request ID, so that it is the same
+// whichever of the services is the most loaded.
 func (e *Engine) shed(p *plan, scopes [][]*target) *contract.Error {
 	lowest := 1.0
-	var most *target // loaded
-	var by queue     // that its level went by
+	var most *target // group with the lowest level
+	var by queue     // queue load behind the lowest level
 	for _, targets := range scopes {
 		for _, t := range targets {
 			if level, q := e.levelOf(t); level < lowest {
@@ -105,8 +107,8 @@
 		Cause: errors.Newf("the targets take %.0f%% of the queries offered", 100*lowest)}
 }
 
-// logShed tells what the level of a query that was shed went by. It has no more lines than
-// there are refusals.
+// logShed logs the queue load behind the admission level that a query was shed for, one line
+// per refused query.
 func (e *Engine) logShed(id string, level float64, t *target, q queue) {
 	if !isHome(t, e.Self) {
 		klog.Infof("query: shed id=%s level=%.2f service=%s reported by its homes", id, level, t.eff.Path)
@@ -116,8 +118,9 @@
 		id, level, t.eff.Path, q.waiting, q.service, q.slots, q.standing)
 }
 
-// levelOf returns the level of t: its own here, with the queue that it goes by, else the
-// mean of what its homes last said, since the queries are spread over them.
+// levelFor returns the admission level of a leaf group. If this daemon is a home of it, that
+// is its own level, with the queue load behind it; else it is the mean of the levels that the
+// homes last reported, since queries are spread over all homes.
 func (e *Engine) levelOf(t *target) (float64, queue) {
 	if isHome(t, e.Self) {
 		return e.admitLevel(t.eff)
@@ -125,19 +128,20 @@
 	return e.route(t).meanLevel(t.placed.Homes, e.Clock(), t.eff.DeadlineDefault), queue{}
 }
 
-// orderOf draws a number for a request: the same one wherever it is drawn.
+// requestOrder returns a pseudo-random number for a request that is the same on every daemon.
 func orderOf(id string) uint64 { return xxhash.Sum64String(id) }
 
-// lot maps orderOf to [0, 1). The queues shed the lowest order first, so that is
-// mapped to the highest lot, which a falling level excludes first.
+// shedThreshold returns the admission level, in [0, 1), at or below which the request is shed.
+// It decreases with requestOrder: the queues of the leaves drop the lowest order first, so
+// the lowest order has the highest threshold and is shed first when the level falls.
 func lot(id string) float64 {
 	const bits = 53
 	return 1 - float64(orderOf(id)>>(64-bits)+1)/(1<<bits)
 }
 
-// faded returns a level heard of age ago: the older, the nearer to 1. Within life, a
-// default deadline, the queue that it went by is served; a home that is still overloaded
-// is heard of again sooner.
+// decayedLevel returns a level that was reported age ago, moved towards 1 in proportion to its
+// age. It is 1 after lifetime, a default deadline: by then the queue that it was computed
+// from has been served, and a home that is still overloaded has reported again.
 func faded(value float64, age, life time.Duration) float64 {
 	if value <= 0 || age >= life {
 		return 1
--- a/internal/query/overload_test.go
+++ b/internal/query/overload_test.go
@@ -13,21 +13,21 @@
 	"pearmoor/internal/contract"
 )
 
-// bigDesk is a desk of 20 services of two leaves with two slots, 40 shards, as
-// both deployments have, behind 12 daemons.
+// largeTier has 20 services, each with two leaves of two slots, 40 shards in total, and 12
+// daemons, which is the size of existing deployments.
 var bigDesk = size{services: 20, daemons: 12, version: 3, delay: 20 * time.Millisecond, jitter: true}
 
-// bigDeskCapacity is the queries a second that the slots allow.
+// largeTierCapacity is the number of queries per second that the slots allow.
 const bigDeskCapacity = 100
 
-// tally counts how queries ended.
+// queryCounts counts queries by their outcome.
 type tally struct {
 	mu       sync.Mutex
 	whole    int
 	partial  int
 	refused  int
 	other    int
-	latency  []time.Duration // of whole answers
+	latency  []time.Duration // of complete answers
 	refusals []time.Duration
 }
 
@@ -56,8 +56,8 @@
 	return d[int(q*float64(len(d)-1))]
 }
 
-// offer sends rate queries a second on schedule for so long, and counts those
-// sent after the first warm part.
+// sendAtRate sends rate queries per second on average, without waiting for answers, and
+// counts the outcomes of those sent after the warm-up.
 func (w *world) offer(rate float64, warm, measured time.Duration) *tally {
 	c := &tally{}
 	var wg sync.WaitGroup
@@ -87,17 +87,17 @@
 }
 
 func (c *tally) String() string {
-	return fmt.Sprintf("whole %d partial %d refused %d other %d; whole p50 %v p99 %v; refusal p50 %v p99 %v",
+	return fmt.Sprintf("complete %d partial %d refused %d other %d; whole answers p50 %v p99 %v; refusal p50 %v p99 %v",
 		c.whole, c.partial, c.refused, c.other, quantile(c.latency, 0.5), quantile(c.latency, 0.99),
 		quantile(c.refusals, 0.5), quantile(c.refusals, 0.99))
 }
 
-// Callers get whole answers at nearly the rate the targets are capable of when
-// they offer twice as much, and the rest is refused as not_run. Were each service
-// to admit by itself, nearly every query would get a part of its services.
+// At twice the capacity of the targets, complete answers are returned at nearly that capacity,
+// and the other queries are refused with not_run. If each service admitted queries on its
+// own, nearly every query would be answered by only some of its services.
 func TestOverloadKeepsAnswersWhole(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays some ten thousand queries")
+		t.Skip("runs about ten thousand queries")
 	}
 	err := inWorldOf(t, 5, "", bigDesk, func(w *world) error {
 		const load, measured = 2.0, 4 * time.Second
@@ -108,11 +108,11 @@
 			return errors.Newf("goodput %.0f/s, %v", goodput, c)
 		}
 		if late := quantile(c.refusals, 0.99); late > 10*time.Millisecond {
-			return errors.Newf("refusals take %v", late)
+			return errors.Newf("refusals take %v at the 99th percentile, want at most 10 ms", late)
 		}
 		for addr, l := range w.leaves {
 			if l.peak > worldSlots {
-				return errors.Newf("%d in flight at %s", l.peak, addr)
+				return errors.Newf("%d requests in flight at leaf %s exceed its slots", l.peak, addr)
 			}
 		}
 		return nil
--- a/internal/query/part.go
+++ b/internal/query/part.go
@@ -13,38 +13,39 @@
 	"pearmoor/internal/settings"
 )
 
-// unit is a group of a service's leaves: what one home is asked for.
+// leafGroup names a group of a service's leaves. A sub-query addresses one leaf group.
 type unit struct {
 	service string
 	group   int
 }
 
-// target is a unit with the daemons that serve it.
+// placedGroup is a leaf group with the settings of its service and the daemons that are its
+// homes.
 type target struct {
 	unit
-	eff    *settings.Effective
+	eff    *settings.Effective // effective settings of the service
 	placed relay.Placed
 }
 
-// subquery is what a home is asked.
+// subquery is the request of an entry to a home.
 type subquery struct {
 	unit
 	id          string
 	body        json.RawMessage
 	repeatable  bool
-	pin         uint64 // 0: the home chooses
-	partial     bool   // serve the pin although shards of it are missing
+	pin         uint64 // index version to answer at; 0 if the home chooses
+	partial     bool   // answer at the pin even if shards of it have no live leaf
 	shards      []uint32
 	limit       int
 	minCoverage float64
 	attemptBase uint32
-	immediate   bool     // only with permits that are free now
-	avoid       []string // addresses of replicas that have been tried
-	canary      bool     // one shard only, once
+	immediate   bool     // use only permits that are free now, without queueing
+	avoid       []string // addresses of leaves that were tried already
+	canary      bool     // send one attempt to a single shard
 	names       quarantine.Fingerprints
 }
 
-// part is what a home answered.
+// partialAnswer is the answer of a home to a subquery.
 type part struct {
 	refusal    contract.Reason // set when nothing was sent to any leaf
 	retryAfter time.Duration
@@ -57,12 +58,12 @@
 	extra      int
 	early      bool
 	versions   []versionState
-	waiting    int
-	level      float64 // share of queries the home wants; 0: not said
-	leafEnds   int     // leaves that ended under the query
+	waiting    int     // shards queued or running at the home
+	level      float64 // fraction of the queries that the home admits; 0 if not reported
+	leafEnds   int     // leaves that crashed or exited during the query
 }
 
-// mayHaveRun reports whether any leaf may have run something for p.
+// mayHaveRun reports whether any leaf may have run the request.
 func (p *part) mayHaveRun() bool {
 	if p.refusal != "" {
 		return false
@@ -72,7 +73,7 @@
 	})
 }
 
-// raise turns "not run" into "may have run" for all that p lacks.
+// raiseNotRun turns "not run" into "may have run" for all missing shards of p.
 func (p *part) raise(service string) {
 	if p.refusal != "" && len(p.missing) == 0 {
 		p.missing = []contract.Missing{{Service: service, Reason: p.refusal}}
@@ -86,15 +87,16 @@
 	}
 }
 
+// refusedAnswer returns the answer of a home that sent nothing to its leaves.
 func refusedPart(reason contract.Reason, after time.Duration) *part {
 	return &part{refusal: reason, retryAfter: after}
 }
 
-// versionState is an index version as a home sees it.
+// versionState is the state of an index version in a leaf group, as known to its home.
 type versionState struct {
 	version uint64
 	shards  uint32
-	live    shardSet
+	live    shardSet // shards with a live leaf
 }
 
 // shardSet is a bitmap: bit s%8 of byte s/8 is set when shard s is in the set.
@@ -116,7 +118,7 @@
 	return n
 }
 
-// toWire encodes q; left is the time the home has.
+// toWire encodes q; left is the time that the home has to answer.
 func (q *subquery) toWire(left time.Duration, config uint64, origin string) *wire.SubQuery {
 	return &wire.SubQuery{
 		QueryId: q.id, Service: q.service, Group: uint32(q.group), Body: q.body,
@@ -129,7 +131,7 @@
 }
 
 func subqueryFromWire(w *wire.SubQuery) *subquery {
-	names, _ := quarantine.FingerprintsFromWire(w.Fingerprints) // without any, nothing is known of the query
+	names, _ := quarantine.FingerprintsFromWire(w.Fingerprints) // without valid fingerprints, the quarantine has no entry for the query
 	return &subquery{
 		names: names, canary: w.Canary,
 		unit: unit{w.Service, int(w.Group)}, id: w.QueryId, body: w.Body,
--- a/internal/query/pin.go
+++ b/internal/query/pin.go
@@ -11,14 +11,16 @@
 	"pearmoor/internal/vm"
 )
 
-// describeWait bounds how long a query waits to learn which versions exist.
+// describeTimeout bounds how long a query waits for homes to list their index versions.
 const describeWait = 100 * time.Millisecond
 
-// catalog is what an entry knows of the versions of the units of one scope.
+// groupVersions lists the index versions of the leaf groups of one scope, as known to the
+// entry.
 type catalog map[unit][]versionState
 
-// known returns the versions of targets: this daemon's own at first hand, others
-// as their homes last said, asked for where that is older than life.
+// versionsOf returns the index versions of groups. For groups that this daemon is a home of
+// they are current; for others they are what a home last reported, fetched again if that is
+// older than maxAge.
 func (e *Engine) known(ctx context.Context, targets []*target, life time.Duration) catalog {
 	c := make(catalog, len(targets))
 	var ask []*target
@@ -38,11 +40,13 @@
 	return c
 }
 
+// isHome reports whether self is a home of the leaf group.
 func isHome(t *target, self vm.Identity) bool {
 	return slices.ContainsFunc(t.placed.Homes, func(m vm.Member) bool { return m.Same(self) })
 }
 
-// describe asks a home of each target for its versions, one call to each daemon.
+// fetchVersions asks a home of each group for its index versions, with one call per daemon,
+// and stores them in versions.
 func (e *Engine) describe(ctx context.Context, targets []*target, into catalog) {
 	byHome := make(map[string][]*target)
 	for _, t := range targets {
@@ -67,10 +71,12 @@
 	}
 }
 
+// fetchVersionsFrom asks the daemon at addr for the index versions of groups and records them
+// in their routes.
 func (e *Engine) describeAt(ctx context.Context, addr string, targets []*target) {
 	conn, err := e.Conns.Conn(ctx, addr)
 	if err != nil {
-		return // the query itself will find another home
+		return // the query itself tries other homes
 	}
 	defer conn.Close()
 	req := &wire.DescribeRequest{}
@@ -89,19 +95,19 @@
 	}
 }
 
-// coverage of one version over the services of a scope.
+// versionCoverage is the coverage of one index version over the services of a scope.
 type versionCoverage struct {
 	version uint64
 	live    int
 	total   int
-	lacking int // services that don't know the version at all
+	lacking int // number of services that don't have the version at all
 }
 
 func (v versionCoverage) complete() bool { return v.lacking == 0 && v.live == v.total }
 
-// pick returns the newest version that every service of c can answer wholly; when
-// there is none, the best covered one, the newest of equals. It returns 0 when no
-// version is known at all.
+// pickVersion returns the newest version that is complete in every service. If there is
+// none, it returns the one with the largest fraction of live shards, and the newest of those
+// that tie. It returns 0 when no version is known.
 func (c catalog) pick() (version uint64, complete bool) {
 	all := c.coverages()
 	if len(all) == 0 {
@@ -124,9 +130,9 @@
 	return best.version, best.complete()
 }
 
-// coverages returns the coverage of every version that some service knows. A
-// service that lacks a version counts with the size of its newest one, so that a
-// large service weighs as such.
+// coverages returns the coverage of every version that any service has. A service without a
+// version counts with the number of shards of its newest version, so that the weight of a
+// service is proportional to its size.
 func (c catalog) coverages() []versionCoverage {
 	merged := c.byService()
 	versions := make(map[uint64]bool)
@@ -152,7 +158,7 @@
 	return out
 }
 
-// byService joins the groups of each service: a shard is live if one has it.
+// byService merges the groups of each service: a shard is live if it is live in any group.
 func (c catalog) byService() map[string]map[uint64]versionState {
 	out := make(map[string]map[uint64]versionState)
 	for u, vs := range c {
@@ -168,6 +174,7 @@
 	return out
 }
 
+// mergeVersionStates returns the state of a version over two groups of a service.
 func join(a, b versionState) versionState {
 	out := versionState{version: b.version, shards: max(a.shards, b.shards)}
 	out.live = newShardSet(out.shards)
@@ -178,6 +185,7 @@
 	return out
 }
 
+// newestShardCount returns the number of shards of the newest version, at least 1.
 func newestShards(vs map[uint64]versionState) int {
 	var newest versionState
 	for _, v := range vs {
--- a/internal/query/property_test.go
+++ b/internal/query/property_test.go
@@ -12,17 +12,17 @@
 	"pearmoor/internal/contract"
 )
 
-// event is something that happens to the world at a moment.
+// event is a fault or another change of a daemon or a leaf at a point in time.
 type event struct {
 	at   time.Duration
 	kind int
 	leaf string
-	name string // of a daemon
+	name string
 	part float64
 }
 
 const (
-	publishNext = iota // a leaf takes the next version beside the old one
+	publishNext = iota // a leaf adds the next version and keeps the old one
 	dropOld            // a leaf drops all but its newest version
 	leafDown
 	leafUp
@@ -35,7 +35,8 @@
 	eventKinds
 )
 
-// question is a query at a moment; one that is keyed is sent up to three times.
+// scheduledQuery is a query at a point in time. A keyed one is sent once through each of the
+// daemons in via, others only through the first.
 type question struct {
 	at    time.Duration
 	via   []string
@@ -75,11 +76,11 @@
 	return s
 }
 
-// Whatever becomes of versions, partition maps, leaves and daemons: every answer
-// has one version, coverage that adds up and exactly the hits of its shards; what
-// is said not to have run did not; a request that is not repeatable runs at most
-// once at each shard, however often and through whomever it is sent; and no leaf
-// sees more than its slots.
+// Under random changes of versions and partition maps and random faults of leaves and
+// daemons, these invariants hold: an answer has one version, coverage that adds up and
+// exactly the hits of its shards; a shard or request reported as not run did not run; a
+// non-repeatable request runs at most once per shard, however often and through whichever
+// daemons it is sent; and no leaf has more requests in flight than slots.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawSchedule(rt)
@@ -115,7 +116,7 @@
 	defer w.mu.Unlock()
 	for addr, l := range w.leaves {
 		if l.peak > worldSlots && first == nil {
-			first = errors.Newf("%d in flight at %s", l.peak, addr)
+			first = errors.Newf("%d requests in flight at leaf %s exceed its slots", l.peak, addr)
 		}
 	}
 	return first
@@ -134,10 +135,10 @@
 			err = e
 		}
 		if err := s.judge(w, key, a, err); err != nil {
-			return errors.Wrapf(err, "through %s of %v", daemon, q.via)
+			return errors.Wrapf(err, "sent through daemon %s of %v", daemon, q.via)
 		}
 		if _, most := w.ran(key); most > 1 {
-			return errors.Newf("key %s ran %d times through %v", key, most, q.via)
+			return errors.Newf("key %s ran %d times at one shard when sent through %v", key, most, q.via)
 		}
 	}
 	return nil
@@ -149,10 +150,10 @@
 	}
 	var e *contract.Error
 	if !errors.As(err, &e) || e.Reason == contract.ReasonInternal {
-		return errors.Wrapf(err, "failure of %s", key)
+		return errors.Wrapf(err, "internal or untyped failure of %s", key)
 	}
 	if total, _ := w.ran(key); e.Verdict == contract.NotRun && total > 0 {
-		return errors.Newf("%s is said not to have run (%v) and ran %d times", key, e, total)
+		return errors.Newf("%s is reported as not run (%v) but ran %d times", key, e, total)
 	}
 	return nil
 }
--- a/internal/query/route.go
+++ b/internal/query/route.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	hintLife      = time.Second           // a load hint older than this has no weight
-	versionsLife  = 5 * time.Second       // versions older than this are asked for anew
-	versionsFresh = 50 * time.Millisecond // the same when a pin has failed
+	hintLife      = time.Second           // older load hints are ignored
+	versionsLife  = 5 * time.Second       // older versions are fetched again
+	versionsFresh = 50 * time.Millisecond // the same after a pinned version could not be served
 	homeFloor     = 20 * time.Millisecond
-	homePatience  = 3   // times the learned threshold until a home counts as silent
-	homeShare     = 0.5 // of the hedge and retry budgets; one extra sub-query repeats many attempts
+	homePatience  = 3   // multiple of the learned latency threshold after which a second home is asked
+	homeShare     = 0.5 // fraction of the hedge and retry budgets; one extra sub-query repeats many attempts
 )
 
-// route is what an entry has learned of a unit and its homes.
+// groupRoute is what an entry has learned about a leaf group and its homes.
 type route struct {
 	latency  *scatter.Latency
 	hedges   *admit.Budget
@@ -34,17 +34,21 @@
 	hints map[string]hint // by VM name
 }
 
+// reportedVersions lists the index versions that a home last reported for a leaf group.
 type seenVersions struct {
 	states []versionState
 	at     vm.Instant
 }
 
+// loadHint is the load that a home last reported.
 type hint struct {
 	waiting int
 	level   float64
 	at      vm.Instant
 }
 
+// routeFor returns the groupRoute of a leaf group, and updates its hedge and retry shares from
+// the settings.
 func (e *Engine) route(t *target) *route {
 	v, ok := e.routes.Load(t.unit)
 	if !ok {
@@ -63,7 +67,7 @@
 	return r
 }
 
-// learn keeps what a home's reply said of it.
+// recordReply records the index versions and the load that a home reported in its answer.
 func (r *route) learn(home string, p *part, now vm.Instant) {
 	if len(p.versions) > 0 {
 		r.versions.Store(&seenVersions{p.versions, now})
@@ -73,7 +77,8 @@
 	r.hints[home] = hint{p.waiting, p.level, now}
 }
 
-// waiting returns the load a home last reported, 0 when that is too old.
+// reportedLoad returns the number of shards in flight that a home last reported, or 0 if that
+// is older than hintMaxAge.
 func (r *route) waiting(home string, now vm.Instant) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,8 +89,8 @@
 	return h.waiting
 }
 
-// meanLevel returns the mean of the levels that homes last told, each of which holds for
-// life at most.
+// meanLevel returns the mean of the admission levels that homes last reported, each decayed
+// over lifetime.
 func (r *route) meanLevel(homes []vm.Member, now vm.Instant, life time.Duration) float64 {
 	if len(homes) == 0 {
 		return 1
@@ -100,7 +105,7 @@
 	return sum / float64(len(homes))
 }
 
-// patience returns how long a home may stay silent before another is asked too.
+// hedgeDelay returns how long to wait for a home before a second one is asked as well.
 func (r *route) patience(left time.Duration) time.Duration {
 	if d, ok := r.latency.Threshold(0); ok {
 		return min(max(homePatience*d, homeFloor), max(left/2, homeFloor))
@@ -108,8 +113,9 @@
 	return max(left/2, homeFloor)
 }
 
-// order returns the homes of t, best first: this daemon itself, then the less
-// loaded of two drawn at random, the nearer one on a tie.
+// orderHomes returns the homes of a leaf group in the order in which to ask them. The first is
+// this daemon if it is one of them, else the less loaded of two homes chosen at random, or
+// the nearer of the two on a tie.
 func (e *Engine) order(t *target, r *route) []vm.Member {
 	now := e.Clock()
 	homes := slices.Clone(t.placed.Homes)
@@ -125,6 +131,7 @@
 	return homes
 }
 
+// lessLoaded reports whether home a is to be asked before home b.
 func (e *Engine) better(r *route, a, b vm.Member, now vm.Instant) bool {
 	loadA, loadB := r.waiting(a.Name, now), r.waiting(b.Name, now)
 	if loadA != loadB {
@@ -133,7 +140,8 @@
 	return e.distance(a) < e.distance(b)
 }
 
-// distance is 0 within the failure domain, 1 within the region, else 2.
+// distance returns 0 for a daemon in the same failure domain, 1 for one in the same region,
+// else 2.
 func (e *Engine) distance(m vm.Member) int {
 	switch {
 	case m.Domain == e.Self.Domain:
--- a/internal/query/server.go
+++ b/internal/query/server.go
@@ -8,10 +8,10 @@
 	"pearmoor/internal/link/wire"
 )
 
-// homeServer serves the entries on other daemons.
+// homeServer answers the calls of entries on other daemons.
 type homeServer struct{ e *Engine }
 
-// Home returns the service that other daemons call.
+// Home returns the DRPC service that other daemons call to reach this daemon as a home.
 func (e *Engine) Home() wire.DRPCHomeServer { return homeServer{e} }
 
 func (s homeServer) Query(ctx context.Context, w *wire.SubQuery) (*wire.SubAnswer, error) {
--- a/internal/query/session/doc.go
+++ b/internal/query/session/doc.go
@@ -1,8 +1,8 @@
-// Package session keeps requests that are not repeatable from running twice.
+// Package session prevents non-repeatable requests from running twice.
 //
-// A session names the run of a daemon that issued it. Only that run decides
-// whether a key is new: it remembers in memory every key that may have run until
-// no caller may send it any more. When the run has ended the memory is gone, and
-// with it the right to run any key of its sessions; so a crash can leave a
-// caller in doubt, but can't make a request run twice.
+// A session names the incarnation of the daemon that issued it. Only that incarnation
+// decides whether a key is new: it keeps every key that may have run in memory until no
+// caller may send the key any more. When the incarnation ends, its keys are lost, and no
+// daemon runs a request under its sessions again. A crash can thus leave a caller without a
+// definite outcome, but can't make a request run twice.
 package session
--- a/internal/query/session/table.go
+++ b/internal/query/session/table.go
@@ -10,25 +10,25 @@
 	"pearmoor/internal/vm"
 )
 
-// State is what a Table knows of a key.
+// State is the state of a key in a Table.
 type State uint8
 
 // The states that Begin returns.
 const (
 	New      State = iota // the caller of Begin must run the request and call Finish
-	Running               // an attempt under the key is running now
+	Running               // an attempt under the key is running
 	Done                  // the first outcome is known
 	Mismatch              // the key was used for another request
-	Full                  // no room to remember another key; nothing may run
+	Full                  // the table has no room for another key; the request must not run
 )
 
-// Key names a request under its session.
+// Key identifies a non-repeatable request.
 type Key struct {
 	Nonce string // of the session
 	Key   string // the caller's
 }
 
-// Outcome is what the first run of a key came to: one of the two is set.
+// Outcome is the outcome of the first run of a key. Exactly one field is set.
 type Outcome struct {
 	Answer *contract.Answer
 	Err    *contract.Error
@@ -41,14 +41,14 @@
 	return o.Answer.Verdict
 }
 
-// Limits bound the memory of a Table.
+// Limits bounds the memory of a Table.
 type Limits struct {
-	Keys        int // remembered at once
-	AnswerBytes int // of one kept answer; hits beyond it are dropped
-	TotalBytes  int // of all kept answers
+	Keys        int // number of keys in the table
+	AnswerBytes int // size of one stored answer; a larger answer is not stored
+	TotalBytes  int // size of all stored answers
 }
 
-// Table remembers the keys that may have run. It is safe for concurrent use.
+// Table stores the keys that may have run. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	limits  Limits
@@ -64,7 +64,7 @@
 	done        bool
 	outcome     Outcome
 	bytes       int
-	at          int // in the heap
+	at          int // index in Table.expiry
 }
 
 // NewTable returns an empty Table.
@@ -72,8 +72,9 @@
 	return &Table{limits: l, entries: make(map[Key]*entry)}
 }
 
-// Begin claims key for a run, or returns what is known of its first one.
-// fingerprint identifies the request; the key is remembered until keepUntil.
+// Begin adds key to the table and returns New, or returns the state and the outcome of the
+// key if the table has it. fingerprint identifies the request. The key is kept until
+// keepUntil.
 func (t *Table) Begin(key Key, fingerprint uint64, keepUntil, now vm.Instant) (State, Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,8 +92,8 @@
 	return New, Outcome{}
 }
 
-// Lookup returns what is known of key without claiming it; ok is false when the
-// key is not remembered.
+// Lookup returns the state and the outcome of key without adding it; ok is false when the
+// table does not have the key.
 func (t *Table) Lookup(key Key, fingerprint uint64, now vm.Instant) (s State, o Outcome, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,8 +115,8 @@
 	return Running
 }
 
-// Finish stores the outcome of a run that Begin let start. A run that provably
-// did not happen is forgotten: the caller was told so and may send the key again.
+// Finish stores the outcome of a run for which Begin returned New. If the request provably
+// did not run, the key is removed: the caller is told so and may send the key again.
 func (t *Table) Finish(key Key, o Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -133,7 +134,8 @@
 	t.publish()
 }
 
-// keep returns what is stored of o and its size.
+// limitSize returns the outcome to store for o, and its size. An answer that exceeds the
+// limits is replaced by an error with the verdict of the answer.
 func (t *Table) keep(o Outcome) (Outcome, int) {
 	if o.Err != nil {
 		return o, 0
@@ -145,7 +147,7 @@
 	return Outcome{Err: &contract.Error{Verdict: o.Answer.Verdict, Reason: contract.ReasonAnswerNotKept}}, 0
 }
 
-// answerBytes estimates the memory an answer holds.
+// answerBytes estimates the memory that an answer uses.
 func answerBytes(a *contract.Answer) int {
 	const perHit, perMissing = 96, 64
 	n := len(a.Hits)*perHit + len(a.Coverage.Missing)*perMissing
@@ -155,8 +157,8 @@
 	return n
 }
 
-// expire forgets the keys that no caller may send any more. A key whose run is
-// still under way stays, or a resend could start a second run.
+// expire removes the keys that no caller may send any more. It stops at a key that is still
+// running: if that were removed, a resend could start a second run.
 func (t *Table) expire(now vm.Instant) {
 	for len(t.expiry) > 0 && t.expiry[0].keepUntil <= now {
 		e := t.expiry[0]
@@ -167,6 +169,7 @@
 	}
 }
 
+// remove removes an entry from the table.
 func (t *Table) drop(e *entry) {
 	heap.Remove(&t.expiry, e.at)
 	delete(t.entries, e.key)
@@ -179,7 +182,7 @@
 	metrics.GetOrRegisterGauge("query.keys.answer_bytes", nil).Update(int64(t.bytes))
 }
 
-// Len returns the number of remembered keys.
+// Len returns the number of keys in the table.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/query/session/token.go
+++ b/internal/query/session/token.go
@@ -20,21 +20,22 @@
 	maxSessionBytes = 512
 )
 
-// Token is a parsed session. Only Issuer.Verify proves that it is genuine.
+// Token is a parsed session. It is not authenticated until Issuer.Verify accepts it.
 type Token struct {
-	Owner       string // VM name
+	Owner       string // name of the VM whose daemon issued the session
 	Incarnation uint64
 	Issued      vm.Instant // on the owner's clock
 	Lifetime    time.Duration
-	Window      time.Duration // after the end, in which a resend finds its first outcome
+	Window      time.Duration // time after the expiry in which a resend still finds the first outcome
 	Nonce       string
 	seal        []byte
 }
 
-// Ends returns when the session takes no new keys, on the owner's clock.
+// ExpiresAt returns the time from which on the session accepts no new keys, on the owner's
+// clock.
 func (t *Token) Ends() vm.Instant { return t.Issued.Add(t.Lifetime) }
 
-// Parse reads a session as text. It doesn't check the seal.
+// Parse parses the text form of a session. It doesn't check the MAC.
 func Parse(text string) (*Token, error) {
 	if len(text) > maxSessionBytes {
 		return nil, errors.Newf("longer than %d bytes", maxSessionBytes)
@@ -58,28 +59,28 @@
 	}, nil
 }
 
-// KeepUntil returns how long the keys of the session are remembered. It is fixed
-// with the session: were it computed from a setting, raising the setting would
-// declare keys known that have been forgotten already, and "not run" be said of one
-// that ran.
+// KeysKeptUntil returns until when the keys of the session are kept. It is fixed when the
+// session is issued. If it were computed from the current setting, raising the setting would
+// extend the time of sessions whose keys were removed already, and a request that ran would
+// be answered with "not run".
 func (t *Token) KeepUntil() vm.Instant { return t.Ends().Add(t.Window) }
 
-// Issuer issues and verifies the sessions of one run of a daemon.
+// Issuer issues and verifies the sessions of one incarnation of a daemon.
 type Issuer struct {
 	self vm.Identity
 	key  []byte
 }
 
-// NewIssuer returns an Issuer with a fresh secret, so that a session of another
-// run never verifies.
+// NewIssuer returns an Issuer with a new random MAC key, so that sessions of other
+// incarnations never verify.
 func NewIssuer(self vm.Identity) *Issuer {
 	key := make([]byte, sealKeyBytes)
-	_, _ = rand.Read(key) // never fails: crypto/rand ends the process instead
+	_, _ = rand.Read(key) // never fails: crypto/rand crashes the program instead
 	return &Issuer{self: self, key: key}
 }
 
-// Issue returns a new session as text: it takes new keys for lifetime, and keys
-// are remembered for window after that.
+// Issue returns the text form of a new session. The session accepts new keys for lifetime,
+// and its keys are kept for window after that.
 func (i *Issuer) Issue(now vm.Instant, lifetime, window time.Duration) string {
 	nonce := make([]byte, nonceBytes)
 	_, _ = rand.Read(nonce)
@@ -90,18 +91,18 @@
 	msg.Seal = i.seal(msg)
 	raw, err := proto.Marshal(msg)
 	if err != nil {
-		panic(errors.Wrap(err, "session: marshal")) // a message of plain fields always marshals
+		panic(errors.Wrap(err, "session: marshal")) // a message with only scalar fields always marshals
 	}
 	return base64.RawURLEncoding.EncodeToString(raw)
 }
 
-// Owns reports whether t names this run of the daemon.
+// Owns reports whether t names this incarnation of the daemon.
 func (i *Issuer) Owns(t *Token) bool {
 	return t.Owner == i.self.Name && t.Incarnation == i.self.Incarnation
 }
 
-// Verify reports whether this run issued t. A made-up session with a lifetime of
-// its own could otherwise keep keys in memory for ever.
+// Verify reports whether i issued t. Without this check, a forged session with an arbitrary
+// lifetime could keep keys in memory indefinitely.
 func (i *Issuer) Verify(t *Token) bool {
 	msg := &wire.SessionToken{
 		Owner: t.Owner, Incarnation: t.Incarnation,
@@ -110,6 +111,7 @@
 	return hmac.Equal(t.seal, i.seal(msg))
 }
 
+// computeMAC returns the MAC of msg, whose Seal field must be empty.
 func (i *Issuer) seal(msg *wire.SessionToken) []byte {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(msg)
 	if err != nil {
--- a/internal/query/state.go
+++ b/internal/query/state.go
@@ -6,7 +6,7 @@
 	"pearmoor/internal/vm"
 )
 
-// state is what the engine reads of one agreed view.
+// tierView is the part of a relay.View that the engine reads.
 type state interface {
 	ConfigVersion() uint64
 	Confirmed(now vm.Instant) bool
@@ -17,7 +17,7 @@
 	Tier() settings.Tier
 }
 
-// viewState reads a relay.View.
+// relayTierView implements tierView with a relay.View.
 type viewState struct{ v *relay.View }
 
 func (s viewState) ConfigVersion() uint64         { return s.v.ConfigVersion }
@@ -33,8 +33,8 @@
 	return s.v.Placement(service, e)
 }
 
-// Member finds a daemon in the newest membership known; one that has not settled
-// yet may have issued sessions as well.
+// Member returns a daemon of the pending or else of the settled membership: a daemon whose
+// membership has not settled yet may have issued sessions already.
 func (s viewState) Member(name string) (vm.Member, bool) {
 	for _, m := range []*vm.Membership{s.v.Pending, s.v.Settled} {
 		if m == nil {
--- a/internal/query/suspect.go
+++ b/internal/query/suspect.go
@@ -12,29 +12,32 @@
 	"pearmoor/internal/quarantine"
 )
 
-// canaryBase keeps the attempts of a canary apart from those of the query behind it.
+// canaryAttemptBase keeps the attempt numbers of a canary distinct from those of the query
+// that follows it.
 const canaryBase = (maxRepins + 1) * attemptStride * attemptStride
 
-// trialWait bounds the wait for permission to try a suspected query.
+// trialTimeout bounds how long a suspected query waits for permission to run as a trial.
 const trialWait = 300 * time.Millisecond
 
 var errQuarantined = errors.New("query: it is known or suspected to crash the targets that run it")
 
-// blocked reports whether a query must not reach a leaf, at a home that another daemon asks.
+// blocked reports, at a home, whether the quarantine blocks q from being sent to leaves.
 func (e *Engine) blocked(q *subquery) bool {
 	e.observe()
 	return !e.Quarantine.Empty() && e.Quarantine.Rule(q.names) == quarantine.Blocked
 }
 
-// observe takes in what the newest view holds, so that a daemon that has just started
-// serves nothing without it.
+// updateQuarantine updates the quarantine registry from the current view. It is called for
+// each query, so that a daemon that has just started serves none before it has the registry's
+// entries.
 func (e *Engine) observe() {
 	if v := e.Source.Current(); v != nil {
 		e.Quarantine.Observe(v.ConfigVersion, v.Tree)
 	}
 }
 
-// guarded runs p, unless it crashes leaves, and tells of those that ended under it.
+// runWithQuarantine runs p unless the quarantine refuses it, and reports leaves that crashed
+// or exited during the query.
 func (e *Engine) guarded(ctx context.Context, st state, p *plan) (*contract.Answer, *contract.Error) {
 	began := time.Now()
 	e.observe()
@@ -54,7 +57,8 @@
 	return a, err
 }
 
-// tryFirst sends a suspected query to one leaf. It returns an error unless that has answered.
+// runCanary sends a suspected query to a single leaf. It returns an error unless that leaf
+// answered.
 func (e *Engine) tryFirst(ctx context.Context, st state, p *plan, ruling quarantine.Ruling, began time.Time) *contract.Error {
 	grant := quarantine.Denied
 	switch ruling {
@@ -72,7 +76,7 @@
 	case grant != quarantine.Granted:
 		return quarantinedError(policy.QuarantinedRetryAfter)
 	case !p.req.IsRepeatable():
-		return nil // sent to one leaf first, it would run there twice
+		return nil // a canary would make it run twice on one leaf
 	}
 	t := scopesOf(st, p)[0][0]
 	out := e.ask(ctx, st, t, &subquery{
@@ -97,7 +101,8 @@
 	return &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonQuarantined, Cause: errQuarantined, RetryAfter: retry.Milliseconds()}
 }
 
-// reportEnds hands what became of the leaves to the registry.
+// reportLeafExits reports to the quarantine registry how many leaves exited during the query
+// and whether any leaf answered it.
 func (e *Engine) reportEnds(p *plan, began time.Time) {
 	if e.Quarantine == nil {
 		return
--- a/internal/query/validate.go
+++ b/internal/query/validate.go
@@ -18,29 +18,29 @@
 	maxKeyBytes      = 256
 )
 
-// queryMethod keeps the fingerprints of queries apart from those of forwarded requests.
+// queryMethod keeps the fingerprints of queries distinct from those of forwarded requests.
 const queryMethod = "QUERY"
 
 // plan is a validated request.
 type plan struct {
 	req      *contract.Request
 	id       string
-	at       *settings.Effective // at the path asked
+	at       *settings.Effective // effective settings at the requested path
 	services []string
 	timeout  time.Duration
 
 	content  quarantine.Request
 	names    quarantine.Fingerprints
-	leafEnds int  // leaves that ended under it
-	survived bool // a leaf answered it
+	leafEnds int  // leaves that crashed or exited during the query
+	survived bool // at least one leaf answered
 }
 
-// invalid returns the refusal of a request that is itself at fault.
+// invalid returns the refusal of an invalid request.
 func invalid(reason contract.Reason, fs contract.Faults) *contract.Error {
 	return contract.Refuse(reason, fs)
 }
 
-// validate checks r against the tree and reports every fault.
+// validate checks r against the settings tree. Its error lists all faults.
 func validate(st state, id string, r *contract.Request) (*plan, *contract.Error) {
 	at, ok := st.Effective(r.Path)
 	services := st.Services(r.Path)
@@ -100,7 +100,7 @@
 	return fs
 }
 
-// checkKey checks what only holds for a request that is not repeatable.
+// checkKey checks that a non-repeatable request names exactly one query service.
 func (p *plan) checkKey() contract.Faults {
 	r := p.req
 	if r.IsRepeatable() || (len(p.services) == 1 && p.services[0] == p.at.Path) {
@@ -110,9 +110,9 @@
 		"send one request to each query service")
 }
 
-// sessionOf checks what lets a request that is not repeatable run at most once.
-// It needs nothing of the tree: a resend must find its first outcome whatever has
-// changed there since.
+// parseSession checks the key and the session of a non-repeatable request and returns the
+// parsed session. It does not use the settings tree: a resend must find the first outcome
+// whatever has changed in the settings since.
 func sessionOf(r *contract.Request) (*session.Token, *contract.Error) {
 	var fs contract.Faults
 	if r.Key == "" {
--- a/internal/query/world_test.go
+++ b/internal/query/world_test.go
@@ -21,13 +21,13 @@
 	"pearmoor/internal/vm"
 )
 
-// size is how large a world is.
+// tierSize is the size of a testTier.
 type size struct {
 	services int
 	daemons  int
-	version  uint64 // that the leaves start with
+	version  uint64 // index version that the leaves start with
 	delay    time.Duration
-	jitter   bool // delays between half and one and a half of delay
+	jitter   bool // vary the delay of each attempt between 0.5 and 1.5 times delay
 }
 
 var smallWorld = size{services: worldServices, daemons: 3, version: 1, delay: 5 * time.Millisecond}
@@ -42,37 +42,37 @@
 
 func bubbleClock() vm.Instant { return vm.Instant(time.Now().UnixNano()) }
 
-// world is three daemons and the leaves of a desk, in the fake time of a bubble.
+// testTier runs daemons and fake leaves with the fake clock of a synctest bubble.
 type world struct {
 	size
 	mu      sync.Mutex
 	view    atomic.Pointer[relay.View]
 	daemons map[string]*daemon // by VM name
 	leaves  map[string]*worldLeaf
-	runs    map[string]int // by body and shard
+	runs    map[string]int // by request body, service and shard
 	rng     *rand.Rand
 	stop    context.CancelFunc
 	ctx     context.Context
 	busy    sync.WaitGroup
 }
 
-// worldLeaf is a fake target.
+// fakeLeaf simulates a leaf.
 type worldLeaf struct {
 	service  string
-	versions map[uint64]uint32 // shards of each version held, all of them
+	versions map[uint64]uint32 // version -> number of shards; the leaf holds all shards of its versions
 	down     bool
 	delay    time.Duration
-	slow     float64 // share of attempts that take slowFactor times delay
-	refuses  float64
-	loses    float64 // share of attempts that run and lose their reply
-	crosses  float64 // share of replies that are of another version
+	slow     float64 // fraction of attempts that take slowFactor times delay
+	refuses  float64 // fraction of attempts that are refused
+	loses    float64 // fraction of attempts that run but whose reply is lost
+	crosses  float64 // fraction of replies that are of another version than requested
 	inFlight int
 	peak     int
 }
 
 const slowFactor = 20
 
-// daemon is one run of an engine with what it has seen of the leaves.
+// testDaemon is one incarnation of a daemon: an engine and what it last polled from the leaves.
 type daemon struct {
 	w       *world
 	self    vm.Identity
@@ -81,15 +81,16 @@
 	mu      sync.Mutex
 	seen    map[string][]leaf.Snapshot
 	crashed bool
-	// unreachable: a connect to it gets no answer, as from a VM without power.
+	// unreachable makes connections to the daemon hang, as to a VM without power.
 	unreachable atomic.Bool
 }
 
-// shardsAt is the partition map's size: every second version splits or joins.
+// shardsAt returns the number of shards at a version. Each version splits or merges shards of
+// the one before it.
 func shardsAt(version uint64) uint32 { return 2 + uint32(version%3) }
 
-// docsOf lists the documents of a shard at a version. Shards of a version are
-// disjoint, and versions differ in what they hold.
+// docsOf returns the documents of a shard at a version. The shards of a version are disjoint,
+// and versions hold different documents.
 func docsOf(service string, version uint64, shard uint32) []contract.Hit {
 	var hits []contract.Hit
 	for d := range uint64(worldDocs) {
@@ -139,7 +140,7 @@
 	return next
 }
 
-// boot starts a run of a daemon.
+// startDaemon starts an incarnation of a daemon.
 func (w *world) boot(id vm.Identity) {
 	d := &daemon{w: w, self: id, gates: admit.NewGates(bubbleClock), seen: map[string][]leaf.Snapshot{}}
 	d.engine = New(Config{Self: id, Source: w, Gates: d.gates, Sender: d, Catalog: d, Conns: w, Clock: bubbleClock})
@@ -169,7 +170,7 @@
 	}
 }
 
-// poll reads the leaves' status as the prober does.
+// poll reads the versions that the leaves hold, as the prober does.
 func (d *daemon) poll() {
 	d.w.mu.Lock()
 	defer d.w.mu.Unlock()
@@ -243,7 +244,7 @@
 	}
 }
 
-// atLeaf is one request at a leaf, which goes on when the caller has left.
+// runAtLeaf runs one request at a leaf. It continues when the sender stops waiting for it.
 func (w *world) atLeaf(l settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) worldReply {
 	time.Sleep(oneWay)
 	w.mu.Lock()
@@ -293,8 +294,8 @@
 	return worldReply{reply: reply}
 }
 
-// crash ends a run: calls to it fail and it sends nothing more. Its shares are not
-// given to anyone else, as while its lease still holds.
+// crash ends an incarnation: calls to it fail and it sends nothing more. Its slots are not
+// reassigned to other daemons, because its lease is still valid.
 func (w *world) crash(name string) {
 	w.mu.Lock()
 	d := w.daemons[name]
@@ -305,8 +306,8 @@
 	d.gates.Fence(0)
 }
 
-// restart starts the next incarnation in the membership, when the lease of the
-// last one has run out and what it had in flight has ended.
+// restart adds the next incarnation to the membership and starts it, after the lease of the
+// previous one has expired and its requests in flight have ended.
 func (w *world) restart(name string) {
 	time.Sleep(2 * time.Second)
 	w.mu.Lock()
@@ -338,7 +339,7 @@
 	synctest.Wait()
 }
 
-// inWorld runs f in a bubble; a failure is reported outside of it.
+// runInTier runs f in a synctest bubble and returns its error to the caller outside of it.
 func inWorld(t *testing.T, seed uint64, scope string, f func(w *world) error) error {
 	t.Helper()
 	return inWorldOf(t, seed, scope, smallWorld, f)
