--- a/internal/query/burst_test.go
+++ b/internal/query/burst_test.go
@@ -14,7 +14,7 @@
 // After a stall of a daemon, queries arrive in a burst. They can all be served within their
 // deadline and must not be refused as overload; a queue that persists for a deadline must
 // lower the admission level.
-func TestBurstIsNotOverload(t *testing.T) {
+func TestShortBurstIsNotShed(t *testing.T) {
 	const waiting, service, deadline = 30, 20 * time.Millisecond, 800 * time.Millisecond
 	var now atomic.Int64
 	now.Store(int64(time.Hour))
@@ -46,7 +46,9 @@
 			t.Fatalf("%d requests wait in the queue after 10 s", gates.Load(leaf.Addr).Waiting)
 		}
 	}
-	level := func() float64 { return levelAt(queueOf(gates, []settings.Leaf{leaf}).wait(deadline), deadline) }
+	level := func() float64 {
+		return levelForWait(queueLoadOf(gates, []settings.Leaf{leaf}).expectedWait(deadline), deadline)
+	}
 	if got := level(); got != 1 {
 		t.Errorf("admission level is %.2f while a burst is served, want 1", got)
 	}
@@ -58,11 +60,11 @@
 
 // A home reports a low admission level and then serves its queue. The entry must not refuse
 // queries because of the old level once a default deadline has passed.
-func TestLevelHeardLastsNoLongerThanItsQueue(t *testing.T) {
+func TestReportedLevelExpires(t *testing.T) {
 	const deadline = 800 * time.Millisecond
-	r := &route{hints: make(map[string]hint)}
+	r := &groupRoute{hints: make(map[string]loadHint)}
 	homes := []vm.Member{{Identity: vm.Identity{Name: "a"}}}
-	r.learn("a", &part{level: 0.5}, vm.Instant(time.Hour))
+	r.recordReply("a", &partialAnswer{admitLevel: 0.5}, vm.Instant(time.Hour))
 	if got := r.meanLevel(homes, vm.Instant(time.Hour), deadline); got != 0.5 {
 		t.Errorf("level is %.2f when it was just reported, want 0.5", got)
 	}
--- a/internal/query/call.go
+++ b/internal/query/call.go
@@ -18,132 +18,132 @@
 
 // remoteResultWait bounds how long the results of remote calls are awaited after their
 // deadline. It is part of replyMargin.
-const expiredWait = 2 * time.Millisecond
+const remoteResultWait = 2 * time.Millisecond
 
 // call sends a sub-query to the homes of one leaf group, one after the other, until a
 // home answers or none is left.
 type call struct {
-	e        *Engine
-	st       state
-	t        *target
-	r        *route
-	q        *subquery
-	homes    []vm.Member
-	results  chan callDone
-	sent     int
-	inFlight int
-	local    int // calls in flight that this daemon serves itself
-	refused  *part
-	first    *part // answer with missing shards that another home is being asked for
-	doubt    bool  // a home that gave no answer may have sent the request to leaves
+	e             *Engine
+	st            tierView
+	g             *placedGroup
+	r             *groupRoute
+	q             *subquery
+	homes         []vm.Member
+	results       chan callResult
+	sent          int
+	inFlight      int
+	localInFlight int // calls in flight that this daemon serves itself
+	bestRefusal   *partialAnswer
+	firstAnswer   *partialAnswer // answer with missing shards that another home is being asked for
+	mayHaveRun    bool           // a home that gave no answer may have sent the request to leaves
 }
 
 // callResult is the result of one home: an answer or an error.
-type callDone struct {
-	home  vm.Member
-	local bool
-	part  *part
-	err   *contract.Error
+type callResult struct {
+	home   vm.Member
+	local  bool
+	answer *partialAnswer
+	err    *contract.Error
 }
 
 // queryGroup sends q to the homes of a leaf group and returns the group's answer, never nil.
-func (e *Engine) ask(ctx context.Context, st state, t *target, q *subquery) *part {
-	r := e.route(t)
-	c := &call{e: e, st: st, t: t, r: r, q: q, homes: e.order(t, r)}
-	c.results = make(chan callDone, len(c.homes))
-	r.hedges.Primary()
-	r.retries.Primary()
+func (e *Engine) queryGroup(ctx context.Context, st tierView, g *placedGroup, q *subquery) *partialAnswer {
+	r := e.routeFor(g)
+	c := &call{e: e, st: st, g: g, r: r, q: q, homes: e.orderHomes(g, r)}
+	c.results = make(chan callResult, len(c.homes))
+	r.hedgeBudget.Primary()
+	r.retryBudget.Primary()
 	return c.run(ctx)
 }
 
-func (c *call) run(ctx context.Context) *part {
+func (c *call) run(ctx context.Context) *partialAnswer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if !c.send(ctx) {
-		p := c.lost(contract.ReasonHomeLost)
-		p.retryAfter = drainingWait
+		p := c.unanswered(contract.ReasonHomeLost)
+		p.retryAfter = drainingRetryAfter
 		return p
 	}
-	timer := time.NewTimer(c.patience(ctx))
+	timer := time.NewTimer(c.hedgeDelay(ctx))
 	defer timer.Stop()
 	for {
 		select {
-		case d := <-c.results:
-			if p := c.take(ctx, d); p != nil {
+		case res := <-c.results:
+			if p := c.handleResult(ctx, res); p != nil {
 				return p
 			}
 		case <-timer.C:
 			c.hedge(ctx)
 		case <-ctx.Done():
-			return c.expired()
+			return c.finishAtDeadline()
 		}
 	}
 }
 
 // hedgeDelay returns how long to wait for the first home before a second one is asked.
-func (c *call) patience(ctx context.Context) time.Duration {
+func (c *call) hedgeDelay(ctx context.Context) time.Duration {
 	left := time.Minute
-	if at, ok := ctx.Deadline(); ok {
-		left = time.Until(at)
+	if deadline, ok := ctx.Deadline(); ok {
+		left = time.Until(deadline)
 	}
-	return c.r.patience(left)
+	return c.r.hedgeDelay(left)
 }
 
 // handleResult processes the result of one home. It returns the answer of the group when
 // that ends the call, else nil.
-func (c *call) take(ctx context.Context, d callDone) *part {
-	c.landed(&d)
-	if c.first != nil {
-		return c.filled(d)
-	}
-	if d.err == nil && d.part.refusal == "" {
-		c.settle(d.part)
-		if c.fill(ctx, d.part) {
+func (c *call) handleResult(ctx context.Context, res callResult) *partialAnswer {
+	c.recordResult(&res)
+	if c.firstAnswer != nil {
+		return c.mergeFill(res)
+	}
+	if res.err == nil && res.answer.refusal == "" {
+		c.raiseIfUncertain(res.answer)
+		if c.fillGaps(ctx, res.answer) {
 			return nil
 		}
-		return d.part
+		return res.answer
 	}
-	if d.err == nil {
-		c.refused = better(c.refused, d.part)
-	} else if d.err.Verdict != contract.NotRun {
-		c.doubt = true
+	if res.err == nil {
+		c.bestRefusal = betterRefusal(c.bestRefusal, res.answer)
+	} else if res.err.Verdict != contract.NotRun {
+		c.mayHaveRun = true
 	}
-	if c.next(ctx, d) || c.inFlight > 0 {
+	if c.tryNextHome(ctx, res) || c.inFlight > 0 {
 		return nil
 	}
-	if c.doubt || c.refused == nil {
-		return c.lost(contract.ReasonHomeLost)
+	if c.mayHaveRun || c.bestRefusal == nil {
+		return c.unanswered(contract.ReasonHomeLost)
 	}
-	return c.refused
+	return c.bestRefusal
 }
 
 // recordResult removes a finished call from the counts and records what the home reported
 // about its load and its index versions.
-func (c *call) landed(d *callDone) {
+func (c *call) recordResult(res *callResult) {
 	c.inFlight--
-	if d.local {
-		c.local--
+	if res.local {
+		c.localInFlight--
 	}
-	if d.err == nil && c.crossed(d.part) {
-		d.err = &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonWrongReply}
+	if res.err == nil && c.wrongVersion(res.answer) {
+		res.err = &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonWrongReply}
 	}
-	if d.err == nil {
-		c.r.learn(d.home.Name, d.part, c.e.Clock())
+	if res.err == nil {
+		c.r.recordReply(res.home.Name, res.answer, c.e.Clock())
 	}
 }
 
 // raiseIfUncertain turns the "not run" verdicts of p into "may have run" when another home
 // was asked as well and has not proved that it sent nothing: p covers only the attempts of
 // its own home.
-func (c *call) settle(p *part) {
-	if c.doubt || c.inFlight > 0 {
-		p.raise(c.q.service)
+func (c *call) raiseIfUncertain(p *partialAnswer) {
+	if c.mayHaveRun || c.inFlight > 0 {
+		p.raiseNotRun(c.q.service)
 	}
 }
 
 // wrongVersion reports whether p is of another index version than the pinned one. Accepting
 // it would mix two versions in one answer.
-func (c *call) crossed(p *part) bool {
+func (c *call) wrongVersion(p *partialAnswer) bool {
 	return p.refusal == "" && c.q.pin != 0 && p.version != c.q.pin
 }
 
@@ -151,28 +151,28 @@
 // was sent to a leaf, so the retry is free of the retry budget and allowed for every
 // request. A home that failed may have sent the request, and asking another could run it
 // twice: only repeatable requests are retried then, within the budget.
-func (c *call) next(ctx context.Context, d callDone) bool {
+func (c *call) tryNextHome(ctx context.Context, res callResult) bool {
 	if ctx.Err() != nil || c.sent >= len(c.homes) {
 		return false
 	}
-	certain := d.err == nil || d.err.Verdict == contract.NotRun
-	if !certain && (!c.q.repeatable || c.q.canary || !c.r.retries.Spend()) {
+	notRun := res.err == nil || res.err.Verdict == contract.NotRun
+	if !notRun && (!c.q.repeatable || c.q.canary || !c.r.retryBudget.Spend()) {
 		return false
 	}
-	if c.doubt && !c.q.repeatable {
+	if c.mayHaveRun && !c.q.repeatable {
 		return false
 	}
-	meter.homeRetry.Inc(1)
+	meters.homeRetries.Inc(1)
 	return c.send(ctx)
 }
 
 // hedge asks a second home when the first has not answered within the hedge delay.
 func (c *call) hedge(ctx context.Context) {
-	if !c.q.repeatable || c.q.canary || c.inFlight != 1 || c.sent >= len(c.homes) || !c.r.hedges.Spend() {
+	if !c.q.repeatable || c.q.canary || c.inFlight != 1 || c.sent >= len(c.homes) || !c.r.hedgeBudget.Spend() {
 		return
 	}
 	if c.send(ctx) {
-		meter.homeHedges.Inc(1)
+		meters.homeHedges.Inc(1)
 	}
 }
 
@@ -180,32 +180,32 @@
 // daemon serves itself, which ends at the same deadline with the shards answered by then,
 // and up to remoteResultWait for remote calls, whose errors prove that nothing was sent when
 // the home was never reached.
-func (c *call) expired() *part {
-	timer := time.NewTimer(expiredWait)
+func (c *call) finishAtDeadline() *partialAnswer {
+	timer := time.NewTimer(remoteResultWait)
 	defer timer.Stop()
-	overdue := timer.C
-	for c.local > 0 || c.inFlight > 0 && overdue != nil {
+	graceEnd := timer.C
+	for c.localInFlight > 0 || c.inFlight > 0 && graceEnd != nil {
 		select {
-		case d := <-c.results:
-			c.landed(&d)
+		case res := <-c.results:
+			c.recordResult(&res)
 			switch {
-			case c.first != nil:
-				return c.filled(d)
-			case d.err == nil && d.part.refusal == "":
-				c.settle(d.part)
-				return d.part
-			case d.err != nil && d.err.Verdict != contract.NotRun:
-				c.doubt = true
+			case c.firstAnswer != nil:
+				return c.mergeFill(res)
+			case res.err == nil && res.answer.refusal == "":
+				c.raiseIfUncertain(res.answer)
+				return res.answer
+			case res.err != nil && res.err.Verdict != contract.NotRun:
+				c.mayHaveRun = true
 			}
-		case <-overdue:
-			overdue = nil
+		case <-graceEnd:
+			graceEnd = nil
 		}
 	}
-	if c.first != nil {
-		c.markDoubt(c.first)
-		return c.first
+	if c.firstAnswer != nil {
+		c.markGapsMayHaveRun(c.firstAnswer)
+		return c.firstAnswer
 	}
-	return c.lost(contract.ReasonDeadline)
+	return c.unanswered(contract.ReasonDeadline)
 }
 
 // send sends the sub-query to the next home. It returns false when there is none left.
@@ -220,29 +220,29 @@
 	c.sent++
 	c.inFlight++
 	if local {
-		c.local++
+		c.localInFlight++
 	}
 	go func() {
-		d := callDone{home: home, local: local}
-		began := c.e.Clock()
+		res := callResult{home: home, local: local}
+		start := c.e.Clock()
 		if local {
-			d.part = c.e.serve(ctx, c.st, &q)
+			res.answer = c.e.serve(ctx, c.st, &q)
 		} else {
-			d.part, d.err = c.e.askRemote(ctx, c.st, home, &q)
+			res.answer, res.err = c.e.queryRemote(ctx, c.st, home, &q)
 		}
-		if d.err == nil && d.part.refusal == "" {
-			c.r.latency.Observe(c.e.Clock().Sub(began))
+		if res.err == nil && res.answer.refusal == "" {
+			c.r.latency.Observe(c.e.Clock().Sub(start))
 		}
-		c.results <- d
+		c.results <- res
 	}()
 	return true
 }
 
 // queryRemote sends q to a home on another daemon.
-func (e *Engine) askRemote(ctx context.Context, st state, home vm.Member, q *subquery) (*part, *contract.Error) {
+func (e *Engine) queryRemote(ctx context.Context, st tierView, home vm.Member, q *subquery) (*partialAnswer, *contract.Error) {
 	left := time.Minute
-	if at, ok := ctx.Deadline(); ok {
-		left = hopLeft(time.Until(at))
+	if deadline, ok := ctx.Deadline(); ok {
+		left = homeTimeLeft(time.Until(deadline))
 	}
 	if left < time.Millisecond {
 		return nil, contract.Refuse(contract.ReasonDeadline, nil)
@@ -254,17 +254,17 @@
 	defer conn.Close()
 	w, err := wire.NewDRPCHomeClient(conn).Query(ctx, q.toWire(left, st.ConfigVersion(), e.Self.Name))
 	if err != nil {
-		return nil, lostHome(err)
+		return nil, homeError(err)
 	}
 	if w.QueryId != q.id || w.Service != q.service {
 		return nil, &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonWrongReply}
 	}
-	return partFromWire(w), nil
+	return partialAnswerFromWire(w), nil
 }
 
 // homeError converts the error of a call to a home: "not run" if the call was never sent,
 // else "may have run".
-func lostHome(err error) *contract.Error {
+func homeError(err error) *contract.Error {
 	if peer.NotSent(err) {
 		return contract.Refuse(contract.ReasonHomeLost, err)
 	}
@@ -273,7 +273,7 @@
 
 // betterRefusal returns the refusal with more information: one that lists index versions,
 // then one with the size of the partition map, else the one with the shorter Retry-After.
-func better(a, b *part) *part {
+func betterRefusal(a, b *partialAnswer) *partialAnswer {
 	switch {
 	case a == nil || (len(a.versions) == 0 && len(b.versions) > 0):
 		return b
@@ -290,16 +290,16 @@
 // unanswered returns the answer of a leaf group whose homes gave none: every requested
 // shard is missing. The number of shards is that of the pinned version as last reported;
 // when it is unknown, the group counts as one shard and the answer has no version.
-func (c *call) lost(reason contract.Reason) *part {
+func (c *call) unanswered(reason contract.Reason) *partialAnswer {
 	verdict := contract.NotRun
-	if c.doubt || c.inFlight > 0 {
+	if c.mayHaveRun || c.inFlight > 0 {
 		verdict = contract.MayHaveRun
 	}
-	p := &part{version: c.q.pin}
+	p := &partialAnswer{version: c.q.pin}
 	shards := c.q.shards
 	if seen := c.r.versions.Load(); seen != nil && len(shards) == 0 {
-		if v := expected(seen.states, c.q.pin); v != nil {
-			p.version, shards = v.version, firstShards(v.shards)
+		if v := findVersion(seen.states, c.q.pin); v != nil {
+			p.version, shards = v.version, allShards(v.shards)
 		}
 	}
 	if len(shards) == 0 {
@@ -317,16 +317,16 @@
 
 // findVersion returns the state of the pinned version, or of the newest one if pin is 0.
 // It returns nil when states lacks the version.
-func expected(states []versionState, pin uint64) *versionState {
-	at := slices.IndexFunc(states, func(v versionState) bool { return pin == 0 || v.version == pin })
-	if at < 0 {
+func findVersion(states []versionState, pin uint64) *versionState {
+	i := slices.IndexFunc(states, func(v versionState) bool { return pin == 0 || v.version == pin })
+	if i < 0 {
 		return nil
 	}
-	return &states[at]
+	return &states[i]
 }
 
 // allShards returns the numbers of all shards of a partition map of n shards.
-func firstShards(n uint32) []uint32 {
+func allShards(n uint32) []uint32 {
 	out := make([]uint32, n)
 	for i := range out {
 		out[i] = uint32(i)
--- a/internal/query/check_test.go
+++ b/internal/query/check_test.go
@@ -25,20 +25,20 @@
 	}
 	missing := map[string]contract.Missing{}
 	for _, m := range c.Missing {
-		at := fmt.Sprintf("%s/%d", m.Service, m.Shard)
-		if _, twice := missing[at]; twice {
-			return errors.Newf("shard %s is listed as missing twice", at)
+		shardName := fmt.Sprintf("%s/%d", m.Service, m.Shard)
+		if _, duplicate := missing[shardName]; duplicate {
+			return errors.Newf("shard %s is listed as missing twice", shardName)
 		}
 		if m.Reason == "" {
-			return errors.Newf("missing shard %s has no reason", at)
+			return errors.Newf("missing shard %s has no reason", shardName)
 		}
-		missing[at] = m
+		missing[shardName] = m
 	}
 	want := map[string]bool{}
 	answered := 0
 	for service, v := range a.IndexVersions {
 		for shard := range shardsAt(v) {
-			if _, gone := missing[fmt.Sprintf("%s/%d", service, shard)]; gone {
+			if _, isMissing := missing[fmt.Sprintf("%s/%d", service, shard)]; isMissing {
 				continue
 			}
 			answered++
@@ -68,26 +68,26 @@
 
 // runCounts returns how often a request ran, in total over all shards and the maximum at one
 // shard.
-func (w *world) ran(key string) (total, most int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for s := range w.services {
+func (tier *testTier) runCounts(key string) (total, maxAtShard int) {
+	tier.mu.Lock()
+	defer tier.mu.Unlock()
+	for s := range tier.services {
 		for shard := range uint32(8) {
-			n := w.runs[runKey(body(key), fmt.Sprintf("desk/s%d", s), shard)]
+			n := tier.runs[runKey(body(key), fmt.Sprintf("desk/s%d", s), shard)]
 			total += n
-			most = max(most, n)
+			maxAtShard = max(maxAtShard, n)
 		}
 	}
-	return total, most
+	return total, maxAtShard
 }
 
 // checkNotRun checks that no leaf ran the request for a shard that the answer reports as not
 // run.
-func (w *world) checkNotRun(key string, a *contract.Answer) error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (tier *testTier) checkNotRun(key string, a *contract.Answer) error {
+	tier.mu.Lock()
+	defer tier.mu.Unlock()
 	for _, m := range a.Coverage.Missing {
-		if n := w.runs[runKey(body(key), m.Service, m.Shard)]; m.Verdict == contract.NotRun && n > 0 {
+		if n := tier.runs[runKey(body(key), m.Service, m.Shard)]; m.Verdict == contract.NotRun && n > 0 {
 			return errors.Newf("shard %d of %s is reported as not run (%s) but ran %d times", m.Shard, m.Service, m.Reason, n)
 		}
 	}
--- a/internal/query/conn_test.go
+++ b/internal/query/conn_test.go
@@ -13,23 +13,23 @@
 )
 
 // Conn implements relay.Conns.
-func (w *world) Conn(_ context.Context, addr string) (drpc.Conn, error) {
-	return &worldConn{w: w, addr: addr}, nil
+func (tier *testTier) Conn(_ context.Context, addr string) (drpc.Conn, error) {
+	return &fakeConn{tier: tier, addr: addr}, nil
 }
 
 // fakeConn calls a daemon directly. It copies the messages as if they were sent over DRPC.
-type worldConn struct {
+type fakeConn struct {
 	drpc.Conn
-	w    *world
+	tier *testTier
 	addr string
 }
 
-func (c *worldConn) Close() error { return nil }
+func (c *fakeConn) Close() error { return nil }
 
-func (c *worldConn) Invoke(ctx context.Context, rpc string, _ drpc.Encoding, in, out drpc.Message) error {
-	c.w.mu.Lock()
-	d := c.w.daemons[c.addr]
-	c.w.mu.Unlock()
+func (c *fakeConn) Invoke(ctx context.Context, rpc string, _ drpc.Encoding, in, out drpc.Message) error {
+	c.tier.mu.Lock()
+	d := c.tier.daemons[c.addr]
+	c.tier.mu.Unlock()
 	if d.isCrashed() {
 		return &peer.NotSentError{Addr: c.addr, Cause: errors.New("connection refused")}
 	}
@@ -37,12 +37,12 @@
 		<-ctx.Done()
 		return &peer.NotSentError{Addr: c.addr, Cause: ctx.Err()}
 	}
-	time.Sleep(oneWay)
+	time.Sleep(networkDelay)
 	done := make(chan error, 1)
 	go func() { done <- d.handle(ctx, rpc, clone(in), out) }()
 	select {
 	case err := <-done:
-		time.Sleep(oneWay)
+		time.Sleep(networkDelay)
 		if d.isCrashed() {
 			return errors.New("connection reset")
 		}
@@ -55,7 +55,7 @@
 
 func clone(m drpc.Message) proto.Message { return proto.Clone(m.(proto.Message)) }
 
-func (d *daemon) handle(ctx context.Context, rpc string, in proto.Message, out drpc.Message) error {
+func (d *testDaemon) handle(ctx context.Context, rpc string, in proto.Message, out drpc.Message) error {
 	var reply proto.Message
 	var err error
 	switch req := in.(type) {
@@ -74,7 +74,7 @@
 	return err
 }
 
-func (d *daemon) isCrashed() bool {
+func (d *testDaemon) isCrashed() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.crashed
--- a/internal/query/decode.go
+++ b/internal/query/decode.go
@@ -13,7 +13,7 @@
 )
 
 // maxValueBytes bounds how much of an invalid value an error message quotes.
-const maxShown = 64
+const maxValueBytes = 64
 
 // DecodeRequest decodes the JSON body of a query, of at most limit bytes. Its errors are
 // contract.Faults. An unknown field may be an option that the caller relies on, so it is an
@@ -30,37 +30,37 @@
 		return nil, decodeFault(b, err)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return nil, fault("request", shown(b[dec.InputOffset():]), "there is more after the JSON object", "send exactly one JSON object")
+		return nil, fault("request", truncated(b[dec.InputOffset():]), "there is more after the JSON object", "send exactly one JSON object")
 	}
 	return &r, nil
 }
 
 // unknownFieldPrefix starts the error that encoding/json returns for an unknown field. That
 // error has no type of its own to test for.
-const unknownField = "json: unknown field "
+const unknownFieldPrefix = "json: unknown field "
 
 // decodeFault converts an error of encoding/json to contract.Faults.
 func decodeFault(b []byte, err error) error {
-	var typ *json.UnmarshalTypeError
-	var syntax *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
+	var syntaxErr *json.SyntaxError
 	switch {
-	case errors.As(err, &typ):
-		return fault(typ.Field, typ.Value, "it can't be read as "+typ.Type.String(), "send the type that the reference names")
-	case errors.As(err, &syntax):
-		return fault("request", shown(b), fmt.Sprintf("it is not JSON: %v at byte %d", syntax, syntax.Offset), "send one JSON object")
-	case strings.HasPrefix(err.Error(), unknownField):
-		name := strings.Trim(strings.TrimPrefix(err.Error(), unknownField), `"`)
+	case errors.As(err, &typeErr):
+		return fault(typeErr.Field, typeErr.Value, "it can't be read as "+typeErr.Type.String(), "send the type that the reference names")
+	case errors.As(err, &syntaxErr):
+		return fault("request", truncated(b), fmt.Sprintf("it is not JSON: %v at byte %d", syntaxErr, syntaxErr.Offset), "send one JSON object")
+	case strings.HasPrefix(err.Error(), unknownFieldPrefix):
+		name := strings.Trim(strings.TrimPrefix(err.Error(), unknownFieldPrefix), `"`)
 		return fault(name, "", "the field is not known", "remove it or mend its spelling")
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return fault("request", shown(b), "the JSON object is not complete", "send one JSON object")
+		return fault("request", truncated(b), "the JSON object is not complete", "send one JSON object")
 	}
-	return fault("request", shown(b), err.Error(), "send one JSON object")
+	return fault("request", truncated(b), err.Error(), "send one JSON object")
 }
 
 // truncated returns b as text, cut to maxValueBytes.
-func shown(b []byte) string {
-	if len(b) > maxShown {
-		return string(b[:maxShown]) + "..."
+func truncated(b []byte) string {
+	if len(b) > maxValueBytes {
+		return string(b[:maxValueBytes]) + "..."
 	}
 	return string(b)
 }
--- a/internal/query/engine.go
+++ b/internal/query/engine.go
@@ -15,21 +15,21 @@
 const (
 	// replyMargin is reserved at the end of a deadline for the answer to reach the
 	// caller. It is at most a tenth of the deadline.
-	wayBack         = 5 * time.Millisecond
-	unconfirmedWait = time.Second // a daemon usually renews a lost lease within this time
-	drainingWait    = 100 * time.Millisecond
+	replyMargin           = 5 * time.Millisecond
+	unconfirmedRetryAfter = time.Second // by then, a lost lease may have been renewed
+	drainingRetryAfter    = 100 * time.Millisecond
 )
 
 // Engine answers queries of callers, as their entry, and sub-queries of other daemons, as a
 // home of leaf groups. It is safe for concurrent use.
 type Engine struct {
 	Config
-	view   func() state
-	issuer *session.Issuer
-	keys   *session.Table
-	homes  sync.Map // service -> *homeState
-	routes sync.Map // leafGroup -> *groupRoute
-	work   inFlight
+	currentView func() tierView
+	issuer      *session.Issuer
+	keyTable    *session.Table
+	homes       sync.Map // service -> *homeState
+	routes      sync.Map // leafGroup -> *groupRoute
+	work        workTracker
 }
 
 // New returns an Engine. It starts no goroutine of its own.
@@ -37,13 +37,13 @@
 	if c.Keys == (session.Limits{}) {
 		c.Keys = DefaultKeys
 	}
-	e := &Engine{Config: c, issuer: session.NewIssuer(c.Self), keys: session.NewTable(c.Keys)}
-	e.view = func() state {
+	e := &Engine{Config: c, issuer: session.NewIssuer(c.Self), keyTable: session.NewTable(c.Keys)}
+	e.currentView = func() tierView {
 		v := c.Source.Current()
 		if v == nil || v.Tree == nil {
 			return nil
 		}
-		return viewState{v}
+		return relayTierView{v}
 	}
 	return e
 }
@@ -51,14 +51,14 @@
 // Query answers r. The error is a *contract.Error; if the request is invalid, its cause is
 // contract.Faults. Query returns by the deadline of r, and at once when r is refused.
 func (e *Engine) Query(ctx context.Context, requestID string, r *contract.Request) (*contract.Answer, error) {
-	began := time.Now()
+	start := time.Now()
 	a, err := e.query(ctx, requestID, r)
 	if err != nil {
 		countRefusal(err.Reason)
 		return nil, err
 	}
-	a.ElapsedMS = float64(time.Since(began)) / float64(time.Millisecond)
-	count(a, time.Since(began))
+	a.ElapsedMS = float64(time.Since(start)) / float64(time.Millisecond)
+	recordAnswer(a, time.Since(start))
 	return a, nil
 }
 
@@ -67,43 +67,43 @@
 		return nil, drainingError()
 	}
 	defer e.work.end()
-	st := e.view()
+	st := e.currentView()
 	if st == nil {
 		return nil, unconfirmedError()
 	}
 	if !r.IsRepeatable() {
-		return e.keyed(ctx, st, id, r)
+		return e.queryKeyed(ctx, st, id, r)
 	}
 	p, err := validate(st, id, r)
 	if err != nil {
 		return nil, err
 	}
-	return e.confirmed(ctx, st, p)
+	return e.runConfirmed(ctx, st, p)
 }
 
 // runConfirmed runs p if the daemon's lease is valid now.
-func (e *Engine) confirmed(ctx context.Context, st state, p *plan) (*contract.Answer, *contract.Error) {
+func (e *Engine) runConfirmed(ctx context.Context, st tierView, p *plan) (*contract.Answer, *contract.Error) {
 	if !st.Confirmed(e.Clock()) {
 		return nil, unconfirmedError()
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.timeout-min(wayBack, p.timeout/10))
+	ctx, cancel := context.WithTimeout(ctx, p.timeout-min(replyMargin, p.timeout/10))
 	defer cancel()
-	return e.guarded(ctx, st, p)
+	return e.runWithQuarantine(ctx, st, p)
 }
 
 // sessionGrace is how long a session accepts new keys after the address list that it came
 // with has expired. It covers the time that the list takes to reach the caller, and that a
 // request begun while the list was valid takes to reach the daemon.
-const sessionSlack = 500 * time.Millisecond
+const sessionGrace = 500 * time.Millisecond
 
 // IssueSession returns a session for non-repeatable requests, bound to this incarnation of
 // the daemon.
 func (e *Engine) IssueSession() string {
 	var tier settings.Tier
-	if st := e.view(); st != nil {
+	if st := e.currentView(); st != nil {
 		tier = st.Tier()
 	}
-	return e.issuer.Issue(e.Clock(), tier.AddressLifetime+sessionSlack, tier.ResendWindow)
+	return e.issuer.Issue(e.Clock(), tier.AddressLifetime+sessionGrace, tier.ResendWindow)
 }
 
 // Drain refuses new queries and waits until those in flight have ended, or until ctx is
@@ -123,25 +123,25 @@
 
 func unconfirmedError() *contract.Error {
 	return &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonUnconfirmed,
-		RetryAfter: unconfirmedWait.Milliseconds()}
+		RetryAfter: unconfirmedRetryAfter.Milliseconds()}
 }
 
 func drainingError() *contract.Error {
 	return &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonDraining,
-		RetryAfter: drainingWait.Milliseconds()}
+		RetryAfter: drainingRetryAfter.Milliseconds()}
 }
 
 // recordAnswer updates the metrics for an answer.
-func count(a *contract.Answer, took time.Duration) {
-	meter.latency.Update(took)
-	meter.coverage.Update(int64(100 * a.Coverage.Fraction()))
+func recordAnswer(a *contract.Answer, took time.Duration) {
+	meters.latency.Update(took)
+	meters.coverage.Update(int64(100 * a.Coverage.Fraction()))
 	switch {
 	case len(a.Coverage.Missing) == 0:
-		meter.full.Inc(1)
+		meters.full.Inc(1)
 	case a.Early:
-		meter.early.Inc(1)
+		meters.early.Inc(1)
 	default:
-		meter.partial.Inc(1)
+		meters.partial.Inc(1)
 	}
 	for i := range a.Coverage.Missing {
 		countMissing(a.Coverage.Missing[i].Reason)
@@ -150,7 +150,7 @@
 
 // workTracker counts queries and sub-queries in flight and signals when the last one has
 // ended.
-type inFlight struct {
+type workTracker struct {
 	mu     sync.Mutex
 	n      int
 	closed bool
@@ -158,44 +158,44 @@
 }
 
 // start adds one query. It returns false after close.
-func (f *inFlight) start() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
+func (t *workTracker) start() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.closed {
 		return false
 	}
-	f.n++
-	meter.inFlight.Inc(1)
+	t.n++
+	meters.inFlight.Inc(1)
 	return true
 }
 
-func (f *inFlight) end() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.n--
-	meter.inFlight.Dec(1)
-	if f.closed && f.n == 0 {
-		close(f.idle)
+func (t *workTracker) end() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.n--
+	meters.inFlight.Dec(1)
+	if t.closed && t.n == 0 {
+		close(t.idle)
 	}
 }
 
 // close refuses new queries. The channel that it returns is closed once none is in flight.
-func (f *inFlight) close() <-chan struct{} {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.closed {
-		return f.idle
-	}
-	f.closed = true
-	f.idle = make(chan struct{})
-	if f.n == 0 {
-		close(f.idle)
-	}
-	return f.idle
+func (t *workTracker) close() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.closed {
+		return t.idle
+	}
+	t.closed = true
+	t.idle = make(chan struct{})
+	if t.n == 0 {
+		close(t.idle)
+	}
+	return t.idle
 }
 
-func (f *inFlight) count() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.n
+func (t *workTracker) count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.n
 }
--- a/internal/query/engine_test.go
+++ b/internal/query/engine_test.go
@@ -12,34 +12,34 @@
 	"pearmoor/internal/contract"
 )
 
-func ask(w *world, daemon, key string) (*contract.Answer, error) {
-	return w.engine(daemon).Query(context.Background(), key, &contract.Request{Path: "/desk", Body: body(key)})
+func sendQuery(tier *testTier, daemon, key string) (*contract.Answer, error) {
+	return tier.engine(daemon).Query(context.Background(), key, &contract.Request{Path: "/desk", Body: body(key)})
 }
 
 // Every answer has full coverage and one index version while the leaves change versions. Each
 // leaf drops the old version as it loads the new one, so that until its next poll a home
 // still lists a version that a leaf has dropped, and entries pin versions that homes no
 // longer have.
-func TestRollingIndexChangeIsFullyCovered(t *testing.T) {
-	for _, gap := range []time.Duration{7 * time.Millisecond, 111 * time.Millisecond, 411 * time.Millisecond} {
-		if err := queryWhileRolling(t, gap); err != nil {
-			t.Fatalf("one query every %v: %v", gap, err)
+func TestFullCoverageDuringRollingIndexUpdate(t *testing.T) {
+	for _, interval := range []time.Duration{7 * time.Millisecond, 111 * time.Millisecond, 411 * time.Millisecond} {
+		if err := queryDuringRollout(t, interval); err != nil {
+			t.Fatalf("one query every %v: %v", interval, err)
 		}
 	}
 }
 
-func queryWhileRolling(t *testing.T, gap time.Duration) error {
-	return inWorld(t, 1, "", func(w *world) error {
+func queryDuringRollout(t *testing.T, interval time.Duration) error {
+	return runInTier(t, 1, "", func(tier *testTier) error {
 		done := make(chan struct{})
-		w.busy.Go(func() {
+		tier.goroutines.Go(func() {
 			defer close(done)
-			for v := uint64(2); v <= 12 && w.ctx.Err() == nil; v++ {
+			for v := uint64(2); v <= 12 && tier.ctx.Err() == nil; v++ {
 				for l := range 2 {
-					for s := range worldServices {
-						w.roll(fmt.Sprintf("127.0.0.1:%d", 1000+10*s+l), v)
+					for s := range testServices {
+						tier.setVersion(fmt.Sprintf("127.0.0.1:%d", 1000+10*s+l), v)
 						time.Sleep(37 * time.Millisecond)
 					}
-					time.Sleep(pollEvery + pollEvery/4)
+					time.Sleep(pollInterval + pollInterval/4)
 				}
 			}
 		})
@@ -49,7 +49,7 @@
 				return nil
 			default:
 			}
-			a, err := ask(w, []string{"a", "b", "c"}[i%3], fmt.Sprint("q", i))
+			a, err := sendQuery(tier, []string{"a", "b", "c"}[i%3], fmt.Sprint("q", i))
 			if err != nil {
 				return errors.Wrapf(err, "query %d", i)
 			}
@@ -59,27 +59,27 @@
 			if len(a.Coverage.Missing) > 0 {
 				return errors.Newf("query %d at versions %v has missing shards %v", i, a.IndexVersions, a.Coverage.Missing)
 			}
-			time.Sleep(gap)
+			time.Sleep(interval)
 		}
 	})
 }
 
-func (w *world) roll(addr string, version uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.leaves[addr].versions = map[uint64]uint32{version: shardsAt(version)}
+func (tier *testTier) setVersion(addr string, version uint64) {
+	tier.mu.Lock()
+	defer tier.mu.Unlock()
+	tier.leaves[addr].versions = map[uint64]uint32{version: shardsAt(version)}
 }
 
 // Answers keep full coverage right after one leaf of each shard goes down. Connections to it
 // fail before anything is sent, so the other leaf of the shard may be asked without using the
 // retry budget.
-func TestLostReplicaKeepsCoverage(t *testing.T) {
-	err := inWorld(t, 2, "", func(w *world) error {
-		for s := range worldServices {
-			w.leaves[fmt.Sprintf("127.0.0.1:%d", 1000+10*s)].down = true
+func TestFullCoverageAfterReplicaLoss(t *testing.T) {
+	err := runInTier(t, 2, "", func(tier *testTier) error {
+		for s := range testServices {
+			tier.leaves[fmt.Sprintf("127.0.0.1:%d", 1000+10*s)].down = true
 		}
 		for i := range 60 {
-			a, err := ask(w, "a", fmt.Sprint("q", i))
+			a, err := sendQuery(tier, "a", fmt.Sprint("q", i))
 			if err != nil {
 				return err
 			}
@@ -96,11 +96,11 @@
 
 // Connections to the homes of some shards are not established before the deadline. These
 // shards must be reported as not run, because nothing was sent.
-func TestShardsOfUnreachableHomesAreNotRun(t *testing.T) {
-	err := inWorld(t, 2, "", func(w *world) error {
-		w.daemons["b"].unreachable.Store(true)
-		w.daemons["c"].unreachable.Store(true)
-		a, err := ask(w, "a", "q")
+func TestUnreachableHomesReportNotRun(t *testing.T) {
+	err := runInTier(t, 2, "", func(tier *testTier) error {
+		tier.daemons["b"].unreachable.Store(true)
+		tier.daemons["c"].unreachable.Store(true)
+		a, err := sendQuery(tier, "a", "q")
 		if err != nil {
 			return err
 		}
@@ -121,17 +121,17 @@
 
 // A daemon whose lease has expired refuses queries with verdict not_run and a Retry-After,
 // and sends nothing to leaves.
-func TestLostLeaseRefuses(t *testing.T) {
-	err := inWorld(t, 3, "", func(w *world) error {
-		lapsed := *w.view.Load()
-		lapsed.Lease = bubbleClock()
-		w.view.Store(&lapsed)
-		_, err := ask(w, "a", "q")
+func TestExpiredLeaseRefusesQueries(t *testing.T) {
+	err := runInTier(t, 3, "", func(tier *testTier) error {
+		lapsed := *tier.view.Load()
+		lapsed.Lease = fakeClock()
+		tier.view.Store(&lapsed)
+		_, err := sendQuery(tier, "a", "q")
 		var e *contract.Error
 		if !errors.As(err, &e) || e.Verdict != contract.NotRun || e.Reason != contract.ReasonUnconfirmed || e.RetryAfter <= 0 {
 			return errors.Newf("got %v, want unconfirmed, not run, with a Retry-After", err)
 		}
-		if total, _ := w.ran("q"); total != 0 {
+		if total, _ := tier.runCounts("q"); total != 0 {
 			return errors.Newf("query ran %d times, want 0", total)
 		}
 		return nil
@@ -143,14 +143,14 @@
 
 // A planned stop does not interrupt queries: Drain refuses new ones with not_run and returns
 // only when the last query in flight has ended.
-func TestDrainCutsOffNothing(t *testing.T) {
+func TestDrainWaitsForQueriesInFlight(t *testing.T) {
 	Convey("Given queries in flight", t, func() {
-		err := inWorld(t, 4, "", func(w *world) error {
-			e := w.engine("a")
+		err := runInTier(t, 4, "", func(tier *testTier) error {
+			e := tier.engine("a")
 			results := make(chan error, 20)
 			for i := range cap(results) {
 				go func() {
-					a, err := ask(w, "a", fmt.Sprint("q", i))
+					a, err := sendQuery(tier, "a", fmt.Sprint("q", i))
 					if err == nil && len(a.Coverage.Missing) > 0 {
 						err = errors.Newf("answer has missing shards %v", a.Coverage.Missing)
 					}
@@ -169,7 +169,7 @@
 					return err
 				}
 			}
-			_, err := ask(w, "a", "late")
+			_, err := sendQuery(tier, "a", "late")
 			if contract.VerdictOf(err) != contract.NotRun {
 				return errors.Newf("late query, sent after Drain, got %v, want not run", err)
 			}
--- a/internal/query/fill.go
+++ b/internal/query/fill.go
@@ -9,13 +9,13 @@
 // fillGaps asks another home for the shards that are missing from p and provably did not
 // run: the home had no permit for them, or did not know their leaves yet because it has just
 // become a home. It reports whether a home was asked.
-func (c *call) fill(ctx context.Context, p *part) bool {
+func (c *call) fillGaps(ctx context.Context, p *partialAnswer) bool {
 	if ctx.Err() != nil || c.inFlight > 0 || c.sent >= len(c.homes) {
 		return false
 	}
 	var gaps []uint32
 	for _, m := range p.missing {
-		if fillable(m) {
+		if canFill(m) {
 			gaps = append(gaps, m.Shard)
 		}
 	}
@@ -24,33 +24,33 @@
 	}
 	q := *c.q
 	q.shards, q.pin, q.partial = gaps, p.version, true
-	c.first, c.q = p, &q
+	c.firstAnswer, c.q = p, &q
 	return c.send(ctx)
 }
 
 // canFill reports whether a missing shard may be requested from another home.
-func fillable(m contract.Missing) bool {
+func canFill(m contract.Missing) bool {
 	return m.Verdict == contract.NotRun && (m.Reason == contract.ReasonNoReplica || m.Reason == contract.ReasonOverload)
 }
 
 // mergeFill merges the second home's result for the missing shards into the first answer and
 // returns that.
-func (c *call) filled(d callDone) *part {
-	p := c.first
+func (c *call) mergeFill(res callResult) *partialAnswer {
+	p := c.firstAnswer
 	switch {
-	case d.err != nil && d.err.Verdict != contract.NotRun:
-		c.markDoubt(p)
-	case d.err == nil && d.part.refusal == "":
-		c.join(p, d.part)
+	case res.err != nil && res.err.Verdict != contract.NotRun:
+		c.markGapsMayHaveRun(p)
+	case res.err == nil && res.answer.refusal == "":
+		c.mergeAnswer(p, res.answer)
 	}
 	return p
 }
 
 // markGapsMayHaveRun marks the shards of p that the second home was asked for as "may have
 // run", because that home gave no answer.
-func (c *call) markDoubt(p *part) {
+func (c *call) markGapsMayHaveRun(p *partialAnswer) {
 	for i := range p.missing {
-		if fillable(p.missing[i]) {
+		if canFill(p.missing[i]) {
 			p.missing[i].Reason, p.missing[i].Verdict = contract.ReasonHomeLost, contract.MayHaveRun
 		}
 	}
@@ -58,7 +58,7 @@
 
 // mergeAnswer replaces the outcome in p of the shards that the second home was asked for by
 // that in other.
-func (c *call) join(p, o *part) {
+func (c *call) mergeAnswer(p, other *partialAnswer) {
 	asked := make(map[uint32]bool, len(c.q.shards))
 	for _, s := range c.q.shards {
 		asked[s] = true
@@ -69,10 +69,10 @@
 			kept = append(kept, m)
 		}
 	}
-	p.missing = append(kept, o.missing...)
-	p.answered += o.answered
-	p.hits = append(p.hits, o.hits...)
-	p.omitted += o.omitted
-	p.extra += o.extra
-	p.early = p.early || o.early
+	p.missing = append(kept, other.missing...)
+	p.answered += other.answered
+	p.hits = append(p.hits, other.hits...)
+	p.hitsOmitted += other.hitsOmitted
+	p.extraAttempts += other.extraAttempts
+	p.early = p.early || other.early
 }
--- a/internal/query/gather.go
+++ b/internal/query/gather.go
@@ -7,28 +7,28 @@
 )
 
 // answerBuilder merges the answers of all leaf groups into the answer to the caller.
-type gathered struct {
+type answerBuilder struct {
 	answer     *contract.Answer
 	retryAfter time.Duration
 	verdict    contract.Verdict
 }
 
 // mergeScopes merges the answers of all scopes. It returns an error when no shard answered.
-func (e *Engine) merge(st state, p *plan, outs []*outcome) (*contract.Answer, *contract.Error) {
-	g := &gathered{verdict: contract.NotRun, answer: &contract.Answer{
+func (e *Engine) mergeScopes(st tierView, p *plan, results []*scopeResult) (*contract.Answer, *contract.Error) {
+	b := &answerBuilder{verdict: contract.NotRun, answer: &contract.Answer{
 		RequestID: p.id, ServedBy: e.Self.Name, ConfigVersion: st.ConfigVersion(),
 		IndexVersions: make(map[string]uint64, len(p.services)),
 	}}
-	for _, out := range outs {
-		g.addScope(out)
+	for _, result := range results {
+		b.addScope(result)
 	}
-	a := g.answer
-	a.Verdict = g.verdict
+	a := b.answer
+	a.Verdict = b.verdict
 	if a.Coverage.Answered == 0 {
-		return nil, g.failure()
+		return nil, b.failure()
 	}
 	var omitted int
-	a.Hits, omitted = top(a.Hits, p.limit())
+	a.Hits, omitted = topHits(a.Hits, p.hitLimit())
 	a.HitsOmitted += omitted
 	if a.Hits == nil {
 		a.Hits = []contract.ServiceHit{}
@@ -36,23 +36,23 @@
 	return a, nil
 }
 
-func (g *gathered) addScope(out *outcome) {
-	g.answer.ExtraAttempts += out.wasted
-	for _, t := range out.targets {
-		if p := out.parts[t.unit]; p != nil {
-			g.addPart(t.service, p)
+func (b *answerBuilder) addScope(result *scopeResult) {
+	b.answer.ExtraAttempts += result.discardedAttempts
+	for _, group := range result.groups {
+		if p := result.answers[group.leafGroup]; p != nil {
+			b.addAnswer(group.service, p)
 		}
 	}
-	for service, shards := range out.shards {
-		g.addUnassigned(service, shards, out)
+	for service, shards := range result.shardCounts {
+		b.addUnassigned(service, shards, result)
 	}
 }
 
 // addAnswer adds the answer of a leaf group.
-func (g *gathered) addPart(service string, p *part) {
-	a := g.answer
+func (b *answerBuilder) addAnswer(service string, p *partialAnswer) {
+	a := b.answer
 	if p.refusal != "" {
-		g.addRefusal(service, p)
+		b.addRefusal(service, p)
 		return
 	}
 	if p.version != 0 {
@@ -62,28 +62,28 @@
 	a.Coverage.Total += p.answered + len(p.missing)
 	a.Coverage.Missing = append(a.Coverage.Missing, p.missing...)
 	a.Hits = append(a.Hits, p.hits...)
-	a.HitsOmitted += p.omitted
-	a.ExtraAttempts += p.extra
+	a.HitsOmitted += p.hitsOmitted
+	a.ExtraAttempts += p.extraAttempts
 	a.Early = a.Early || p.early
 	if p.answered > 0 {
-		g.verdict = g.verdict.Join(contract.Ran)
+		b.verdict = b.verdict.Join(contract.Ran)
 	}
 	for _, m := range p.missing {
-		g.verdict = g.verdict.Join(m.Verdict)
+		b.verdict = b.verdict.Join(m.Verdict)
 	}
-	g.noteRetryAfter(p.retryAfter)
+	b.noteRetryAfter(p.retryAfter)
 }
 
 // addRefusal counts the shards of a leaf group that refused as missing. If their number is
 // unknown, the group counts as one shard.
-func (g *gathered) addRefusal(service string, p *part) {
-	c := &g.answer.Coverage
-	g.noteRetryAfter(p.retryAfter)
+func (b *answerBuilder) addRefusal(service string, p *partialAnswer) {
+	c := &b.answer.Coverage
+	b.noteRetryAfter(p.retryAfter)
 	missing := p.missing
 	if len(missing) == 0 {
 		missing = []contract.Missing{{Service: service, Reason: p.refusal, Verdict: contract.NotRun}}
 	} else if p.version != 0 {
-		g.answer.IndexVersions[service] = p.version
+		b.answer.IndexVersions[service] = p.version
 	}
 	c.Total += len(missing)
 	c.Missing = append(c.Missing, missing...)
@@ -91,17 +91,17 @@
 
 // addUnassigned counts the shards that no group holds as missing, for a service with several
 // leaf groups.
-func (g *gathered) addUnassigned(service string, shards uint32, out *outcome) {
+func (b *answerBuilder) addUnassigned(service string, shards uint32, result *scopeResult) {
 	assigned := newShardSet(shards)
-	for u, list := range out.split {
-		if u.service != service {
+	for g, list := range result.assigned {
+		if g.service != service {
 			continue
 		}
 		for _, s := range list {
 			assigned.add(s)
 		}
 	}
-	c := &g.answer.Coverage
+	c := &b.answer.Coverage
 	if shards == 0 {
 		c.Total++
 		c.Missing = append(c.Missing, contract.Missing{Service: service, Reason: contract.ReasonNoSnapshot, Verdict: contract.NotRun})
@@ -115,20 +115,20 @@
 }
 
 // noteRetryAfter keeps the shortest Retry-After of the answers.
-func (g *gathered) noteRetryAfter(d time.Duration) {
-	if d > 0 && (g.retryAfter == 0 || d < g.retryAfter) {
-		g.retryAfter = d
+func (b *answerBuilder) noteRetryAfter(d time.Duration) {
+	if d > 0 && (b.retryAfter == 0 || d < b.retryAfter) {
+		b.retryAfter = d
 	}
 }
 
 // failure returns the error of a query that no shard answered.
-func (g *gathered) failure() *contract.Error {
-	err := &contract.Error{Verdict: g.verdict, Reason: contract.ReasonInternal}
-	if missing := g.answer.Coverage.Missing; len(missing) > 0 {
-		err.Reason = commonReason(missing)
+func (b *answerBuilder) failure() *contract.Error {
+	err := &contract.Error{Verdict: b.verdict, Reason: contract.ReasonInternal}
+	if missing := b.answer.Coverage.Missing; len(missing) > 0 {
+		err.Reason = mostCommonReason(missing)
 	}
 	if err.Verdict == contract.NotRun {
-		err.RetryAfter = max(1, g.retryAfter.Milliseconds())
+		err.RetryAfter = max(1, b.retryAfter.Milliseconds())
 	}
 	return err
 }
--- a/internal/query/home.go
+++ b/internal/query/home.go
@@ -18,95 +18,95 @@
 
 // minExtraRate is the number of hedges and of retries per second that a service may always
 // send, so that a service with little traffic can use them at all.
-const extraFloor = 1
+const minExtraRate = 1
 
 // unknownLeavesRetryAfter is the Retry-After of a home that has not probed all leaves yet.
-const learningWait = 100 * time.Millisecond
+const unknownLeavesRetryAfter = 100 * time.Millisecond
 
 // homeState is the state that a daemon keeps for a service as a home of its leaf groups.
-type home struct {
-	group      *scatter.Group
-	hedgeShare share
-	retryShare share
-	waiting    atomic.Int64 // shards queued or running at this home
+type homeState struct {
+	scatterGroup   *scatter.Group
+	hedgeShare     atomicFloat
+	retryShare     atomicFloat
+	shardsInFlight atomic.Int64 // shards queued or running at this home
 }
 
 // atomicFloat is a float64 that is safe for concurrent use.
-type share struct{ bits atomic.Uint64 }
+type atomicFloat struct{ bits atomic.Uint64 }
 
-func (s *share) set(v float64) { s.bits.Store(math.Float64bits(v)) }
-func (s *share) get() float64  { return math.Float64frombits(s.bits.Load()) }
+func (f *atomicFloat) set(v float64) { f.bits.Store(math.Float64bits(v)) }
+func (f *atomicFloat) get() float64  { return math.Float64frombits(f.bits.Load()) }
 
 // homeStateFor returns the homeState of a service, and updates its hedge and retry shares from
 // the settings.
-func (e *Engine) homeOf(service string, eff *settings.Effective) *home {
+func (e *Engine) homeStateFor(service string, eff *settings.Effective) *homeState {
 	v, ok := e.homes.Load(service)
 	if !ok {
-		v, _ = e.homes.LoadOrStore(service, e.newHome())
+		v, _ = e.homes.LoadOrStore(service, e.newHomeState())
 	}
-	h := v.(*home)
+	h := v.(*homeState)
 	h.hedgeShare.set(eff.HedgeBudget)
 	h.retryShare.set(eff.RetryBudget)
 	return h
 }
 
-func (e *Engine) newHome() *home {
-	h := &home{}
-	hedges := admit.NewBudget(h.hedgeShare.get, extraFloor, e.Clock)
-	retries := admit.NewBudget(h.retryShare.get, extraFloor, e.Clock)
-	h.group = scatter.NewGroup(e.Gates, e.Sender, e.Clock, hedges, retries)
+func (e *Engine) newHomeState() *homeState {
+	h := &homeState{}
+	hedges := admit.NewBudget(h.hedgeShare.get, minExtraRate, e.Clock)
+	retries := admit.NewBudget(h.retryShare.get, minExtraRate, e.Clock)
+	h.scatterGroup = scatter.NewGroup(e.Gates, e.Sender, e.Clock, hedges, retries)
 	return h
 }
 
 // serve answers q, as a home, from the leaves of its group. It returns when ctx ends at the
 // latest.
-func (e *Engine) serve(ctx context.Context, st state, q *subquery) *part {
+func (e *Engine) serve(ctx context.Context, st tierView, q *subquery) *partialAnswer {
 	if st == nil || !st.Confirmed(e.Clock()) {
-		return refusedPart(contract.ReasonUnconfirmed, unconfirmedWait)
+		return refusedAnswer(contract.ReasonUnconfirmed, unconfirmedRetryAfter)
 	}
 	if e.blocked(q) {
-		return refusedPart(contract.ReasonQuarantined, policy.QuarantinedRetryAfter)
+		return refusedAnswer(contract.ReasonQuarantined, policy.QuarantinedRetryAfter)
 	}
 	eff, ok := st.Effective(q.service)
 	if !ok || len(eff.Leaves) == 0 {
-		return refusedPart(contract.ReasonUnknownPath, 0)
+		return refusedAnswer(contract.ReasonUnknownPath, 0)
 	}
 	if k, ok := e.Catalog.(Knower); ok && !k.Known(q.service) {
 		// A daemon that has just become a home would answer only from the leaves that it
 		// has probed so far. Another home knows all of them.
-		return refusedPart(contract.ReasonNoReplica, learningWait)
+		return refusedAnswer(contract.ReasonNoReplica, unknownLeavesRetryAfter)
 	}
-	snaps := e.snapshots(q.unit, eff)
+	snaps := e.snapshots(q.leafGroup, eff)
 	p := e.serveFrom(ctx, st, eff, snaps, q)
-	p.versions = states(snaps)
+	p.versions = versionStates(snaps)
 	return p
 }
 
 // serveFrom answers q from the snapshot of snaps that chooseSnapshot selects. It refuses if
 // there is none, or if the pinned version is incomplete and q does not accept that.
-func (e *Engine) serveFrom(ctx context.Context, st state, eff *settings.Effective, snaps []leaf.Snapshot, q *subquery) *part {
-	snap := choose(snaps, q)
+func (e *Engine) serveFrom(ctx context.Context, st tierView, eff *settings.Effective, snaps []leaf.Snapshot, q *subquery) *partialAnswer {
+	snap := chooseSnapshot(snaps, q)
 	if snap == nil {
 		if q.pin == 0 {
-			return refusedPart(contract.ReasonNoReplica, eff.ProbeInterval)
+			return refusedAnswer(contract.ReasonNoReplica, eff.ProbeInterval)
 		}
-		return refusedPart(contract.ReasonNoSnapshot, 0)
+		return refusedAnswer(contract.ReasonNoSnapshot, 0)
 	}
-	if q.pin != 0 && !q.partial && !covers(snap, q.shards) {
-		return refusedPart(contract.ReasonNoSnapshot, 0)
+	if q.pin != 0 && !q.partial && !allLive(snap, q.shards) {
+		return refusedAnswer(contract.ReasonNoSnapshot, 0)
 	}
-	h := e.homeOf(q.service, eff)
+	h := e.homeStateFor(q.service, eff)
 	job := newJob(eff, snap, q)
 	if !q.immediate {
-		job.Lender = e.lenderOf(st, q.unit, eff)
+		job.Lender = e.otherHomesOf(st, q.leafGroup, eff)
 	}
 	n := int64(len(snap.Holders))
-	h.waiting.Add(n)
-	r := h.group.Run(ctx, job)
-	h.waiting.Add(-n)
-	p := newPart(job, r, q)
-	p.waiting = int(h.waiting.Load())
-	p.level, _ = e.admitLevel(eff)
+	h.shardsInFlight.Add(n)
+	r := h.scatterGroup.Run(ctx, job)
+	h.shardsInFlight.Add(-n)
+	p := newPartialAnswer(job, r, q)
+	p.shardsInFlight = int(h.shardsInFlight.Load())
+	p.admitLevel, _ = e.ownLevel(eff)
 	return p
 }
 
@@ -114,14 +114,14 @@
 func newJob(eff *settings.Effective, snap *leaf.Snapshot, q *subquery) *scatter.Job {
 	job := &scatter.Job{
 		ID: q.id, AttemptBase: q.attemptBase, Service: q.service,
-		Version: snap.Version, Holders: snap.Holders, Only: inside(q.shards, len(snap.Holders)),
+		Version: snap.Version, Holders: snap.Holders, Only: existingShards(q.shards, len(snap.Holders)),
 		Body: q.body, Repeatable: q.repeatable,
 		Priority: eff.Priority, Goal: eff.Goal,
 		HedgeAfter: eff.HedgeAfter, HedgeShare: eff.HedgeBudget,
-		Order: orderOf(q.id), Immediate: q.immediate, Avoid: q.avoid, Canary: q.canary,
+		Order: requestOrder(q.id), Immediate: q.immediate, Avoid: q.avoid, Canary: q.canary,
 	}
 	if q.canary && len(job.Only) == 0 && len(snap.Holders) > 0 {
-		job.Only = []uint32{firstHeld(snap)}
+		job.Only = []uint32{firstLiveShard(snap)}
 	}
 	if q.minCoverage > 0 && eff.EarlyCoverage > 0 {
 		job.EarlyAt = max(q.minCoverage, eff.EarlyCoverage)
@@ -130,13 +130,13 @@
 }
 
 // firstLiveShard returns the first shard with a live leaf, or 0.
-func firstHeld(s *leaf.Snapshot) uint32 {
+func firstLiveShard(s *leaf.Snapshot) uint32 {
 	i := slices.IndexFunc(s.Holders, func(h []settings.Leaf) bool { return len(h) > 0 })
 	return uint32(max(i, 0))
 }
 
 // existingShards returns those of shards that exist in a partition map of n shards.
-func inside(shards []uint32, n int) []uint32 {
+func existingShards(shards []uint32, n int) []uint32 {
 	kept := shards[:0:0]
 	for _, s := range shards {
 		if int(s) < n {
@@ -148,13 +148,13 @@
 
 // newPartialAnswer builds the answer of a home from the outcomes of its shards. The answer is
 // a refusal when shards are missing and no leaf ran anything.
-func newPart(job *scatter.Job, r *scatter.Result, q *subquery) *part {
-	p := &part{leafEnds: r.LeafEnds, version: job.Version, shards: uint32(len(r.Shards)), extra: r.Extra, early: r.Early, retryAfter: r.RetryAfter}
-	nothingRan := true
-	eachWanted(job, func(shard uint32) {
+func newPartialAnswer(job *scatter.Job, r *scatter.Result, q *subquery) *partialAnswer {
+	p := &partialAnswer{leafExits: r.LeafEnds, version: job.Version, shards: uint32(len(r.Shards)), extraAttempts: r.Extra, early: r.Early, retryAfter: r.RetryAfter}
+	noneRan := true
+	forEachShard(job, func(shard uint32) {
 		out := &r.Shards[shard]
 		if out.Verdict != contract.NotRun {
-			nothingRan = false
+			noneRan = false
 		}
 		if !out.Answered {
 			p.missing = append(p.missing, contract.Missing{Service: q.service, Shard: shard, Reason: out.Reason, Verdict: out.Verdict})
@@ -165,15 +165,15 @@
 			p.hits = append(p.hits, contract.ServiceHit{Service: q.service, Shard: shard, Hit: hit})
 		}
 	})
-	p.hits, p.omitted = top(p.hits, q.limit)
-	if nothingRan && len(p.missing) > 0 {
-		p.refusal = commonReason(p.missing)
+	p.hits, p.hitsOmitted = topHits(p.hits, q.limit)
+	if noneRan && len(p.missing) > 0 {
+		p.refusal = mostCommonReason(p.missing)
 	}
 	return p
 }
 
 // forEachShard calls f for each shard that job requests.
-func eachWanted(job *scatter.Job, f func(shard uint32)) {
+func forEachShard(job *scatter.Job, f func(shard uint32)) {
 	if len(job.Only) > 0 {
 		for _, s := range job.Only {
 			f(s)
@@ -186,12 +186,12 @@
 }
 
 // mostCommonReason returns the most frequent reason in missing.
-func commonReason(missing []contract.Missing) contract.Reason {
-	n := make(map[contract.Reason]int, 2)
+func mostCommonReason(missing []contract.Missing) contract.Reason {
+	counts := make(map[contract.Reason]int, 2)
 	best := missing[0].Reason
 	for _, m := range missing {
-		n[m.Reason]++
-		if n[m.Reason] > n[best] {
+		counts[m.Reason]++
+		if counts[m.Reason] > counts[best] {
 			best = m.Reason
 		}
 	}
@@ -199,20 +199,20 @@
 }
 
 // snapshots returns the index versions that the leaves of group g hold, newest first.
-func (e *Engine) snapshots(u unit, eff *settings.Effective) []leaf.Snapshot {
-	snaps := e.Catalog.Snapshots(u.service)
-	if g := e.homeOf(u.service, eff).group; g.Declined() {
-		snaps = held(snaps, g)
+func (e *Engine) snapshots(g leafGroup, eff *settings.Effective) []leaf.Snapshot {
+	snaps := e.Catalog.Snapshots(g.service)
+	if scatterGroup := e.homeStateFor(g.service, eff).scatterGroup; scatterGroup.Declined() {
+		snaps = dropDeclined(snaps, scatterGroup)
 	}
 	if domain.GroupIndex(len(eff.Leaves), len(eff.Leaves)-1) == 0 {
 		return snaps
 	}
-	return ofGroup(snaps, u.group, eff)
+	return filterGroup(snaps, g.group, eff)
 }
 
 // dropDeclined returns snaps without the holders that recently declined a shard because they
 // no longer hold it.
-func held(snaps []leaf.Snapshot, g *scatter.Group) []leaf.Snapshot {
+func dropDeclined(snaps []leaf.Snapshot, g *scatter.Group) []leaf.Snapshot {
 	out := make([]leaf.Snapshot, len(snaps))
 	for i, s := range snaps {
 		out[i] = leaf.Snapshot{Version: s.Version, Shards: s.Shards, Holders: make([][]settings.Leaf, len(s.Holders))}
@@ -229,7 +229,7 @@
 
 // filterGroup returns snaps with only the holders that belong to the given group of the
 // service's leaves.
-func ofGroup(snaps []leaf.Snapshot, group int, eff *settings.Effective) []leaf.Snapshot {
+func filterGroup(snaps []leaf.Snapshot, group int, eff *settings.Effective) []leaf.Snapshot {
 	member := make(map[string]bool)
 	for i, l := range eff.Leaves {
 		if domain.GroupIndex(len(eff.Leaves), i) == group {
@@ -253,9 +253,9 @@
 // chooseSnapshot returns the snapshot of the version that q pins. Without a pin it returns
 // the one with the largest fraction of live shards, and the newest of those that tie. It
 // returns nil if there is none.
-func choose(snaps []leaf.Snapshot, q *subquery) *leaf.Snapshot {
+func chooseSnapshot(snaps []leaf.Snapshot, q *subquery) *leaf.Snapshot {
 	var best *leaf.Snapshot
-	most := -1.0
+	bestFraction := -1.0
 	for i := range snaps {
 		s := &snaps[i]
 		if q.pin != 0 {
@@ -264,15 +264,15 @@
 			}
 			continue
 		}
-		if f := covered(s); f > most || (f == most && s.Version > best.Version) {
-			best, most = s, f
+		if f := liveFraction(s); f > bestFraction || (f == bestFraction && s.Version > best.Version) {
+			best, bestFraction = s, f
 		}
 	}
 	return best
 }
 
 // liveFraction returns the fraction of the shards that have a live leaf.
-func covered(s *leaf.Snapshot) float64 {
+func liveFraction(s *leaf.Snapshot) float64 {
 	if len(s.Holders) == 0 {
 		return 0
 	}
@@ -287,12 +287,12 @@
 
 // allLive reports whether each of shards has a live leaf, or each shard of s if shards is
 // empty.
-func covers(s *leaf.Snapshot, shards []uint32) bool {
+func allLive(s *leaf.Snapshot, shards []uint32) bool {
 	if len(shards) == 0 {
-		return covered(s) == 1
+		return liveFraction(s) == 1
 	}
-	for _, sh := range shards {
-		if int(sh) >= len(s.Holders) || len(s.Holders[sh]) == 0 {
+	for _, shard := range shards {
+		if int(shard) >= len(s.Holders) || len(s.Holders[shard]) == 0 {
 			return false
 		}
 	}
@@ -300,13 +300,13 @@
 }
 
 // versionStates converts snapshots to the form in which homes report them.
-func states(snaps []leaf.Snapshot) []versionState {
+func versionStates(snaps []leaf.Snapshot) []versionState {
 	out := make([]versionState, len(snaps))
 	for i, s := range snaps {
-		v := versionState{version: s.Version, shards: uint32(len(s.Holders)), live: newShardSet(uint32(len(s.Holders)))}
+		v := versionState{version: s.Version, shards: uint32(len(s.Holders)), liveShards: newShardSet(uint32(len(s.Holders)))}
 		for shard, holders := range s.Holders {
 			if len(holders) > 0 {
-				v.live.add(uint32(shard))
+				v.liveShards.add(uint32(shard))
 			}
 		}
 		out[i] = v
@@ -316,7 +316,7 @@
 
 // homeReplyMargin is reserved at the end of a deadline for the reply of a home to arrive. It
 // is at most a tenth of the time left.
-const hopMargin = 2 * time.Millisecond
+const homeReplyMargin = 2 * time.Millisecond
 
 // homeTimeLeft returns how much of the time left a home may use.
-func hopLeft(left time.Duration) time.Duration { return left - min(hopMargin, left/10) }
+func homeTimeLeft(left time.Duration) time.Duration { return left - min(homeReplyMargin, left/10) }
--- a/internal/query/keyed.go
+++ b/internal/query/keyed.go
@@ -16,74 +16,74 @@
 )
 
 const (
-	inProgressWait = 100 * time.Millisecond
-	longestKeyed   = time.Second // for a path without settings
+	inProgressRetryAfter = 100 * time.Millisecond
+	maxKeyedTimeout      = time.Second // for a path without settings
 )
 
 // queryKeyed runs a non-repeatable request: here if this incarnation of the daemon issued its
 // session, else on the daemon that did.
-func (e *Engine) keyed(ctx context.Context, st state, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
-	token, err := sessionOf(r)
+func (e *Engine) queryKeyed(ctx context.Context, st tierView, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
+	token, err := parseSession(r)
 	if err != nil {
 		return nil, err
 	}
 	if e.issuer.Owns(token) {
-		return e.runKeyed(ctx, st, token, id, r, unlimited)
+		return e.runKeyed(ctx, st, token, id, r, noTimeLimit)
 	}
 	owner, ok := st.Member(token.Owner)
 	if !ok || owner.Incarnation != token.Incarnation {
-		return nil, inDoubt(errors.Newf("the run of daemon %s that issued the session has ended", token.Owner))
+		return nil, keyInDoubt(errors.Newf("the run of daemon %s that issued the session has ended", token.Owner))
 	}
-	return e.passOn(ctx, st, owner, id, r)
+	return e.forwardToOwner(ctx, st, owner, id, r)
 }
 
 // noTimeLimit is the time left of a request that came directly from a caller: only the
 // deadline in the request applies.
-const unlimited = time.Duration(1<<63 - 1)
+const noTimeLimit = time.Duration(1<<63 - 1)
 
 // keyInDoubt returns the error for a key whose history is unknown. An earlier attempt may
 // have run, so the request is not run now.
-func inDoubt(cause error) *contract.Error {
+func keyInDoubt(cause error) *contract.Error {
 	return &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonKeyInDoubt, Cause: cause}
 }
 
 // runKeyed runs r unless the key table has its key. The table is consulted before the request
 // is validated and the lease is checked: a resend that was refused for one of these would be
 // answered with not_run although the request ran.
-func (e *Engine) runKeyed(ctx context.Context, st state, token *session.Token, id string, r *contract.Request, left time.Duration) (*contract.Answer, *contract.Error) {
+func (e *Engine) runKeyed(ctx context.Context, st tierView, token *session.Token, id string, r *contract.Request, timeLeft time.Duration) (*contract.Answer, *contract.Error) {
 	if !e.issuer.Verify(token) {
-		return nil, invalid(contract.ReasonInvalid, fault("session", shown([]byte(r.Session)),
+		return nil, invalid(contract.ReasonInvalid, fault("session", truncated([]byte(r.Session)),
 			"this daemon did not issue it", "take a session from GET /v1/addresses"))
 	}
 	key := session.Key{Nonce: token.Nonce, Key: r.Key}
 	now := e.Clock()
-	if s, o, ok := e.keys.Lookup(key, fingerprint(r), now); ok {
-		return remembered(s, o, r)
+	if s, o, ok := e.keyTable.Lookup(key, fingerprint(r), now); ok {
+		return knownOutcome(s, o, r)
 	}
-	if err := mayStart(token, now); err != nil {
+	if err := checkNotExpired(token, now); err != nil {
 		return nil, err
 	}
 	p, err := validate(st, id, r)
 	if err != nil {
 		return nil, err
 	}
-	p.timeout = min(p.timeout, left)
-	if s, o := e.keys.Begin(key, fingerprint(r), token.KeepUntil(), now); s != session.New {
-		return remembered(s, o, r)
+	p.timeout = min(p.timeout, timeLeft)
+	if s, o := e.keyTable.Begin(key, fingerprint(r), token.KeepUntil(), now); s != session.New {
+		return knownOutcome(s, o, r)
 	}
 	// The run continues when the caller disconnects, so that a resend finds a definite
 	// outcome.
-	a, err := e.confirmed(context.WithoutCancel(ctx), st, p)
-	e.keys.Finish(key, session.Outcome{Answer: a, Err: err})
+	a, err := e.runConfirmed(context.WithoutCancel(ctx), st, p)
+	e.keyTable.Finish(key, session.Outcome{Answer: a, Err: err})
 	return a, err
 }
 
 // checkNotExpired returns an error for a key that is not in the table if its session has
 // expired. Until the end of the resend window it is certain that the key has not run.
-func mayStart(token *session.Token, now vm.Instant) *contract.Error {
+func checkNotExpired(token *session.Token, now vm.Instant) *contract.Error {
 	switch {
 	case now >= token.KeepUntil():
-		return inDoubt(errors.New("the session and its resend window have ended"))
+		return keyInDoubt(errors.New("the session and its resend window have ended"))
 	case now >= token.Ends():
 		return invalid(contract.ReasonInvalid, fault("session", "", "it has ended, and the key has not run under it",
 			"take a new session from GET /v1/addresses"))
@@ -92,7 +92,7 @@
 }
 
 // knownOutcome returns the answer or error for a key that the table did not accept as new.
-func remembered(s session.State, o session.Outcome, r *contract.Request) (*contract.Answer, *contract.Error) {
+func knownOutcome(s session.State, o session.Outcome, r *contract.Request) (*contract.Answer, *contract.Error) {
 	switch s {
 	case session.Done:
 		if o.Err != nil {
@@ -102,12 +102,12 @@
 		return &first, nil
 	case session.Running:
 		return nil, &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonKeyInProgress,
-			RetryAfter: inProgressWait.Milliseconds()}
+			RetryAfter: inProgressRetryAfter.Milliseconds()}
 	case session.Mismatch:
-		return nil, invalid(contract.ReasonInvalid, fault("key", shown([]byte(r.Key)),
+		return nil, invalid(contract.ReasonInvalid, fault("key", truncated([]byte(r.Key)),
 			"it was used for another request under this session", "send a new key for a new request"))
 	}
-	return nil, &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonOverload, RetryAfter: unconfirmedWait.Milliseconds(),
+	return nil, &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonOverload, RetryAfter: unconfirmedRetryAfter.Milliseconds(),
 		Cause: errors.New("no more keys can be remembered")}
 }
 
@@ -124,9 +124,9 @@
 // forwardToOwner sends r to the daemon that issued its session. If the call fails, the key is
 // in doubt even when this call was provably never sent: an earlier attempt under the key may
 // have run there.
-func (e *Engine) passOn(ctx context.Context, st state, owner vm.Member, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
+func (e *Engine) forwardToOwner(ctx context.Context, st tierView, owner vm.Member, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
 	timeout := keyedTimeout(st, r)
-	ctx, cancel := context.WithTimeout(ctx, timeout-min(wayBack, timeout/10))
+	ctx, cancel := context.WithTimeout(ctx, timeout-min(replyMargin, timeout/10))
 	defer cancel()
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -134,36 +134,36 @@
 	}
 	conn, err := e.Conns.Conn(ctx, owner.PeerAddr)
 	if err != nil {
-		return nil, inDoubt(errors.Wrapf(err, "daemon %s can't be reached", owner.Name))
+		return nil, keyInDoubt(errors.Wrapf(err, "daemon %s can't be reached", owner.Name))
 	}
 	defer conn.Close()
-	left := hopLeft(timeout)
-	if at, ok := ctx.Deadline(); ok {
-		left = hopLeft(time.Until(at))
+	left := homeTimeLeft(timeout)
+	if deadline, ok := ctx.Deadline(); ok {
+		left = homeTimeLeft(time.Until(deadline))
 	}
 	reply, err := wire.NewDRPCHomeClient(conn).Keyed(ctx, &wire.KeyedQuery{
 		RequestId: id, Request: raw, Caller: r.Caller, DeadlineMs: uint32(left.Milliseconds()), Incarnation: owner.Incarnation,
 	})
 	if err != nil {
 		if peer.NotSent(err) {
-			return nil, inDoubt(errors.Wrapf(err, "daemon %s can't be reached; this send did not run, an earlier one may have", owner.Name))
+			return nil, keyInDoubt(errors.Wrapf(err, "daemon %s can't be reached; this send did not run, an earlier one may have", owner.Name))
 		}
-		return nil, inDoubt(errors.Wrapf(err, "daemon %s did not answer", owner.Name))
+		return nil, keyInDoubt(errors.Wrapf(err, "daemon %s did not answer", owner.Name))
 	}
 	return decodeKeyed(reply)
 }
 
 // keyedTimeout returns how long to wait for the owner of a session. The owner validates the
 // deadline of r; here it is only clamped.
-func keyedTimeout(st state, r *contract.Request) time.Duration {
-	longest := longestKeyed
+func keyedTimeout(st tierView, r *contract.Request) time.Duration {
+	limit := maxKeyedTimeout
 	if eff, ok := st.Effective(r.Path); ok {
-		longest = eff.DeadlineMax
+		limit = eff.DeadlineMax
 		if r.DeadlineMS <= 0 {
 			return eff.DeadlineDefault
 		}
 	}
-	return min(time.Duration(max(r.DeadlineMS, shortestDeadline.Milliseconds()))*time.Millisecond, longest)
+	return min(time.Duration(max(r.DeadlineMS, minDeadline.Milliseconds()))*time.Millisecond, limit)
 }
 
 // decodeKeyed decodes the reply of the daemon that issued the session.
@@ -171,13 +171,13 @@
 	if len(w.Answer) > 0 {
 		var a contract.Answer
 		if err := json.Unmarshal(w.Answer, &a); err != nil {
-			return nil, inDoubt(err)
+			return nil, keyInDoubt(err)
 		}
 		return &a, nil
 	}
 	var f contract.Failure
 	if err := json.Unmarshal(w.Failure, &f); err != nil {
-		return nil, inDoubt(err)
+		return nil, keyInDoubt(err)
 	}
 	e := &contract.Error{Verdict: f.Verdict, Reason: f.Reason, RetryAfter: f.RetryAfterMS}
 	if len(f.Faults) > 0 {
@@ -190,7 +190,7 @@
 
 // serveKeyed answers a non-repeatable request that another daemon forwarded.
 func (e *Engine) serveKeyed(ctx context.Context, w *wire.KeyedQuery) *wire.KeyedAnswer {
-	a, err := e.ownKeyed(ctx, w)
+	a, err := e.runForwarded(ctx, w)
 	if err == nil {
 		raw, jsonErr := json.Marshal(a)
 		if jsonErr == nil {
@@ -198,18 +198,18 @@
 		}
 		err = &contract.Error{Verdict: a.Verdict, Reason: contract.ReasonInternal, Cause: jsonErr}
 	}
-	raw, _ := json.Marshal(failureOf(w.RequestId, err)) // plain fields always marshal
+	raw, _ := json.Marshal(toFailure(w.RequestId, err)) // plain fields always marshal
 	return &wire.KeyedAnswer{Failure: raw}
 }
 
 // runForwarded runs a non-repeatable request that another daemon forwarded, if this
 // incarnation issued its session.
-func (e *Engine) ownKeyed(ctx context.Context, w *wire.KeyedQuery) (*contract.Answer, *contract.Error) {
+func (e *Engine) runForwarded(ctx context.Context, w *wire.KeyedQuery) (*contract.Answer, *contract.Error) {
 	if w.Incarnation != e.Self.Incarnation {
-		return nil, inDoubt(errors.Newf("the run of daemon %s that issued the session has ended", e.Self.Name))
+		return nil, keyInDoubt(errors.Newf("the run of daemon %s that issued the session has ended", e.Self.Name))
 	}
 	if !e.work.start() {
-		return nil, inDoubt(errors.Newf("daemon %s is ending", e.Self.Name))
+		return nil, keyInDoubt(errors.Newf("daemon %s is ending", e.Self.Name))
 	}
 	defer e.work.end()
 	var r contract.Request
@@ -217,22 +217,22 @@
 		return nil, invalid(contract.ReasonInvalid, fault("request", "", err.Error(), "send one JSON object"))
 	}
 	r.Caller = w.Caller
-	st := e.view()
+	st := e.currentView()
 	if st == nil {
-		return nil, inDoubt(errors.New("the daemon has no configuration"))
+		return nil, keyInDoubt(errors.New("the daemon has no configuration"))
 	}
-	token, err := sessionOf(&r)
+	token, err := parseSession(&r)
 	if err != nil {
 		return nil, err
 	}
 	if !e.issuer.Owns(token) {
-		return nil, inDoubt(errors.New("the session is not of this daemon"))
+		return nil, keyInDoubt(errors.New("the session is not of this daemon"))
 	}
 	return e.runKeyed(ctx, st, token, w.RequestId, &r, time.Duration(w.DeadlineMs)*time.Millisecond)
 }
 
 // toFailure converts err to the failure that is returned to callers.
-func failureOf(id string, err *contract.Error) *contract.Failure {
+func toFailure(id string, err *contract.Error) *contract.Failure {
 	f := &contract.Failure{RequestID: id, Verdict: err.Verdict, Reason: err.Reason, RetryAfterMS: err.RetryAfter}
 	var faults contract.Faults
 	if errors.As(err.Cause, &faults) {
--- a/internal/query/lend.go
+++ b/internal/query/lend.go
@@ -14,48 +14,48 @@
 
 // otherHomes sends the request for a shard through another home of the same leaf group when
 // this daemon has no free permit for it.
-type lender struct {
-	e      *Engine
-	st     state
-	unit   unit
-	others []vm.Member
+type otherHomes struct {
+	e     *Engine
+	st    tierView
+	group leafGroup
+	homes []vm.Member
 }
 
 // otherHomesOf returns the otherHomes of leaf group g, or nil when this daemon is its only
 // home.
-func (e *Engine) lenderOf(st state, u unit, eff *settings.Effective) scatter.Lender {
-	placed := st.Placement(u.service, eff)
-	if u.group >= len(placed) {
+func (e *Engine) otherHomesOf(st tierView, g leafGroup, eff *settings.Effective) scatter.Lender {
+	placed := st.Placement(g.service, eff)
+	if g.group >= len(placed) {
 		return nil
 	}
-	l := &lender{e: e, st: st, unit: u}
-	for _, m := range placed[u.group].Homes {
+	o := &otherHomes{e: e, st: st, group: g}
+	for _, m := range placed[g.group].Homes {
 		if !m.Same(e.Self) {
-			l.others = append(l.others, m)
+			o.homes = append(o.homes, m)
 		}
 	}
-	if len(l.others) == 0 {
+	if len(o.homes) == 0 {
 		return nil
 	}
-	return l
+	return o
 }
 
 // Lend implements scatter.Lender.
-func (l *lender) Lend(ctx context.Context, job *scatter.Job, shard, base uint32, avoid []string) ([]contract.Hit, error) {
+func (o *otherHomes) Lend(ctx context.Context, job *scatter.Job, shard, base uint32, avoid []string) ([]contract.Hit, error) {
 	q := &subquery{
-		unit: l.unit, id: job.ID, body: job.Body, repeatable: job.Repeatable,
+		leafGroup: o.group, id: job.ID, body: job.Body, repeatable: job.Repeatable,
 		pin: job.Version, shards: []uint32{shard}, attemptBase: base,
 		immediate: true, avoid: avoid,
 	}
-	p, err := l.e.askRemote(ctx, l.st, l.others[rand.IntN(len(l.others))], q)
+	p, err := o.e.queryRemote(ctx, o.st, o.homes[rand.IntN(len(o.homes))], q)
 	if err != nil {
 		return nil, err
 	}
-	return lentHits(p, job.Version)
+	return shardHits(p, job.Version)
 }
 
 // shardHits returns the hits in the answer of another home for one shard.
-func lentHits(p *part, version uint64) ([]contract.Hit, error) {
+func shardHits(p *partialAnswer, version uint64) ([]contract.Hit, error) {
 	switch {
 	case p.refusal != "":
 		return nil, contract.Refuse(p.refusal, errors.New("another home had no free permit"))
--- a/internal/query/part.go
+++ b/internal/query/part.go
@@ -14,57 +14,57 @@
 )
 
 // leafGroup names a group of a service's leaves. A sub-query addresses one leaf group.
-type unit struct {
+type leafGroup struct {
 	service string
 	group   int
 }
 
 // placedGroup is a leaf group with the settings of its service and the daemons that are its
 // homes.
-type target struct {
-	unit
-	eff    *settings.Effective // effective settings of the service
-	placed relay.Placed
+type placedGroup struct {
+	leafGroup
+	eff       *settings.Effective // effective settings of the service
+	placement relay.Placed
 }
 
 // subquery is the request of an entry to a home.
 type subquery struct {
-	unit
-	id          string
-	body        json.RawMessage
-	repeatable  bool
-	pin         uint64 // index version to answer at; 0 if the home chooses
-	partial     bool   // answer at the pin even if shards of it have no live leaf
-	shards      []uint32
-	limit       int
-	minCoverage float64
-	attemptBase uint32
-	immediate   bool     // use only permits that are free now, without queueing
-	avoid       []string // addresses of leaves that were tried already
-	canary      bool     // send one attempt to a single shard
-	names       quarantine.Fingerprints
+	leafGroup
+	id           string
+	body         json.RawMessage
+	repeatable   bool
+	pin          uint64 // index version to answer at; 0 if the home chooses
+	partial      bool   // answer at the pin even if shards of it have no live leaf
+	shards       []uint32
+	limit        int
+	minCoverage  float64
+	attemptBase  uint32
+	immediate    bool     // use only permits that are free now, without queueing
+	avoid        []string // addresses of leaves that were tried already
+	canary       bool     // send one attempt to a single shard
+	fingerprints quarantine.Fingerprints
 }
 
 // partialAnswer is the answer of a home to a subquery.
-type part struct {
-	refusal    contract.Reason // set when nothing was sent to any leaf
-	retryAfter time.Duration
-	version    uint64
-	shards     uint32 // size of the version's partition map
-	answered   int
-	missing    []contract.Missing
-	hits       []contract.ServiceHit
-	omitted    int
-	extra      int
-	early      bool
-	versions   []versionState
-	waiting    int     // shards queued or running at the home
-	level      float64 // fraction of the queries that the home admits; 0 if not reported
-	leafEnds   int     // leaves that crashed or exited during the query
+type partialAnswer struct {
+	refusal        contract.Reason // set when nothing was sent to any leaf
+	retryAfter     time.Duration
+	version        uint64
+	shards         uint32 // size of the version's partition map
+	answered       int
+	missing        []contract.Missing
+	hits           []contract.ServiceHit
+	hitsOmitted    int
+	extraAttempts  int
+	early          bool
+	versions       []versionState
+	shardsInFlight int     // shards queued or running at the home
+	admitLevel     float64 // fraction of the queries that the home admits; 0 if not reported
+	leafExits      int     // leaves that crashed or exited during the query
 }
 
 // mayHaveRun reports whether any leaf may have run the request.
-func (p *part) mayHaveRun() bool {
+func (p *partialAnswer) mayHaveRun() bool {
 	if p.refusal != "" {
 		return false
 	}
@@ -74,7 +74,7 @@
 }
 
 // raiseNotRun turns "not run" into "may have run" for all missing shards of p.
-func (p *part) raise(service string) {
+func (p *partialAnswer) raiseNotRun(service string) {
 	if p.refusal != "" && len(p.missing) == 0 {
 		p.missing = []contract.Missing{{Service: service, Reason: p.refusal}}
 		p.version = 0
@@ -88,15 +88,15 @@
 }
 
 // refusedAnswer returns the answer of a home that sent nothing to its leaves.
-func refusedPart(reason contract.Reason, after time.Duration) *part {
-	return &part{refusal: reason, retryAfter: after}
+func refusedAnswer(reason contract.Reason, after time.Duration) *partialAnswer {
+	return &partialAnswer{refusal: reason, retryAfter: after}
 }
 
 // versionState is the state of an index version in a leaf group, as known to its home.
 type versionState struct {
-	version uint64
-	shards  uint32
-	live    shardSet // shards with a live leaf
+	version    uint64
+	shards     uint32
+	liveShards shardSet // shards with a live leaf
 }
 
 // shardSet is a bitmap: bit s%8 of byte s/8 is set when shard s is in the set.
@@ -125,29 +125,29 @@
 		DeadlineMs: uint32(left.Milliseconds()), Repeatable: q.repeatable,
 		Pin: q.pin, Partial: q.partial, Shards: q.shards, Limit: uint32(q.limit),
 		MinCoverage: q.minCoverage, AttemptBase: q.attemptBase,
-		Immediate: q.immediate, Avoid: q.avoid, Canary: q.canary, Fingerprints: q.names.ToWire(),
+		Immediate: q.immediate, Avoid: q.avoid, Canary: q.canary, Fingerprints: q.fingerprints.ToWire(),
 		ConfigVersion: config, Origin: origin,
 	}
 }
 
 func subqueryFromWire(w *wire.SubQuery) *subquery {
-	names, _ := quarantine.FingerprintsFromWire(w.Fingerprints) // without valid fingerprints, the quarantine has no entry for the query
+	fingerprints, _ := quarantine.FingerprintsFromWire(w.Fingerprints) // without valid fingerprints, the quarantine has no entry for the query
 	return &subquery{
-		names: names, canary: w.Canary,
-		unit: unit{w.Service, int(w.Group)}, id: w.QueryId, body: w.Body,
+		fingerprints: fingerprints, canary: w.Canary,
+		leafGroup: leafGroup{w.Service, int(w.Group)}, id: w.QueryId, body: w.Body,
 		repeatable: w.Repeatable, pin: w.Pin, partial: w.Partial, shards: w.Shards,
 		limit: int(w.Limit), minCoverage: w.MinCoverage, attemptBase: w.AttemptBase,
 		immediate: w.Immediate, avoid: w.Avoid,
 	}
 }
 
-func (p *part) toWire(q *subquery) *wire.SubAnswer {
+func (p *partialAnswer) toWire(q *subquery) *wire.SubAnswer {
 	w := &wire.SubAnswer{
 		QueryId: q.id, Service: q.service, Refusal: string(p.refusal),
 		RetryAfterMs: uint32(p.retryAfter.Milliseconds()),
 		IndexVersion: p.version, Answered: uint32(p.answered), Total: p.shards,
-		ExtraAttempts: uint32(p.extra), Early: p.early, Waiting: uint32(p.waiting),
-		Versions: versionsToWire(p.versions), Omitted: uint32(p.omitted), AdmitLevel: p.level, LeafEnds: uint32(p.leafEnds),
+		ExtraAttempts: uint32(p.extraAttempts), Early: p.early, Waiting: uint32(p.shardsInFlight),
+		Versions: versionsToWire(p.versions), Omitted: uint32(p.hitsOmitted), AdmitLevel: p.admitLevel, LeafEnds: uint32(p.leafExits),
 	}
 	for _, m := range p.missing {
 		w.Missing = append(w.Missing, &wire.SubMissing{Shard: m.Shard, Reason: string(m.Reason), Verdict: uint32(m.Verdict)})
@@ -162,12 +162,12 @@
 	return w
 }
 
-func partFromWire(w *wire.SubAnswer) *part {
-	p := &part{
+func partialAnswerFromWire(w *wire.SubAnswer) *partialAnswer {
+	p := &partialAnswer{
 		refusal: contract.Reason(w.Refusal), retryAfter: time.Duration(w.RetryAfterMs) * time.Millisecond,
 		version: w.IndexVersion, shards: w.Total, answered: int(w.Answered),
-		omitted: int(w.Omitted), extra: int(w.ExtraAttempts), early: w.Early,
-		versions: versionsFromWire(w.Versions), waiting: int(w.Waiting), level: w.AdmitLevel, leafEnds: int(w.LeafEnds),
+		hitsOmitted: int(w.Omitted), extraAttempts: int(w.ExtraAttempts), early: w.Early,
+		versions: versionsFromWire(w.Versions), shardsInFlight: int(w.Waiting), admitLevel: w.AdmitLevel, leafExits: int(w.LeafEnds),
 	}
 	for _, m := range w.Missing {
 		p.missing = append(p.missing, contract.Missing{
@@ -187,7 +187,7 @@
 func versionsToWire(vs []versionState) []*wire.VersionState {
 	out := make([]*wire.VersionState, len(vs))
 	for i, v := range vs {
-		out[i] = &wire.VersionState{Version: v.version, Shards: v.shards, Live: v.live}
+		out[i] = &wire.VersionState{Version: v.version, Shards: v.shards, Live: v.liveShards}
 	}
 	return out
 }
@@ -195,7 +195,7 @@
 func versionsFromWire(ws []*wire.VersionState) []versionState {
 	out := make([]versionState, len(ws))
 	for i, w := range ws {
-		out[i] = versionState{version: w.Version, shards: w.Shards, live: w.Live}
+		out[i] = versionState{version: w.Version, shards: w.Shards, liveShards: w.Live}
 	}
 	return out
 }
--- a/internal/query/route.go
+++ b/internal/query/route.go
@@ -13,85 +13,85 @@
 )
 
 const (
-	hintLife      = time.Second           // older load hints are ignored
-	versionsLife  = 5 * time.Second       // older versions are fetched again
-	versionsFresh = 50 * time.Millisecond // the same after a pinned version could not be served
-	homeFloor     = 20 * time.Millisecond
-	homePatience  = 3   // multiple of the learned latency threshold after which a second home is asked
-	homeShare     = 0.5 // fraction of the hedge and retry budgets; one extra sub-query repeats many attempts
+	hintMaxAge            = time.Second           // older load hints are ignored
+	versionsMaxAge        = 5 * time.Second       // older versions are fetched again
+	versionsMaxAgeOnRepin = 50 * time.Millisecond // the same after a pinned version could not be served
+	minHomeHedgeDelay     = 20 * time.Millisecond
+	homeHedgeFactor       = 3   // multiple of the learned latency threshold after which a second home is asked
+	homeBudgetShare       = 0.5 // fraction of the hedge and retry budgets; one extra sub-query repeats many attempts
 )
 
 // groupRoute is what an entry has learned about a leaf group and its homes.
-type route struct {
-	latency  *scatter.Latency
-	hedges   *admit.Budget
-	retries  *admit.Budget
-	hedge    share
-	retry    share
-	versions atomic.Pointer[seenVersions]
+type groupRoute struct {
+	latency     *scatter.Latency
+	hedgeBudget *admit.Budget
+	retryBudget *admit.Budget
+	hedgeShare  atomicFloat
+	retryShare  atomicFloat
+	versions    atomic.Pointer[reportedVersions]
 
 	mu    sync.Mutex
-	hints map[string]hint // by VM name
+	hints map[string]loadHint // by VM name
 }
 
 // reportedVersions lists the index versions that a home last reported for a leaf group.
-type seenVersions struct {
-	states []versionState
-	at     vm.Instant
+type reportedVersions struct {
+	states     []versionState
+	reportedAt vm.Instant
 }
 
 // loadHint is the load that a home last reported.
-type hint struct {
-	waiting int
-	level   float64
-	at      vm.Instant
+type loadHint struct {
+	shardsInFlight int
+	admitLevel     float64
+	reportedAt     vm.Instant
 }
 
 // routeFor returns the groupRoute of a leaf group, and updates its hedge and retry shares from
 // the settings.
-func (e *Engine) route(t *target) *route {
-	v, ok := e.routes.Load(t.unit)
+func (e *Engine) routeFor(g *placedGroup) *groupRoute {
+	v, ok := e.routes.Load(g.leafGroup)
 	if !ok {
-		v, _ = e.routes.LoadOrStore(t.unit, e.newRoute())
+		v, _ = e.routes.LoadOrStore(g.leafGroup, e.newGroupRoute())
 	}
-	r := v.(*route)
-	r.hedge.set(t.eff.HedgeBudget * homeShare)
-	r.retry.set(t.eff.RetryBudget * homeShare)
+	r := v.(*groupRoute)
+	r.hedgeShare.set(g.eff.HedgeBudget * homeBudgetShare)
+	r.retryShare.set(g.eff.RetryBudget * homeBudgetShare)
 	return r
 }
 
-func (e *Engine) newRoute() *route {
-	r := &route{latency: scatter.NewLatency(0.02), hints: make(map[string]hint)}
-	r.hedges = admit.NewBudget(r.hedge.get, extraFloor, e.Clock)
-	r.retries = admit.NewBudget(r.retry.get, extraFloor, e.Clock)
+func (e *Engine) newGroupRoute() *groupRoute {
+	r := &groupRoute{latency: scatter.NewLatency(0.02), hints: make(map[string]loadHint)}
+	r.hedgeBudget = admit.NewBudget(r.hedgeShare.get, minExtraRate, e.Clock)
+	r.retryBudget = admit.NewBudget(r.retryShare.get, minExtraRate, e.Clock)
 	return r
 }
 
 // recordReply records the index versions and the load that a home reported in its answer.
-func (r *route) learn(home string, p *part, now vm.Instant) {
+func (r *groupRoute) recordReply(home string, p *partialAnswer, now vm.Instant) {
 	if len(p.versions) > 0 {
-		r.versions.Store(&seenVersions{p.versions, now})
+		r.versions.Store(&reportedVersions{p.versions, now})
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hints[home] = hint{p.waiting, p.level, now}
+	r.hints[home] = loadHint{p.shardsInFlight, p.admitLevel, now}
 }
 
 // reportedLoad returns the number of shards in flight that a home last reported, or 0 if that
 // is older than hintMaxAge.
-func (r *route) waiting(home string, now vm.Instant) int {
+func (r *groupRoute) reportedLoad(home string, now vm.Instant) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := r.hints[home]
-	if now.Sub(h.at) > hintLife {
+	if now.Sub(h.reportedAt) > hintMaxAge {
 		return 0
 	}
-	return h.waiting
+	return h.shardsInFlight
 }
 
 // meanLevel returns the mean of the admission levels that homes last reported, each decayed
 // over lifetime.
-func (r *route) meanLevel(homes []vm.Member, now vm.Instant, life time.Duration) float64 {
+func (r *groupRoute) meanLevel(homes []vm.Member, now vm.Instant, lifetime time.Duration) float64 {
 	if len(homes) == 0 {
 		return 1
 	}
@@ -100,40 +100,40 @@
 	sum := 0.0
 	for i := range homes {
 		h := r.hints[homes[i].Name]
-		sum += faded(h.level, now.Sub(h.at), life)
+		sum += decayedLevel(h.admitLevel, now.Sub(h.reportedAt), lifetime)
 	}
 	return sum / float64(len(homes))
 }
 
 // hedgeDelay returns how long to wait for a home before a second one is asked as well.
-func (r *route) patience(left time.Duration) time.Duration {
+func (r *groupRoute) hedgeDelay(left time.Duration) time.Duration {
 	if d, ok := r.latency.Threshold(0); ok {
-		return min(max(homePatience*d, homeFloor), max(left/2, homeFloor))
+		return min(max(homeHedgeFactor*d, minHomeHedgeDelay), max(left/2, minHomeHedgeDelay))
 	}
-	return max(left/2, homeFloor)
+	return max(left/2, minHomeHedgeDelay)
 }
 
 // orderHomes returns the homes of a leaf group in the order in which to ask them. The first is
 // this daemon if it is one of them, else the less loaded of two homes chosen at random, or
 // the nearer of the two on a tie.
-func (e *Engine) order(t *target, r *route) []vm.Member {
+func (e *Engine) orderHomes(g *placedGroup, r *groupRoute) []vm.Member {
 	now := e.Clock()
-	homes := slices.Clone(t.placed.Homes)
+	homes := slices.Clone(g.placement.Homes)
 	rand.Shuffle(len(homes), func(i, j int) { homes[i], homes[j] = homes[j], homes[i] })
-	at := slices.IndexFunc(homes, func(m vm.Member) bool { return m.Same(e.Self) })
-	if at >= 0 {
-		homes[0], homes[at] = homes[at], homes[0]
+	i := slices.IndexFunc(homes, func(m vm.Member) bool { return m.Same(e.Self) })
+	if i >= 0 {
+		homes[0], homes[i] = homes[i], homes[0]
 		return homes
 	}
-	if len(homes) >= 2 && e.better(r, homes[1], homes[0], now) {
+	if len(homes) >= 2 && e.lessLoaded(r, homes[1], homes[0], now) {
 		homes[0], homes[1] = homes[1], homes[0]
 	}
 	return homes
 }
 
 // lessLoaded reports whether home a is to be asked before home b.
-func (e *Engine) better(r *route, a, b vm.Member, now vm.Instant) bool {
-	loadA, loadB := r.waiting(a.Name, now), r.waiting(b.Name, now)
+func (e *Engine) lessLoaded(r *groupRoute, a, b vm.Member, now vm.Instant) bool {
+	loadA, loadB := r.reportedLoad(a.Name, now), r.reportedLoad(b.Name, now)
 	if loadA != loadB {
 		return loadA < loadB
 	}
--- a/internal/query/server.go
+++ b/internal/query/server.go
@@ -17,23 +17,23 @@
 func (s homeServer) Query(ctx context.Context, w *wire.SubQuery) (*wire.SubAnswer, error) {
 	q := subqueryFromWire(w)
 	if !s.e.work.start() {
-		return refusedPart(contract.ReasonDraining, drainingWait).toWire(q), nil
+		return refusedAnswer(contract.ReasonDraining, drainingRetryAfter).toWire(q), nil
 	}
 	defer s.e.work.end()
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(w.DeadlineMs)*time.Millisecond)
 	defer cancel()
-	return s.e.serve(ctx, s.e.view(), q).toWire(q), nil
+	return s.e.serve(ctx, s.e.currentView(), q).toWire(q), nil
 }
 
 func (s homeServer) Describe(_ context.Context, w *wire.DescribeRequest) (*wire.DescribeReply, error) {
 	reply := &wire.DescribeReply{}
-	st := s.e.view()
+	st := s.e.currentView()
 	for _, g := range w.Groups {
 		versions := &wire.GroupVersions{}
 		if st != nil {
 			if eff, ok := st.Effective(g.Service); ok {
-				versions.Versions = versionsToWire(states(s.e.snapshots(unit{g.Service, int(g.Group)}, eff)))
-				versions.Waiting = uint32(s.e.homeOf(g.Service, eff).waiting.Load())
+				versions.Versions = versionsToWire(versionStates(s.e.snapshots(leafGroup{g.Service, int(g.Group)}, eff)))
+				versions.Waiting = uint32(s.e.homeStateFor(g.Service, eff).shardsInFlight.Load())
 			}
 		}
 		reply.Groups = append(reply.Groups, versions)
--- a/internal/query/session/table.go
+++ b/internal/query/session/table.go
@@ -64,7 +64,7 @@
 	done        bool
 	outcome     Outcome
 	bytes       int
-	at          int // index in Table.expiry
+	heapIndex   int // index in Table.expiry
 }
 
 // NewTable returns an empty Table.
@@ -88,7 +88,7 @@
 	e := &entry{key: key, fingerprint: fingerprint, keepUntil: keepUntil}
 	t.entries[key] = e
 	heap.Push(&t.expiry, e)
-	t.publish()
+	t.updateMetrics()
 	return New, Outcome{}
 }
 
@@ -125,18 +125,18 @@
 		return
 	}
 	if o.verdict() == contract.NotRun {
-		t.drop(e)
+		t.remove(e)
 		return
 	}
 	e.done = true
-	e.outcome, e.bytes = t.keep(o)
+	e.outcome, e.bytes = t.limitSize(o)
 	t.bytes += e.bytes
-	t.publish()
+	t.updateMetrics()
 }
 
 // limitSize returns the outcome to store for o, and its size. An answer that exceeds the
 // limits is replaced by an error with the verdict of the answer.
-func (t *Table) keep(o Outcome) (Outcome, int) {
+func (t *Table) limitSize(o Outcome) (Outcome, int) {
 	if o.Err != nil {
 		return o, 0
 	}
@@ -165,19 +165,19 @@
 		if !e.done {
 			return
 		}
-		t.drop(e)
+		t.remove(e)
 	}
 }
 
 // remove removes an entry from the table.
-func (t *Table) drop(e *entry) {
-	heap.Remove(&t.expiry, e.at)
+func (t *Table) remove(e *entry) {
+	heap.Remove(&t.expiry, e.heapIndex)
 	delete(t.entries, e.key)
 	t.bytes -= e.bytes
-	t.publish()
+	t.updateMetrics()
 }
 
-func (t *Table) publish() {
+func (t *Table) updateMetrics() {
 	metrics.GetOrRegisterGauge("query.keys.remembered", nil).Update(int64(len(t.entries)))
 	metrics.GetOrRegisterGauge("query.keys.answer_bytes", nil).Update(int64(t.bytes))
 }
@@ -196,13 +196,13 @@
 func (h expiryHeap) Less(i, j int) bool { return h[i].keepUntil < h[j].keepUntil }
 func (h expiryHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].at, h[j].at = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *expiryHeap) Push(x any) {
 	e := x.(*entry)
-	e.at = len(*h)
+	e.heapIndex = len(*h)
 	*h = append(*h, e)
 }
 
--- a/internal/query/session/token.go
+++ b/internal/query/session/token.go
@@ -16,7 +16,7 @@
 
 const (
 	nonceBytes      = 12
-	sealKeyBytes    = 32
+	macKeyBytes     = 32
 	maxSessionBytes = 512
 )
 
@@ -28,7 +28,7 @@
 	Lifetime    time.Duration
 	Window      time.Duration // time after the expiry in which a resend still finds the first outcome
 	Nonce       string
-	seal        []byte
+	mac         []byte
 }
 
 // ExpiresAt returns the time from which on the session accepts no new keys, on the owner's
@@ -55,7 +55,7 @@
 		Owner: msg.Owner, Incarnation: msg.Incarnation,
 		Issued: vm.Instant(msg.IssuedNs), Lifetime: time.Duration(msg.LifetimeNs),
 		Window: time.Duration(msg.WindowNs),
-		Nonce:  string(msg.Nonce), seal: msg.Seal,
+		Nonce:  string(msg.Nonce), mac: msg.Seal,
 	}, nil
 }
 
@@ -67,16 +67,16 @@
 
 // Issuer issues and verifies the sessions of one incarnation of a daemon.
 type Issuer struct {
-	self vm.Identity
-	key  []byte
+	self   vm.Identity
+	macKey []byte
 }
 
 // NewIssuer returns an Issuer with a new random MAC key, so that sessions of other
 // incarnations never verify.
 func NewIssuer(self vm.Identity) *Issuer {
-	key := make([]byte, sealKeyBytes)
-	_, _ = rand.Read(key) // never fails: crypto/rand crashes the program instead
-	return &Issuer{self: self, key: key}
+	macKey := make([]byte, macKeyBytes)
+	_, _ = rand.Read(macKey) // never fails: crypto/rand crashes the program instead
+	return &Issuer{self: self, macKey: macKey}
 }
 
 // Issue returns the text form of a new session. The session accepts new keys for lifetime,
@@ -88,7 +88,7 @@
 		Owner: i.self.Name, Incarnation: i.self.Incarnation,
 		IssuedNs: int64(now), LifetimeNs: int64(lifetime), WindowNs: int64(window), Nonce: nonce,
 	}
-	msg.Seal = i.seal(msg)
+	msg.Seal = i.computeMAC(msg)
 	raw, err := proto.Marshal(msg)
 	if err != nil {
 		panic(errors.Wrap(err, "session: marshal")) // a message with only scalar fields always marshals
@@ -108,16 +108,16 @@
 		Owner: t.Owner, Incarnation: t.Incarnation,
 		IssuedNs: int64(t.Issued), LifetimeNs: int64(t.Lifetime), WindowNs: int64(t.Window), Nonce: []byte(t.Nonce),
 	}
-	return hmac.Equal(t.seal, i.seal(msg))
+	return hmac.Equal(t.mac, i.computeMAC(msg))
 }
 
 // computeMAC returns the MAC of msg, whose Seal field must be empty.
-func (i *Issuer) seal(msg *wire.SessionToken) []byte {
+func (i *Issuer) computeMAC(msg *wire.SessionToken) []byte {
 	raw, err := proto.MarshalOptions{Deterministic: true}.Marshal(msg)
 	if err != nil {
 		panic(errors.Wrap(err, "session: marshal"))
 	}
-	mac := hmac.New(sha256.New, i.key)
+	mac := hmac.New(sha256.New, i.macKey)
 	mac.Write(raw)
 	return mac.Sum(nil)
 }
--- a/internal/query/state.go
+++ b/internal/query/state.go
@@ -7,7 +7,7 @@
 )
 
 // tierView is the part of a relay.View that the engine reads.
-type state interface {
+type tierView interface {
 	ConfigVersion() uint64
 	Confirmed(now vm.Instant) bool
 	Effective(path string) (*settings.Effective, bool)
@@ -18,25 +18,25 @@
 }
 
 // relayTierView implements tierView with a relay.View.
-type viewState struct{ v *relay.View }
+type relayTierView struct{ view *relay.View }
 
-func (s viewState) ConfigVersion() uint64         { return s.v.ConfigVersion }
-func (s viewState) Confirmed(now vm.Instant) bool { return s.v.Confirmed(now) }
-func (s viewState) Services(path string) []string { return s.v.Tree.Services(path) }
-func (s viewState) Tier() settings.Tier           { return s.v.Tree.Tier() }
+func (v relayTierView) ConfigVersion() uint64         { return v.view.ConfigVersion }
+func (v relayTierView) Confirmed(now vm.Instant) bool { return v.view.Confirmed(now) }
+func (v relayTierView) Services(path string) []string { return v.view.Tree.Services(path) }
+func (v relayTierView) Tier() settings.Tier           { return v.view.Tree.Tier() }
 
-func (s viewState) Effective(path string) (*settings.Effective, bool) {
-	return s.v.Tree.Effective(path)
+func (v relayTierView) Effective(path string) (*settings.Effective, bool) {
+	return v.view.Tree.Effective(path)
 }
 
-func (s viewState) Placement(service string, e *settings.Effective) []relay.Placed {
-	return s.v.Placement(service, e)
+func (v relayTierView) Placement(service string, e *settings.Effective) []relay.Placed {
+	return v.view.Placement(service, e)
 }
 
 // Member returns a daemon of the pending or else of the settled membership: a daemon whose
 // membership has not settled yet may have issued sessions already.
-func (s viewState) Member(name string) (vm.Member, bool) {
-	for _, m := range []*vm.Membership{s.v.Pending, s.v.Settled} {
+func (v relayTierView) Member(name string) (vm.Member, bool) {
+	for _, m := range []*vm.Membership{v.view.Pending, v.view.Settled} {
 		if m == nil {
 			continue
 		}
--- a/internal/query/suspect.go
+++ b/internal/query/suspect.go
@@ -14,23 +14,23 @@
 
 // canaryAttemptBase keeps the attempt numbers of a canary distinct from those of the query
 // that follows it.
-const canaryBase = (maxRepins + 1) * attemptStride * attemptStride
+const canaryAttemptBase = (maxRepins + 1) * attemptStride * attemptStride
 
 // trialTimeout bounds how long a suspected query waits for permission to run as a trial.
-const trialWait = 300 * time.Millisecond
+const trialTimeout = 300 * time.Millisecond
 
 var errQuarantined = errors.New("query: it is known or suspected to crash the targets that run it")
 
 // blocked reports, at a home, whether the quarantine blocks q from being sent to leaves.
 func (e *Engine) blocked(q *subquery) bool {
-	e.observe()
-	return !e.Quarantine.Empty() && e.Quarantine.Rule(q.names) == quarantine.Blocked
+	e.updateQuarantine()
+	return !e.Quarantine.Empty() && e.Quarantine.Rule(q.fingerprints) == quarantine.Blocked
 }
 
 // updateQuarantine updates the quarantine registry from the current view. It is called for
 // each query, so that a daemon that has just started serves none before it has the registry's
 // entries.
-func (e *Engine) observe() {
+func (e *Engine) updateQuarantine() {
 	if v := e.Source.Current(); v != nil {
 		e.Quarantine.Observe(v.ConfigVersion, v.Tree)
 	}
@@ -38,38 +38,38 @@
 
 // runWithQuarantine runs p unless the quarantine refuses it, and reports leaves that crashed
 // or exited during the query.
-func (e *Engine) guarded(ctx context.Context, st state, p *plan) (*contract.Answer, *contract.Error) {
-	began := time.Now()
-	e.observe()
+func (e *Engine) runWithQuarantine(ctx context.Context, st tierView, p *plan) (*contract.Answer, *contract.Error) {
+	start := time.Now()
+	e.updateQuarantine()
 	ruling := quarantine.Free
 	if !e.Quarantine.Empty() {
-		ruling = e.Quarantine.Rule(p.names)
+		ruling = e.Quarantine.Rule(p.fingerprints)
 	}
 	if ruling != quarantine.Free {
-		if err := e.tryFirst(ctx, st, p, ruling, began); err != nil {
+		if err := e.runCanary(ctx, st, p, ruling, start); err != nil {
 			return nil, err
 		}
 	}
 	a, err := e.execute(ctx, st, p)
-	if p.leafEnds > 0 && !p.survived {
-		e.reportEnds(p, began)
+	if p.leafExits > 0 && !p.leafAnswered {
+		e.reportLeafExits(p, start)
 	}
 	return a, err
 }
 
 // runCanary sends a suspected query to a single leaf. It returns an error unless that leaf
 // answered.
-func (e *Engine) tryFirst(ctx context.Context, st state, p *plan, ruling quarantine.Ruling, began time.Time) *contract.Error {
+func (e *Engine) runCanary(ctx context.Context, st tierView, p *plan, ruling quarantine.Ruling, start time.Time) *contract.Error {
 	grant := quarantine.Denied
 	switch ruling {
 	case quarantine.Canary:
 		grant = quarantine.Granted
 	case quarantine.Suspect:
-		wait, cancel := context.WithTimeout(ctx, trialWait)
+		trialCtx, cancel := context.WithTimeout(ctx, trialTimeout)
 		defer cancel()
-		grant = e.Quarantine.Try(wait, p.names[quarantine.Exact])
+		grant = e.Quarantine.Try(trialCtx, p.fingerprints[quarantine.Exact])
 	}
-	klog.Infof("query: id=%s request=%s ruling=%v trial=%v", p.id, p.names[quarantine.Exact], ruling, grant)
+	klog.Infof("query: id=%s request=%s ruling=%v trial=%v", p.id, p.fingerprints[quarantine.Exact], ruling, grant)
 	switch {
 	case grant == quarantine.Wait:
 		return quarantinedError(policy.TrialRetryAfter)
@@ -78,39 +78,39 @@
 	case !p.req.IsRepeatable():
 		return nil // a canary would make it run twice on one leaf
 	}
-	t := scopesOf(st, p)[0][0]
-	out := e.ask(ctx, st, t, &subquery{
-		unit: t.unit, id: p.id, body: p.req.Body, repeatable: true, partial: true, attemptBase: canaryBase, canary: true, names: p.names,
+	g := versionScopes(st, p)[0][0]
+	answer := e.queryGroup(ctx, st, g, &subquery{
+		leafGroup: g.leafGroup, id: p.id, body: p.req.Body, repeatable: true, partial: true, attemptBase: canaryAttemptBase, canary: true, fingerprints: p.fingerprints,
 	})
-	p.leafEnds, p.survived = out.leafEnds, out.answered > 0
+	p.leafExits, p.leafAnswered = answer.leafExits, answer.answered > 0
 	switch {
-	case p.survived:
-		e.reportEnds(p, began)
+	case p.leafAnswered:
+		e.reportLeafExits(p, start)
 		return nil
-	case out.mayHaveRun():
-		e.reportEnds(p, began)
+	case answer.mayHaveRun():
+		e.reportLeafExits(p, start)
 		return &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonQuarantined, Cause: errQuarantined, RetryAfter: policy.TrialRetryAfter.Milliseconds()}
 	}
 	if ruling == quarantine.Suspect {
-		e.Quarantine.Release(p.names[quarantine.Exact])
+		e.Quarantine.Release(p.fingerprints[quarantine.Exact])
 	}
-	return &contract.Error{Verdict: contract.NotRun, Reason: out.refusal, RetryAfter: out.retryAfter.Milliseconds()}
+	return &contract.Error{Verdict: contract.NotRun, Reason: answer.refusal, RetryAfter: answer.retryAfter.Milliseconds()}
 }
 
-func quarantinedError(retry time.Duration) *contract.Error {
-	return &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonQuarantined, Cause: errQuarantined, RetryAfter: retry.Milliseconds()}
+func quarantinedError(retryAfter time.Duration) *contract.Error {
+	return &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonQuarantined, Cause: errQuarantined, RetryAfter: retryAfter.Milliseconds()}
 }
 
 // reportLeafExits reports to the quarantine registry how many leaves exited during the query
 // and whether any leaf answered it.
-func (e *Engine) reportEnds(p *plan, began time.Time) {
+func (e *Engine) reportLeafExits(p *plan, start time.Time) {
 	if e.Quarantine == nil {
 		return
 	}
-	r := &quarantine.Report{Request: p.names, Ends: p.leafEnds, Survived: p.survived, Began: time.Since(began)}
+	r := &quarantine.Report{Request: p.fingerprints, Ends: p.leafExits, Survived: p.leafAnswered, Began: time.Since(start)}
 	for w := range r.Describe {
 		r.Describe[w] = p.content.Describe(quarantine.Width(w))
 	}
-	klog.Infof("query: id=%s request=%s leaf_ends=%d survived=%v", p.id, p.names[quarantine.Exact], r.Ends, r.Survived)
+	klog.Infof("query: id=%s request=%s leaf_ends=%d survived=%v", p.id, p.fingerprints[quarantine.Exact], r.Ends, r.Survived)
 	e.Quarantine.Report(r)
 }
--- a/internal/query/validate.go
+++ b/internal/query/validate.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	shortestDeadline = 5 * time.Millisecond
-	maxKeyBytes      = 256
+	minDeadline = 5 * time.Millisecond
+	maxKeyBytes = 256
 )
 
 // queryMethod keeps the fingerprints of queries distinct from those of forwarded requests.
@@ -25,14 +25,14 @@
 type plan struct {
 	req      *contract.Request
 	id       string
-	at       *settings.Effective // effective settings at the requested path
+	eff      *settings.Effective // effective settings at the requested path
 	services []string
 	timeout  time.Duration
 
-	content  quarantine.Request
-	names    quarantine.Fingerprints
-	leafEnds int  // leaves that crashed or exited during the query
-	survived bool // at least one leaf answered
+	content      quarantine.Request
+	fingerprints quarantine.Fingerprints
+	leafExits    int  // leaves that crashed or exited during the query
+	leafAnswered bool // at least one leaf answered
 }
 
 // invalid returns the refusal of an invalid request.
@@ -41,16 +41,16 @@
 }
 
 // validate checks r against the settings tree. Its error lists all faults.
-func validate(st state, id string, r *contract.Request) (*plan, *contract.Error) {
-	at, ok := st.Effective(r.Path)
+func validate(st tierView, id string, r *contract.Request) (*plan, *contract.Error) {
+	eff, ok := st.Effective(r.Path)
 	services := st.Services(r.Path)
 	if !ok || len(services) == 0 || r.Path == "" {
 		return nil, invalid(contract.ReasonUnknownPath, fault("path", r.Path,
 			"no query service is at or below it", "name a query service or a node above one; pearmoor get lists them"))
 	}
-	p := &plan{req: r, id: id, at: at, services: services}
+	p := &plan{req: r, id: id, eff: eff, services: services}
 	p.content = quarantine.Request{Method: queryMethod, URI: r.Path, Caller: r.Caller, Body: r.Body, Length: int64(len(r.Body))}
-	p.names = p.content.Fingerprints()
+	p.fingerprints = p.content.Fingerprints()
 	var fs contract.Faults
 	fs = append(fs, p.checkDeadline()...)
 	fs = append(fs, p.checkLimits()...)
@@ -64,17 +64,17 @@
 func (p *plan) checkDeadline() contract.Faults {
 	ms := p.req.DeadlineMS
 	value := strconv.FormatInt(ms, 10)
-	longest := p.at.DeadlineMax
+	limit := p.eff.DeadlineMax
 	if ms == 0 {
-		p.timeout = p.at.DeadlineDefault
+		p.timeout = p.eff.DeadlineDefault
 		return nil
 	}
-	if ms < shortestDeadline.Milliseconds() {
-		return fault("deadline_ms", value, fmt.Sprintf("it is shorter than %v", shortestDeadline),
+	if ms < minDeadline.Milliseconds() {
+		return fault("deadline_ms", value, fmt.Sprintf("it is shorter than %v", minDeadline),
 			"send the milliseconds you can wait, or leave it out")
 	}
-	if longest > 0 && ms > longest.Milliseconds() {
-		return fault("deadline_ms", value, fmt.Sprintf("it is longer than deadline-max, %v here", longest),
+	if limit > 0 && ms > limit.Milliseconds() {
+		return fault("deadline_ms", value, fmt.Sprintf("it is longer than deadline-max, %v here", limit),
 			"send a shorter deadline, or leave it out")
 	}
 	p.timeout = time.Duration(ms) * time.Millisecond
@@ -86,9 +86,9 @@
 	if len(r.Body) == 0 {
 		fs = append(fs, fault("body", "", "it is missing", "send the query that the targets are to run")...)
 	}
-	if p.at.BodyLimit > 0 && len(r.Body) > p.at.BodyLimit {
+	if p.eff.BodyLimit > 0 && len(r.Body) > p.eff.BodyLimit {
 		fs = append(fs, fault("body", fmt.Sprintf("%d bytes", len(r.Body)),
-			fmt.Sprintf("it is longer than body-limit, %d bytes here", p.at.BodyLimit), "send a shorter body")...)
+			fmt.Sprintf("it is longer than body-limit, %d bytes here", p.eff.BodyLimit), "send a shorter body")...)
 	}
 	if r.Limit < 0 {
 		fs = append(fs, fault("limit", strconv.Itoa(r.Limit), "it is negative", "send the most hits wanted, or 0 for all")...)
@@ -103,7 +103,7 @@
 // checkKey checks that a non-repeatable request names exactly one query service.
 func (p *plan) checkKey() contract.Faults {
 	r := p.req
-	if r.IsRepeatable() || (len(p.services) == 1 && p.services[0] == p.at.Path) {
+	if r.IsRepeatable() || (len(p.services) == 1 && p.services[0] == p.eff.Path) {
 		return nil
 	}
 	return fault("path", r.Path, fmt.Sprintf("a request that is not repeatable must name one query service, and this names %d", len(p.services)),
@@ -113,17 +113,17 @@
 // parseSession checks the key and the session of a non-repeatable request and returns the
 // parsed session. It does not use the settings tree: a resend must find the first outcome
 // whatever has changed in the settings since.
-func sessionOf(r *contract.Request) (*session.Token, *contract.Error) {
+func parseSession(r *contract.Request) (*session.Token, *contract.Error) {
 	var fs contract.Faults
 	if r.Key == "" {
 		fs = append(fs, fault("key", "", "a request that is not repeatable needs one", "send a key that is new for each request and the same on a resend")...)
 	}
 	if len(r.Key) > maxKeyBytes {
-		fs = append(fs, fault("key", shown([]byte(r.Key)), fmt.Sprintf("it is longer than %d bytes", maxKeyBytes), "send a shorter key")...)
+		fs = append(fs, fault("key", truncated([]byte(r.Key)), fmt.Sprintf("it is longer than %d bytes", maxKeyBytes), "send a shorter key")...)
 	}
 	token, err := session.Parse(r.Session)
 	if err != nil {
-		fs = append(fs, fault("session", shown([]byte(r.Session)), errors.UnwrapAll(err).Error(), "take a session from GET /v1/addresses")...)
+		fs = append(fs, fault("session", truncated([]byte(r.Session)), errors.UnwrapAll(err).Error(), "take a session from GET /v1/addresses")...)
 	}
 	if len(fs) > 0 {
 		return nil, invalid(contract.ReasonInvalid, fs)
--- a/internal/query/world_test.go
+++ b/internal/query/world_test.go
@@ -22,7 +22,7 @@
 )
 
 // tierSize is the size of a testTier.
-type size struct {
+type tierSize struct {
 	services int
 	daemons  int
 	version  uint64 // index version that the leaves start with
@@ -30,56 +30,56 @@
 	jitter   bool // vary the delay of each attempt between 0.5 and 1.5 times delay
 }
 
-var smallWorld = size{services: worldServices, daemons: 3, version: 1, delay: 5 * time.Millisecond}
+var smallTier = tierSize{services: testServices, daemons: 3, version: 1, delay: 5 * time.Millisecond}
 
 const (
-	worldServices = 3
-	worldSlots    = 2
-	worldDocs     = 24
-	pollEvery     = 200 * time.Millisecond
-	oneWay        = 500 * time.Microsecond
+	testServices   = 3
+	leafSlots      = 2
+	docsPerService = 24
+	pollInterval   = 200 * time.Millisecond
+	networkDelay   = 500 * time.Microsecond
 )
 
-func bubbleClock() vm.Instant { return vm.Instant(time.Now().UnixNano()) }
+func fakeClock() vm.Instant { return vm.Instant(time.Now().UnixNano()) }
 
 // testTier runs daemons and fake leaves with the fake clock of a synctest bubble.
-type world struct {
-	size
-	mu      sync.Mutex
-	view    atomic.Pointer[relay.View]
-	daemons map[string]*daemon // by VM name
-	leaves  map[string]*worldLeaf
-	runs    map[string]int // by request body, service and shard
-	rng     *rand.Rand
-	stop    context.CancelFunc
-	ctx     context.Context
-	busy    sync.WaitGroup
+type testTier struct {
+	tierSize
+	mu         sync.Mutex
+	view       atomic.Pointer[relay.View]
+	daemons    map[string]*testDaemon // by VM name
+	leaves     map[string]*fakeLeaf
+	runs       map[string]int // by request body, service and shard
+	rng        *rand.Rand
+	cancel     context.CancelFunc
+	ctx        context.Context
+	goroutines sync.WaitGroup
 }
 
 // fakeLeaf simulates a leaf.
-type worldLeaf struct {
-	service  string
-	versions map[uint64]uint32 // version -> number of shards; the leaf holds all shards of its versions
-	down     bool
-	delay    time.Duration
-	slow     float64 // fraction of attempts that take slowFactor times delay
-	refuses  float64 // fraction of attempts that are refused
-	loses    float64 // fraction of attempts that run but whose reply is lost
-	crosses  float64 // fraction of replies that are of another version than requested
-	inFlight int
-	peak     int
+type fakeLeaf struct {
+	service          string
+	versions         map[uint64]uint32 // version -> number of shards; the leaf holds all shards of its versions
+	down             bool
+	delay            time.Duration
+	slowRate         float64 // fraction of attempts that take slowFactor times delay
+	refusalRate      float64 // fraction of attempts that are refused
+	lossRate         float64 // fraction of attempts that run but whose reply is lost
+	wrongVersionRate float64 // fraction of replies that are of another version than requested
+	inFlight         int
+	maxInFlight      int
 }
 
 const slowFactor = 20
 
 // testDaemon is one incarnation of a daemon: an engine and what it last polled from the leaves.
-type daemon struct {
-	w       *world
+type testDaemon struct {
+	tier    *testTier
 	self    vm.Identity
 	engine  *Engine
 	gates   *admit.Gates
 	mu      sync.Mutex
-	seen    map[string][]leaf.Snapshot
+	catalog map[string][]leaf.Snapshot
 	crashed bool
 	// unreachable makes connections to the daemon hang, as to a VM without power.
 	unreachable atomic.Bool
@@ -93,7 +93,7 @@
 // and versions hold different documents.
 func docsOf(service string, version uint64, shard uint32) []contract.Hit {
 	var hits []contract.Hit
-	for d := range uint64(worldDocs) {
+	for d := range uint64(docsPerService) {
 		if (d+version)%7 != 0 && uint32(d)%shardsAt(version) == shard {
 			hits = append(hits, contract.Hit{ID: fmt.Sprintf("%s-%d", service, d), Score: float64(d)})
 		}
@@ -101,17 +101,17 @@
 	return hits
 }
 
-func newWorld(seed uint64, scope string, sz size) *world {
-	w := &world{size: sz, daemons: map[string]*daemon{}, leaves: map[string]*worldLeaf{}, runs: map[string]int{}}
-	w.rng = rand.New(rand.NewPCG(seed, seed))
-	w.ctx, w.stop = context.WithCancel(context.Background())
+func newTestTier(seed uint64, scope string, size tierSize) *testTier {
+	tier := &testTier{tierSize: size, daemons: map[string]*testDaemon{}, leaves: map[string]*fakeLeaf{}, runs: map[string]int{}}
+	tier.rng = rand.New(rand.NewPCG(seed, seed))
+	tier.ctx, tier.cancel = context.WithCancel(context.Background())
 	t := settings.New()
-	for s := range sz.services {
+	for s := range size.services {
 		path := fmt.Sprintf("/desk/s%d", s)
 		list := ""
 		for l := range 2 {
 			addr := fmt.Sprintf("127.0.0.1:%d", 1000+10*s+l)
-			w.leaves[addr] = &worldLeaf{service: path, versions: map[uint64]uint32{sz.version: shardsAt(sz.version)}, delay: sz.delay}
+			tier.leaves[addr] = &fakeLeaf{service: path, versions: map[uint64]uint32{size.version: shardsAt(size.version)}, delay: size.delay}
 			list += fmt.Sprintf("s%d-%d=%s@d%d,", s, l, addr, l)
 		}
 		t = mustApply(t, settings.Edit{Path: path, Name: "leaves", Value: list[:len(list)-1]})
@@ -120,16 +120,16 @@
 		t = mustApply(t, settings.Edit{Path: "/desk", Name: "snapshot", Value: scope})
 	}
 	members := &vm.Membership{Epoch: 1}
-	for i := range sz.daemons {
-		n := string(rune('a' + i))
-		id := vm.Identity{Name: n, Incarnation: 1, Domain: "d" + n, Region: "r", PeerAddr: n}
+	for i := range size.daemons {
+		name := string(rune('a' + i))
+		id := vm.Identity{Name: name, Incarnation: 1, Domain: "d" + name, Region: "r", PeerAddr: name}
 		members.Members = append(members.Members, vm.Member{Identity: id, Phase: vm.Serving})
 	}
-	w.view.Store(&relay.View{ConfigVersion: 1, InForce: 1, Tree: t, Settled: members, Lease: bubbleClock().Add(time.Hour)})
+	tier.view.Store(&relay.View{ConfigVersion: 1, InForce: 1, Tree: t, Settled: members, Lease: fakeClock().Add(time.Hour)})
 	for _, m := range members.Members {
-		w.boot(m.Identity)
+		tier.startDaemon(m.Identity)
 	}
-	return w
+	return tier
 }
 
 func mustApply(t *settings.Tree, e settings.Edit) *settings.Tree {
@@ -141,62 +141,62 @@
 }
 
 // startDaemon starts an incarnation of a daemon.
-func (w *world) boot(id vm.Identity) {
-	d := &daemon{w: w, self: id, gates: admit.NewGates(bubbleClock), seen: map[string][]leaf.Snapshot{}}
-	d.engine = New(Config{Self: id, Source: w, Gates: d.gates, Sender: d, Catalog: d, Conns: w, Clock: bubbleClock})
-	for _, path := range w.view.Load().Tree.Services("") {
-		eff, _ := w.view.Load().Tree.Effective(path)
+func (tier *testTier) startDaemon(id vm.Identity) {
+	d := &testDaemon{tier: tier, self: id, gates: admit.NewGates(fakeClock), catalog: map[string][]leaf.Snapshot{}}
+	d.engine = New(Config{Self: id, Source: tier, Gates: d.gates, Sender: d, Catalog: d, Conns: tier, Clock: fakeClock})
+	for _, path := range tier.view.Load().Tree.Services("") {
+		eff, _ := tier.view.Load().Tree.Effective(path)
 		for i, l := range eff.Leaves {
-			slots, _ := w.view.Load().Share(path, eff, i, id)
+			slots, _ := tier.view.Load().Share(path, eff, i, id)
 			d.gates.Configure(l.Addr, admit.Limits{Slots: slots, Queue: eff.QueueLimit})
 		}
 	}
-	d.gates.Fence(w.view.Load().Lease)
-	w.mu.Lock()
-	w.daemons[id.Name] = d
-	w.mu.Unlock()
+	d.gates.Fence(tier.view.Load().Lease)
+	tier.mu.Lock()
+	tier.daemons[id.Name] = d
+	tier.mu.Unlock()
 	d.poll()
-	w.busy.Go(func() { d.pollLoop() })
+	tier.goroutines.Go(func() { d.pollLoop() })
 }
 
-func (d *daemon) pollLoop() {
+func (d *testDaemon) pollLoop() {
 	for {
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 			d.poll()
-		case <-d.w.ctx.Done():
+		case <-d.tier.ctx.Done():
 			return
 		}
 	}
 }
 
 // poll reads the versions that the leaves hold, as the prober does.
-func (d *daemon) poll() {
-	d.w.mu.Lock()
-	defer d.w.mu.Unlock()
-	seen := map[string][]leaf.Snapshot{}
-	for _, path := range d.w.view.Load().Tree.Services("") {
-		eff, _ := d.w.view.Load().Tree.Effective(path)
-		seen[path] = d.w.snapshots(eff.Leaves)
+func (d *testDaemon) poll() {
+	d.tier.mu.Lock()
+	defer d.tier.mu.Unlock()
+	catalog := map[string][]leaf.Snapshot{}
+	for _, path := range d.tier.view.Load().Tree.Services("") {
+		eff, _ := d.tier.view.Load().Tree.Effective(path)
+		catalog[path] = d.tier.snapshots(eff.Leaves)
 	}
 	d.mu.Lock()
-	d.seen = seen
+	d.catalog = catalog
 	d.mu.Unlock()
 }
 
-func (w *world) snapshots(leaves []settings.Leaf) []leaf.Snapshot {
+func (tier *testTier) snapshots(leaves []settings.Leaf) []leaf.Snapshot {
 	var snaps []leaf.Snapshot
 	for v := uint64(20); v > 0; v-- {
 		s := leaf.Snapshot{Version: v, Shards: shardsAt(v), Holders: make([][]settings.Leaf, shardsAt(v))}
 		any := false
 		for _, l := range leaves {
-			wl := w.leaves[l.Addr]
-			if _, ok := wl.versions[v]; !ok {
+			fl := tier.leaves[l.Addr]
+			if _, ok := fl.versions[v]; !ok {
 				continue
 			}
 			any = true
 			for shard := range s.Holders {
-				if !wl.down {
+				if !fl.down {
 					s.Holders[shard] = append(s.Holders[shard], l)
 				}
 			}
@@ -209,30 +209,30 @@
 }
 
 // Snapshots implements Catalog.
-func (d *daemon) Snapshots(service string) []leaf.Snapshot {
+func (d *testDaemon) Snapshots(service string) []leaf.Snapshot {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.seen[service]
+	return d.catalog[service]
 }
 
 // Current implements relay.Source.
-func (w *world) Current() *relay.View     { return w.view.Load() }
-func (w *world) Changed() <-chan struct{} { return nil }
+func (tier *testTier) Current() *relay.View     { return tier.view.Load() }
+func (tier *testTier) Changed() <-chan struct{} { return nil }
 
-type worldReply struct {
+type leafResult struct {
 	reply *contract.LeafReply
 	err   *contract.Error
 }
 
 // Send implements scatter.Sender.
-func (d *daemon) Send(ctx context.Context, l settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) (*contract.LeafReply, error) {
+func (d *testDaemon) Send(ctx context.Context, l settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) (*contract.LeafReply, error) {
 	if err := permit.Check(); err != nil {
 		permit.Release()
 		return nil, err
 	}
-	done := make(chan worldReply, 1)
+	done := make(chan leafResult, 1)
 	r := *req
-	d.w.busy.Go(func() { done <- d.w.atLeaf(l, &r, permit) })
+	d.tier.goroutines.Go(func() { done <- d.tier.runAtLeaf(l, &r, permit) })
 	select {
 	case out := <-done:
 		if out.err != nil {
@@ -245,61 +245,61 @@
 }
 
 // runAtLeaf runs one request at a leaf. It continues when the sender stops waiting for it.
-func (w *world) atLeaf(l settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) worldReply {
-	time.Sleep(oneWay)
-	w.mu.Lock()
-	wl := w.leaves[l.Addr]
-	shards, held := wl.versions[req.IndexVersion]
-	roll, delay := w.rng.Float64(), wl.delay
-	if w.jitter {
-		delay = time.Duration((0.5 + w.rng.Float64()) * float64(delay))
+func (tier *testTier) runAtLeaf(l settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) leafResult {
+	time.Sleep(networkDelay)
+	tier.mu.Lock()
+	fl := tier.leaves[l.Addr]
+	shards, held := fl.versions[req.IndexVersion]
+	random, delay := tier.rng.Float64(), fl.delay
+	if tier.jitter {
+		delay = time.Duration((0.5 + tier.rng.Float64()) * float64(delay))
 	}
-	if w.rng.Float64() < wl.slow {
+	if tier.rng.Float64() < fl.slowRate {
 		delay *= slowFactor
 	}
 	switch {
-	case wl.down:
-		w.mu.Unlock()
+	case fl.down:
+		tier.mu.Unlock()
 		permit.Done(admit.Failed, 0)
-		return worldReply{err: contract.Refuse(contract.ReasonTargetFailed, errors.New("connection refused"))}
+		return leafResult{err: contract.Refuse(contract.ReasonTargetFailed, errors.New("connection refused"))}
 	case !held || req.Shard >= shards:
-		w.mu.Unlock()
+		tier.mu.Unlock()
 		permit.Done(admit.Declined, 0)
-		return worldReply{err: contract.Refuse(contract.ReasonNoReplica, nil)}
-	case roll < wl.refuses:
-		w.mu.Unlock()
+		return leafResult{err: contract.Refuse(contract.ReasonNoReplica, nil)}
+	case random < fl.refusalRate:
+		tier.mu.Unlock()
 		permit.Done(admit.Refused, 0)
-		return worldReply{err: contract.Refuse(contract.ReasonRefused, nil)}
+		return leafResult{err: contract.Refuse(contract.ReasonRefused, nil)}
 	}
-	w.runs[runKey(req.Body, req.Service, req.Shard)]++
-	wl.inFlight++
-	wl.peak = max(wl.peak, wl.inFlight)
-	loses, crosses := w.rng.Float64() < wl.loses, w.rng.Float64() < wl.crosses
-	w.mu.Unlock()
+	tier.runs[runKey(req.Body, req.Service, req.Shard)]++
+	fl.inFlight++
+	fl.maxInFlight = max(fl.maxInFlight, fl.inFlight)
+	loseReply, wrongVersion := tier.rng.Float64() < fl.lossRate, tier.rng.Float64() < fl.wrongVersionRate
+	tier.mu.Unlock()
 	time.Sleep(delay)
-	w.mu.Lock()
-	wl.inFlight--
-	w.mu.Unlock()
+	tier.mu.Lock()
+	fl.inFlight--
+	tier.mu.Unlock()
 	reply := &contract.LeafReply{ID: req.ID, Attempt: req.Attempt, Service: req.Service, Shard: req.Shard, IndexVersion: req.IndexVersion}
 	reply.Hits = docsOf(req.Service, req.IndexVersion, req.Shard)
-	if crosses {
+	if wrongVersion {
 		reply.IndexVersion++
 		reply.Hits = docsOf(req.Service, req.IndexVersion+1, req.Shard)
 	}
-	if loses {
+	if loseReply {
 		permit.Done(admit.Failed, 0)
-		return worldReply{err: &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonTargetFailed}}
+		return leafResult{err: &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonTargetFailed}}
 	}
 	permit.Done(admit.Answered, 0)
-	return worldReply{reply: reply}
+	return leafResult{reply: reply}
 }
 
 // crash ends an incarnation: calls to it fail and it sends nothing more. Its slots are not
 // reassigned to other daemons, because its lease is still valid.
-func (w *world) crash(name string) {
-	w.mu.Lock()
-	d := w.daemons[name]
-	w.mu.Unlock()
+func (tier *testTier) crash(name string) {
+	tier.mu.Lock()
+	d := tier.daemons[name]
+	tier.mu.Unlock()
 	d.mu.Lock()
 	d.crashed = true
 	d.mu.Unlock()
@@ -308,10 +308,10 @@
 
 // restart adds the next incarnation to the membership and starts it, after the lease of the
 // previous one has expired and its requests in flight have ended.
-func (w *world) restart(name string) {
+func (tier *testTier) restart(name string) {
 	time.Sleep(2 * time.Second)
-	w.mu.Lock()
-	next := *w.view.Load()
+	tier.mu.Lock()
+	next := *tier.view.Load()
 	members := &vm.Membership{Epoch: next.Settled.Epoch + 1}
 	var id vm.Identity
 	for _, m := range next.Settled.Members {
@@ -322,36 +322,36 @@
 		members.Members = append(members.Members, m)
 	}
 	next.Settled = members
-	w.view.Store(&next)
-	w.mu.Unlock()
-	w.boot(id)
+	tier.view.Store(&next)
+	tier.mu.Unlock()
+	tier.startDaemon(id)
 }
 
-func (w *world) engine(name string) *Engine {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.daemons[name].engine
+func (tier *testTier) engine(name string) *Engine {
+	tier.mu.Lock()
+	defer tier.mu.Unlock()
+	return tier.daemons[name].engine
 }
 
-func (w *world) close() {
-	w.stop()
-	w.busy.Wait()
+func (tier *testTier) close() {
+	tier.cancel()
+	tier.goroutines.Wait()
 	synctest.Wait()
 }
 
 // runInTier runs f in a synctest bubble and returns its error to the caller outside of it.
-func inWorld(t *testing.T, seed uint64, scope string, f func(w *world) error) error {
+func runInTier(t *testing.T, seed uint64, scope string, f func(tier *testTier) error) error {
 	t.Helper()
-	return inWorldOf(t, seed, scope, smallWorld, f)
+	return runInTierOfSize(t, seed, scope, smallTier, f)
 }
 
-func inWorldOf(t *testing.T, seed uint64, scope string, sz size, f func(w *world) error) error {
+func runInTierOfSize(t *testing.T, seed uint64, scope string, size tierSize, f func(tier *testTier) error) error {
 	t.Helper()
 	var err error
 	synctest.Test(t, func(*testing.T) {
-		w := newWorld(seed, scope, sz)
-		err = f(w)
-		w.close()
+		tier := newTestTier(seed, scope, size)
+		err = f(tier)
+		tier.close()
 	})
 	return err
 }
