--- a/internal/query/engine_test.go
+++ b/internal/query/engine_test.go
@@ -12,34 +12,34 @@
 	"pearmoor/internal/contract"
 )
 
-func ask(w *world, daemon, key string) (*contract.Answer, error) {
-	return w.engine(daemon).Query(context.Background(), key, &contract.Request{Path: "/desk", Body: body(key)})
+func sendQuery(tier *testTier, daemon, key string) (*contract.Answer, error) {
+	return tier.engine(daemon).Query(context.Background(), key, &contract.Request{Path: "/desk", Body: body(key)})
 }
 
-// Callers see full coverage and one version in every answer while the index goes
-// from version to version. Each leaf drops the old one as it takes the new, so
-// that homes believe for up to a poll that a leaf still holds what it has dropped,
-// and entries pin what a home has just lost.
-func TestRollingIndexChangeIsFullyCovered(t *testing.T) {
-	for _, gap := range []time.Duration{7 * time.Millisecond, 111 * time.Millisecond, 411 * time.Millisecond} {
-		if err := queryWhileRolling(t, gap); err != nil {
-			t.Fatalf("a query each %v: %v", gap, err)
+// Every answer has full coverage and one index version while the leaves change versions. Each
+// leaf drops the old version as it loads the new one, so that until its next poll a home
+// still lists a version that a leaf has dropped, and entries pin versions that homes no
+// longer have.
+func TestFullCoverageDuringRollingIndexUpdate(t *testing.T) {
+	for _, interval := range []time.Duration{7 * time.Millisecond, 111 * time.Millisecond, 411 * time.Millisecond} {
+		if err := queryDuringRollout(t, interval); err != nil {
+			t.Fatalf("one query every %v: %v", interval, err)
 		}
 	}
 }
 
-func queryWhileRolling(t *testing.T, gap time.Duration) error {
-	return inWorld(t, 1, "", func(w *world) error {
+func queryDuringRollout(t *testing.T, interval time.Duration) error {
+	return runInTier(t, 1, "", func(tier *testTier) error {
 		done := make(chan struct{})
-		w.busy.Go(func() {
+		tier.goroutines.Go(func() {
 			defer close(done)
-			for v := uint64(2); v <= 12 && w.ctx.Err() == nil; v++ {
+			for v := uint64(2); v <= 12 && tier.ctx.Err() == nil; v++ {
 				for l := range 2 {
-					for s := range worldServices {
-						w.roll(fmt.Sprintf("127.0.0.1:%d", 1000+10*s+l), v)
+					for s := range testServices {
+						tier.setVersion(fmt.Sprintf("127.0.0.1:%d", 1000+10*s+l), v)
 						time.Sleep(37 * time.Millisecond)
 					}
-					time.Sleep(pollEvery + pollEvery/4)
+					time.Sleep(pollInterval + pollInterval/4)
 				}
 			}
 		})
@@ -49,7 +49,7 @@
 				return nil
 			default:
 			}
-			a, err := ask(w, []string{"a", "b", "c"}[i%3], fmt.Sprint("q", i))
+			a, err := sendQuery(tier, []string{"a", "b", "c"}[i%3], fmt.Sprint("q", i))
 			if err != nil {
 				return errors.Wrapf(err, "query %d", i)
 			}
@@ -57,34 +57,34 @@
 				return errors.Wrapf(err, "query %d", i)
 			}
 			if len(a.Coverage.Missing) > 0 {
-				return errors.Newf("query %d at %v misses %v", i, a.IndexVersions, a.Coverage.Missing)
+				return errors.Newf("query %d at versions %v has missing shards %v", i, a.IndexVersions, a.Coverage.Missing)
 			}
-			time.Sleep(gap)
+			time.Sleep(interval)
 		}
 	})
 }
 
-func (w *world) roll(addr string, version uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.leaves[addr].versions = map[uint64]uint32{version: shardsAt(version)}
+func (tier *testTier) setVersion(addr string, version uint64) {
+	tier.mu.Lock()
+	defer tier.mu.Unlock()
+	tier.leaves[addr].versions = map[uint64]uint32{version: shardsAt(version)}
 }
 
-// Callers see whole answers although one replica of each shard is lost at once and
-// nobody has noticed yet: connections fail before anything is sent, which proves
-// that the other replica may be asked, without a charge to the retry budget.
-func TestLostReplicaKeepsCoverage(t *testing.T) {
-	err := inWorld(t, 2, "", func(w *world) error {
-		for s := range worldServices {
-			w.leaves[fmt.Sprintf("127.0.0.1:%d", 1000+10*s)].down = true
+// Answers keep full coverage right after one leaf of each shard goes down. Connections to it
+// fail before anything is sent, so the other leaf of the shard may be asked without using the
+// retry budget.
+func TestFullCoverageAfterReplicaLoss(t *testing.T) {
+	err := runInTier(t, 2, "", func(tier *testTier) error {
+		for s := range testServices {
+			tier.leaves[fmt.Sprintf("127.0.0.1:%d", 1000+10*s)].down = true
 		}
 		for i := range 60 {
-			a, err := ask(w, "a", fmt.Sprint("q", i))
+			a, err := sendQuery(tier, "a", fmt.Sprint("q", i))
 			if err != nil {
 				return err
 			}
 			if len(a.Coverage.Missing) > 0 {
-				return errors.Newf("query %d misses %v", i, a.Coverage.Missing)
+				return errors.Newf("query %d has missing shards %v", i, a.Coverage.Missing)
 			}
 		}
 		return nil
@@ -94,21 +94,22 @@
 	}
 }
 
-// Guards against "may have run" for shards whose homes could not be connected to until the deadline.
-func TestShardsOfUnreachableHomesAreNotRun(t *testing.T) {
-	err := inWorld(t, 2, "", func(w *world) error {
-		w.daemons["b"].unreachable.Store(true)
-		w.daemons["c"].unreachable.Store(true)
-		a, err := ask(w, "a", "q")
+// Connections to the homes of some shards are not established before the deadline. These
+// shards must be reported as not run, because nothing was sent.
+func TestUnreachableHomesReportNotRun(t *testing.T) {
+	err := runInTier(t, 2, "", func(tier *testTier) error {
+		tier.daemons["b"].unreachable.Store(true)
+		tier.daemons["c"].unreachable.Store(true)
+		a, err := sendQuery(tier, "a", "q")
 		if err != nil {
 			return err
 		}
 		if len(a.Coverage.Missing) == 0 {
-			return errors.New("every home was reached")
+			return errors.New("no shard is missing, want those of the unreachable homes")
 		}
 		for _, m := range a.Coverage.Missing {
 			if m.Verdict != contract.NotRun {
-				return errors.Newf("shard %d of %s: %s, %v", m.Shard, m.Service, m.Reason, m.Verdict)
+				return errors.Newf("shard %d of %s is missing with reason %s and verdict %v, want not run", m.Shard, m.Service, m.Reason, m.Verdict)
 			}
 		}
 		return nil
@@ -118,20 +119,20 @@
 	}
 }
 
-// The caller is told not_run at once by a daemon whose lease has run out, with
-// when to come back, and no leaf has run anything.
-func TestLostLeaseRefuses(t *testing.T) {
-	err := inWorld(t, 3, "", func(w *world) error {
-		lapsed := *w.view.Load()
-		lapsed.Lease = bubbleClock()
-		w.view.Store(&lapsed)
-		_, err := ask(w, "a", "q")
+// A daemon whose lease has expired refuses queries with verdict not_run and a Retry-After,
+// and sends nothing to leaves.
+func TestExpiredLeaseRefusesQueries(t *testing.T) {
+	err := runInTier(t, 3, "", func(tier *testTier) error {
+		lapsed := *tier.view.Load()
+		lapsed.Lease = fakeClock()
+		tier.view.Store(&lapsed)
+		_, err := sendQuery(tier, "a", "q")
 		var e *contract.Error
 		if !errors.As(err, &e) || e.Verdict != contract.NotRun || e.Reason != contract.ReasonUnconfirmed || e.RetryAfter <= 0 {
-			return errors.Newf("got %v", err)
+			return errors.Newf("got %v, want unconfirmed, not run, with a Retry-After", err)
 		}
-		if total, _ := w.ran("q"); total != 0 {
-			return errors.Newf("ran %d times", total)
+		if total, _ := tier.runCounts("q"); total != 0 {
+			return errors.Newf("query ran %d times, want 0", total)
 		}
 		return nil
 	})
@@ -140,18 +141,18 @@
 	}
 }
 
-// Callers get their answers while a planned stop is under way: Drain refuses new
-// queries as not_run and returns only when the last one in flight has ended.
-func TestDrainCutsOffNothing(t *testing.T) {
+// A planned stop does not interrupt queries: Drain refuses new ones with not_run and returns
+// only when the last query in flight has ended.
+func TestDrainWaitsForQueriesInFlight(t *testing.T) {
 	Convey("Given queries in flight", t, func() {
-		err := inWorld(t, 4, "", func(w *world) error {
-			e := w.engine("a")
+		err := runInTier(t, 4, "", func(tier *testTier) error {
+			e := tier.engine("a")
 			results := make(chan error, 20)
 			for i := range cap(results) {
 				go func() {
-					a, err := ask(w, "a", fmt.Sprint("q", i))
+					a, err := sendQuery(tier, "a", fmt.Sprint("q", i))
 					if err == nil && len(a.Coverage.Missing) > 0 {
-						err = errors.Newf("misses %v", a.Coverage.Missing)
+						err = errors.Newf("answer has missing shards %v", a.Coverage.Missing)
 					}
 					results <- err
 				}()
@@ -161,16 +162,16 @@
 				return err
 			}
 			if n := e.InFlight(); n != 0 {
-				return errors.Newf("%d in flight after Drain", n)
+				return errors.Newf("%d queries in flight after Drain, want 0", n)
 			}
 			for range cap(results) {
 				if err := <-results; err != nil {
 					return err
 				}
 			}
-			_, err := ask(w, "a", "late")
+			_, err := sendQuery(tier, "a", "late")
 			if contract.VerdictOf(err) != contract.NotRun {
-				return errors.Newf("a late query got %v", err)
+				return errors.Newf("late query, sent after Drain, got %v, want not run", err)
 			}
 			return nil
 		})
--- a/internal/query/keyed.go
+++ b/internal/query/keyed.go
@@ -16,74 +16,74 @@
 )
 
 const (
-	inProgressWait = 100 * time.Millisecond
-	longestKeyed   = time.Second // where the path says nothing
+	inProgressRetryAfter = 100 * time.Millisecond
+	maxKeyedTimeout      = time.Second // for a path without settings
 )
 
-// keyed runs a request that is not repeatable, here if this run of the daemon
-// issued its session, else at the daemon that did.
-func (e *Engine) keyed(ctx context.Context, st state, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
-	token, err := sessionOf(r)
+// queryKeyed runs a non-repeatable request: here if this incarnation of the daemon issued its
+// session, else on the daemon that did.
+func (e *Engine) queryKeyed(ctx context.Context, st tierView, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
+	token, err := parseSession(r)
 	if err != nil {
 		return nil, err
 	}
 	if e.issuer.Owns(token) {
-		return e.runKeyed(ctx, st, token, id, r, unlimited)
+		return e.runKeyed(ctx, st, token, id, r, noTimeLimit)
 	}
 	owner, ok := st.Member(token.Owner)
 	if !ok || owner.Incarnation != token.Incarnation {
-		return nil, inDoubt(errors.Newf("the run of daemon %s that issued the session has ended", token.Owner))
+		return nil, keyInDoubt(errors.Newf("the run of daemon %s that issued the session has ended", token.Owner))
 	}
-	return e.passOn(ctx, st, owner, id, r)
+	return e.forwardToOwner(ctx, st, owner, id, r)
 }
 
-// unlimited is the time of a request that came from the caller itself; its own
-// deadline holds.
-const unlimited = time.Duration(1<<63 - 1)
+// noTimeLimit is the time left of a request that came directly from a caller: only the
+// deadline in the request applies.
+const noTimeLimit = time.Duration(1<<63 - 1)
 
-// inDoubt answers for a key of which nothing can be known: its first attempt may
-// have run, so it is not run now.
-func inDoubt(cause error) *contract.Error {
+// keyInDoubt returns the error for a key whose history is unknown. An earlier attempt may
+// have run, so the request is not run now.
+func keyInDoubt(cause error) *contract.Error {
 	return &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonKeyInDoubt, Cause: cause}
 }
 
-// runKeyed runs r unless its key is remembered. What the table knows comes before
-// everything else that could be said of r: a resend that were refused as invalid,
-// or for a lost lease, would be told not_run of a request that ran.
-func (e *Engine) runKeyed(ctx context.Context, st state, token *session.Token, id string, r *contract.Request, left time.Duration) (*contract.Answer, *contract.Error) {
+// runKeyed runs r unless the key table has its key. The table is consulted before the request
+// is validated and the lease is checked: a resend that was refused for one of these would be
+// answered with not_run although the request ran.
+func (e *Engine) runKeyed(ctx context.Context, st tierView, token *session.Token, id string, r *contract.Request, timeLeft time.Duration) (*contract.Answer, *contract.Error) {
 	if !e.issuer.Verify(token) {
-		return nil, invalid(contract.ReasonInvalid, fault("session", shown([]byte(r.Session)),
+		return nil, invalid(contract.ReasonInvalid, fault("session", truncated([]byte(r.Session)),
 			"this daemon did not issue it", "take a session from GET /v1/addresses"))
 	}
 	key := session.Key{Nonce: token.Nonce, Key: r.Key}
 	now := e.Clock()
-	if s, o, ok := e.keys.Lookup(key, fingerprint(r), now); ok {
-		return remembered(s, o, r)
+	if s, o, ok := e.keyTable.Lookup(key, fingerprint(r), now); ok {
+		return knownOutcome(s, o, r)
 	}
-	if err := mayStart(token, now); err != nil {
+	if err := checkNotExpired(token, now); err != nil {
 		return nil, err
 	}
 	p, err := validate(st, id, r)
 	if err != nil {
 		return nil, err
 	}
-	p.timeout = min(p.timeout, left)
-	if s, o := e.keys.Begin(key, fingerprint(r), token.KeepUntil(), now); s != session.New {
-		return remembered(s, o, r)
+	p.timeout = min(p.timeout, timeLeft)
+	if s, o := e.keyTable.Begin(key, fingerprint(r), token.KeepUntil(), now); s != session.New {
+		return knownOutcome(s, o, r)
 	}
-	// The caller's hanging up must not end the run: its resend is to find the
-	// outcome, not one more doubt.
-	a, err := e.confirmed(context.WithoutCancel(ctx), st, p)
-	e.keys.Finish(key, session.Outcome{Answer: a, Err: err})
+	// The run continues when the caller disconnects, so that a resend finds a definite
+	// outcome.
+	a, err := e.runConfirmed(context.WithoutCancel(ctx), st, p)
+	e.keyTable.Finish(key, session.Outcome{Answer: a, Err: err})
 	return a, err
 }
 
-// mayStart refuses a key that is not remembered when its session has ended. Up to
-// the end of the resend window it is certain that the key has not run.
-func mayStart(token *session.Token, now vm.Instant) *contract.Error {
+// checkNotExpired returns an error for a key that is not in the table if its session has
+// expired. Until the end of the resend window it is certain that the key has not run.
+func checkNotExpired(token *session.Token, now vm.Instant) *contract.Error {
 	switch {
 	case now >= token.KeepUntil():
-		return inDoubt(errors.New("the session and its resend window have ended"))
+		return keyInDoubt(errors.New("the session and its resend window have ended"))
 	case now >= token.Ends():
 		return invalid(contract.ReasonInvalid, fault("session", "", "it has ended, and the key has not run under it",
 			"take a new session from GET /v1/addresses"))
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// remembered answers for a key that was seen before.
-func remembered(s session.State, o session.Outcome, r *contract.Request) (*contract.Answer, *contract.Error) {
+// knownOutcome returns the answer or error for a key that the table did not accept as new.
+func knownOutcome(s session.State, o session.Outcome, r *contract.Request) (*contract.Answer, *contract.Error) {
 	switch s {
 	case session.Done:
 		if o.Err != nil {
@@ -102,16 +102,17 @@
 		return &first, nil
 	case session.Running:
 		return nil, &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonKeyInProgress,
-			RetryAfter: inProgressWait.Milliseconds()}
+			RetryAfter: inProgressRetryAfter.Milliseconds()}
 	case session.Mismatch:
-		return nil, invalid(contract.ReasonInvalid, fault("key", shown([]byte(r.Key)),
+		return nil, invalid(contract.ReasonInvalid, fault("key", truncated([]byte(r.Key)),
 			"it was used for another request under this session", "send a new key for a new request"))
 	}
-	return nil, &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonOverload, RetryAfter: unconfirmedWait.Milliseconds(),
+	return nil, &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonOverload, RetryAfter: unconfirmedRetryAfter.Milliseconds(),
 		Cause: errors.New("no more keys can be remembered")}
 }
 
-// fingerprint tells a resend from another request under the same key.
+// fingerprint returns a hash of r that distinguishes a resend from a different request under
+// the same key.
 func fingerprint(r *contract.Request) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(r.Path)
@@ -120,12 +121,12 @@
 	return d.Sum64()
 }
 
-// passOn sends r to the daemon that issued its session. Whatever goes wrong on
-// the way, an earlier send of the key may have run there, so the verdict is in
-// doubt even when this one provably never left.
-func (e *Engine) passOn(ctx context.Context, st state, owner vm.Member, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
+// forwardToOwner sends r to the daemon that issued its session. If the call fails, the key is
+// in doubt even when this call was provably never sent: an earlier attempt under the key may
+// have run there.
+func (e *Engine) forwardToOwner(ctx context.Context, st tierView, owner vm.Member, id string, r *contract.Request) (*contract.Answer, *contract.Error) {
 	timeout := keyedTimeout(st, r)
-	ctx, cancel := context.WithTimeout(ctx, timeout-min(wayBack, timeout/10))
+	ctx, cancel := context.WithTimeout(ctx, timeout-min(replyMargin, timeout/10))
 	defer cancel()
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -133,49 +134,50 @@
 	}
 	conn, err := e.Conns.Conn(ctx, owner.PeerAddr)
 	if err != nil {
-		return nil, inDoubt(errors.Wrapf(err, "daemon %s can't be reached", owner.Name))
+		return nil, keyInDoubt(errors.Wrapf(err, "daemon %s can't be reached", owner.Name))
 	}
 	defer conn.Close()
-	left := hopLeft(timeout)
-	if at, ok := ctx.Deadline(); ok {
-		left = hopLeft(time.Until(at))
+	left := homeTimeLeft(timeout)
+	if deadline, ok := ctx.Deadline(); ok {
+		left = homeTimeLeft(time.Until(deadline))
 	}
 	reply, err := wire.NewDRPCHomeClient(conn).Keyed(ctx, &wire.KeyedQuery{
 		RequestId: id, Request: raw, Caller: r.Caller, DeadlineMs: uint32(left.Milliseconds()), Incarnation: owner.Incarnation,
 	})
 	if err != nil {
 		if peer.NotSent(err) {
-			return nil, inDoubt(errors.Wrapf(err, "daemon %s can't be reached; this send did not run, an earlier one may have", owner.Name))
+			return nil, keyInDoubt(errors.Wrapf(err, "daemon %s can't be reached; this send did not run, an earlier one may have", owner.Name))
 		}
-		return nil, inDoubt(errors.Wrapf(err, "daemon %s did not answer", owner.Name))
+		return nil, keyInDoubt(errors.Wrapf(err, "daemon %s did not answer", owner.Name))
 	}
 	return decodeKeyed(reply)
 }
 
-// keyedTimeout returns how long the owner of a session is waited for. The owner
-// checks the deadline; here it only has to be bounded.
-func keyedTimeout(st state, r *contract.Request) time.Duration {
-	longest := longestKeyed
+// keyedTimeout returns how long to wait for the owner of a session. The owner validates the
+// deadline of r; here it is only clamped.
+func keyedTimeout(st tierView, r *contract.Request) time.Duration {
+	limit := maxKeyedTimeout
 	if eff, ok := st.Effective(r.Path); ok {
-		longest = eff.DeadlineMax
+		limit = eff.DeadlineMax
 		if r.DeadlineMS <= 0 {
 			return eff.DeadlineDefault
 		}
 	}
-	return min(time.Duration(max(r.DeadlineMS, shortestDeadline.Milliseconds()))*time.Millisecond, longest)
+	return min(time.Duration(max(r.DeadlineMS, minDeadline.Milliseconds()))*time.Millisecond, limit)
 }
 
+// decodeKeyed decodes the reply of the daemon that issued the session.
 func decodeKeyed(w *wire.KeyedAnswer) (*contract.Answer, *contract.Error) {
 	if len(w.Answer) > 0 {
 		var a contract.Answer
 		if err := json.Unmarshal(w.Answer, &a); err != nil {
-			return nil, inDoubt(err)
+			return nil, keyInDoubt(err)
 		}
 		return &a, nil
 	}
 	var f contract.Failure
 	if err := json.Unmarshal(w.Failure, &f); err != nil {
-		return nil, inDoubt(err)
+		return nil, keyInDoubt(err)
 	}
 	e := &contract.Error{Verdict: f.Verdict, Reason: f.Reason, RetryAfter: f.RetryAfterMS}
 	if len(f.Faults) > 0 {
@@ -186,9 +188,9 @@
 	return nil, e
 }
 
-// serveKeyed answers a request that another daemon passed on.
+// serveKeyed answers a non-repeatable request that another daemon forwarded.
 func (e *Engine) serveKeyed(ctx context.Context, w *wire.KeyedQuery) *wire.KeyedAnswer {
-	a, err := e.ownKeyed(ctx, w)
+	a, err := e.runForwarded(ctx, w)
 	if err == nil {
 		raw, jsonErr := json.Marshal(a)
 		if jsonErr == nil {
@@ -196,16 +198,18 @@
 		}
 		err = &contract.Error{Verdict: a.Verdict, Reason: contract.ReasonInternal, Cause: jsonErr}
 	}
-	raw, _ := json.Marshal(failureOf(w.RequestId, err)) // plain fields always marshal
+	raw, _ := json.Marshal(toFailure(w.RequestId, err)) // plain fields always marshal
 	return &wire.KeyedAnswer{Failure: raw}
 }
 
-func (e *Engine) ownKeyed(ctx context.Context, w *wire.KeyedQuery) (*contract.Answer, *contract.Error) {
+// runForwarded runs a non-repeatable request that another daemon forwarded, if this
+// incarnation issued its session.
+func (e *Engine) runForwarded(ctx context.Context, w *wire.KeyedQuery) (*contract.Answer, *contract.Error) {
 	if w.Incarnation != e.Self.Incarnation {
-		return nil, inDoubt(errors.Newf("the run of daemon %s that issued the session has ended", e.Self.Name))
+		return nil, keyInDoubt(errors.Newf("the run of daemon %s that issued the session has ended", e.Self.Name))
 	}
 	if !e.work.start() {
-		return nil, inDoubt(errors.Newf("daemon %s is ending", e.Self.Name))
+		return nil, keyInDoubt(errors.Newf("daemon %s is ending", e.Self.Name))
 	}
 	defer e.work.end()
 	var r contract.Request
@@ -213,22 +217,22 @@
 		return nil, invalid(contract.ReasonInvalid, fault("request", "", err.Error(), "send one JSON object"))
 	}
 	r.Caller = w.Caller
-	st := e.view()
+	st := e.currentView()
 	if st == nil {
-		return nil, inDoubt(errors.New("the daemon has no configuration"))
+		return nil, keyInDoubt(errors.New("the daemon has no configuration"))
 	}
-	token, err := sessionOf(&r)
+	token, err := parseSession(&r)
 	if err != nil {
 		return nil, err
 	}
 	if !e.issuer.Owns(token) {
-		return nil, inDoubt(errors.New("the session is not of this daemon"))
+		return nil, keyInDoubt(errors.New("the session is not of this daemon"))
 	}
 	return e.runKeyed(ctx, st, token, w.RequestId, &r, time.Duration(w.DeadlineMs)*time.Millisecond)
 }
 
-// failureOf writes err as the failure that callers see.
-func failureOf(id string, err *contract.Error) *contract.Failure {
+// toFailure converts err to the failure that is returned to callers.
+func toFailure(id string, err *contract.Error) *contract.Failure {
 	f := &contract.Failure{RequestID: id, Verdict: err.Verdict, Reason: err.Reason, RetryAfterMS: err.RetryAfter}
 	var faults contract.Faults
 	if errors.As(err.Cause, &faults) {
--- a/internal/query/pin.go
+++ b/internal/query/pin.go
@@ -11,99 +11,105 @@
 	"pearmoor/internal/vm"
 )
 
-// describeWait bounds how long a query waits to learn which versions exist.
-const describeWait = 100 * time.Millisecond
+// describeTimeout bounds how long a query waits for homes to list their index versions.
+const describeTimeout = 100 * time.Millisecond
 
-// catalog is what an entry knows of the versions of the units of one scope.
-type catalog map[unit][]versionState
+// groupVersions lists the index versions of the leaf groups of one scope, as known to the
+// entry.
+type groupVersions map[leafGroup][]versionState
 
-// known returns the versions of targets: this daemon's own at first hand, others
-// as their homes last said, asked for where that is older than life.
-func (e *Engine) known(ctx context.Context, targets []*target, life time.Duration) catalog {
-	c := make(catalog, len(targets))
-	var ask []*target
+// versionsOf returns the index versions of groups. For groups that this daemon is a home of
+// they are current; for others they are what a home last reported, fetched again if that is
+// older than maxAge.
+func (e *Engine) versionsOf(ctx context.Context, groups []*placedGroup, maxAge time.Duration) groupVersions {
+	result := make(groupVersions, len(groups))
+	var stale []*placedGroup
 	now := e.Clock()
-	for _, t := range targets {
-		if isHome(t, e.Self) {
-			c[t.unit] = states(e.snapshots(t.unit, t.eff))
+	for _, g := range groups {
+		if isHome(g, e.Self) {
+			result[g.leafGroup] = versionStates(e.snapshots(g.leafGroup, g.eff))
 			continue
 		}
-		if seen := e.route(t).versions.Load(); seen != nil && now.Sub(seen.at) < life {
-			c[t.unit] = seen.states
+		if seen := e.routeFor(g).versions.Load(); seen != nil && now.Sub(seen.reportedAt) < maxAge {
+			result[g.leafGroup] = seen.states
 			continue
 		}
-		ask = append(ask, t)
+		stale = append(stale, g)
 	}
-	e.describe(ctx, ask, c)
-	return c
+	e.fetchVersions(ctx, stale, result)
+	return result
 }
 
-func isHome(t *target, self vm.Identity) bool {
-	return slices.ContainsFunc(t.placed.Homes, func(m vm.Member) bool { return m.Same(self) })
+// isHome reports whether self is a home of the leaf group.
+func isHome(g *placedGroup, self vm.Identity) bool {
+	return slices.ContainsFunc(g.placement.Homes, func(m vm.Member) bool { return m.Same(self) })
 }
 
-// describe asks a home of each target for its versions, one call to each daemon.
-func (e *Engine) describe(ctx context.Context, targets []*target, into catalog) {
-	byHome := make(map[string][]*target)
-	for _, t := range targets {
-		if homes := e.order(t, e.route(t)); len(homes) > 0 {
-			byHome[homes[0].PeerAddr] = append(byHome[homes[0].PeerAddr], t)
+// fetchVersions asks a home of each group for its index versions, with one call per daemon,
+// and stores them in versions.
+func (e *Engine) fetchVersions(ctx context.Context, groups []*placedGroup, versions groupVersions) {
+	byHome := make(map[string][]*placedGroup)
+	for _, g := range groups {
+		if homes := e.orderHomes(g, e.routeFor(g)); len(homes) > 0 {
+			byHome[homes[0].PeerAddr] = append(byHome[homes[0].PeerAddr], g)
 		}
 	}
 	if len(byHome) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, describeWait)
+	ctx, cancel := context.WithTimeout(ctx, describeTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	for addr, ts := range byHome {
-		wg.Go(func() { e.describeAt(ctx, addr, ts) })
+	for addr, homeGroups := range byHome {
+		wg.Go(func() { e.fetchVersionsFrom(ctx, addr, homeGroups) })
 	}
 	wg.Wait()
-	for _, t := range targets {
-		if seen := e.route(t).versions.Load(); seen != nil {
-			into[t.unit] = seen.states
+	for _, g := range groups {
+		if seen := e.routeFor(g).versions.Load(); seen != nil {
+			versions[g.leafGroup] = seen.states
 		}
 	}
 }
 
-func (e *Engine) describeAt(ctx context.Context, addr string, targets []*target) {
+// fetchVersionsFrom asks the daemon at addr for the index versions of groups and records them
+// in their routes.
+func (e *Engine) fetchVersionsFrom(ctx context.Context, addr string, groups []*placedGroup) {
 	conn, err := e.Conns.Conn(ctx, addr)
 	if err != nil {
-		return // the query itself will find another home
+		return // the query itself tries other homes
 	}
 	defer conn.Close()
 	req := &wire.DescribeRequest{}
-	for _, t := range targets {
-		req.Groups = append(req.Groups, &wire.LeafGroup{Service: t.service, Group: uint32(t.group)})
+	for _, g := range groups {
+		req.Groups = append(req.Groups, &wire.LeafGroup{Service: g.service, Group: uint32(g.group)})
 	}
 	reply, err := wire.NewDRPCHomeClient(conn).Describe(ctx, req)
-	if err != nil || len(reply.Groups) != len(targets) {
+	if err != nil || len(reply.Groups) != len(groups) {
 		return
 	}
 	now := e.Clock()
-	for i, t := range targets {
+	for i, g := range groups {
 		if vs := versionsFromWire(reply.Groups[i].Versions); len(vs) > 0 {
-			e.route(t).versions.Store(&seenVersions{vs, now})
+			e.routeFor(g).versions.Store(&reportedVersions{vs, now})
 		}
 	}
 }
 
-// coverage of one version over the services of a scope.
+// versionCoverage is the coverage of one index version over the services of a scope.
 type versionCoverage struct {
-	version uint64
-	live    int
-	total   int
-	lacking int // services that don't know the version at all
+	version         uint64
+	live            int
+	total           int
+	servicesWithout int // number of services that don't have the version at all
 }
 
-func (v versionCoverage) complete() bool { return v.lacking == 0 && v.live == v.total }
+func (v versionCoverage) complete() bool { return v.servicesWithout == 0 && v.live == v.total }
 
-// pick returns the newest version that every service of c can answer wholly; when
-// there is none, the best covered one, the newest of equals. It returns 0 when no
-// version is known at all.
-func (c catalog) pick() (version uint64, complete bool) {
-	all := c.coverages()
+// pickVersion returns the newest version that is complete in every service. If there is
+// none, it returns the one with the largest fraction of live shards, and the newest of those
+// that tie. It returns 0 when no version is known.
+func (gv groupVersions) pickVersion() (version uint64, complete bool) {
+	all := gv.coverages()
 	if len(all) == 0 {
 		return 0, false
 	}
@@ -124,11 +130,11 @@
 	return best.version, best.complete()
 }
 
-// coverages returns the coverage of every version that some service knows. A
-// service that lacks a version counts with the size of its newest one, so that a
-// large service weighs as such.
-func (c catalog) coverages() []versionCoverage {
-	merged := c.byService()
+// coverages returns the coverage of every version that any service has. A service without a
+// version counts with the number of shards of its newest version, so that the weight of a
+// service is proportional to its size.
+func (gv groupVersions) coverages() []versionCoverage {
+	merged := gv.byService()
 	versions := make(map[uint64]bool)
 	for _, vs := range merged {
 		for v := range vs {
@@ -140,45 +146,47 @@
 		cov := versionCoverage{version: v}
 		for _, vs := range merged {
 			if s, ok := vs[v]; ok {
-				cov.live += s.live.len()
+				cov.live += s.liveShards.len()
 				cov.total += int(s.shards)
 				continue
 			}
-			cov.lacking++
-			cov.total += newestShards(vs)
+			cov.servicesWithout++
+			cov.total += newestShardCount(vs)
 		}
 		out = append(out, cov)
 	}
 	return out
 }
 
-// byService joins the groups of each service: a shard is live if one has it.
-func (c catalog) byService() map[string]map[uint64]versionState {
+// byService merges the groups of each service: a shard is live if it is live in any group.
+func (gv groupVersions) byService() map[string]map[uint64]versionState {
 	out := make(map[string]map[uint64]versionState)
-	for u, vs := range c {
-		m := out[u.service]
+	for g, vs := range gv {
+		m := out[g.service]
 		if m == nil {
 			m = make(map[uint64]versionState)
-			out[u.service] = m
+			out[g.service] = m
 		}
 		for _, v := range vs {
-			m[v.version] = join(m[v.version], v)
+			m[v.version] = mergeVersionStates(m[v.version], v)
 		}
 	}
 	return out
 }
 
-func join(a, b versionState) versionState {
+// mergeVersionStates returns the state of a version over two groups of a service.
+func mergeVersionStates(a, b versionState) versionState {
 	out := versionState{version: b.version, shards: max(a.shards, b.shards)}
-	out.live = newShardSet(out.shards)
-	copy(out.live, a.live)
-	for i := range min(len(b.live), len(out.live)) {
-		out.live[i] |= b.live[i]
+	out.liveShards = newShardSet(out.shards)
+	copy(out.liveShards, a.liveShards)
+	for i := range min(len(b.liveShards), len(out.liveShards)) {
+		out.liveShards[i] |= b.liveShards[i]
 	}
 	return out
 }
 
-func newestShards(vs map[uint64]versionState) int {
+// newestShardCount returns the number of shards of the newest version, at least 1.
+func newestShardCount(vs map[uint64]versionState) int {
 	var newest versionState
 	for _, v := range vs {
 		if v.version >= newest.version {
