--- a/internal/link/leaf/bench_test.go
+++ b/internal/link/leaf/bench_test.go
@@ -22,8 +22,8 @@
 	"pearmoor/internal/settings"
 )
 
-// benchLeafEnv makes the test binary a leaf for benchmarks: in a process of its
-// own, so that the CPU time measured is that of the sending side alone.
+// benchLeafEnv makes the test binary run as a leaf for benchmarks. The leaf runs in a separate
+// process so that the measured CPU time is that of the sending side alone.
 const benchLeafEnv = "PEARMOOR_BENCH_LEAF"
 
 func runBenchLeaf() {
@@ -46,7 +46,7 @@
 		json.NewEncoder(w).Encode(reply)
 	})
 	go http.Serve(lis, mux)
-	io.Copy(io.Discard, os.Stdin) // closed by the process that measures
+	io.Copy(io.Discard, os.Stdin) // until the benchmark process closes the pipe
 }
 
 func startBenchLeaf(b *testing.B) settings.Leaf {
@@ -71,7 +71,7 @@
 	return settings.Leaf{Name: "a", Addr: strings.TrimSpace(addr)}
 }
 
-// cpuTime is the processor time of this process so far.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
@@ -80,7 +80,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// bareExchange is what a plain net/http client does for the same request.
+// plainExchange performs the same request with a plain net/http client.
 func bareExchange(c *http.Client, url string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -108,8 +108,8 @@
 	return json.Unmarshal(data, &reply)
 }
 
-// BenchmarkBare and BenchmarkSend are one request each way, for allocations and
-// profiles; BenchmarkRatio pairs them.
+// BenchmarkBare measures one request through a plain net/http client and BenchmarkSend one
+// through a Sender, for allocations and profiles. BenchmarkRatio compares the two.
 func BenchmarkBare(b *testing.B) {
 	bare, _ := exchanges(b, startBenchLeaf(b), 1)
 	b.ReportAllocs()
@@ -122,13 +122,12 @@
 	repeat(b, 1, b.N, send)
 }
 
-// batch is how many requests go one way before the other has its turn: short,
-// so that other load on the machine falls on both.
+// batchSize is the number of requests before BenchmarkRatio switches between the two clients.
+// It is small so that other load on the machine affects both equally.
 const batch = 200
 
-// BenchmarkRatio compares the processor time of one request through gate and
-// sender with that of a bare net/http client, in turns, against a leaf in
-// another process.
+// BenchmarkRatio compares the CPU time of one request through gate and sender with that of a
+// plain net/http client. The two alternate, against a leaf in another process.
 func BenchmarkRatio(b *testing.B) {
 	leaf := startBenchLeaf(b)
 	for _, workers := range []int{1, 8} {
@@ -153,7 +152,8 @@
 	}
 }
 
-// exchanges returns one request through a bare client and through a sender.
+// newExchangeFuncs returns functions that perform one request, through a plain net/http client
+// and through a Sender.
 func exchanges(b *testing.B, leaf settings.Leaf, workers int) (bare, send func() error) {
 	tr := &http.Transport{MaxConnsPerHost: workers, MaxIdleConnsPerHost: workers}
 	b.Cleanup(tr.CloseIdleConnections)
@@ -170,7 +170,7 @@
 	return bare, send
 }
 
-// repeat runs once n times on some workers.
+// runConcurrently calls once n times from the given number of goroutines.
 func repeat(b *testing.B, workers, n int, once func() error) {
 	work := make(chan struct{}, n)
 	for range n {
--- a/internal/link/leaf/cancel_bench_test.go
+++ b/internal/link/leaf/cancel_bench_test.go
@@ -20,15 +20,15 @@
 const (
 	cancelUsual     = 2 * time.Millisecond
 	cancelStraggler = 100 * time.Millisecond
-	cancelAfter     = 10 * time.Millisecond // a hedge has won by then
-	cancelEvery     = 10                    // one request in so many straggles
+	cancelAfter     = 10 * time.Millisecond // as if a hedged request had won by then
+	cancelEvery     = 10                    // one request in this many is a straggler
 )
 
-// BenchmarkCancel compares what may be done with a straggler that its caller
-// has given up: close the connection and give the permit back at once, wait for
-// the reply, or wait for as long as a connection costs and then tell the leaf.
-// The leaf gives this daemon one slot and honours cancellation or does not.
-// A request that was given up counts as done. most-in-flight above 1 is overload.
+// BenchmarkCancel compares three ways to handle a straggler that its caller has abandoned:
+// close the connection and return the permit at once, wait for the reply, or wait for as long
+// as opening a connection takes and then cancel it on the leaf. The leaf gives this daemon one
+// slot, and either honours cancellation or ignores it. Abandoned requests count as done.
+// most-in-flight above 1 means that the leaf was overloaded.
 func BenchmarkCancel(b *testing.B) {
 	for _, honours := range []bool{true, false} {
 		for _, way := range []string{"close", "wait", "tell"} {
@@ -75,7 +75,8 @@
 	return f
 }
 
-// closing is a net/http client whose caller's end closes the connection.
+// newClosingSend returns a function that sends with a net/http client, which closes the
+// connection when the caller's context ends.
 func closing(b *testing.B, leaf settings.Leaf) func(context.Context, *admit.Permit) {
 	tr := &http.Transport{MaxConnsPerHost: 8}
 	b.Cleanup(tr.CloseIdleConnections)
@@ -91,7 +92,7 @@
 	}
 }
 
-// load sends b.N requests from two callers.
+// runLoad sends b.N requests from two concurrent callers.
 func (f *fakeLeaf) load(b *testing.B, g *admit.Gates, leaf settings.Leaf, send func(context.Context, *admit.Permit)) {
 	var left atomic.Int64
 	left.Store(int64(b.N))
--- a/internal/link/leaf/cancel_support.go
+++ b/internal/link/leaf/cancel_support.go
@@ -1,18 +1,22 @@
 package leaf
 
 const (
-	ignoresCancelAfter = 3  // cancellations in a row without effect, after which a leaf counts as ignoring them
-	cancelRetry        = 32 // one cancellation in so many is still sent to such a leaf
+	// After this many consecutive cancellations without effect a leaf is treated as
+	// ignoring cancellation.
+	ignoresCancelAfter = 3
+	// One in this many cancellations is still sent to a leaf that ignores them, to detect
+	// a change.
+	cancelRetry = 32
 )
 
-// cancelSupport learns whether a leaf honours cancellation. Cancelling at one that does not
-// frees nothing and costs the connection.
+// cancelSupport tracks whether a leaf honours cancellation. Cancelling a request on a leaf
+// that does not honour it frees no slot and costs the connection.
 type cancelSupport struct {
-	ignored int // cancellations in a row that the leaf answered in full
-	skipped int
+	ignored int // consecutive cancellations after which the leaf still sent a complete reply
+	skipped int // calls of shouldSend since the leaf is treated as ignoring cancellation
 }
 
-// worthTrying reports whether the next cancellation is to be sent.
+// shouldSend reports whether the next cancellation should be sent to the leaf.
 func (c *cancelSupport) worthTrying() bool {
 	if c.ignored < ignoresCancelAfter {
 		return true
@@ -21,6 +25,7 @@
 	return c.skipped%cancelRetry == 0
 }
 
+// record updates the state with the effect of a cancellation that was sent.
 func (c *cancelSupport) learn(honoured bool) {
 	if honoured {
 		*c = cancelSupport{}
--- a/internal/link/leaf/cancel_test.go
+++ b/internal/link/leaf/cancel_test.go
@@ -14,7 +14,7 @@
 	"pearmoor/internal/settings"
 )
 
-// sendAsync sends and returns the channel of the outcome.
+// sendAsync starts a request and returns a channel that receives its error.
 func (r *rig) sendAsync(ctx context.Context, t testing.TB, id string) chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -26,12 +26,11 @@
 
 func (r *rig) inFlight() int { return r.gates.Load(r.leaf.Addr).InFlight }
 
-// The loser of a hedge is cancelled while the leaf works on it and the leaf does
-// not notice. The caller goes on at once. The leaf's slot is in use until it is
-// done, so the permit must be out until then: else the next request would make
-// two at a leaf that has one slot for this daemon.
+// A caller cancels a request, such as the loser of a hedge, and the leaf does not notice. Send
+// must return at once, but the permit must be held until the leaf has finished: otherwise the
+// next request would be the second one on a leaf that has one slot for this daemon.
 func TestPermitIsHeldUntilTheLeafIsDone(t *testing.T) {
-	Convey("A caller leaves a leaf that goes on working", t, func() {
+	Convey("A caller cancels a request that the leaf continues to process", t, func() {
 		f := newFakeLeaf(t)
 		release := make(chan struct{})
 		f.handle = func(w http.ResponseWriter, r *http.Request, q *contract.LeafRequest) {
@@ -43,12 +42,12 @@
 		r := newRig(t, f.leaf(), 1, Link{Conns: 4})
 		ctx, cancel := context.WithCancel(deadline(t, generous))
 		done := r.sendAsync(ctx, t, "slow")
-		eventually(t, "the leaf works", func() bool { return f.inFlight.Load() == 1 })
+		eventually(t, "the leaf runs the request", func() bool { return f.inFlight.Load() == 1 })
 		cancel()
 		So(contract.VerdictOf(<-done), ShouldEqual, contract.MayHaveRun)
 		So(r.inFlight(), ShouldEqual, 1)
 		next := r.sendAsync(deadline(t, generous), t, "next")
-		eventually(t, "the next waits", func() bool { return r.gates.Load(r.leaf.Addr).Waiting == 1 })
+		eventually(t, "the next request waits", func() bool { return r.gates.Load(r.leaf.Addr).Waiting == 1 })
 		So(r.inFlight(), ShouldEqual, 1)
 		close(release)
 		So(<-next, ShouldBeNil)
@@ -56,12 +55,12 @@
 	})
 }
 
-// A leaf that honours cancellation is told by the end of the stream from here,
-// and its own end of the stream says that it has stopped: the slot is free long
-// before the straggler would have been done, on plain and TLS connections.
+// A leaf that honours cancellation stops when the write side of the connection is shut down,
+// and closes the connection, which must free the slot long before the straggler would have
+// finished. This must hold for plain and for TLS connections.
 func TestCancellationReachesTheLeafAndFreesItsSlot(t *testing.T) {
 	for _, secure := range []bool{false, true} {
-		Convey("A caller leaves a straggler that honours cancellation", t, func() {
+		Convey("A caller cancels a request on a leaf that honours cancellation", t, func() {
 			f := newFakeLeaf(t)
 			conf := Config{}
 			if secure {
@@ -77,7 +76,7 @@
 				select {
 				case <-r.Context().Done():
 				case <-time.After(generous):
-					t.Error("the leaf was not told")
+					t.Error("the cancellation did not reach the leaf")
 				}
 			}
 			r := newRig(t, f.leaf(), 1, Link{})
@@ -87,22 +86,22 @@
 			defer r.sender.Close()
 			ctx, cancel := context.WithCancel(deadline(t, generous))
 			done := r.sendAsync(ctx, t, "slow")
-			eventually(t, "the leaf works", func() bool { return f.inFlight.Load() == 1 })
+			eventually(t, "the leaf runs the request", func() bool { return f.inFlight.Load() == 1 })
 			cancel()
 			So(contract.VerdictOf(<-done), ShouldEqual, contract.MayHaveRun)
 			_, err := r.send(deadline(t, generous), t, "next")
 			So(err, ShouldBeNil)
 			So(f.most.Load(), ShouldEqual, 1)
-			eventually(t, "the connection is gone", func() bool { n, _ := r.sender.Conns(r.leaf.Addr); return n == 1 })
+			eventually(t, "the cancelled connection is closed", func() bool { n, _ := r.sender.Conns(r.leaf.Addr); return n == 1 })
 		})
 	}
 }
 
-// The reply of a hedge's loser comes shortly after the winner's. The connection
-// cost 6 ms to make and is scarce: the reply is let come in and thrown away,
-// and the next request finds the same connection.
+// The reply to the loser of a hedge often arrives shortly after the winner's. Opening a
+// connection takes about 6 ms and their number is limited, so the late reply must be read and
+// discarded, and the next request must reuse the connection.
 func TestLateReplySavesTheConnection(t *testing.T) {
-	Convey("A caller leaves shortly before the reply", t, func() {
+	Convey("A caller cancels shortly before the reply arrives", t, func() {
 		f := newFakeLeaf(t)
 		release := make(chan struct{})
 		f.handle = func(w http.ResponseWriter, r *http.Request, q *contract.LeafRequest) {
@@ -114,7 +113,7 @@
 		r := newRig(t, f.leaf(), 1, Link{Conns: 4, ConnectCost: generous})
 		ctx, cancel := context.WithCancel(deadline(t, generous))
 		done := r.sendAsync(ctx, t, "late")
-		eventually(t, "the leaf works", func() bool { return f.inFlight.Load() == 1 })
+		eventually(t, "the leaf runs the request", func() bool { return f.inFlight.Load() == 1 })
 		cancel()
 		<-done
 		close(release)
@@ -125,8 +124,8 @@
 	})
 }
 
-// A leaf answers in full however often it is told to stop. Telling it frees
-// nothing and costs a connection each time, so after a few it is told rarely.
+// A leaf that ignores cancellation always sends a complete reply. Each cancellation sent to it
+// frees no slot and costs a connection, so after a few it must be sent rarely.
 func TestLeafThatIgnoresCancelKeepsItsConnections(t *testing.T) {
 	Convey("A leaf that ignores cancellation", t, func() {
 		f := newFakeLeaf(t)
@@ -146,28 +145,28 @@
 			told := r.sender.pool(r.leaf.Addr).cancelSupport.ignored < ignoresCancelAfter
 			ctx, cancel := context.WithCancel(deadline(t, generous))
 			done := r.sendAsync(ctx, t, "1")
-			eventually(t, "the leaf works", func() bool { return f.inFlight.Load() == 1 })
+			eventually(t, "the leaf runs the request", func() bool { return f.inFlight.Load() == 1 })
 			cancel()
 			<-done
 			if told {
-				eventually(t, "the leaf is told", func() bool { return cancelled.Count() > before })
-				time.Sleep(2 * r.sender.pool(r.leaf.Addr).connectCost()) // what comes sooner has crossed with the word
+				eventually(t, "the cancellation is sent", func() bool { return cancelled.Count() > before })
+				time.Sleep(2 * r.sender.pool(r.leaf.Addr).connectCost()) // an earlier reply would not count as an ignored cancellation
 			}
 			select {
 			case release <- struct{}{}:
 			case <-time.After(generous):
-				t.Fatal("the leaf does not wait")
+				t.Fatal("the leaf's handler is not waiting")
 			}
-			eventually(t, "the leaf is done", func() bool { return r.inFlight() == 0 })
+			eventually(t, "the leaf has finished", func() bool { return r.inFlight() == 0 })
 		}
 		So(f.opened.Load(), ShouldBeLessThanOrEqualTo, ignoresCancelAfter+1)
 		So(f.most.Load(), ShouldEqual, 1)
 	})
 }
 
-// A leaf takes a request and is never heard of again. Its slot and connection
-// are given up a fixed time after the deadline that it was told, the gate counts
-// a failure, and nothing is left behind.
+// A leaf accepts a request and never replies. Its slot and connection must be released a fixed
+// time after the deadline, and the gate must count a failure. Otherwise hung leaves would hold
+// slots and connections forever.
 func TestHungLeafIsGivenUp(t *testing.T) {
 	Convey("A leaf that hangs", t, func() {
 		f := newFakeLeaf(t)
@@ -180,7 +179,7 @@
 			_, err := r.send(deadline(t, 20*time.Millisecond), t, "1")
 			So(contract.VerdictOf(err), ShouldEqual, contract.MayHaveRun)
 			So(r.inFlight(), ShouldEqual, 1)
-			eventually(t, "the slot is given up", func() bool { return r.inFlight() == 0 })
+			eventually(t, "the slot is released", func() bool { return r.inFlight() == 0 })
 		}
 		So(r.gates.Load(r.leaf.Addr).Failing, ShouldBeTrue)
 		n, _ := r.sender.Conns(r.leaf.Addr)
@@ -188,10 +187,10 @@
 	})
 }
 
-// The caller leaves while the connection is still being made. It is told that
-// the request was not run, so it must never be written afterwards.
+// A caller that cancels while the connection is still being opened is told that the request
+// did not run, so the request must not be written afterwards.
 func TestLeavingBeforeTheWriteIsNotRun(t *testing.T) {
-	Convey("A caller leaves during a handshake that does not end", t, func() {
+	Convey("A caller cancels during a TLS handshake that never completes", t, func() {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer lis.Close()
@@ -210,7 +209,7 @@
 		So(contract.VerdictOf(<-done), ShouldEqual, contract.NotRun)
 		So(r.inFlight(), ShouldEqual, 1)
 		c.Close()
-		eventually(t, "the permit is back", func() bool { return r.inFlight() == 0 })
+		eventually(t, "the permit is returned", func() bool { return r.inFlight() == 0 })
 	})
 }
 
--- a/internal/link/leaf/catalog.go
+++ b/internal/link/leaf/catalog.go
@@ -8,14 +8,14 @@
 	"pearmoor/internal/settings"
 )
 
-// Snapshot is one index version of a query service with its partition map.
+// Snapshot is one index version of a query service and the leaves that serve its shards.
 type Snapshot struct {
 	Version uint64
-	Shards  uint32            // size of the version's partition map
-	Holders [][]settings.Leaf // by shard: the live leaves that hold it and take new work
+	Shards  uint32            // number of shards in the version's partition map
+	Holders [][]settings.Leaf // indexed by shard: the live leaves that hold it
 }
 
-// Complete reports whether every shard has a live holder.
+// Complete reports whether every shard is held by at least one live leaf.
 func (s *Snapshot) Complete() bool {
 	for _, h := range s.Holders {
 		if len(h) == 0 {
@@ -25,15 +25,16 @@
 	return true
 }
 
-// report is what is known of one leaf when the catalog is built.
+// leafReport is the state of one leaf from which the catalog is built.
 type report struct {
 	leaf   settings.Leaf
 	status *contract.LeafStatus
-	live   bool // recently heard of and taking new work
+	live   bool // responded recently and is not draining
 }
 
-// snapshots lists a service's index versions, newest first. A version that only
-// leaves out of reach hold is still listed, so that coverage stays true.
+// snapshots returns a service's index versions, newest first. A version that is held
+// only by leaves that are not live is included, so that its shards count as missing in the
+// coverage of a query.
 func snapshots(service string, reports []report) []Snapshot {
 	shards := agreedShards(service, reports)
 	list := make([]Snapshot, 0, len(shards))
@@ -49,6 +50,7 @@
 	return list
 }
 
+// addLeaf adds a leaf to the snapshots of the index versions that it holds.
 func addHolder(list []Snapshot, service string, r *report) {
 	for _, ix := range r.status.Indexes {
 		if ix.Service != service {
@@ -68,9 +70,10 @@
 	}
 }
 
-// agreedShards returns the size of each version's partition map: the one most
-// leaves state, the larger of equals. A leaf that states another is not asked
-// for that version: its shards are not those that coverage counts.
+// majorityShardCounts returns the shard count of each index version: the one that most
+// leaves report, and the larger one on a tie. A leaf that reports a different count is not
+// used for that version, because its shards do not match those that coverage is computed
+// over.
 func agreedShards(service string, reports []report) map[uint64]uint32 {
 	type claim struct {
 		version uint64
--- a/internal/link/leaf/catalog_test.go
+++ b/internal/link/leaf/catalog_test.go
@@ -14,8 +14,8 @@
 	"pearmoor/internal/settings"
 )
 
-// TestMain fixes rapid's seed, so that a run gives the same verdict as the one
-// before, and fails when a test leaves a goroutine behind.
+// TestMain fixes rapid's seed, so that runs are reproducible, and fails if a test leaks a
+// goroutine.
 func TestMain(m *testing.M) {
 	if os.Getenv(benchLeafEnv) != "" {
 		runBenchLeaf()
@@ -42,10 +42,10 @@
 	return out
 }
 
-// Version 8 is being rolled out and splits two shards into four. A query that
-// is pinned to 7 must count and ask by 7's map, whatever else leaves hold.
+// During the rollout of version 8, which splits two shards into four, a query that is pinned to
+// version 7 must use version 7's partition map, whatever other versions the leaves hold.
 func TestSnapshotsDuringARollout(t *testing.T) {
-	Convey("Two leaves have both versions, one only the old, one is gone", t, func() {
+	Convey("Two leaves hold both versions, one only the old, and one is not live", t, func() {
 		list := snapshots("/s", []report{
 			reportOf("a", true, index(7, 2, 0, 1), index(8, 4, 0, 1)),
 			reportOf("b", true, index(8, 4, 2, 3), index(7, 2, 1)),
@@ -60,7 +60,7 @@
 		So(list[1].Shards, ShouldEqual, 2)
 		So(names(list[1].Holders[0]), ShouldResemble, []string{"a", "c"})
 	})
-	Convey("A version that only lost leaves hold is listed with nobody to ask", t, func() {
+	Convey("A version that only leaves that are not live hold is listed without leaves", t, func() {
 		list := snapshots("/s", []report{reportOf("d", false, index(8, 2, 0, 1))})
 		So(list, ShouldHaveLength, 1)
 		So(list[0].Shards, ShouldEqual, 2)
@@ -68,8 +68,8 @@
 	})
 }
 
-// Whatever leaves report: one entry per version, newest first; each holder is
-// live, once per shard, and agrees with the map that coverage counts by.
+// Whatever the leaves report, the catalog has one entry per version, newest first. The leaves
+// of a shard are live, distinct, and report the shard count of the entry.
 func TestSnapshotProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var reports []report
@@ -85,15 +85,15 @@
 		list := snapshots("/s", reports)
 		for i, s := range list {
 			if i > 0 && list[i-1].Version <= s.Version {
-				t.Fatal("not newest first")
+				t.Fatal("snapshots are not sorted by version, newest first")
 			}
 			if len(s.Holders) != int(s.Shards) {
-				t.Fatal("the partition map has another size than its list")
+				t.Fatal("the number of leaf lists differs from the shard count")
 			}
 			for shard, holders := range s.Holders {
 				for j, l := range holders {
 					if slices.Contains(holders[:j], l) {
-						t.Fatal("a holder twice")
+						t.Fatal("a leaf is listed twice for a shard")
 					}
 					r := reports[l.Name[0]-'a']
 					if !r.live || !holds(r, s.Version, s.Shards, uint32(shard)) {
@@ -104,7 +104,7 @@
 		}
 		again := snapshots("/s", reports)
 		if !slices.EqualFunc(list, again, func(a, b Snapshot) bool { return a.Version == b.Version && a.Shards == b.Shards }) {
-			t.Fatal("the same reports gave another catalog")
+			t.Fatal("the same reports gave a different catalog")
 		}
 	})
 }
--- a/internal/link/leaf/exchange.go
+++ b/internal/link/leaf/exchange.go
@@ -13,23 +13,23 @@
 	"pearmoor/internal/vm"
 )
 
-// The states of an exchange. They move from pending to sent or aborted by
-// compare-and-swap, so that a caller who was told NotRun is right for good.
+// The states of an exchange. The transition from statePending to stateSent or stateAborted
+// is a compare-and-swap, so that nothing is written after the caller was told NotRun.
 const (
 	pending int32 = iota // nothing has been written
 	sent                 // the first write has begun
-	unsent               // the first write failed with nothing taken by the network
-	aborted              // the caller left first; nothing will be written
+	unsent               // the first write failed and wrote no bytes
+	aborted              // cancelled before the first write; nothing will be written
 )
 
-// holdLimit is how long after its deadline an attempt may keep its slot and
-// connection while nothing is heard from the leaf. Leaves honour deadlines, so
-// one that is silent for so long has stopped, or is cut off or hung; its gate
-// counts a failure.
+// defaultAbandonTimeout is how long after its deadline an exchange may keep its slot and
+// connection without a reply. Leaves honour deadlines, so a leaf that sends nothing for this
+// long has crashed, hangs or is unreachable; its gate counts a failure.
 const holdLimit = 5 * time.Second
 
-// exchange is one request and its reply. It outlives the call that began it:
-// a leaf's slot is in use until the leaf is done, whoever waits for it.
+// exchange is one request and its reply. It may outlive the call to Send that started it:
+// the leaf's slot is in use until the leaf has finished, whether or not the caller still
+// waits.
 type exchange struct {
 	pool     *pool
 	permit   *admit.Permit
@@ -38,14 +38,14 @@
 	deadline vm.Instant
 
 	state  atomic.Int32
-	left   atomic.Bool        // the caller waits no more
-	killed atomic.Bool        // closed by kill
+	left   atomic.Bool        // the caller no longer waits for the reply
+	killed atomic.Bool        // the connection was closed by forceClose
 	cancel context.CancelFunc // ends the wait for a connection
 
 	mu     sync.Mutex
-	conn   *conn // nil before and after its use, when it may be another exchange's
+	conn   *conn // nil unless in use by this exchange: another exchange may use it before and after
 	timer  *time.Timer
-	toldAt vm.Instant // 0: not told to stop
+	toldAt vm.Instant // when the cancellation was sent; 0: not sent
 
 	done  chan struct{}
 	reply *contract.LeafReply
@@ -54,7 +54,8 @@
 
 var errAborted = errors.New("the caller gave up before anything was sent")
 
-// begin runs right before the first byte is written.
+// beforeFirstWrite runs immediately before the first byte is written. If it returns an error,
+// nothing may be written.
 func (x *exchange) begin() error {
 	if err := x.permit.Check(); err != nil {
 		return err
@@ -65,7 +66,7 @@
 	return nil
 }
 
-// run performs the exchange and gives the permit back at its true end.
+// run performs the exchange and returns the permit once the leaf has finished.
 func (x *exchange) run(ctx context.Context) {
 	out := x.perform(ctx)
 	x.reply, x.err = out.reply, out.err
@@ -78,8 +79,8 @@
 	x.mu.Unlock()
 }
 
-// perform takes a connection and sends. When a connection turns out dead
-// before a byte was written it takes the next: nothing has run.
+// perform sends the request on a connection of the pool. If a reused connection fails before
+// a byte was written, the request cannot have run and is sent on another connection.
 func (x *exchange) perform(ctx context.Context) outcome {
 	for {
 		c, err := x.pool.get(ctx)
@@ -93,7 +94,8 @@
 	}
 }
 
-// try sends on c; again says that c was dead and nothing was written.
+// attempt sends the request on c. It reports retry if c had been closed and nothing was
+// written.
 func (x *exchange) try(c *conn) (out outcome, again bool) {
 	if x.state.Load() == aborted {
 		x.pool.put(c)
@@ -110,13 +112,13 @@
 	}
 	x.req.DeadlineMS = left.Milliseconds()
 	x.setConn(c)
-	reused := c.reused // another exchange may have c afterwards
+	reused := c.reused // read now: after roundTrip another exchange may use c
 	out = x.roundTrip(c)
 	return out, reused && x.rewind(out)
 }
 
-// rewind makes an exchange that wrote nothing ready for another connection. It
-// reports false when something may have been written or nobody waits any more.
+// resetForRetry prepares an exchange that wrote nothing for another connection. It reports
+// false if something may have been written or the caller no longer waits.
 func (x *exchange) rewind(out outcome) bool {
 	if out.err == nil || !out.dead {
 		return false
@@ -128,15 +130,16 @@
 	return x.state.Load() == pending
 }
 
+// setConn sets the connection that sendCancel and forceClose act on.
 func (x *exchange) setConn(c *conn) {
 	x.mu.Lock()
 	x.conn = c
 	x.mu.Unlock()
 }
 
-// disarm takes the exchange off a connection that failed. It reports whether
-// it is certain that no byte was written. A writer that has the exchange in
-// hand but has not begun is stopped by the state.
+// detach removes the exchange's write hook from a connection that failed. It reports whether
+// it is certain that no byte was written. A concurrent write that has already taken the hook
+// but has not called beforeFirstWrite is stopped by stateAborted.
 func (x *exchange) disarm(c *conn) (nothingSent bool) {
 	if c.wire.first.Swap(nil) != nil {
 		return true
@@ -145,10 +148,11 @@
 	return x.state.Load() != sent
 }
 
-// leave is called when the caller no longer waits. It reports whether nothing
-// was and will be sent. Otherwise the reply is let come in for as long as a new
-// connection would cost, or until the deadline if the leaf is known not to
-// listen; then the leaf is told, and at last the connection is closed.
+// callerDone is called when the caller no longer waits. It reports whether nothing was sent
+// and nothing will be. Otherwise it leaves the reply as much time to arrive as opening a new
+// connection takes, or until the deadline if the leaf is known to ignore cancellation. After
+// that sendCancel cancels the request on the leaf, and forceClose closes the connection if the
+// leaf still does not finish.
 func (x *exchange) leave() (nothingSent bool) {
 	x.left.Store(true)
 	if x.state.CompareAndSwap(pending, aborted) {
@@ -163,6 +167,7 @@
 	return false
 }
 
+// schedule calls f after d unless the exchange has finished by now.
 func (x *exchange) schedule(d time.Duration, f func()) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -171,7 +176,8 @@
 	}
 }
 
-// tell shuts the write side, which a leaf takes as cancellation.
+// sendCancel shuts down the write side of the connection, which tells the leaf that the
+// request is cancelled, and schedules forceClose.
 func (x *exchange) tell() {
 	x.mu.Lock()
 	if x.conn != nil {
@@ -184,7 +190,8 @@
 	x.schedule(left+x.pool.sender.hold, x.kill)
 }
 
-// kill closes the connection of an attempt that is past every limit.
+// forceClose closes the connection of an exchange that has not finished within the abandon
+// timeout after its deadline.
 func (x *exchange) kill() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/link/leaf/fuzz_test.go
+++ b/internal/link/leaf/fuzz_test.go
@@ -18,9 +18,9 @@
 		out := judgeReply(body, q)
 		switch {
 		case out.reply != nil && (out.err != nil || !out.reply.Matches(q)):
-			t.Fatal("a reply that does not match was taken")
+			t.Fatal("a reply that does not match the request was accepted")
 		case out.reply == nil && (out.err == nil || out.err.Verdict != contract.MayHaveRun):
-			t.Fatal("a reply that was not taken must leave it open whether the request ran")
+			t.Fatal("a rejected reply must have the verdict MayHaveRun")
 		}
 	})
 }
@@ -37,7 +37,7 @@
 		r := report{leaf: settings.Leaf{Name: "a"}, status: &st, live: true}
 		for _, s := range snapshots("/s", []report{r, r}) {
 			if s.Shards == 0 || s.Shards > shardsMax || len(s.Holders) != int(s.Shards) {
-				t.Fatalf("a partition map of %d shards, %d listed", s.Shards, len(s.Holders))
+				t.Fatalf("snapshot has %d shards and %d leaf lists", s.Shards, len(s.Holders))
 			}
 		}
 	})
@@ -53,7 +53,7 @@
 			return
 		}
 		if leavingOf(vms)[""] {
-			t.Fatal("a VM without name and address stands for every leaf without one")
+			t.Fatal("a VM without name and address matches every leaf without them")
 		}
 	})
 }
--- a/internal/link/leaf/judge.go
+++ b/internal/link/leaf/judge.go
@@ -12,8 +12,9 @@
 	"pearmoor/internal/contract"
 )
 
-// judge turns a whole reply into an outcome: only a reply that matches the
-// request proves that it ran, and only 429, 503 and 409 that it did not.
+// classifyResponse turns a complete HTTP response into an outcome. Only a reply that matches
+// the request proves that the request ran, and only the statuses 429, 503 and 409 prove that
+// it did not.
 func judge(resp *http.Response, body []byte, req *contract.LeafRequest) outcome {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -36,6 +37,7 @@
 	return errors.Newf("the target answered with status %d", resp.StatusCode)
 }
 
+// classifyReply parses the body of a 200 response and checks that it matches the request.
 func judgeReply(body []byte, req *contract.LeafRequest) outcome {
 	reply, err := parseReply(body)
 	if err != nil {
@@ -46,7 +48,7 @@
 		err := errors.Newf("the reply is of request %q attempt %d shard %d version %d",
 			reply.ID, reply.Attempt, reply.Shard, reply.IndexVersion)
 		out := broken(contract.ReasonWrongReply, err)
-		out.learnt = admit.Declined // alive, but says nothing of the time a request takes
+		out.learnt = admit.Declined // the leaf responds, but the reply gives no valid latency sample
 		return out
 	}
 	return outcome{reply: reply, learnt: admit.Answered}
@@ -60,11 +62,11 @@
 	return reply, nil
 }
 
-// retryAfterMax bounds a leaf's word on when to come back.
+// maxRetryAfter caps the Retry-After that a leaf may request.
 const retryAfterMax = time.Hour
 
-// parseRetryAfter reads a Retry-After header, in seconds or as a date; 0 if
-// there is none that can be read.
+// parseRetryAfter parses a Retry-After header, either in seconds or as a date. It returns 0
+// if the header is missing or invalid.
 func parseRetryAfter(v string, now time.Time) time.Duration {
 	if v == "" {
 		return 0
--- a/internal/link/leaf/leaf_test.go
+++ b/internal/link/leaf/leaf_test.go
@@ -19,25 +19,25 @@
 	"pearmoor/internal/vm"
 )
 
-// generous is an upper limit for events that come at once when nothing is wrong.
+// testTimeout bounds the wait for events that normally happen immediately.
 const generous = 20 * time.Second
 
-// fakeLeaf is a target that counts what reaches it.
+// fakeLeaf is a leaf that counts the requests and connections that it receives.
 type fakeLeaf struct {
 	*httptest.Server
-	runs     atomic.Int64 // requests that began to run
+	runs     atomic.Int64 // requests whose handler was started
 	inFlight atomic.Int64
-	most     atomic.Int64 // most in flight
+	most     atomic.Int64 // maximum of inFlight
 	opened   atomic.Int64 // connections accepted
 	openNow  atomic.Int64
-	mostOpen atomic.Int64
-	// closesAfter is how long a leaf that ends a connection takes for it.
+	mostOpen atomic.Int64 // maximum of connsOpen
+	// closeDelay is how long the leaf takes to close its side of a connection.
 	closesAfter time.Duration
 
 	mu      sync.Mutex
 	handle  func(w http.ResponseWriter, r *http.Request, q *contract.LeafRequest)
 	status  contract.LeafStatus
-	statusH http.HandlerFunc // in place of status
+	statusH http.HandlerFunc // if set, serves the status endpoint instead of status
 }
 
 func newFakeLeaf(t testing.TB) *fakeLeaf {
@@ -58,13 +58,15 @@
 	return f
 }
 
+// storeMax sets maximum to n if n is larger.
 func raise(most *atomic.Int64, n int64) {
 	for m := most.Load(); n > m && !most.CompareAndSwap(m, n); m = most.Load() {
 	}
 }
 
-// leafListener counts the connections whose end at the leaf is open. A hook of the server's
-// that runs after the end is closed would count some that callers have seen closed.
+// leafListener counts the connections whose server side is open. http.Server.ConnState is not
+// used because it runs after the connection is closed, so it would still count connections
+// that callers have already seen closed.
 type leafListener struct {
 	net.Listener
 	f *fakeLeaf
@@ -102,7 +104,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	// The server sees that a caller has left only once the body is read to its end.
+	// net/http detects a closed connection only after the request body was read completely.
 	_, _ = io.Copy(io.Discard, r.Body)
 	f.runs.Add(1)
 	raise(&f.most, f.inFlight.Add(1))
@@ -124,6 +126,7 @@
 	json.NewEncoder(w).Encode(st)
 }
 
+// update runs change with f.mu held.
 func (f *fakeLeaf) set(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,10 +148,10 @@
 	return settings.Leaf{Name: "a", Addr: f.Listener.Addr().String(), Domain: "lalitpur-hall"}
 }
 
-// quiet keeps the server's log of faults that a test causes out of the output.
+// discardLogger keeps the server's messages on faults that a test causes out of the output.
 func quiet() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// rig is a sender with gates open for one leaf.
+// fixture is a sender and its gates, configured for one leaf.
 type rig struct {
 	sender *Sender
 	gates  *admit.Gates
@@ -182,7 +185,7 @@
 	return ctx
 }
 
-// eventually waits for a condition that another goroutine brings about.
+// eventually waits until cond is true and fails the test after testTimeout.
 func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(generous); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -190,5 +193,5 @@
 			return
 		}
 	}
-	t.Fatalf("not seen within %v: %s", generous, what)
+	t.Fatalf("condition not met within %v: %s", generous, what)
 }
--- a/internal/link/leaf/outcome.go
+++ b/internal/link/leaf/outcome.go
@@ -10,7 +10,7 @@
 	"pearmoor/internal/contract"
 )
 
-// outcome is how an exchange ended: for the caller, and for the leaf's gate.
+// outcome is the result of an exchange, both for the caller and for the leaf's gate.
 type outcome struct {
 	reply      *contract.LeafReply
 	err        *contract.Error
@@ -19,7 +19,8 @@
 	dead       bool // the connection failed before a byte was written
 }
 
-// notSent ends an exchange before its first byte, by no fault of the leaf.
+// notSent is the outcome of an exchange that stopped before its first byte for a reason that
+// is not the leaf's fault.
 func notSent(err error) outcome {
 	var e *contract.Error
 	if !errors.As(err, &e) {
@@ -28,7 +29,7 @@
 	return outcome{err: e, learnt: admit.Unused}
 }
 
-// notConnected ends an exchange that got no connection.
+// notConnected is the outcome of an exchange that got no connection.
 func notConnected(err error) outcome {
 	switch {
 	case errors.Is(err, errNoShare), errors.Is(err, errNoConns):
@@ -39,13 +40,13 @@
 	return outcome{err: contract.Refuse(contract.ReasonTargetFailed, err), learnt: admit.Failed}
 }
 
-// deadConn ends an exchange whose connection failed before its first byte.
+// failedBeforeWrite is the outcome of an exchange whose connection failed before its first byte.
 func deadConn(err error) outcome {
 	e := contract.Refuse(contract.ReasonTargetFailed, err)
 	return outcome{err: e, learnt: admit.Failed, dead: true}
 }
 
-// broken ends an exchange that failed after its first byte may have left.
+// failedAfterWrite is the outcome of an exchange that failed when bytes may have been sent.
 func broken(reason contract.Reason, err error) outcome {
 	e := &contract.Error{Verdict: contract.MayHaveRun, Reason: reason, Cause: err}
 	return outcome{err: e, learnt: admit.Failed}
--- a/internal/link/leaf/platform.go
+++ b/internal/link/leaf/platform.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	platformLimit    = 32 << 20 // bytes of the platform's list
+	platformLimit    = 32 << 20 // bytes
 	platformInterval = 2 * time.Second
 	platformTimeout  = 5 * time.Second
-	platformLife     = time.Minute // a list that could not be renewed for so long says nothing
+	platformLife     = time.Minute // a list that could not be refreshed for this long is discarded
 )
 
-// platformList is the platform's word on which VMs are leaving. It lags: a VM
-// that it names as leaving is, one that it does not name may be.
+// platformList fetches the platform's list of VMs that are leaving. The list lags behind: a
+// VM that it reports as leaving is leaving, but a VM that it does not report may be as well.
 type platformList struct {
 	url     string
 	client  *http.Client
 	every   time.Duration // between fetches
 	etag    string
-	leaving map[string]bool // see leavingOf
-	at      time.Time
+	leaving map[string]bool // see leavingVMs
+	at      time.Time       // of the last successful fetch
 }
 
 func newPlatformList(base string) *platformList {
@@ -41,8 +41,8 @@
 	}
 }
 
-// fetch returns the names and addresses of leaving VMs. An unchanged list costs
-// a few bytes where the platform supports ETag.
+// fetch returns the names and addresses of leaving VMs. If the platform supports ETag, an
+// unchanged list is not transferred again.
 func (l *platformList) fetch(ctx context.Context) (map[string]bool, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, l.url, nil)
 	if err != nil {
@@ -79,13 +79,14 @@
 func parsePlatform(body []byte) ([]contract.PlatformVM, error) {
 	var vms []contract.PlatformVM
 	if err := json.Unmarshal(body, &vms); err != nil {
-		return nil, errors.Wrap(err, "the platform's VM list is not valid")
+		return nil, errors.Wrap(err, "invalid VM list from the platform")
 	}
 	return vms, nil
 }
 
-// leavingOf indexes the leaving VMs by address, and by name only those without
-// one: a leaf's name in the settings tree need not be its VM's.
+// leavingVMs returns the set of leaving VMs, keyed by address, or by name for a VM without an
+// address. The name is only a fallback because a leaf's name in the settings tree may differ
+// from that of its VM.
 func leavingOf(vms []contract.PlatformVM) map[string]bool {
 	leaving := make(map[string]bool)
 	for _, v := range vms {
@@ -100,8 +101,8 @@
 	return leaving
 }
 
-// isLeaving reports whether the list names the leaf's address, its host or, for
-// VMs without an address, its name.
+// isLeaving reports whether the set contains the leaf's address, the host of that address or
+// the leaf's name.
 func isLeaving(leaving map[string]bool, l settings.Leaf) bool {
 	if len(leaving) == 0 {
 		return false
--- a/internal/link/leaf/pool.go
+++ b/internal/link/leaf/pool.go
@@ -13,36 +13,36 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Link is what a daemon may use to reach a leaf.
+// ConnConfig is the configuration of the connections to a leaf.
 type Link struct {
-	Conns       int           // this daemon's share of the leaf's connections; 0: none
-	TLS         bool          // HTTPS, with the sender's TLS configuration
-	ConnectCost time.Duration // stated cost of a new connection, until one was measured
+	Conns       int           // this daemon's share of the leaf's connections; 0: no connection may be open
+	TLS         bool          // use HTTPS with the sender's TLS configuration
+	ConnectCost time.Duration // configured time to open a connection: the lower bound of the estimate
 }
 
-// conn is an open connection to a leaf with its HTTP/1.1 exchange state. It
-// carries one exchange at a time and never resends.
+// conn is an open connection to a leaf and its HTTP/1.1 client. It carries one exchange at a
+// time and never resends a request.
 type conn struct {
 	client *http.ClientConn
 	wire   *wire
-	reused bool
+	reused bool // has carried a complete exchange
 	secure bool
 }
 
-// pool keeps the connections to one leaf: never more than its cap, those being
-// dialled included, and warm ones for as long as the leaf keeps them.
+// pool holds the connections to one leaf. Those in use, idle and being dialled never exceed
+// config.MaxConns together. Idle connections are kept until the leaf closes them.
 type pool struct {
 	sender *Sender
 	addr   string
 
 	mu            sync.Mutex
 	link          Link
-	tls           *tls.Config // used if link.TLS
-	open          int         // dialling, idle or in use
-	over          bool        // more are open than the share allows
-	idle          []*conn     // the last used is taken first
+	tls           *tls.Config // used if config.TLS is set
+	open          int         // being dialled, idle, in use, or closing until the leaf has closed its side
+	over          bool        // more connections are open than config.MaxConns
+	idle          []*conn     // most recently used last; taken from the end
 	waiting       []chan struct{}
-	cost          time.Duration // learnt connect cost
+	cost          time.Duration // moving average of the time to open a connection; 0: no sample
 	cancelSupport cancelSupport
 }
 
@@ -51,8 +51,8 @@
 	errNoShare = errors.New("the daemon holds no share of the leaf's connections")
 )
 
-// setLink returns the connections that the new link has no place for. The
-// caller closes them when it holds no lock: each calls back.
+// configure applies cfg and returns the idle connections that it no longer allows. The caller
+// must close them without holding a lock, because closing a connection calls connClosed.
 func (p *pool) setLink(l Link, conf *tls.Config) []*conn {
 	p.mu.Lock()
 	if l.TLS != p.link.TLS {
@@ -68,6 +68,7 @@
 	return surplus
 }
 
+// updateOverLimit updates overLimit and the sender's count of pools over their limit.
 func (p *pool) markOver() {
 	over := p.open > p.link.Conns
 	if over == p.over {
@@ -81,7 +82,7 @@
 	}
 }
 
-// unused reports whether the pool holds nothing and may hold nothing.
+// unused reports whether the pool has no connections and may open none.
 func (p *pool) unused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,8 +95,9 @@
 	return p.open
 }
 
-// takeSurplus removes idle connections that may not be used any more: those
-// beyond the cap, idle longest first, and those that do or don't speak TLS.
+// removeSurplus removes and returns the idle connections that may no longer be used: those
+// above the limit, idle longest first, and those whose use of TLS differs from the
+// configuration.
 func (p *pool) takeSurplus() []*conn {
 	n := min(max(p.open-p.link.Conns, 0), len(p.idle))
 	surplus := slices.Clone(p.idle[:n])
@@ -109,26 +111,26 @@
 	return surplus
 }
 
-// endAll ends connections; no lock may be held.
+// closeAll calls closeGraceful on all connections. The caller must not hold a lock.
 func endAll(cs []*conn) {
 	for _, c := range cs {
 		c.end()
 	}
 }
 
-// end ends a connection: it counts until the leaf has closed its end.
+// closeGraceful closes c, which counts as open until the leaf has closed its side.
 func (c *conn) end() { _ = c.wire.Close() }
 
-// close ends a connection whose leaf is not waited for any more.
+// close closes c without waiting for the leaf.
 func (c *conn) close() {
 	c.wire.dropped.Store(true)
 	c.client.Close()
 	_ = c.wire.drop()
 }
 
-// get returns an idle connection or a new one, or waits for either while the
-// cap is reached. ctx ends only the wait: a connection once begun is finished
-// and kept, since its cost is already paid.
+// get returns an idle connection or a new one. At the connection limit it waits. ctx ends
+// only that wait: a dial that has started is completed even if ctx ends, and the connection
+// is kept for other requests.
 func (p *pool) get(ctx context.Context) (*conn, error) {
 	for {
 		c, wait, err := p.take()
@@ -149,7 +151,7 @@
 	}
 }
 
-// tryGet is get without waiting at the cap.
+// tryGet is like get but returns errNoConns instead of waiting at the connection limit.
 func (p *pool) tryGet() (*conn, error) {
 	c, wait, err := p.take()
 	switch {
@@ -164,8 +166,9 @@
 	return p.dial()
 }
 
-// take returns an idle connection, or a channel to wait on, or neither when
-// the caller may dial: its place is then already counted.
+// takeOrReserve returns an idle connection, or a channel that is signalled when the caller
+// should try again, or neither if the caller may dial: the new connection is then already
+// counted in open.
 func (p *pool) take() (*conn, chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,10 +200,10 @@
 		p.waiting = slices.Delete(p.waiting, at, at+1)
 		return
 	}
-	p.wake() // the signal it got goes to the next
+	p.wake() // the waiter was already signalled: pass the signal on to the next one
 }
 
-// wake signals the first waiter; the lock is held.
+// wakeNext signals the first waiter. The caller must hold p.mu.
 func (p *pool) wake() {
 	if len(p.waiting) == 0 {
 		return
@@ -209,7 +212,7 @@
 	p.waiting = slices.Delete(p.waiting, 0, 1)
 }
 
-// put gives a connection back after a whole exchange.
+// put returns a connection to the pool after a complete exchange.
 func (p *pool) put(c *conn) {
 	c.reused = true
 	p.mu.Lock()
@@ -223,7 +226,7 @@
 	p.mu.Unlock()
 }
 
-// closed counts a connection out.
+// connClosed removes a closed connection from the count and from the idle list.
 func (p *pool) closed(w *wire) {
 	p.mu.Lock()
 	p.open--
@@ -237,8 +240,8 @@
 	}
 }
 
-// refuses reports whether nothing listens at the leaf's address any more: a connect is
-// refused. One that succeeds is kept.
+// connectionRefused reports whether the leaf's address refuses a new connection, which means
+// that no process listens there. If the connection succeeds, it is kept in the pool.
 func (p *pool) refuses() bool {
 	p.mu.Lock()
 	place := p.open < p.link.Conns
@@ -247,7 +250,7 @@
 	}
 	p.mu.Unlock()
 	if !place {
-		return false // other connections are open, or being opened
+		return false // at the limit: other connections are open or being opened
 	}
 	c, err := p.dialFor(probeTimeout)
 	if err == nil {
@@ -256,9 +259,10 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// dial opens the connection whose place take has counted.
+// dial opens the connection that takeOrReserve has already counted.
 func (p *pool) dial() (*conn, error) { return p.dialFor(dialTimeout) }
 
+// dialWithTimeout opens a connection that is already counted in open.
 func (p *pool) dialFor(limit time.Duration) (*conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -284,9 +288,9 @@
 	return p.tls
 }
 
-// transport returns a transport for one connection: its dialler yields w. TLS
-// is spoken inside w, so that w sees each write before it is encrypted and the
-// transport itself speaks plain HTTP/1.1.
+// newTransport returns a transport for a single connection, which its dialler returns as w.
+// TLS is handled below w, so that w sees each write before encryption and the transport
+// itself speaks plain HTTP/1.1.
 func transport(w *wire, conf *tls.Config) *http.Transport {
 	return &http.Transport{
 		DisableCompression: true,
@@ -301,7 +305,8 @@
 	}
 }
 
-// costWeight is the weight of a new sample of the connect cost.
+// connectTimeWeight is the inverse weight of a new sample in the moving average of the time to
+// open a connection.
 const costWeight = 4
 
 func (p *pool) learnCost(d time.Duration) {
@@ -314,7 +319,8 @@
 	p.cost += (d - p.cost) / costWeight
 }
 
-// connectCost is what closing a connection will cost later.
+// expectedConnectTime estimates the time to open a connection, and so what closing one costs
+// a later request.
 func (p *pool) connectCost() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/link/leaf/probe.go
+++ b/internal/link/leaf/probe.go
@@ -14,14 +14,14 @@
 	"pearmoor/internal/contract"
 )
 
-// Bounds of a status report, against one that lies about its size.
+// Upper bounds on the values in a status report, to limit the memory that an invalid report takes.
 const (
 	shardsMax  = 1 << 16
 	indexesMax = 1 << 10
 )
 
-// probe asks a leaf for its status on a connection of its pool. It does not
-// wait for one: requests come first.
+// probe fetches a leaf's status over a connection of its pool. It does not wait for a
+// connection, because requests take priority.
 func (s *Sender) probe(addr string, timeout time.Duration) (contract.LeafStatus, error) {
 	p := s.pool(addr)
 	if p == nil {
@@ -68,22 +68,22 @@
 	return buf.Bytes(), nil
 }
 
-// parseStatus reads and checks a status report.
+// parseStatus parses and validates a status report.
 func parseStatus(body []byte) (contract.LeafStatus, error) {
 	var st contract.LeafStatus
 	if err := json.Unmarshal(body, &st); err != nil {
-		return st, errors.Wrap(err, "the status is not valid")
+		return st, errors.Wrap(err, "invalid status report")
 	}
 	switch st.State {
 	case contract.LeafStarting, contract.LeafServing, contract.LeafDraining:
 	default:
-		return st, errors.Newf("the status has state %q; expected starting, serving or draining", st.State)
+		return st, errors.Newf("invalid state %q in status report; expected starting, serving or draining", st.State)
 	}
 	if st.InFlight < 0 || st.InFlight > math.MaxInt32 || st.Slots < 0 || st.Slots > math.MaxInt32 {
-		return st, errors.Newf("the status has in_flight %d of %d slots", st.InFlight, st.Slots)
+		return st, errors.Newf("invalid in_flight %d or slots %d in status report", st.InFlight, st.Slots)
 	}
 	if len(st.Indexes) > indexesMax {
-		return st, errors.Newf("the status has %d indexes; at most %d are read", len(st.Indexes), indexesMax)
+		return st, errors.Newf("status report has %d indexes; the limit is %d", len(st.Indexes), indexesMax)
 	}
 	for i := range st.Indexes {
 		if err := checkIndex(&st.Indexes[i]); err != nil {
@@ -98,11 +98,11 @@
 		return errors.Newf("index %d of %q has %d shards; expected 1 to %d", ix.Version, ix.Service, ix.Shards, shardsMax)
 	}
 	if ix.Version == 0 {
-		return errors.Newf("an index of %q has version 0", ix.Service)
+		return errors.Newf("an index of %q has the invalid version 0", ix.Service)
 	}
 	for _, shard := range ix.Held {
 		if shard >= ix.Shards {
-			return errors.Newf("index %d of %q holds shard %d of %d", ix.Version, ix.Service, shard, ix.Shards)
+			return errors.Newf("index %d of %q lists shard %d; it has %d shards", ix.Version, ix.Service, shard, ix.Shards)
 		}
 	}
 	return nil
--- a/internal/link/leaf/prober.go
+++ b/internal/link/leaf/prober.go
@@ -18,41 +18,41 @@
 const (
 	defaultInterval = time.Second
 	probeTimeoutMin = 500 * time.Millisecond
-	firstProbe      = 10 * time.Millisecond // a new leaf is asked within this time
-	knownLimit      = time.Second           // a new leaf that is silent for so long counts as tried
-	probeJitter     = 0.2                   // of the interval; it only shortens it, so that a leaf's word is no older
-	staleIntervals  = 5                     // a status older than so many intervals does not make a leaf live
-	staleMin        = 3 * time.Second
+	firstProbe      = 10 * time.Millisecond // the first probe of a new leaf is delayed by a random time up to this
+	knownLimit      = time.Second           // Known does not wait longer than this for the first probe of a leaf
+	probeJitter     = 0.2                   // fraction of the interval; jitter only shortens it, so that a status is never older than the interval
+	staleIntervals  = 5                     // a status older than this many probe intervals is stale
+	staleMin        = 3 * time.Second       // lower bound of the age at which a status is stale
 )
 
-// ProberConfig makes a Prober.
+// ProberConfig configures a Prober.
 type ProberConfig struct {
 	Sender      *Sender
 	Gates       *admit.Gates
-	PlatformURL string   // base URL of the platform's VM list; empty: none
+	PlatformURL string   // base URL of the platform's VM list; empty: not polled
 	Clock       vm.Clock // nil: vm.Now
 }
 
-// Prober polls the status of watched leaves and keeps the catalog of index
-// versions. A leaf that leaves, by its own word, the operator's or the
-// platform's, is taken out of the catalog and its gate is shut.
+// Prober polls the status of watched leaves and maintains the catalog of index versions. A
+// leaf that is draining, according to its own status, the settings or the platform, is removed
+// from the catalog, and its gate admits no new requests.
 type Prober struct {
 	sender   *Sender
 	gates    *admit.Gates
 	platform *platformList
 	clock    vm.Clock
-	wake     chan struct{}
+	wake     chan struct{} // makes Run look for due probes now
 
 	mu       sync.RWMutex
 	services map[string]*service
 	targets  map[string]*target // by address
-	leaving  map[string]bool
+	leaving  map[string]bool    // VMs that the platform reports as leaving, see leavingVMs
 }
 
 // service is a watched query service.
 type service struct {
 	leaves  []settings.Leaf
-	drained []string
+	drained []string // names of the leaves that the settings drain
 	every   time.Duration
 	catalog []Snapshot
 }
@@ -61,17 +61,17 @@
 type target struct {
 	leaf     settings.Leaf
 	every    time.Duration
-	services []string
-	since    time.Time // watched from then on
-	tried    bool      // a probe has ended
-	due      time.Time
-	probing  bool
-	failing  bool
-	known    bool // status is valid
+	services []string  // that use the leaf
+	since    time.Time // start of the watch
+	tried    bool      // a probe has succeeded or failed
+	due      time.Time // when the next probe is due
+	probing  bool      // a probe is running
+	failing  bool      // the last probe failed
+	known    bool      // status and statusAt are set
 	status   contract.LeafStatus
-	at       vm.Instant // of the status
+	at       vm.Instant // when status was received
 	draining bool
-	live     bool
+	live     bool // see isLive
 }
 
 // NewProber returns a prober that watches nothing yet.
@@ -93,8 +93,8 @@
 	return p
 }
 
-// Watch watches the leaves of a query service from now on, and no longer if e
-// is nil. It is called again when the service's settings change.
+// Watch starts watching the leaves of a query service, or stops if eff is nil. It is called
+// again when the service's settings change.
 func (p *Prober) Watch(name string, e *settings.Effective) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,7 +115,7 @@
 	p.signal()
 }
 
-// retarget brings targets in line with services.
+// updateTargets recomputes targets from services. The caller must hold p.mu.
 func (p *Prober) retarget() {
 	old := p.targets
 	p.targets = make(map[string]*target, len(old))
@@ -138,6 +138,8 @@
 	}
 }
 
+// addTarget adds a leaf of a service to targets. t is the leaf's previous state, or nil if it
+// was not watched.
 func (p *Prober) addTarget(t *target, l settings.Leaf, service string, every time.Duration) {
 	if now := p.targets[l.Addr]; now != nil {
 		now.services = append(now.services, service)
@@ -152,7 +154,8 @@
 	p.targets[l.Addr] = t
 }
 
-// judgeDrain shuts or opens the gate of a leaf and reports a change.
+// updateDraining recomputes whether a leaf is draining, and closes or opens its gate and logs
+// the change.
 func (p *Prober) judgeDrain(t *target) {
 	leaving := t.known && t.status.State == contract.LeafDraining || isLeaving(p.leaving, t.leaf)
 	for _, name := range t.services {
@@ -164,16 +167,16 @@
 	t.draining = leaving
 	p.gates.Drain(t.leaf.Addr, leaving)
 	if leaving {
-		klog.Infof("leaf: %s drains", t.leaf.Name)
+		klog.Infof("leaf: %s is draining", t.leaf.Name)
 		return
 	}
-	klog.Infof("leaf: %s takes work again", t.leaf.Name)
+	klog.Infof("leaf: %s no longer drains, accepting new requests", t.leaf.Name)
 	p.gates.Ramp(t.leaf.Addr)
 }
 
-// isLive trusts a recent answer to a request as much as a recent status: the
-// status endpoint of a leaf that works may fail, and a stale status may speak
-// for a leaf that is gone.
+// isLive reports whether a leaf may receive new requests. A recent answer to a request counts
+// as much as a recent status, because the status endpoint of a working leaf may fail. A status
+// that is stale does not count, because the leaf may have stopped since.
 func (p *Prober) isLive(t *target) bool {
 	if !t.known || t.draining {
 		return false
@@ -186,7 +189,8 @@
 	return ok && age <= life
 }
 
-// rebuild makes a service's catalog anew; readers keep the one they have.
+// rebuildCatalog replaces a service's catalog. Readers may still use the previous one, so it
+// is not modified.
 func (p *Prober) rebuild(name string) {
 	s := p.services[name]
 	if s == nil {
@@ -212,8 +216,8 @@
 	return t.status, p.clock().Sub(t.at), true
 }
 
-// Snapshots returns the index versions of a service, newest first. The slice
-// is shared and must not be changed.
+// Snapshots returns the index versions of a service, newest first. The slice is shared and
+// must not be modified.
 func (p *Prober) Snapshots(service string) []Snapshot {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -224,9 +228,9 @@
 	return s.catalog
 }
 
-// Known reports whether every leaf of a service has been asked for its status
-// since it is watched, so that what the catalog does not have is missing and
-// not just unknown yet.
+// Known reports whether each leaf of a service has been probed at least once or has been
+// watched for firstProbeWait. Until then, a shard without a leaf in the catalog may be held by a
+// leaf that was not probed yet; afterwards it counts as missing.
 func (p *Prober) Known(service string) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -242,6 +246,7 @@
 	return true
 }
 
+// wakeUp makes Run look for due probes now.
 func (p *Prober) signal() {
 	select {
 	case p.wake <- struct{}{}:
@@ -249,7 +254,7 @@
 	}
 }
 
-// Run polls until ctx ends, and returns when its last probe has ended.
+// Run polls the leaves until ctx is done, and returns when all probes have finished.
 func (p *Prober) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -273,14 +278,16 @@
 	}
 }
 
-// dueProbe is a probe to make, with what may change while it runs.
+// dueProbe is a probe that is due. It has copies of the target's address and interval, which
+// may change while the probe runs.
 type dueProbe struct {
 	target *target
 	addr   string
 	every  time.Duration
 }
 
-// takeDue returns the targets to probe now and how long until the next is due.
+// takeDue marks the due targets as being probed, and returns them and the time until the next
+// probe is due.
 func (p *Prober) takeDue(now time.Time) ([]dueProbe, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -299,10 +306,13 @@
 	return due, next
 }
 
+// jittered shortens d by a random fraction of up to probeJitter.
 func jittered(d time.Duration) time.Duration {
 	return d - time.Duration(rand.Float64()*probeJitter*float64(d))
 }
 
+// probe fetches the status of a leaf and updates the catalog. Of consecutive failures only the
+// first one is logged.
 func (p *Prober) probe(d dueProbe) {
 	st, err := p.sender.probe(d.addr, max(probeTimeoutMin, d.every))
 	p.mu.Lock()
@@ -330,7 +340,7 @@
 	}
 }
 
-// learn takes in a new status and reports whether the catalog is affected.
+// recordStatus stores a new status and reports whether the catalog must be rebuilt.
 func (p *Prober) learn(t *target, st contract.LeafStatus) bool {
 	changed := !t.known || !slices.EqualFunc(t.status.Indexes, st.Indexes, sameIndex)
 	cold := st.State == contract.LeafStarting && (!t.known || t.status.State != contract.LeafStarting)
@@ -347,8 +357,9 @@
 	return a.Service == b.Service && a.Version == b.Version && a.Shards == b.Shards && slices.Equal(a.Held, b.Held)
 }
 
-// pollPlatform keeps the platform's list of leaving VMs. A list that can't be
-// renewed is kept for platformLife, then dropped: leaves speak for themselves.
+// pollPlatform polls the platform's list of leaving VMs until ctx is done. If the list cannot
+// be fetched, the last one is used for platformListMaxAge and then discarded: after that only
+// the settings and the leaves' own status tell which leaves are draining.
 func (p *Prober) pollPlatform(ctx context.Context) {
 	defer p.platform.client.CloseIdleConnections()
 	failing := false
@@ -358,7 +369,7 @@
 			return
 		}
 		if err != nil && !failing {
-			klog.Warningf("leaf: platform list failed: %v", err)
+			klog.Warningf("leaf: fetching the platform's VM list failed: %v", err)
 		}
 		failing = err != nil
 		if err == nil || time.Since(p.platform.at) > platformLife {
@@ -372,6 +383,7 @@
 	}
 }
 
+// setLeaving replaces the set of leaving VMs and updates the leaves whose state changes.
 func (p *Prober) setLeaving(leaving map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/link/leaf/prober_test.go
+++ b/internal/link/leaf/prober_test.go
@@ -18,7 +18,7 @@
 	"pearmoor/internal/vm"
 )
 
-// watching runs a prober over one leaf of service /s.
+// newWatchingProber runs a prober for one leaf of service /s.
 func watching(t *testing.T, f *fakeLeaf, platformURL string) (*rig, *Prober, *settings.Effective) {
 	r := newRig(t, f.leaf(), 1, Link{Conns: 2})
 	p := NewProber(ProberConfig{Sender: r.sender, Gates: r.gates, PlatformURL: platformURL})
@@ -35,7 +35,7 @@
 	return r, p, e
 }
 
-// holders counts the leaves that may be asked for shard 0 of the newest version.
+// leafCount returns the number of leaves in the catalog for shard 0 of the newest version.
 func (p *Prober) holders() int {
 	list := p.Snapshots("/s")
 	if len(list) == 0 {
@@ -48,9 +48,10 @@
 	f.status.Indexes = []contract.LeafIndex{index(7, 1, 0)}
 }
 
-// A leaf that leaves, whoever says so, must get nothing new: it goes out of the
-// catalog, its gate shuts, and what waits for it is refused, while what it has
-// goes on. When the word is taken back it serves again.
+// A draining leaf must get no new requests, whether its status, the settings or the platform
+// says that it is draining. It is removed from the catalog, its gate closes and waiting
+// requests are rejected, while running ones finish. When it no longer drains, it must serve
+// again.
 func TestLeavingLeafGetsNothingNew(t *testing.T) {
 	var mu sync.Mutex
 	var vms []contract.PlatformVM
@@ -94,7 +95,7 @@
 			},
 		},
 	} {
-		Convey("A leaf drains by "+c.word+" word", t, func() {
+		Convey("A leaf drains according to "+c.word+" report", t, func() {
 			f := newFakeLeaf(t)
 			f.set(func() { holding(f) })
 			release := make(chan struct{})
@@ -104,29 +105,28 @@
 			}
 			r, p, e := watching(t, f, platform.URL)
 			had := r.sendAsync(deadline(t, generous), t, "had")
-			eventually(t, "the leaf works", func() bool { return f.inFlight.Load() == 1 })
+			eventually(t, "the leaf runs the request", func() bool { return f.inFlight.Load() == 1 })
 			waits := r.sendAsync(deadline(t, generous), t, "waits")
-			eventually(t, "one waits", func() bool { return r.gates.Load(r.leaf.Addr).Waiting == 1 })
+			eventually(t, "a request waits", func() bool { return r.gates.Load(r.leaf.Addr).Waiting == 1 })
 			c.leave(f, p, *e)
 			So(errors.Is(<-waits, admit.ErrDraining), ShouldBeTrue)
-			eventually(t, "it is out of the catalog", func() bool { return p.holders() == 0 })
+			eventually(t, "the leaf is removed from the catalog", func() bool { return p.holders() == 0 })
 			_, err := r.send(deadline(t, generous), t, "new")
 			So(errors.Is(err, admit.ErrDraining), ShouldBeTrue)
 			close(release)
 			So(<-had, ShouldBeNil)
 			So(f.runs.Load(), ShouldEqual, 1)
 			c.back(f, p, *e)
-			eventually(t, "it is back", func() bool { return p.holders() == 1 })
+			eventually(t, "the leaf is in the catalog again", func() bool { return p.holders() == 1 })
 			_, err = r.send(deadline(t, generous), t, "new")
 			So(err, ShouldBeNil)
 		})
 	}
 }
 
-// The status endpoint of a leaf fails while the leaf answers requests. Its last
-// status is kept with its age, and it stays in the catalog, because what it
-// does counts for more than what its health endpoint says. Once it neither
-// answers nor reports it is not asked any more.
+// A leaf whose status endpoint fails while it still answers requests must stay in the catalog
+// with its last status, because an answer to a request proves more than the status endpoint.
+// Once it neither answers nor reports its status, it must no longer be live.
 func TestStatusEndpointThatFails(t *testing.T) {
 	Convey("A leaf whose status endpoint fails", t, func() {
 		f := newFakeLeaf(t)
@@ -136,7 +136,7 @@
 		_, before, _ := p.Status(r.leaf.Addr)
 		eventually(t, "the status ages", func() bool { _, age, ok := p.Status(r.leaf.Addr); return ok && age > before+50*time.Millisecond })
 		So(p.holders(), ShouldEqual, 1)
-		Convey("is live by its answers, and by nothing once they are old too", func() {
+		Convey("is live while its answers are recent, and not live once they are old too", func() {
 			_, err := r.send(deadline(t, generous), t, "1")
 			So(err, ShouldBeNil)
 			p.mu.Lock()
@@ -150,7 +150,7 @@
 			So(p.isLive(target), ShouldBeFalse)
 			p.clock = now
 		})
-		Convey("is forgotten when it is watched no more", func() {
+		Convey("is forgotten when it is no longer watched", func() {
 			p.Watch("/s", nil)
 			_, _, ok := p.Status(r.leaf.Addr)
 			So(ok, ShouldBeFalse)
@@ -159,8 +159,8 @@
 	})
 }
 
-// The platform supports ETag: an unchanged list is not sent again, which is what
-// keeps polling a list of thousands of VMs cheap. One that fails keeps its word.
+// If the platform supports ETag, an unchanged list must not be transferred again: this keeps
+// polling a list of thousands of VMs cheap. A failed fetch must return an error.
 func TestPlatformListIsFetchedOnce(t *testing.T) {
 	Convey("An unchanged list", t, func() {
 		full, failing := 0, false
@@ -192,11 +192,11 @@
 	})
 }
 
-// A home that has just been given a share knows nothing of its leaves yet. It
-// must be able to say so, else it reports shards as lost that it has not asked
-// for. A leaf that is down must not keep it from serving the others.
+// A daemon that has just become responsible for a service has not probed its leaves yet. It must
+// be able to tell, or it would report shards as missing that it has not looked for. A leaf that
+// is down must not delay it, so a failed probe counts as well.
 func TestKnownOnceEveryLeafWasAsked(t *testing.T) {
-	Convey("A service with one leaf that is up and one that is down", t, func() {
+	Convey("A service with a running leaf and one that is down", t, func() {
 		f := newFakeLeaf(t)
 		f.set(func() { holding(f) })
 		r, p, e := watching(t, f, "")
@@ -207,10 +207,10 @@
 		more := *e
 		more.Leaves = append(more.Leaves, down)
 		p.Watch("/s", &more)
-		eventually(t, "the one that is down was tried", func() bool { return p.Known("/s") })
+		eventually(t, "the leaf that is down was probed", func() bool { return p.Known("/s") })
 		So(p.holders(), ShouldEqual, 1)
 	})
-	Convey("A prober that has asked nobody yet", t, func() {
+	Convey("A prober that has not probed any leaf yet", t, func() {
 		f := newFakeLeaf(t)
 		r := newRig(t, f.leaf(), 1, Link{Conns: 1})
 		p := NewProber(ProberConfig{Sender: r.sender, Gates: r.gates})
--- a/internal/link/leaf/resend_test.go
+++ b/internal/link/leaf/resend_test.go
@@ -17,8 +17,8 @@
 	"pearmoor/internal/settings"
 )
 
-// dropper is a leaf that answers the first request of each connection and, on
-// the second, reads it whole and closes the connection without a word.
+// closingLeaf is a leaf that answers the first request of each connection, reads the second one
+// completely and closes the connection without a reply.
 type dropper struct {
 	net.Listener
 	runs atomic.Int64
@@ -65,10 +65,10 @@
 	}
 }
 
-// The leaf dies after it has read the request, on a connection used before. The
-// caller must see "may have run", and the leaf must have run it once: an HTTP
-// client that takes a request for idempotent sends it again by itself, and a
-// fee is charged twice under a verdict that counted one attempt.
+// A leaf crashes after it has read a request on a reused connection. The verdict must be
+// MayHaveRun, and the leaf must have received the request once. An HTTP client that considers
+// the request idempotent would resend it, and a fee would be charged twice although the verdict
+// accounts for one attempt.
 func TestNothingResendsByItself(t *testing.T) {
 	Convey("A leaf reads the second request of a connection and closes it", t, func() {
 		d := newDropper(t)
@@ -82,7 +82,7 @@
 		So(d.runs.Load(), ShouldEqual, 2)
 		So(r.gates.Load(leaf.Addr).InFlight, ShouldEqual, 0)
 	})
-	Convey("The fault is real: net/http's own transport resends such a request", t, func() {
+	Convey("By contrast, net/http's transport resends such a request with an Idempotency-Key", t, func() {
 		d := newDropper(t)
 		tr := &http.Transport{}
 		defer tr.CloseIdleConnections()
@@ -103,17 +103,17 @@
 	})
 }
 
-// The leaf closes idle connections, as servers do. The next request must find a
-// new connection by itself: nothing was written, so nothing can have run.
+// Servers close idle connections. The next request must then be sent on a new connection
+// without an error: nothing was written on the closed one, so the request cannot have run.
 func TestDeadIdleConnectionIsReplaced(t *testing.T) {
-	Convey("After the leaf closed its idle connections", t, func() {
+	Convey("After the leaf has closed its idle connections", t, func() {
 		f := newFakeLeaf(t)
 		r := newRig(t, f.leaf(), 1, Link{Conns: 1})
 		for range 20 {
 			_, err := r.send(deadline(t, generous), t, "1")
 			So(err, ShouldBeNil)
 			f.CloseClientConnections()
-			eventually(t, "both ends see the close", func() bool {
+			eventually(t, "both sides have closed the connection", func() bool {
 				n, _ := r.sender.Conns(r.leaf.Addr)
 				return n == 0 && f.openNow.Load() == 0
 			})
--- a/internal/link/leaf/roundtrip.go
+++ b/internal/link/leaf/roundtrip.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	replyLimit  = 16 << 20 // bytes of a reply; a longer one counts as failed
-	statusLimit = 1 << 20  // bytes of a status report
-	keepBuffer  = 1 << 20  // a larger read buffer is not kept
+	replyLimit  = 16 << 20 // bytes; a longer reply is a failure
+	statusLimit = 1 << 20  // bytes
+	keepBuffer  = 1 << 20  // bytes; a larger read buffer is not returned to bufferPool
 )
 
 var errTooLong = errors.New("the reply is longer than the limit")
 
 var queryHeader = http.Header{"Content-Type": {"application/json"}}
 
-// newQuery builds the request. Its body can't be rewound and it has no
-// Idempotency-Key, so nothing below may send it twice: a resend that the
-// verdict does not know of would run the request two times.
+// newQueryRequest builds the HTTP request. It has no GetBody and no Idempotency-Key, so that
+// net/http never resends it: a resend that the verdict does not account for could run the
+// request twice.
 func newQuery(addr string, req *contract.LeafRequest) (*http.Request, error) {
 	var body bytes.Buffer
 	enc := json.NewEncoder(&body)
@@ -47,8 +47,8 @@
 	}, nil
 }
 
-// roundTrip sends the request on c and judges what comes back. c is given back
-// to the pool only after a whole exchange.
+// roundTrip sends the request on c and classifies the response. c is returned to the pool only
+// after a complete exchange.
 func (x *exchange) roundTrip(c *conn) outcome {
 	r, err := newQuery(x.pool.addr, &x.req)
 	if err != nil {
@@ -79,9 +79,10 @@
 	return out
 }
 
-// told judges the answer of a leaf that was told to stop: what is not a reply
-// is the leaf's way of saying that it has, and no fault. A whole reply right
-// after it was told has crossed with the word and says nothing.
+// recordCancelResult handles the outcome of an exchange whose cancellation was sent. Any end
+// other than a matching reply means that the leaf has stopped, and does not count as a failure.
+// A reply that arrives within expectedConnectTime of the cancellation may have been sent before
+// the leaf saw it, so it does not count as an ignored cancellation.
 func (x *exchange) told(out *outcome) {
 	x.mu.Lock()
 	after := x.clock().Sub(x.toldAt)
@@ -94,7 +95,8 @@
 	}
 }
 
-// failed judges an exchange without a whole reply and closes its connection.
+// handleError returns the outcome of an exchange that ended without a complete response, and
+// closes its connection.
 func (x *exchange) failed(c *conn, err error) outcome {
 	nothingSent := x.disarm(c)
 	x.setConn(nil)
@@ -128,7 +130,7 @@
 	}
 }
 
-// readAll reads a whole body into buf and closes it.
+// readAll reads the whole body of resp into buf and closes the body.
 func readAll(buf *bytes.Buffer, resp *http.Response, limit int64) error {
 	defer resp.Body.Close()
 	if resp.ContentLength > limit {
--- a/internal/link/leaf/sender.go
+++ b/internal/link/leaf/sender.go
@@ -17,7 +17,7 @@
 	"pearmoor/internal/work"
 )
 
-// task is an exchange and the context that ends its wait for a connection.
+// task is an exchange and the context that bounds its wait for a connection.
 type task struct {
 	ctx context.Context
 	x   *exchange
@@ -25,18 +25,18 @@
 
 func (t task) run() { t.x.run(t.ctx) }
 
-// Config makes a Sender.
+// Config configures a Sender.
 type Config struct {
 	Clock vm.Clock    // nil: vm.Now
-	TLS   *tls.Config // for leaves with Link.TLS; nil: the system's authorities
+	TLS   *tls.Config // for leaves with ConnConfig.TLS; nil: use the system's root CAs
 }
 
 // Sender sends requests to leaves over bounded pools of connections.
 type Sender struct {
 	clock vm.Clock
 	tls   *tls.Config
-	hold  time.Duration // see holdLimit
-	over  atomic.Int64  // pools with more connections open than their share
+	hold  time.Duration // see defaultAbandonTimeout
+	over  atomic.Int64  // number of pools with more connections open than their limit
 
 	workers *work.Pool[task]
 
@@ -44,7 +44,7 @@
 	pools map[string]*pool // by address
 }
 
-// NewSender returns a sender that reaches no leaf until Limit has named its link.
+// NewSender returns a Sender. It cannot send to a leaf until Configure was called for it.
 func NewSender(c Config) *Sender {
 	s := &Sender{clock: c.Clock, tls: c.TLS, hold: holdLimit, workers: work.NewPool(task.run), pools: make(map[string]*pool)}
 	if s.clock == nil {
@@ -56,8 +56,8 @@
 	return s
 }
 
-// Limit sets what may be used to reach a leaf. A smaller share of connections
-// closes idle ones at once and the others when their exchange is over.
+// Configure sets the connection limit and the connection settings of a leaf. If the limit
+// is lowered, surplus idle connections are closed at once and others after their exchange.
 func (s *Sender) Limit(leaf settings.Leaf, l Link) {
 	endAll(s.limit(leaf.Addr, l))
 }
@@ -80,8 +80,9 @@
 	return surplus
 }
 
-// forget drops a pool that holds nothing and may hold nothing. Until then it
-// stays known: a share that comes back must count what is still open.
+// removePool removes a pool that has no connections and may open none. A pool with open
+// connections is kept even if its limit is 0, so that they are counted if the limit is
+// raised again.
 func (s *Sender) forget(p *pool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,8 +91,8 @@
 	}
 }
 
-// Respected reports whether no leaf has more connections open than its share,
-// so that a smaller share may be acknowledged.
+// WithinLimits reports whether no leaf has more connections open than its limit, so that a
+// lowered limit may be acknowledged.
 func (s *Sender) Respected() bool { return s.over.Load() == 0 }
 
 func (s *Sender) pool(addr string) *pool {
@@ -100,8 +101,8 @@
 	return s.pools[addr]
 }
 
-// Conns returns how many connections to a leaf are open or being opened, and
-// what opening one costs.
+// ConnStats returns the number of connections to a leaf that are open or being opened, and
+// the expected time to open one.
 func (s *Sender) Conns(addr string) (open int, cost time.Duration) {
 	p := s.pool(addr)
 	if p == nil {
@@ -110,7 +111,7 @@
 	return p.opened(), p.connectCost()
 }
 
-// Close closes idle connections, and the others when their exchange is over.
+// Close closes idle connections at once and others after their exchange.
 func (s *Sender) Close() {
 	s.workers.Close()
 	s.mu.RLock()
@@ -121,11 +122,10 @@
 	}
 }
 
-// Send sends req once and waits for its reply until ctx ends. It owns the
-// permit from here on and gives it back when the leaf is known to be done,
-// which may be after Send has returned. The leaf is told the time left until
-// ctx's deadline or the end of the lease, whichever is first. The error is
-// always a *contract.Error.
+// Send sends req at most once and waits for its reply until ctx is done. It takes ownership of
+// the permit and returns it when the leaf has finished or is given up, which may be after Send
+// has returned. The request carries the time left until ctx's deadline or the end of the
+// lease, whichever is earlier. The error is always a *contract.Error.
 func (s *Sender) Send(ctx context.Context, leaf settings.Leaf, req *contract.LeafRequest, permit *admit.Permit) (*contract.LeafReply, error) {
 	p := s.pool(leaf.Addr)
 	if p == nil {
@@ -165,6 +165,8 @@
 	return x.reply, nil
 }
 
+// requestDeadline returns the earlier of ctx's deadline and the end of the permit's lease. The
+// cap prevents an overflow when durations are added to it.
 func (s *Sender) deadline(ctx context.Context, permit *admit.Permit) vm.Instant {
 	end := permit.Until()
 	if d, ok := ctx.Deadline(); ok {
--- a/internal/link/leaf/sender_test.go
+++ b/internal/link/leaf/sender_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestSendAnswers(t *testing.T) {
-	Convey("A reply that matches comes back, over one warm connection", t, func() {
+	Convey("Matching replies are returned, all over one connection", t, func() {
 		f := newFakeLeaf(t)
 		r := newRig(t, f.leaf(), 2, Link{Conns: 3})
 		for i := range 20 {
--- a/internal/link/leaf/stress_test.go
+++ b/internal/link/leaf/stress_test.go
@@ -15,12 +15,13 @@
 	"pearmoor/internal/settings"
 )
 
-// moodyLeaf answers, answers late, refuses, resets, cuts, crosses replies or
-// hangs until it is cancelled, each by chance, and counts runs by request.
+// unreliableLeaf randomly answers, answers late, refuses, aborts the connection, closes it after
+// the reply, replies to another request, or hangs until it is cancelled. It counts how often
+// each request ran.
 type moodyLeaf struct {
 	*fakeLeaf
 	mu   sync.Mutex
-	ran  map[string]int
+	ran  map[string]int // runs by request id
 	rand *rand.Rand
 }
 
@@ -56,7 +57,7 @@
 	}
 }
 
-// insist waits out pauses, backoffs and shares of zero until it has a permit.
+// acquireWithRetry retries until it gets a permit, through backoff and limits of zero.
 func (r *rig) insist() *admit.Permit {
 	for {
 		if p, err := r.gates.Acquire(context.Background(), r.leaf.Addr, settings.Urgent); err == nil {
@@ -66,11 +67,11 @@
 	}
 }
 
-// Many callers, some of which leave early, at a leaf of all moods, with its
-// share changing and probes in between. The caller's verdict must be true
-// whatever the order of events: what it was told was not run, never ran; what
-// it was told ran, ran once; nothing ran twice. The leaf never has more in
-// flight or more connections than the largest share of this daemon.
+// Many callers send requests to an unreliable leaf, some with short deadlines, while the leaf
+// is probed and this daemon's share of it changes. Whatever the order of events, a request
+// with the verdict NotRun must not have run, one with the verdict Ran must have run once, and
+// none may have run twice. The leaf must never have more requests in flight or more
+// connections than the largest share of this daemon.
 func TestVerdictsHoldUnderChaos(t *testing.T) {
 	const (
 		slots   = 3
@@ -99,7 +100,7 @@
 				case err != nil:
 					verdicts.Store(id, contract.VerdictOf(err))
 				case reply.ID != id:
-					t.Errorf("%s got the reply of %s", id, reply.ID)
+					t.Errorf("request %s got the reply to %s", id, reply.ID)
 				default:
 					verdicts.Store(id, contract.Ran)
 				}
@@ -124,12 +125,12 @@
 	wg.Wait()
 	close(stop)
 	side.Wait()
-	eventually(t, "all permits are back", func() bool { return r.gates.Respected() && r.inFlight() == 0 })
+	eventually(t, "all permits are returned", func() bool { return r.gates.Respected() && r.inFlight() == 0 })
 	if m.most.Load() > slots {
-		t.Errorf("%d in flight at the leaf; the share is %d", m.most.Load(), slots)
+		t.Errorf("%d requests in flight on the leaf; the share is %d", m.most.Load(), slots)
 	}
 	if m.mostOpen.Load() > conns {
-		t.Errorf("%d connections at the leaf; the share is %d", m.mostOpen.Load(), conns)
+		t.Errorf("%d connections open on the leaf; the share is %d", m.mostOpen.Load(), conns)
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,34 +140,35 @@
 		count[v.(contract.Verdict)]++
 		switch {
 		case runs > 1:
-			t.Errorf("%s ran %d times", id, runs)
+			t.Errorf("request %s ran %d times", id, runs)
 		case v == contract.NotRun && runs != 0:
-			t.Errorf("%s ran and its caller was told that it did not", id)
+			t.Errorf("request %s ran, but its verdict is NotRun", id)
 		case v == contract.Ran && runs != 1:
-			t.Errorf("%s ran %d times and its caller was told that it ran", id, runs)
+			t.Errorf("request %s ran %d times, but its verdict is Ran", id, runs)
 		}
 		return true
 	})
 	for _, v := range []contract.Verdict{contract.NotRun, contract.MayHaveRun, contract.Ran} {
 		if count[v] == 0 {
-			t.Errorf("the run had the verdicts %v; each was expected", count)
+			t.Errorf("got the verdicts %v; expected at least one of each", count)
 		}
 	}
 	t.Logf("verdicts %v, %d connections opened", count, m.opened.Load())
 	r.sender.Close()
-	eventually(t, "no pool is left", func() bool { return r.sender.pool(r.leaf.Addr) == nil })
+	eventually(t, "the pool is removed", func() bool { return r.sender.pool(r.leaf.Addr) == nil })
 	if !r.sender.Respected() {
-		t.Error("connections are counted over the share with none open")
+		t.Error("a pool is counted as over its limit with no connections open")
 	}
 }
 
-// A leaf ends each connection with its answer, as one that is leaving does, and takes a
-// moment to close its end. A daemon that closes and connects anew as soon as it has the
-// answer has one connection too many there: the leaf, at its limit, resets one that carries
-// a request, and the caller sees a request that may have run.
+// A leaf closes each connection after its reply, as a draining one does, and takes a moment to
+// close its side. A daemon that opens a new connection as soon as it has the reply exceeds its
+// share: the leaf, at its limit, resets a connection that carries a request, and the request
+// may have run.
 //
-// Evidence: of 80 runs of the test under chaos, 16 at once beside busy loops, one with six
-// connections open at a leaf that counts its own ends, and five allowed.
+// Without the wait, TestVerdictsHoldUnderRandomFaults failed in one of 80 runs, with 16
+// processes at a time beside busy loops: six connections were open on the leaf, with five
+// allowed.
 func TestConnectionCountsUntilTheLeafHasClosedIt(t *testing.T) {
 	f := newFakeLeafUnstarted()
 	f.closesAfter = 50 * time.Millisecond
@@ -193,9 +195,9 @@
 	}
 }
 
-// A leaf's status handler stands still, and the leaf takes a moment to close the end of
-// each connection whose probe has run out of time. A daemon that probes it again on a new
-// connection at once has one too many there, and a request on another is reset.
+// A leaf's status handler hangs, and the leaf takes a moment to close its side of a connection
+// whose probe has timed out. A daemon that opens a new connection for the next probe at once
+// exceeds its share, and the leaf resets a connection that carries a request.
 func TestProbeCountsUntilTheLeafHasClosedIt(t *testing.T) {
 	f := newFakeLeafUnstarted()
 	f.closesAfter = 50 * time.Millisecond
@@ -205,7 +207,7 @@
 	r := newRig(t, f.leaf(), 4, Link{Conns: 2})
 	for range 10 {
 		if _, err := r.sender.probe(r.leaf.Addr, 5*time.Millisecond); err == nil {
-			t.Error("a probe that is not answered has a status")
+			t.Error("a probe without a response returned a status")
 		}
 	}
 	if f.mostOpen.Load() > 2 {
@@ -213,8 +215,8 @@
 	}
 }
 
-// More callers than connections: they wait for one, and the leaf never sees more
-// than the share, those being opened included.
+// With more callers than connections, callers must wait for one. The leaf must never see more
+// connections than the share, including those being opened.
 func TestConnectionsStayWithinTheShare(t *testing.T) {
 	f := newFakeLeaf(t)
 	r := newRig(t, f.leaf(), 16, Link{Conns: 3})
@@ -230,12 +232,12 @@
 	}
 	wg.Wait()
 	if f.mostOpen.Load() > 3 || f.opened.Load() > 3 {
-		t.Errorf("%d connections at most, %d opened; the share is 3", f.mostOpen.Load(), f.opened.Load())
+		t.Errorf("%d connections open at once, %d opened in total; the share is 3", f.mostOpen.Load(), f.opened.Load())
 	}
 }
 
-// A share that goes to zero and comes back while a request is in flight counts
-// the connection that the request still has.
+// If the share is set to zero and raised again while a request is in flight, the connection of
+// that request must still count.
 func TestShareThatComesBackCountsOldConnections(t *testing.T) {
 	f := newFakeLeaf(t)
 	release := make(chan struct{})
@@ -247,10 +249,10 @@
 	}
 	r := newRig(t, f.leaf(), 2, Link{Conns: 1})
 	slow := r.sendAsync(deadline(t, generous), t, "slow")
-	eventually(t, "the leaf works", func() bool { return f.inFlight.Load() == 1 })
+	eventually(t, "the leaf runs the request", func() bool { return f.inFlight.Load() == 1 })
 	r.sender.Limit(r.leaf, Link{})
 	if r.sender.Respected() {
-		t.Error("a connection is open, the share is 0, and it is said to be respected")
+		t.Error("WithinLimits is true with a connection open and a share of 0")
 	}
 	r.sender.Limit(r.leaf, Link{Conns: 1})
 	next := r.sendAsync(deadline(t, generous), t, "next")
@@ -266,7 +268,7 @@
 	}
 }
 
-// share is mostly between 1 and most, and 0 now and then.
+// randomShare returns a random number from 1 to limit, or 0 in one of 100 cases.
 func share(rnd *rand.Rand, most int) int {
 	if rnd.IntN(100) == 0 {
 		return 0
--- a/internal/link/leaf/verdict_test.go
+++ b/internal/link/leaf/verdict_test.go
@@ -46,8 +46,9 @@
 	panic(http.ErrAbortHandler)
 }
 
-// What a caller may conclude from each way a leaf can answer: only a refusal
-// that the interface defines says "not run", and only a matching reply "ran".
+// For each kind of response, the error must have the right verdict and reason. Only a refusal
+// that is part of the interface proves that the request did not run; anything else except a
+// matching reply leaves it open.
 func TestVerdicts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -91,7 +92,8 @@
 	}
 }
 
-// Nobody listens: the request was not run, and the gate learns that it failed.
+// If nothing listens at the leaf's address, the request did not run and the gate must count a
+// failure.
 func TestNoListenerIsNotRun(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,18 +105,18 @@
 	for range 3 {
 		_, err = r.send(deadline(t, generous), t, "1")
 		if contract.VerdictOf(err) != contract.NotRun {
-			t.Fatalf("refused connection: %v", err)
+			t.Fatalf("error for a refused connection: %v", err)
 		}
 	}
 	if n, _ := r.sender.Conns(leaf.Addr); n != 0 || !r.gates.Load(leaf.Addr).Failing {
-		t.Fatalf("%d connections counted, failing is %v", n, r.gates.Load(leaf.Addr).Failing)
+		t.Fatalf("%d connections counted and Failing is %v; expected 0 and true", n, r.gates.Load(leaf.Addr).Failing)
 	}
 }
 
-// The daemon is given a permit and is then paused past its lease. When it goes
-// on to write, another daemon may have the slot: nothing may be written.
+// A daemon acquires a permit and is then paused until its lease has expired. Another daemon may
+// have the slot by then, so nothing may be written.
 func TestLapsedLeaseWritesNothing(t *testing.T) {
-	Convey("A permit whose lease ran out before the write", t, func() {
+	Convey("A permit whose lease expired before the write", t, func() {
 		f := newFakeLeaf(t)
 		r := newRig(t, f.leaf(), 1, Link{Conns: 1})
 		_, err := r.send(deadline(t, generous), t, "warm")
@@ -129,7 +131,7 @@
 		So(e.Verdict, ShouldEqual, contract.NotRun)
 		So(e.Reason, ShouldEqual, contract.ReasonUnconfirmed)
 		So(f.runs.Load(), ShouldEqual, 1)
-		Convey("costs no connection, and what follows is sent", func() {
+		Convey("closes no connection, and the next request is sent", func() {
 			_, err := r.send(deadline(t, generous), t, "2")
 			So(err, ShouldBeNil)
 			So(f.opened.Load(), ShouldEqual, 1)
@@ -137,14 +139,14 @@
 	})
 }
 
-// The same between the last check and the first byte: the lease runs out, or the
-// caller leaves and is told that nothing was sent. The write itself stops it.
+// The lease expires, or the caller leaves and is told that nothing was sent, after the last
+// check of the exchange but before the first byte. The first write must check both again.
 func TestNothingIsWrittenOnceItMayNot(t *testing.T) {
 	for reason, stop := range map[contract.Reason]func(*rig, *exchange){
 		contract.ReasonUnconfirmed: func(r *rig, _ *exchange) { r.gates.Fence(vm.Now()) },
 		contract.ReasonDeadline:    func(_ *rig, x *exchange) { x.leave() },
 	} {
-		Convey("With the connection in hand: "+string(reason), t, func() {
+		Convey("Stopped with a connection acquired: "+string(reason), t, func() {
 			f := newFakeLeaf(t)
 			r := newRig(t, f.leaf(), 1, Link{Conns: 1})
 			p, _ := r.gates.TryAcquire(r.leaf.Addr)
@@ -164,8 +166,8 @@
 	}
 }
 
-// The leaf is told no more time than the lease has left, so that what outlives
-// a lapsed lease at a leaf ends with it.
+// The deadline that is sent to the leaf must not exceed the remaining time of the lease, so that
+// a request does not run on the leaf after the lease has expired.
 func TestDeadlineNeverOutlivesTheLease(t *testing.T) {
 	f := newFakeLeaf(t)
 	told := make(chan int64, 1)
@@ -179,6 +181,6 @@
 		t.Fatal(err)
 	}
 	if d := <-told; d > 5000 || d < 1 {
-		t.Fatalf("the leaf was told %d ms with a lease of 5000", d)
+		t.Fatalf("the leaf received a deadline of %d ms; the lease is 5000 ms", d)
 	}
 }
--- a/internal/link/leaf/wire.go
+++ b/internal/link/leaf/wire.go
@@ -17,37 +17,37 @@
 
 const (
 	dialTimeout = 2 * time.Second
-	// probeTimeout bounds the connect that tells a leaf that has ended from one that has
-	// only lost a connection.
+	// refusalCheckTimeout bounds the dial that tells a leaf whose process has ended from one
+	// that has only lost a connection.
 	probeTimeout = 50 * time.Millisecond
-	// A connection that is cut without a word looks open. Keep-alives find out
-	// when it is idle, the user timeout when sent bytes stay unacknowledged.
+	// A connection that is lost without a FIN or RST looks open. Keep-alives detect that
+	// while it is idle, the TCP user timeout while sent bytes are unacknowledged.
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
 	userTimeout       = 6 * time.Second
-	// endLimit bounds the wait for a leaf to close its end.
+	// peerCloseTimeout bounds the wait for a leaf to close its side of a connection.
 	endLimit = 2 * time.Second
 )
 
-// wire is a connection to a leaf, or the place in its pool of one that is not
-// open yet. It calls a hook before the first byte of an
-// exchange and counts itself out of its pool when it is closed.
+// trackedConn is a connection to a leaf; Conn is nil until it has been dialled. It runs the
+// checks of an exchange before the first byte of its request, and reports to its pool when it
+// is closed.
 type wire struct {
 	net.Conn
 	pool      *pool
-	exact     bool                     // plain TCP: a write of 0 bytes sent nothing
-	first     atomic.Pointer[exchange] // armed until the first write of an exchange
-	half      atomic.Bool              // the write side is shut
-	ended     atomic.Bool              // the leaf has closed its end, or the connection is broken
-	dropped   atomic.Bool              // the leaf's end is not waited for
+	exact     bool                     // no TLS: a failed write that reports 0 bytes sent nothing
+	first     atomic.Pointer[exchange] // exchange whose first write is still to come
+	half      atomic.Bool              // the write side is shut down
+	ended     atomic.Bool              // a read failed: the leaf has closed its side or the connection is broken
+	dropped   atomic.Bool              // closed without waiting for the leaf
 	closeOnce sync.Once
 	endOnce   sync.Once
 }
 
 var errHalfClosed = errors.New("the connection is being closed")
 
-// Write sends b. The exchange's checks run right before its first byte.
+// Write implements net.Conn. It calls beforeFirstWrite before the first byte of an exchange.
 func (w *wire) Write(b []byte) (int, error) {
 	if w.half.Load() {
 		return 0, errHalfClosed
@@ -66,7 +66,7 @@
 	return n, err
 }
 
-// Read reads into b and notes the end.
+// Read implements net.Conn. Any error marks the connection as closed by the peer.
 func (w *wire) Read(b []byte) (int, error) {
 	n, err := w.Conn.Read(b)
 	if err != nil {
@@ -75,8 +75,8 @@
 	return n, err
 }
 
-// Close ends the connection and gives its place in the pool back when the leaf has
-// closed its end as well.
+// Close shuts down the connection. It counts as open in the pool until the leaf has closed its
+// side as well, for at most peerCloseTimeout.
 func (w *wire) Close() error {
 	if w.Conn == nil || w.ended.Load() || w.dropped.Load() {
 		return w.drop()
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// drop closes the connection whatever the leaf does.
+// closeNow closes the connection without waiting for the leaf.
 func (w *wire) drop() error {
 	w.dropped.Store(true)
 	var err error
@@ -97,9 +97,9 @@
 	return err
 }
 
-// closeWrite tells the leaf that the caller has gone while the way back stays
-// open. A leaf that honours cancellation stops, and the end of the stream then
-// proves that it has; one that does not answers in full.
+// closeWrite shuts down the write side, which signals cancellation to the leaf, and keeps the
+// read side open. A leaf that honours cancellation stops and closes the connection, which
+// proves that it has stopped; one that does not sends a complete reply.
 func (w *wire) closeWrite() {
 	if !w.half.CompareAndSwap(false, true) {
 		return
@@ -129,7 +129,7 @@
 	return errors.CombineErrors(ctrl, err)
 }
 
-// dialLeaf opens a connection, with TLS if conf is not nil.
+// dialLeaf opens a connection to addr, with TLS if conf is not nil.
 func dialLeaf(ctx context.Context, addr string, conf *tls.Config) (net.Conn, error) {
 	raw, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil || conf == nil {
--- a/internal/link/linger/linger.go
+++ b/internal/link/linger/linger.go
@@ -1,5 +1,5 @@
-// Package linger closes connections to leaves so that they are counted for as long as
-// the leaf counts them.
+// Package linger closes connections to leaves gracefully, so that the caller can count a
+// connection as open until the leaf has closed its side too.
 package linger
 
 import (
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// bufferSize takes what the other side still sends, in bytes.
+// drainBufferSize is the size in bytes of the buffer for data that is read and discarded.
 const bufferSize = 512
 
-// Close shuts down the write side of conn, waits for the peer's FIN, limit at most, closes
-// conn, and calls over. It returns at once.
+// Close shuts down the write side of conn, waits up to timeout for the peer to close its side,
+// closes conn and calls onClosed. It does not block.
 //
-// A leaf counts a connection until it has seen its end. Closed from here at once, its
-// place would be taken by a new one while the leaf still counts the old, and on a link that
-// delays both arrive together: the leaf has more than the share. A leaf that has closed its end
-// counts nothing any more; one that is silent for the whole limit is considered lost.
+// A leaf counts a connection until it has processed our FIN. If conn were closed and replaced
+// at once, a delaying network could deliver the FIN and the new connection together, and the
+// leaf would count more connections than this daemon's share. Once the leaf has closed its
+// side it no longer counts the connection. A leaf that does not close its side within timeout
+// is considered lost.
 func Close(conn net.Conn, limit time.Duration, over func()) {
 	half, ok := conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
--- a/internal/link/target/dialect.go
+++ b/internal/link/target/dialect.go
@@ -6,20 +6,20 @@
 	"pearmoor/internal/policy"
 )
 
-// Dialect names the headers that callers and leaves speak. What it holds comes
-// from the adapter of the platform the tier runs on.
+// Dialect names the HTTP headers that callers and leaves use. It is provided by the adapter of
+// the platform that the query tier runs on.
 type Dialect struct {
-	RequestID string // a caller's name for one attempt of its own
-	Deadline  string // milliseconds that the sender will wait
-	LeafID    string // the leaf that a request is for; another one refuses it
-	Stamp     string // a leaf's signature of its reply
-	Load      string // a leaf's word on its load
-	NotRun    string // a leaf's word that it did not run the request
+	RequestID string // the caller's id of one of its attempts
+	Deadline  string // milliseconds that the sender waits for the reply
+	LeafID    string // the leaf that a request is addressed to; any other leaf rejects it
+	Stamp     string // the leaf's signature of its reply
+	Load      string // the leaf's load
+	NotRun    string // present if the leaf did not run the request
 
-	Parts   string // signatures of the parts that an answer is made of
-	Missing string // number of parts left out
+	Parts   string // signatures of the partial replies that an answer was merged from
+	Missing string // number of partial replies that are missing
 
-	// ParseLoad reads the value of Load.
+	// ParseLoad parses the value of the Load header.
 	ParseLoad func(string) (policy.Load, bool)
 }
 
@@ -27,16 +27,16 @@
 type Reply struct {
 	Status     int
 	Header     map[string][]string
-	Body       []byte // whole, unless Rest is set
-	Rest       *Rest  // nil when Body is whole
+	Body       []byte // complete unless Rest is set
+	Rest       *Rest  // remainder of a body above BodyLimit; nil if Body is complete
 	Stamp      string
 	Load       policy.Load
 	HasLoad    bool
-	RetryAfter time.Duration // 0: not stated
-	// Refused says that the reply proves that the leaf did not run the request: it says
-	// so itself, or it is another leaf than the request is for.
+	RetryAfter time.Duration // 0: not given
+	// Refused is set if the reply proves that the leaf did not run the request: it has the
+	// NotRun header, or its status says that the request is addressed to another leaf.
 	Refused bool
 }
 
-// OK reports whether the leaf ran the request with success.
+// OK reports whether the status is 2xx.
 func (r *Reply) OK() bool { return r.Status >= 200 && r.Status < 300 }
--- a/internal/link/target/doc.go
+++ b/internal/link/target/doc.go
@@ -1,8 +1,8 @@
-// Package target is the link to leaves for requests that are forwarded as they
-// are: warm HTTP/1.1 connections, one exchange at a time on each, and a verdict on
-// every exchange that fails.
+// Package target forwards requests unmodified to leaves over persistent HTTP/1.1 connections.
+// Each connection carries one exchange at a time, and each failed exchange has a verdict on
+// whether the request may have run.
 //
-// An exchange is never sent twice from here. Its reply counts only if it echoes
-// the request's id and was read to its end: a leaf may send a second reply late,
-// where that of the next request is expected, and bytes that belong to no request.
+// The package never resends a request. A reply is accepted only if it echoes the request's id
+// and its body is complete: a leaf may send a second, late reply in place of that to the next
+// request, or bytes that belong to no request.
 package target
--- a/internal/link/target/end_test.go
+++ b/internal/link/target/end_test.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// heldLeaf accepts connections and reads nothing from them until release is called, as
-// a leaf behind a link that holds back everything. It then answers what it finds.
+// stalledLeaf accepts connections but reads nothing from them until resume is closed, like a
+// leaf behind a network that delays all packets. After that it answers the requests.
 type heldLeaf struct {
 	addr string
 	held chan struct{}
@@ -69,10 +69,10 @@
 	}
 }
 
-// A leaf resets connections that are over its limit, and callers' requests with them. The
-// link to it holds back everything for a while. Callers leave meanwhile, the daemon ends
-// their connections and opens others in their places, and when the link is well again
-// the leaf is told of both at once. So a place counts until the leaf has closed its end.
+// A leaf resets connections above its limit, and with them the requests of callers. If the
+// network delays all packets while callers leave, a daemon that replaces the closed connections
+// at once lets the leaf see the old and the new ones together. So a connection must count
+// until the leaf has closed its side.
 func TestPlaceCountsUntilTheLeafHasClosed(t *testing.T) {
 	const share = 2
 	leaf := newHeldLeaf(t)
@@ -94,19 +94,19 @@
 		<-done
 	}
 	if err := ask(l, &Call{}, 20*time.Millisecond); err == nil || !errors.Is(err.Cause, ErrBusy) {
-		t.Errorf("a place is free while the leaf holds all connections of the share: %v", err)
+		t.Errorf("request not rejected while the leaf holds all connections of the share: %v", err)
 	}
 	close(leaf.held)
 	if err := ask(l, &Call{}, 5*time.Second); err != nil {
-		t.Errorf("after the leaf has closed them: %v", err)
+		t.Errorf("request after the leaf has closed the connections: %v", err)
 	}
 	if n := leaf.mostOpen(); n > share {
-		t.Errorf("the leaf had %d connections, the share is %d", n, share)
+		t.Errorf("the leaf had %d connections at once, the share is %d", n, share)
 	}
 }
 
-// A leaf is silent for good. Its places are not held back longer than a link that carries
-// nothing is borne with.
+// A leaf that never responds does not close its side of a connection. The connection must stop
+// counting after peerCloseTimeout, or the daemon's share is lost for good.
 func TestPlaceOfASilentLeafIsGivenBack(t *testing.T) {
 	leaf := newHeldLeaf(t)
 	defer close(leaf.held)
@@ -121,7 +121,7 @@
 		open = l.open
 		l.mu.Unlock()
 		if time.Since(began) > 2*userTimeout {
-			t.Fatal("the place is not given back")
+			t.Fatal("the closed connection is still counted as open")
 		}
 	}
 }
--- a/internal/link/target/ended.go
+++ b/internal/link/target/ended.go
@@ -10,9 +10,9 @@
 	"pearmoor/internal/contract"
 )
 
-// markEnded marks the failure of an exchange whose connection was lost, if the leaf itself
-// has ended. A lost connection alone does not tell: leaves drop idle ones, and break off
-// answers.
+// markLeafEnded marks err, the failure of an exchange whose connection was lost, with
+// ErrLeafEnded if the leaf's process has ended. A lost connection does not prove that: leaves
+// also close idle connections and abort replies.
 func (l *Link) markEnded(err error) error {
 	if l.hasEnded(time.Now()) {
 		return errors.Mark(err, contract.ErrLeafEnded)
@@ -20,12 +20,13 @@
 	return err
 }
 
-// placeWait is how long a place to connect from is waited for: others that wait for one
-// connect as well.
+// dialWait bounds the wait for a dial of another call to finish and, at the connection limit,
+// the wait for a free connection slot.
 const placeWait = 5 * time.Millisecond
 
-// hasEnded reports whether the leaf has ended, by a connect that is refused after a
-// connection was lost at that time. One that succeeds takes the place of the lost one.
+// leafEnded reports whether the leaf's process has ended: whether a dial, by this call or
+// another, was refused after a connection was lost at lostAt. A connection that the dial opens
+// is kept in the pool.
 func (l *Link) hasEnded(lost time.Time) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -60,12 +61,12 @@
 			}
 		}
 		if ctx.Err() != nil {
-			return false // a leaf that neither takes nor refuses a connect may be there
+			return false // neither accepted nor refused: the leaf may still be running
 		}
 	}
 }
 
-// connectEnded notes how a connect ended.
+// dialFinished records the result of a dial and wakes the calls that wait for it.
 func (l *Link) connectEnded(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/link/target/exchange.go
+++ b/internal/link/target/exchange.go
@@ -16,63 +16,64 @@
 	"pearmoor/internal/contract"
 )
 
-// Request is one request as it goes to a leaf.
+// Request is one request to a leaf.
 type Request struct {
 	Dialect *Dialect
 	Method  string
 	ID      string
-	// Head is the request line and the headers that are the same for every leaf,
-	// each line ended, without the empty line that ends the head.
+	// Head is the request line and the headers that are the same for every leaf. Each line
+	// ends in CRLF; the empty line that ends the header section is not included.
 	Head []byte
-	// Body is the whole body, or its beginning when Stream has the rest.
+	// Body is the complete body, or its beginning if Stream is set.
 	Body   []byte
 	Stream *Stream
-	// Deadline is when the sender stops waiting; the leaf is told what is left.
+	// Deadline is when the sender stops waiting. The remaining time is sent to the leaf.
 	Deadline time.Time
-	// ConnWait is how long the request may wait for a connection while all that may be
-	// open are in use.
+	// ConnWait is how long the request may wait for a connection while as many as allowed
+	// are in use.
 	ConnWait time.Duration
-	// Repeatable requests may be sent on a connection that has been idle for long,
-	// and are never harmed by its loss.
+	// Idempotent requests may run more than once. They may be sent on a connection that has
+	// been idle for long, because they can be sent again if it turns out to be lost.
 	Repeatable bool
-	// BodyLimit is the most bytes of a reply read into Body; beyond it the reply's
-	// Rest is left to the caller. WholeOnly makes a longer one a failure instead.
+	// BodyLimit is the maximum number of bytes of a reply that are read into its Body. The
+	// caller reads the remainder from the reply's Rest. With FailOverLimit, a longer reply
+	// is a failure instead.
 	BodyLimit int
 	WholeOnly bool
 }
 
-// Stream is the rest of a long body.
+// Stream is the remainder of a request body that is sent while it is being read.
 type Stream struct {
 	Reader  io.Reader
-	Length  int64 // of the whole body; -1: sent in chunks
+	Length  int64 // of the whole body; negative: unknown, sent chunked
 	Trailer func() http.Header
 }
 
-// unrepeatableIdle is how long a connection may have been idle to carry a request
-// that can't be sent again: the longer, the likelier the leaf has dropped it, and
-// the request could not be told from one that ran.
+// maxIdleNonIdempotent is how long a connection may have been idle to carry a request that is
+// not idempotent. The longer it was idle, the more likely the leaf has closed it, and a failed
+// request cannot be told from one that ran.
 const unrepeatableIdle = time.Second
 
-// lateGrace is how long after its deadline a reply is still read: the leaf's own
-// word on the deadline comes then, and keeps the connection.
+// replyGrace is how long after the deadline a reply is still read. A leaf reports that the
+// deadline was exceeded at about that time, and reading its reply keeps the connection usable.
 const lateGrace = 60 * time.Millisecond
 
-// ErrStale marks a failure on a connection that had been idle, before any byte of
-// a reply: most likely the leaf had dropped the connection.
+// ErrStaleConn marks a failure on a reused connection before any byte of a reply arrived: most
+// likely the leaf had closed the connection while it was idle.
 var ErrStale = errors.New("target: an idle connection was lost")
 
-// Call is one exchange under way.
+// Call is the handle by which an exchange can be abandoned while it runs.
 type Call struct {
 	mu        sync.Mutex
 	conn      *conn
-	attached  bool // to a connection, be it given back since
+	attached  bool // has been bound to a connection, even if that was released since
 	abandoned bool
 	cancel    context.CancelFunc
 }
 
-// Abandon says that nobody waits for the reply any more. Its connection is closed, and
-// the leaf drops the request with it: left to work on it, a leaf that has paused or is
-// slow would first go through all that nobody waits for.
+// Abandon ends the exchange because its reply is no longer needed. The connection is closed,
+// so that the leaf drops the request: otherwise a slow leaf, or one that was paused, would
+// first process requests whose callers have left.
 func (c *Call) Abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,22 +83,22 @@
 	c.abandoned = true
 	switch {
 	case c.conn != nil:
-		_ = c.conn.SetDeadline(time.Now()) // its exchange sees it and drops the connection
+		_ = c.conn.SetDeadline(time.Now()) // makes the exchange fail, which closes the connection
 	case c.cancel != nil:
 		c.cancel() // nothing was sent yet
 	}
 }
 
-// Sent reports whether any of the request may have been sent. Of a call that was abandoned
-// before, nothing will be.
+// Sent reports whether any part of the request may have been sent. If it is false for an
+// abandoned call, nothing will be sent.
 func (c *Call) Sent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.attached
 }
 
-// attach binds the call to a connection right before the first byte is written.
-// It reports false when the call has been abandoned: nothing may be sent then.
+// attach binds the call to a connection immediately before the first byte is written. It
+// returns false if the call has been abandoned; nothing may be sent then.
 func (c *Call) attach(cn *conn, deadline time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,6 +116,7 @@
 	c.mu.Unlock()
 }
 
+// setCancel sets the function that ends a wait or a dial before anything was sent.
 func (c *Call) setCancel(f context.CancelFunc) {
 	c.mu.Lock()
 	c.cancel = f
@@ -132,8 +134,8 @@
 
 var errAbandoned = errors.New("target: the caller gave up before anything was sent")
 
-// Do performs one exchange. Its error's verdict is NotRun only if nothing was
-// written; whether a reply says that the leaf ran nothing is in its Refused.
+// Do performs one exchange. The verdict of its error is NotRun only if nothing was written. A
+// reply by which the leaf states that it did not run the request has Refused set.
 func (l *Link) Do(call *Call, req *Request) (*Reply, *contract.Error) {
 	maxIdle := time.Duration(0)
 	if !req.Repeatable {
@@ -160,7 +162,7 @@
 
 var heads = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// writeHead writes the request up to and with Body.
+// writeHead writes the headers and Body of the request.
 func (l *Link) writeHead(c *conn, req *Request, left time.Duration) (int, error) {
 	buf := heads.Get().(*bytes.Buffer)
 	defer heads.Put(buf)
@@ -208,7 +210,8 @@
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// exchange writes the request on c and reads the reply.
+// exchange writes the request on c and reads the reply. It returns c to the pool or closes it,
+// except for a reply with Rest, which does so when it has been read or closed.
 func (l *Link) exchange(call *Call, c *conn, req *Request, left time.Duration) (*Reply, *contract.Error) {
 	reused := c.used
 	n, err := l.writeHead(c, req, left)
@@ -238,6 +241,7 @@
 	return l.finish(call, c, req, resp, sent)
 }
 
+// markStaleIf marks err with ErrStaleConn if the connection was reused.
 func staleIf(reused bool, err error) error {
 	if reused {
 		return errors.Mark(err, ErrStale)
@@ -250,7 +254,7 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// readHead reads the final head; interim ones are passed over.
+// readHead reads the headers of the final response and skips interim (1xx) responses.
 func readHead(c *conn, method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
@@ -266,7 +270,8 @@
 	}
 }
 
-// writeStream writes a long body as it comes. It reports whether all was written.
+// writeStream writes the body from req.Stream and reports whether all of it was written. With
+// chunked encoding it writes req.Body first.
 func writeStream(c *conn, req *Request) bool {
 	s := req.Stream
 	if s.Length >= 0 {
@@ -280,7 +285,7 @@
 		}
 	}
 	if _, err := io.Copy(w, s.Reader); err != nil {
-		return false // without the last chunk the leaf knows that the body is cut
+		return false // the missing last chunk tells the leaf that the body is truncated
 	}
 	if w.Close() != nil {
 		return false
@@ -294,7 +299,8 @@
 	return err == nil
 }
 
-// finish judges a head and reads the body.
+// readReply checks the headers of a response and reads its body. sent receives whether the
+// whole request body was written.
 func (l *Link) finish(call *Call, c *conn, req *Request, resp *http.Response, sent chan bool) (*Reply, *contract.Error) {
 	d := req.Dialect
 	fail := func(reason contract.Reason, err error) (*Reply, *contract.Error) {
@@ -319,8 +325,9 @@
 	after := func(whole bool) {
 		call.detach()
 		_ = resp.Body.Close()
-		// A leaf that answered before it had the whole body reads on: on a kept
-		// connection it would take the next request for the rest of that body.
+		// A leaf that answered before it had read the whole request body may still be
+		// reading: on a reused connection it would take the next request as the
+		// remainder of that body.
 		whole = whole && bodySent(sent)
 		if !whole || resp.Close || c.reader.Buffered() > 0 {
 			l.drop(c)
@@ -347,6 +354,7 @@
 	return out, nil
 }
 
+// bodySent reports whether the whole request body is known to have been written.
 func bodySent(sent chan bool) bool {
 	select {
 	case ok := <-sent:
@@ -358,8 +366,8 @@
 
 var errLonger = errors.New("target: the reply is longer than the limit")
 
-// readUpTo reads a body of at most limit bytes whole. A longer one is read up to
-// the limit and errLonger is returned.
+// readLimited reads a body of at most limit bytes. Of a longer one it returns the first limit+1
+// bytes and errReplyTooLong.
 func readUpTo(resp *http.Response, limit int) ([]byte, error) {
 	size := 512
 	if n := resp.ContentLength; n >= 0 {
@@ -390,6 +398,7 @@
 	return buf, err
 }
 
+// keepAliveTimeout returns the timeout of the Keep-Alive header, if there is one.
 func keepAlive(h http.Header) (time.Duration, bool) {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
@@ -401,9 +410,10 @@
 	return 0, false
 }
 
-// longestRetryAfter bounds a leaf's word on when to come back.
+// maxRetryAfter caps the Retry-After that a leaf may request.
 const longestRetryAfter = time.Minute
 
+// parseRetryAfter returns the Retry-After header in seconds, or 0 if it is missing or invalid.
 func retryAfter(h http.Header) time.Duration {
 	v := h.Get("Retry-After")
 	if v == "" {
--- a/internal/link/target/link.go
+++ b/internal/link/target/link.go
@@ -18,28 +18,29 @@
 )
 
 const (
-	// dialTimeout bounds a connect. A VM that has lost power does not answer, and
-	// a connect to a leaf in the next failure domain takes a few milliseconds.
+	// dialTimeout bounds a dial. A VM that has lost power does not respond at all, while a
+	// dial to a leaf in another failure domain takes a few milliseconds.
 	dialTimeout = 900 * time.Millisecond
-	// readBuffer holds the head and the body of most replies of a shard.
+	// readBufferSize in bytes fits the headers and body of most replies of a shard.
 	readBuffer = 2 << 10
-	// A connection that was cut without a word looks open. The user timeout ends
-	// it while sent bytes stay unacknowledged, keep-alives while it is idle.
+	// A connection that is lost without a FIN or RST looks open. The TCP user timeout ends it
+	// while sent bytes are unacknowledged, keep-alives while it is idle.
 	userTimeout       = 3 * time.Second
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 3
-	// idleLimit closes a connection that has not been used for this long when the
-	// leaf says nothing of its own limit.
+	// maxIdleTime is how long a connection may be idle before it is closed. A leaf may set a
+	// shorter time by its Keep-Alive header.
 	idleLimit = 25 * time.Second
-	// endLimit bounds the wait for a leaf to close its end of a connection that is not
-	// used any more: as long as a link that carries nothing is borne with.
+	// peerCloseTimeout bounds the wait for a leaf to close its side of a connection that is no
+	// longer used. It equals the time after which the kernel gives up on an unresponsive peer.
 	endLimit = userTimeout
-	// idleMargin is kept to a limit that a leaf has stated: it closes by its own
-	// clock, and what is sent meanwhile is lost.
+	// idleTimeoutMargin is subtracted from an idle timeout that a leaf announces. The leaf
+	// measures the timeout itself, and a request that is sent while it closes the connection
+	// is lost.
 	idleMargin = 1200 * time.Millisecond
-	// probeTimeout bounds the connect that tells a leaf that has ended from one that has
-	// only lost a connection.
+	// refusalCheckTimeout bounds the dial that tells a leaf whose process has ended from one
+	// that has only lost a connection.
 	probeTimeout = 50 * time.Millisecond
 )
 
@@ -55,6 +56,7 @@
 	}
 )
 
+// addOpenConns adds d to the number of open connections to all leaves.
 func countOpen(d int64) {
 	openCount.Lock()
 	openCount.n += d
@@ -62,10 +64,10 @@
 	openCount.Unlock()
 }
 
-// ErrBusy says that this daemon's share of the leaf's connections is in use.
+// ErrConnLimit is returned when all connections of this daemon's share of the leaf's are in use.
 var ErrBusy = errors.New("target: the daemon's share of the leaf's connections is in use")
 
-// errClosed says that the leaf has left.
+// errClosed is returned after Close or Abort.
 var errClosed = errors.New("target: the leaf has left")
 
 // Link holds the connections to one leaf. It is safe for concurrent use.
@@ -74,39 +76,39 @@
 
 	mu     sync.Mutex
 	limit  int
-	open   int // being dialled, idle or in use
-	idle   []*conn
-	busy   map[*conn]struct{} // in use
-	queue  []chan grant       // calls that wait for a connection, the first first
+	open   int     // being dialled, idle, in use, or closing until the leaf has closed its side
+	idle   []*conn // most recently used last
+	busy   map[*conn]struct{}
+	queue  []chan grant // calls that wait for a connection, in order of arrival
 	closed bool
-	over   bool // another incarnation has taken the leaf's place
+	over   bool // set by Abort: another process has taken the leaf's place
 
-	dialing     int
-	dialed      chan struct{} // closed when a connect has ended
-	connectedAt time.Time     // when the last connect succeeded
-	refusedAt   time.Time     // when the last connect was refused
+	dialing     int           // dials in progress
+	dialed      chan struct{} // closed and replaced when a dial finishes
+	connectedAt time.Time     // when a dial last succeeded
+	refusedAt   time.Time     // when a dial was last refused
 }
 
-// grant is what a call that waits for a connection is given.
+// grant is what a call that waits for a connection receives.
 type grant struct {
-	conn *conn // nil: a place to dial
+	conn *conn // nil: the call may dial; its connection is already counted
 }
 
-// NewLink returns a link to the leaf of that id and address that opens at most
-// limit connections.
+// NewLink returns a link to the leaf with the given id and address that opens at most maxConns
+// connections.
 func NewLink(id, addr string, limit int) *Link {
 	return &Link{id: id, addr: addr, limit: limit, busy: make(map[*conn]struct{}), dialed: make(chan struct{})}
 }
 
-// SetLimit changes how many connections may be open; those above it are closed
-// when they are next idle.
+// SetMaxConns changes how many connections may be open. Connections above the limit are closed
+// after their current exchange.
 func (l *Link) SetLimit(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.limit = n
 }
 
-// Close closes idle connections now and the others when their exchange is over.
+// Close closes idle connections at once and others after their exchange.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -122,19 +124,19 @@
 	}
 }
 
-// Abort closes all connections of a leaf whose place another incarnation has taken.
-// Exchanges under way end as ones that may have run.
+// Abort closes all connections to a leaf whose process has been replaced by another one.
+// Exchanges in progress fail with the verdict MayHaveRun.
 func (l *Link) Abort() {
 	l.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.over = true
 	for c := range l.busy {
-		_ = c.Close() // its exchange sees the end and gives the place back
+		_ = c.Close() // its exchange then fails and releases the connection
 	}
 }
 
-// CloseIdle closes connections that have been idle for as long as they may be.
+// CloseExpired closes the connections that have been idle for longer than their timeout.
 func (l *Link) CloseIdle(now time.Time) {
 	l.mu.Lock()
 	var old []*conn
@@ -151,19 +153,19 @@
 	}
 }
 
-// conn is an open connection; whoever took it from the link owns it.
+// conn is an open connection. It belongs to the call that took it from the link.
 type conn struct {
 	net.Conn
 	raw    syscall.RawConn
 	reader *bufio.Reader
-	used   bool // has carried a whole exchange
-	ended  bool // the leaf has closed its end, or the connection is broken
+	used   bool // has carried a complete exchange
+	ended  bool // the leaf has closed its side or the connection is broken
 	idleAt time.Time
-	until  time.Time // not to be used after it
+	until  time.Time // end of the idle timeout
 	limit  time.Duration
 }
 
-// Read implements io.Reader and notes the end.
+// Read implements io.Reader. Any error but a timeout marks the connection as closed by the peer.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if err != nil && !isTimeout(err) {
@@ -172,9 +174,9 @@
 	return n, err
 }
 
-// take returns a warm connection that looks sound and has been idle for at most
-// maxIdle (0: any time), or a new one. While this daemon's share of the leaf's
-// connections is in use it waits for one for at most wait.
+// acquire returns an idle connection that is still usable, or a new one. It prefers a new
+// connection to one that has been idle for longer than maxIdle (0: no limit) as long as another
+// may be opened. At the connection limit it waits for at most wait.
 func (l *Link) take(call *Call, deadline time.Time, maxIdle, wait time.Duration) (*conn, error) {
 	for {
 		c, err := l.takeIdle(maxIdle)
@@ -205,15 +207,16 @@
 	}
 }
 
-// mostWaiting bounds the calls that wait for a connection to one leaf: more would not
-// get one within a reply time or two.
+// maxWaiters bounds the calls that wait for a connection to one leaf. Calls beyond it would
+// not get a connection within one or two response times.
 const mostWaiting = 16
 
-// await waits for a connection or a place to dial; nil and no error is a place.
+// waitForConn waits for a connection or for permission to dial. Without an error, a nil
+// connection means that the caller may dial.
 //
-// Refused at once where the share is in use, calls that come at one moment, as after a
-// restart of everything, find every place taken by connections that are being opened,
-// and try again all together a moment later.
+// Waiting avoids synchronized retries: when many calls arrive at once, as after a full restart,
+// all connections are still being dialled. Calls that were rejected then would retry
+// simultaneously a moment later.
 func (l *Link) await(call *Call, wait time.Duration) (*conn, error) {
 	w := make(chan grant, 1)
 	l.mu.Lock()
@@ -242,7 +245,7 @@
 	}
 	l.mu.Unlock()
 	if at < 0 {
-		if g, ok := <-w; ok { // granted at the last moment
+		if g, ok := <-w; ok { // granted at the moment of the timeout
 			return g.conn, nil
 		}
 		return nil, errClosed
@@ -251,8 +254,8 @@
 	return nil, ErrBusy
 }
 
-// hand gives what has become free to the first call that waits; it is false when none
-// does. The lock is held.
+// grantNext passes g to the first waiting call. It returns false if there is none, or if
+// nothing may be granted. The caller must hold l.mu.
 func (l *Link) hand(g grant) bool {
 	if len(l.queue) == 0 || l.closed || l.open > l.limit {
 		return false
@@ -263,7 +266,7 @@
 	return true
 }
 
-// free gives the place of a connection back.
+// releaseSlot passes the slot of a closed connection to a waiting call or decrements openConns.
 func (l *Link) free() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -272,7 +275,7 @@
 	}
 }
 
-// engage counts a connection as in use, unless the leaf has left meanwhile.
+// markInUse adds c to the connections in use, or closes it if the link was closed meanwhile.
 func (l *Link) engage(c *conn) error {
 	l.mu.Lock()
 	closed := l.closed
@@ -287,7 +290,8 @@
 	return nil
 }
 
-// takeIdle returns nil when the caller may dial: its place is counted.
+// takeIdleOrReserve returns an idle connection, or nil if the caller may dial: the new
+// connection is then already counted.
 func (l *Link) takeIdle(maxIdle time.Duration) (*conn, error) {
 	now := time.Now()
 	l.mu.Lock()
@@ -296,7 +300,7 @@
 		return nil, errClosed
 	}
 	if last := len(l.idle) - 1; last >= 0 {
-		c := l.idle[last] // the last used
+		c := l.idle[last] // most recently used
 		if fresh := maxIdle == 0 || now.Sub(c.idleAt) <= maxIdle; fresh || l.open >= l.limit {
 			l.idle[last] = nil
 			l.idle = l.idle[:last]
@@ -310,13 +314,13 @@
 	return nil, nil
 }
 
-// put gives a connection back after a whole exchange.
+// put returns a connection after a complete exchange.
 func (l *Link) put(c *conn) {
 	c.used = true
 	l.keep(c)
 }
 
-// keep makes a sound connection idle.
+// putIdle passes a usable connection to a waiting call or adds it to the idle ones.
 func (l *Link) keep(c *conn) {
 	c.idleAt = time.Now()
 	c.until = c.idleAt.Add(c.limit)
@@ -333,7 +337,8 @@
 	l.mu.Unlock()
 }
 
-// drop ends a connection and gives its place back when the leaf has closed its end.
+// closeConn closes a connection. It counts as open until the leaf has closed its side, for at
+// most peerCloseTimeout.
 func (l *Link) drop(c *conn) {
 	l.mu.Lock()
 	delete(l.busy, c)
@@ -346,7 +351,7 @@
 	linger.Close(c.Conn, endLimit, l.ended)
 }
 
-// ended counts a connection out.
+// connClosed updates the counts after a connection was closed.
 func (l *Link) ended() {
 	countOpen(-1)
 	l.free()
@@ -366,6 +371,7 @@
 	},
 }
 
+// dial opens a connection that is already counted in openConns.
 func (l *Link) dial(ctx context.Context) (*conn, error) {
 	l.mu.Lock()
 	l.dialing++
@@ -390,9 +396,9 @@
 	return c, nil
 }
 
-// sound reports whether an idle connection may be used: it is open, and nothing
-// has arrived on it. What has arrived belongs to no request; taken for the reply
-// of the next one, it would be another caller's answer.
+// usable reports whether an idle connection is still open and no data has arrived on it. Such
+// data belongs to no pending request: read as the reply to the next request, it would give a
+// caller the answer to another one's request.
 func (c *conn) sound() bool {
 	if c.reader.Buffered() > 0 || time.Now().After(c.until) {
 		return false
@@ -411,15 +417,14 @@
 	return err == nil && quiet
 }
 
-// Rest is the part of a reply's body that is still to be read.
+// Rest is the unread part of a reply's body.
 type Rest struct {
 	body  io.ReadCloser
 	after func(whole bool)
 	once  sync.Once
 }
 
-// Read implements io.Reader. An error other than io.EOF says that the reply is
-// not whole.
+// Read implements io.Reader. An error other than io.EOF means that the reply is incomplete.
 func (r *Rest) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if err != nil {
@@ -428,8 +433,8 @@
 	return n, err
 }
 
-// Close ends the exchange; a body that was not read to its end costs the
-// connection.
+// Close ends the exchange. If the body was not read to its end, the connection is closed.
 func (r *Rest) Close() { r.end(false) }
 
+// finish ends the exchange once; whole tells whether the body was read to its end.
 func (r *Rest) end(whole bool) { r.once.Do(func() { r.after(whole) }) }
--- a/internal/link/target/queue_test.go
+++ b/internal/link/target/queue_test.go
@@ -12,7 +12,7 @@
 	"pearmoor/internal/contract"
 )
 
-// slowLeaf answers each request after a while, and counts connections.
+// newSlowLeaf starts a leaf that answers each request after a delay and counts connections.
 func slowLeaf(t *testing.T, after time.Duration) (addr string, conns func() int) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,6 +49,7 @@
 	return lis.Addr().String(), func() int { mu.Lock(); defer mu.Unlock(); return n }
 }
 
+// doRequest performs one request that may wait for a connection for connWait.
 func ask(l *Link, call *Call, wait time.Duration) *contract.Error {
 	_, err := l.Do(call, &Request{
 		Dialect: testDialect, Method: "GET", ID: "id-1", Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n"),
@@ -57,8 +58,8 @@
 	return err
 }
 
-// Ten callers come at one moment, and the daemon may open two connections. All are
-// served over these two in turn; none is told that the leaf is busy.
+// Ten concurrent requests with a limit of two connections must all be served over these two.
+// Without a queue, those that find both in use would fail with ErrConnLimit.
 func TestCallsWaitForConnections(t *testing.T) {
 	addr, conns := slowLeaf(t, 10*time.Millisecond)
 	l := NewLink("leaf", addr, 2)
@@ -73,15 +74,15 @@
 	}
 	wg.Wait()
 	if n := conns(); n > 2 {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections were opened, the limit is 2", n)
 	}
 	if l.open != len(l.idle) || len(l.queue) > 0 || len(l.busy) > 0 {
 		t.Errorf("%d open, %d idle, %d waiting, %d in use", l.open, len(l.idle), len(l.queue), len(l.busy))
 	}
 }
 
-// The leaf is slow and both connections are in use. A call that has waited as long as it
-// may is told so, with nothing sent; one whose caller leaves ends at once.
+// While a slow leaf keeps the only connection in use, a call must fail with NotRun when its
+// ConnWait has passed, and an abandoned call must stop waiting at once.
 func TestWaitForConnectionEnds(t *testing.T) {
 	addr, _ := slowLeaf(t, 400*time.Millisecond)
 	l := NewLink("leaf", addr, 1)
@@ -94,7 +95,7 @@
 		l.mu.Unlock()
 	}
 	if err := ask(l, &Call{}, 5*time.Millisecond); err == nil || err.Verdict != contract.NotRun || !errors.Is(err.Cause, ErrBusy) {
-		t.Errorf("%v", err)
+		t.Errorf("call after its ConnWait: %v", err)
 	}
 	call := &Call{}
 	left := make(chan *contract.Error)
@@ -102,10 +103,10 @@
 	time.Sleep(20 * time.Millisecond)
 	call.Abandon()
 	if err := <-left; err == nil || err.Verdict != contract.NotRun {
-		t.Errorf("abandoned: %v", err)
+		t.Errorf("abandoned call: %v", err)
 	}
 	if err := <-done; err != nil {
-		t.Errorf("the first: %v", err)
+		t.Errorf("first call: %v", err)
 	}
 	if l.open != len(l.idle) || len(l.queue) > 0 {
 		t.Errorf("%d open, %d idle, %d waiting", l.open, len(l.idle), len(l.queue))
--- a/internal/link/target/reply_test.go
+++ b/internal/link/target/reply_test.go
@@ -14,7 +14,7 @@
 	ParseLoad: func(string) (policy.Load, bool) { return policy.Load{}, false },
 }
 
-// exchangeWith performs one exchange with a leaf that answers with these bytes.
+// exchangeAnswer performs one exchange with a leaf that sends the bytes of answer.
 func exchangeWith(answer []byte) (*Link, *Reply, bool) {
 	ours, theirs := net.Pipe()
 	go func() {
@@ -33,9 +33,9 @@
 	return l, reply, err == nil
 }
 
-// A leaf may send anything. Only a reply that names the request and is whole counts,
-// and a connection on which other bytes follow is not used again: the next caller
-// would get them.
+// Whatever bytes a leaf sends, only a complete reply that echoes the request's id may be
+// accepted. A connection on which further bytes follow must not be reused, because the next
+// caller would get them as its reply.
 func FuzzReply(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nRequest-Id: id-1\r\nContent-Length: 2\r\n\r\nab"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nRequest-Id: id-1\r\nContent-Length: 2\r\n\r\nabHTTP/1.1 200 OK\r\n\r\n"))
@@ -48,16 +48,16 @@
 		}
 		if !ok {
 			if l.open != 0 {
-				t.Fatal("the connection of a failed exchange is kept")
+				t.Fatal("the connection of a failed exchange is still open")
 			}
 			return
 		}
 		if got := reply.Header["Request-Id"]; len(got) == 0 || got[0] != "id-1" {
-			t.Fatalf("a reply to %q is taken", got)
+			t.Fatalf("accepted a reply to %q", got)
 		}
 		for _, c := range l.idle {
 			if c.reader.Buffered() > 0 {
-				t.Fatalf("a connection with %d bytes that belong to nobody is kept", c.reader.Buffered())
+				t.Fatalf("kept a connection with %d unread bytes", c.reader.Buffered())
 			}
 		}
 	})
