--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -23,7 +23,7 @@
 	ParseLoad: func(string) (policy.Load, bool) { return policy.Load{Slots: 2}, true },
 }
 
-// replyTo serves one connection of a leaf that answers every request at once.
+// serveInstantReplies serves one connection of a leaf that replies to every request immediately.
 func replyTo(c net.Conn, body string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -50,7 +50,7 @@
 	}
 }
 
-// benchWorld is an engine with a gather over leaves that answer at once.
+// newBenchEngine returns an engine with a gather route over leaves that reply immediately.
 func benchWorld(b *testing.B, shards int) *Engine {
 	b.Helper()
 	var list []discovery.Listed
@@ -88,8 +88,8 @@
 	return e
 }
 
-// BenchmarkGather tells the time of one gather over that many shards, the leaves' side
-// included.
+// BenchmarkGather measures one gather over the given number of shards. The time includes the
+// work of the leaves, which run in the same process.
 func BenchmarkGather(b *testing.B) {
 	for _, shards := range []int{10, 30, 90, 470} {
 		b.Run(fmt.Sprint(shards), func(b *testing.B) { benchGather(b, shards) })
@@ -102,7 +102,7 @@
 		req := &Request{ID: fmt.Sprint(i), Method: http.MethodGet, URI: "/x", Path: "/x", Host: "h",
 			Header: http.Header{"Request-Id": {fmt.Sprint(i)}}, Arrived: time.Now()}
 		if a := e.Forward(context.Background(), req); a.Missing != 0 {
-			b.Fatalf("%+v", a)
+			b.Fatalf("answer with missing parts: %+v", a)
 		}
 	}
 }
--- a/internal/forward/board.go
+++ b/internal/forward/board.go
@@ -11,7 +11,8 @@
 	"pearmoor/internal/vm"
 )
 
-// Board holds what has been learned of each leaf. It is safe for concurrent use.
+// LeafTracker records the observed health of each leaf and holds the connections to it.
+// It is safe for concurrent use.
 type Board struct {
 	clock  vm.Clock
 	domain string
@@ -21,18 +22,19 @@
 	leaves map[discovery.Life]*standing
 }
 
-// NewBoard returns an empty board of a daemon in that failure domain.
+// NewLeafTracker returns an empty tracker for a daemon in the given failure domain.
 func NewBoard(clock vm.Clock, domain string) *Board {
 	return &Board{clock: clock, domain: domain, leaves: make(map[discovery.Life]*standing), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
-// standing is what is known of one leaf.
+// leafState is the observed health of one leaf and the link to it.
 type standing struct {
 	policy.Standing
 	link *target.Link
 }
 
-// Link returns the link to a leaf, made if need be with its limit.
+// Link returns the link to a leaf. It creates the link with the connection limit from
+// limit if there is none yet.
 func (b *Board) Link(l *discovery.Leaf, limit func(*discovery.Leaf) int) *target.Link {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,6 +45,7 @@
 	return s.link
 }
 
+// state returns the state of a leaf and creates it if needed. The caller holds t.mu.
 func (b *Board) of(life discovery.Life) *standing {
 	s := b.leaves[life]
 	if s == nil {
@@ -52,10 +55,10 @@
 	return s
 }
 
-// Keep forgets the leaves that are not in the snapshot and closes their links, and
-// closes connections that have been idle for long. Requests in flight at a leaf that
-// has left end as they will; those at the earlier life of one that has started again
-// end now, since nobody is there to answer them.
+// Reconcile drops the state of leaves that are not in the snapshot, closes their links, and
+// closes idle connections of the remaining links. Requests in flight at a leaf that was
+// removed are allowed to finish. Requests in flight at a leaf that has restarted are aborted,
+// since the process that received them no longer exists.
 func (b *Board) Keep(snap *discovery.Snapshot) {
 	var links, left, over []*target.Link
 	b.mu.Lock()
@@ -89,7 +92,7 @@
 	}
 }
 
-// SetLimits gives every link its limit.
+// SetConnectionLimits updates the connection limit of every link.
 func (b *Board) SetLimits(snap *discovery.Snapshot, limit func(*discovery.Leaf) int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,7 +103,7 @@
 	}
 }
 
-// Begin counts a request as in flight and returns its start.
+// Begin counts a request as in flight and returns its start time.
 func (b *Board) Begin(life discovery.Life) vm.Instant {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -109,35 +112,37 @@
 	return now
 }
 
-// End counts a request out that began then, and learns from its end.
+// End removes a request that started at began from the requests in flight and updates the
+// health of the leaf from its outcome.
 func (b *Board) End(life discovery.Life, began vm.Instant, e policy.Ended) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s := b.leaves[life]; s != nil { // else it has left, or started again
+	if s := b.leaves[life]; s != nil { // otherwise the leaf was removed or has restarted
 		s.End(b.clock(), began, e, b.rng)
 	}
 }
 
-// Unreachable notes that a leaf could not be connected to.
+// MarkUnreachable records that a connection to the leaf could not be established.
 func (b *Board) Unreachable(life discovery.Life) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(life).Unreachable(b.clock(), b.rng)
 }
 
-// Misplaced notes that another leaf answers at a leaf's address.
+// MarkMisplaced records that another leaf answers at the leaf's address.
 func (b *Board) Misplaced(life discovery.Life) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.of(life).Misplaced(b.clock())
 }
 
-// usualCopies is how many leaves of a service a choice among them needs no memory for.
+// stackCandidates is the number of leaves of a service up to which Choose does not allocate
+// memory.
 const usualCopies = 8
 
-// Choose returns the best leaf of list for a request that usually takes that long:
-// one that is neither in tried nor leaving, by policy.Choose. It returns nil when there
-// is none.
+// Choose returns the best leaf of list, according to policy.Choose, for a request that usually
+// takes the given time. It skips leaves that are in tried or draining, and returns nil if no
+// leaf remains.
 func (b *Board) Choose(list []*discovery.Leaf, tried []*discovery.Leaf, usual time.Duration) *discovery.Leaf {
 	var leaves [usualCopies]*discovery.Leaf
 	var known [usualCopies]policy.Candidate
--- a/internal/forward/board_test.go
+++ b/internal/forward/board_test.go
@@ -25,7 +25,7 @@
 
 const usualTime = 20 * time.Millisecond
 
-// share returns how many of 100 choices fall on a.
+// countChoicesOfA returns how many of 100 calls to Choose return leaf a.
 func (r *boardRig) share() int {
 	n := 0
 	for range 100 {
@@ -46,16 +46,15 @@
 	r := newBoardRig()
 	r.a.Draining = true
 	if n := r.share(); n != 0 {
-		t.Errorf("%d of 100 choices fall on the leaf that leaves", n)
+		t.Errorf("%d of 100 choices returned the draining leaf", n)
 	}
 	if got := r.board.Choose([]*discovery.Leaf{r.a}, nil, usualTime); got != nil {
-		t.Errorf("the leaving leaf is taken where no other is there")
+		t.Errorf("Choose returned the draining leaf when there was no other")
 	}
 }
 
-// A leaf crashes and starts again under its id. What was learned of the life before is
-// over: the new one gets requests at once, although the old one was slow, failing,
-// silent, and held to have lost its address.
+// Guards against a restarted leaf that gets no requests because of the health recorded for
+// its previous process, which was slow, failing and marked as misplaced.
 func TestNewLifeIsJudgedAnew(t *testing.T) {
 	r := newBoardRig()
 	for range 20 {
@@ -67,10 +66,10 @@
 	before := r.a.Life()
 	r.a = &discovery.Leaf{ID: "a", Born: 7, Service: "s", Domain: "here", Slots: 2}
 	if n := r.share(); n < 20 {
-		t.Errorf("%d of 100 choices fall on the leaf that has started again", n)
+		t.Errorf("%d of 100 choices returned the restarted leaf", n)
 	}
-	r.board.End(before, began, policy.Ended{Outcome: policy.Failed, Took: usualTime, Usual: usualTime}) // ends in the life before
+	r.board.End(before, began, policy.Ended{Outcome: policy.Failed, Took: usualTime, Usual: usualTime}) // a request to the previous process
 	if n := r.share(); n < 20 {
-		t.Errorf("%d of 100 after a failure of the life before", n)
+		t.Errorf("%d of 100 choices returned the restarted leaf after a failure of its previous process", n)
 	}
 }
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/decision"
 )
 
-// arrivedWait is how long a read of bytes that arrived already may take.
+// bufferedReadTimeout bounds a read of bytes that are already in the receive buffer.
 const arrivedWait = time.Millisecond
 
 var (
@@ -21,24 +21,24 @@
 	undelivered = metrics.GetOrRegisterCounter("forward.undelivered", metrics.DefaultRegistry)
 )
 
-// callerConn is a caller's connection that knows which request is under way on it and
-// why it ended, so that a connection closed without an answer leaves a trace.
+// callerConn is a connection from a caller. It records the current request and the first
+// I/O error, so that a connection closed without an answer can be logged with its cause.
 type callerConn struct {
 	*net.TCPConn
 	log *decision.Log
 
 	mu      sync.Mutex
-	id      string // of the request under way; empty: none
+	id      string // id of the current request; empty if there is none
 	began   time.Time
-	written int   // bytes of its answer
-	failure error // first of the connection
+	written int   // bytes of the answer to the current request
+	failure error // first I/O error on the connection
 	closed  bool
 
-	idleSince time.Time // zero: a request is under way, or none was yet
-	expired   bool      // idle for too long: the next read that finds nothing ends it
+	idleSince time.Time // zero while a request is in progress and before the first one
+	expired   bool      // idle for too long; the next read ends the connection unless data has arrived
 }
 
-// callerListener wraps the connections that it accepts.
+// callerListener wraps accepted TCP connections in callerConn.
 type callerListener struct {
 	net.Listener
 	log *decision.Log
@@ -63,7 +63,8 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connOf returns the connection of a request's context, nil where it is not wrapped.
+// callerConnFrom returns the caller connection from the context of a request, nil if it is
+// not a callerConn.
 func connOf(ctx context.Context) *callerConn {
 	c, _ := ctx.Value(connKey{}).(*callerConn)
 	return c
@@ -75,18 +76,18 @@
 	if c.takeExpired() {
 		switch {
 		case n > 0 && err == nil:
-			err = c.TCPConn.SetReadDeadline(time.Time{}) // expired just behind it
+			err = c.TCPConn.SetReadDeadline(time.Time{}) // the deadline passed just after the data arrived
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			n, err = c.readArrived(p)
 		}
 	}
-	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // net/http ends its own reads so
+	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // net/http uses deadlines to interrupt its own reads
 		c.failed("read", err)
 	}
 	return n, err
 }
 
-// takeExpired reports whether the connection was idle for too long when a read returned.
+// clearExpired clears the idle state and reports whether the connection had expired.
 func (c *callerConn) takeExpired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,9 +96,9 @@
 	return expired
 }
 
-// readArrived reads what arrived before the connection expired, or fails with
-// os.ErrDeadlineExceeded. A process that was without processor finds the expiry and the
-// request at the same moment.
+// readBuffered reads data that arrived before the connection expired. It returns
+// os.ErrDeadlineExceeded if there is none. After a CPU stall, a process can find that the
+// connection has expired although a request is already in the receive buffer.
 func (c *callerConn) readArrived(p []byte) (int, error) {
 	if err := c.TCPConn.SetReadDeadline(time.Now().Add(arrivedWait)); err != nil {
 		return 0, err
@@ -109,7 +110,7 @@
 	return n, c.TCPConn.SetReadDeadline(time.Time{})
 }
 
-// setIdle notes that no request is under way, or that one is.
+// setIdle records whether the connection is idle, that is, has no request in progress.
 func (c *callerConn) setIdle(idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,9 +120,10 @@
 	}
 }
 
-// expire ends the wait for a next request if the connection has been idle for longer
-// than limit. The goroutine that reads the connection closes it, and only if no byte of
-// a request is there: closed from here, it could hold a request that was read already.
+// expire ends the wait for the next request if the connection has been idle for longer
+// than limit. It only sets the read deadline. The reading goroutine closes the connection,
+// and only if no byte of a request has arrived: a close from here could lose a request that
+// has already been read.
 func (c *callerConn) expire(now time.Time, limit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +131,7 @@
 		return
 	}
 	c.expired = true
-	_ = c.TCPConn.SetReadDeadline(now) // fails on a closed connection only
+	_ = c.TCPConn.SetReadDeadline(now) // fails only if the connection is closed
 }
 
 // Write implements net.Conn.
@@ -153,7 +155,7 @@
 	return c.TCPConn.Close()
 }
 
-// failed notes the first failure and reports whether this is it.
+// recordFailure stores the first I/O error and reports whether err is the first one.
 func (c *callerConn) failed(op string, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -164,7 +166,7 @@
 	return first
 }
 
-// begin notes that a request is under way.
+// beginRequest records the start of a request.
 func (c *callerConn) begin(id string, at time.Time) {
 	if c == nil {
 		return
@@ -174,7 +176,7 @@
 	c.id, c.began, c.written = id, at, 0
 }
 
-// cause returns why the connection has ended, nil while nothing failed on it.
+// cause returns the first I/O error on the connection, nil if there was none.
 func (c *callerConn) cause() error {
 	if c == nil {
 		return nil
@@ -184,7 +186,8 @@
 	return c.failure
 }
 
-// closing logs a connection that is closed before any byte of an answer.
+// logUnanswered logs a connection that is closed during a request before any byte of the
+// answer was written.
 func (c *callerConn) closing() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/forward/conn_test.go
+++ b/internal/forward/conn_test.go
@@ -21,12 +21,13 @@
 	"pearmoor/internal/vm"
 )
 
-// panicsAt is a Near that panics, as a fault in the handling of one request does.
+// panickingPeers is a PeerDaemons that panics, to simulate a bug in the handling of a request.
 type panicsAt struct{ oneNear }
 
-func (*panicsAt) Daemon(string) string { panic("a fault of the daemon") }
+func (*panicsAt) Daemon(string) string { panic("simulated bug in request handling") }
 
-// Guards against a panic in the handling of a request that reaches its caller as a closed connection.
+// Guards against a panic in request handling that the caller sees as a closed connection
+// instead of an error answer.
 func TestPanicIsAnsweredWithAnError(t *testing.T) {
 	rt, leaves := awayRoute(t, wholePart)
 	w := newTwoDaemons(t, rt, leaves)
@@ -37,11 +38,11 @@
 		t.Errorf("status %d, %q", resp.StatusCode, text)
 	}
 	if n := panics.Count() - before; n != 1 {
-		t.Errorf("%d panics counted", n)
+		t.Errorf("%d panics counted, want 1", n)
 	}
 }
 
-// lockedBuffer is a buffer that a log writes to while a test reads it.
+// lockedBuffer is a buffer that is safe for concurrent use by a log and a test.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -59,7 +60,8 @@
 	return b.buf.String()
 }
 
-// serveCallers serves the world's engine as the daemon does, and returns its address.
+// serveCallers starts a Server for the fixture's engine, as the daemon does, and returns its
+// address.
 func serveCallers(t *testing.T, w *world, lines *decision.Log) (*Server, string) {
 	t.Helper()
 	s := NewServer(&Handler{Engine: w.engine, Dialect: testDialect, Log: lines, Draining: func() bool { return false }})
@@ -72,7 +74,8 @@
 	return s, lis.Addr().String()
 }
 
-// Guards against a connection that is closed without an answer and without a line that says why.
+// Guards against a connection that is closed without an answer and without a log line that
+// gives the cause.
 func TestUnansweredConnectionIsLogged(t *testing.T) {
 	reached := make(chan struct{}, 1)
 	leaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, _ asked) bool {
@@ -102,10 +105,11 @@
 			return
 		}
 	}
-	t.Errorf("no line: %s", out)
+	t.Errorf("no log line for the unanswered connection: %s", out)
 }
 
-// Guards against the idle limit closing a connection whose next request was read already.
+// Guards against the idle timeout closing a connection whose next request has already been
+// read.
 func TestIdleLimitNeverCutsARequest(t *testing.T) {
 	const callers, asks = 16, 60
 	leaf := startLeaf(t, answers("done"))
@@ -155,11 +159,12 @@
 	over.Store(true)
 	sweeps.Wait()
 	if lost.Load() > 0 || answered.Load() == 0 {
-		t.Errorf("%d requests reached the leaf and got no answer, %d were answered", lost.Load(), answered.Load())
+		t.Errorf("%d requests reached the leaf but were not answered, %d were answered", lost.Load(), answered.Load())
 	}
 }
 
-// Guards against idle connections that stay open past the limit and use up descriptors.
+// Guards against idle connections that stay open past the idle timeout and use up file
+// descriptors.
 func TestIdleConnectionIsClosed(t *testing.T) {
 	w := newWorld(t, repeatable("s"), map[string][]*fakeLeaf{"s": {startLeaf(t, answers("done"))}})
 	s, addr := serveCallers(t, w, nil)
@@ -189,11 +194,11 @@
 		select {
 		case err := <-ended:
 			if !errors.Is(err, io.EOF) {
-				t.Errorf("the connection ended with %v", err)
+				t.Errorf("the connection ended with %v, want EOF", err)
 			}
 			return
 		default:
 		}
 	}
-	t.Error("the connection is still open")
+	t.Error("the idle connection is still open")
 }
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -12,11 +12,12 @@
 	"pearmoor/internal/policy"
 )
 
+// isStaleConn reports whether err is a failure on a connection that had been idle.
 func isStale(err *contract.Error) bool {
 	return err != nil && err.Cause != nil && errors.Is(err.Cause, target.ErrStale)
 }
 
-// decide returns the answer if it is due at now, and nil to go on.
+// decide returns the answer if the request is to be answered at now, otherwise nil.
 func (r *run) decide(now time.Time) *Answer {
 	switch r.progress(now).Decide(r.times) {
 	case policy.AnswerNow:
@@ -36,7 +37,7 @@
 	return nil
 }
 
-// progress counts how far the shards have come.
+// progress summarizes the states of the shards for policy.Progress.Decide.
 func (r *run) progress(now time.Time) policy.Progress {
 	p := policy.Progress{
 		Shards: len(r.shards), Need: r.need, Have: r.have,
@@ -64,7 +65,8 @@
 	return p
 }
 
-// finalAnswer returns the answer of a request that can't be waited for any longer.
+// finalAnswer returns the answer of a request that must end now because the process shuts
+// down.
 func (r *run) finalAnswer() *Answer {
 	if r.have > 0 && r.have >= r.need {
 		return r.answer()
@@ -72,7 +74,7 @@
 	return r.giveUp(contract.ReasonDraining)
 }
 
-// answer returns what has been gathered, or the one reply.
+// successAnswer returns the merged parts of a gather, or the reply to a single request.
 func (r *run) answer() *Answer {
 	if !r.entry.Gathers() {
 		return &Answer{
@@ -91,7 +93,7 @@
 	return a
 }
 
-// merge returns the greatest records of the parts, falling.
+// mergeParts returns the greatest records of all parts in descending order.
 func (r *run) merge() []byte {
 	merged := top{k: r.entry.Top}
 	used := make(map[*partSet]bool)
@@ -108,7 +110,7 @@
 	return merged.bytes()
 }
 
-// giveUp returns the final answer of a request without success.
+// giveUp abandons the sends in flight and returns the answer of a request that has failed.
 func (r *run) giveUp(reason contract.Reason) *Answer {
 	verdict := r.verdict
 	r.abandon()
@@ -133,7 +135,7 @@
 			a.RetryAfter = policy.QuarantinedRetryAfter
 		}
 	case !r.entry.Gathers() && r.last != nil && !r.last.Refused:
-		// A leaf's own word on its failure says more than ours.
+		// The leaf's own error reply is more specific than an answer of this daemon.
 		a.Status, a.Header, a.Body, a.Rest = r.last.Status, http.Header(r.last.Header), r.last.Body, r.last.Rest
 	case reason == contract.ReasonDeadline:
 		a.Status = http.StatusGatewayTimeout
@@ -143,6 +145,7 @@
 	return a
 }
 
+// retryAfter returns the Retry-After of a request that did not run.
 func (r *run) comeBack() time.Duration {
 	if r.last == nil {
 		return policy.ComeBack(0)
@@ -150,7 +153,7 @@
 	return policy.ComeBack(r.last.RetryAfter)
 }
 
-// abandon cancels the sends in flight.
+// abandonSends cancels the sends in flight.
 func (r *run) abandon() {
 	for i := range r.shards {
 		for _, f := range r.shards[i].flights {
@@ -162,8 +165,8 @@
 	}
 }
 
-// sent reports whether any of the sends in flight may have reached a leaf, or still may
-// unless they were abandoned.
+// mayHaveSent reports whether any of the sends in flight may have reached a leaf. If the sends
+// were abandoned before, false means that none of them will.
 func (r *run) sent() bool {
 	for i := range r.shards {
 		for _, f := range r.shards[i].flights {
@@ -196,7 +199,7 @@
 	l.Ms("list_age", r.e.cfg.Book.Age()).End()
 }
 
-// missing names the shards without a part and where each was sent.
+// missingShards lists the shards without a part, each with the leaves it was sent to.
 func (r *run) missing() string {
 	out := ""
 	for i := range r.shards {
@@ -215,6 +218,7 @@
 	return out
 }
 
+// logComponent returns the component name for decision log lines.
 func (r *run) part() string {
 	if r.entry.Gathers() {
 		return "gather"
--- a/internal/forward/delegate.go
+++ b/internal/forward/delegate.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// fewDelegated is how many shards of a gather must have their leaf in a failure
-	// domain for a daemon there to be asked for them: below it the call costs as much
-	// as the sends (one call takes the processor time of 2.4 parts).
+	// minDelegatedShards is the minimum number of shards with a leaf in one failure domain
+	// for which a daemon there is called. One call takes the CPU time of 2.4 parts, so with
+	// fewer shards it costs as much as direct sends.
 	fewDelegated = 3
-	// hopTime is how much earlier than a reply counts as late the first parts are wanted
-	// of a daemon near their leaves: the way between two failure domains, 1 to 3 ms
-	// there and back, and the call.
+	// interDomainDelay is the time allowed for a call to a daemon in another failure domain:
+	// a round trip between domains of 1 to 3 ms plus the processing of the call. The first
+	// parts are requested this much before a reply counts as late.
 	hopTime = 4 * time.Millisecond
-	// silentHelper is how long after the first parts were wanted a daemon may go without
-	// a word before its shards are sent for directly: it is frozen, cut off or far
-	// behind.
+	// daemonSilenceTimeout is how long after a reply counts as late a daemon may send no
+	// reply before its shards are sent to leaves directly. Such a daemon is frozen, cut off
+	// or overloaded.
 	silentHelper = 12 * time.Millisecond
-	// streamOver is how long after the end of a request its stream is waited for.
+	// streamGracePeriod is how long a stream to another daemon may outlive the request.
 	streamOver = 200 * time.Millisecond
 )
 
@@ -40,75 +40,77 @@
 	delegatedLost  = metrics.GetOrRegisterCounter("forward.delegated.failed_calls", metrics.DefaultRegistry)
 )
 
-// Near finds daemons near leaves, for parts of a gather that would each have to be sent
-// across a link between failure domains. It is safe for concurrent use.
+// PeerDaemons selects other daemons and opens calls to them. A daemon in the failure domain
+// of the leaves collects parts of a gather there, so that not every part has to cross the
+// link between failure domains. Implementations are safe for concurrent use.
 type Near interface {
-	// Daemon returns the address of a daemon in the failure domain, empty for none.
+	// DelegateAddr returns the address of a daemon in the failure domain that can be called
+	// with OpenScatter, empty if there is none.
 	Daemon(domain string) string
-	// Runner returns the address of a daemon that whole gathers are handed to, other than
-	// those asked already; empty where there is none or this one runs them itself.
+	// HandoverAddr returns the address of a daemon that a whole gather can be handed over to,
+	// other than those in asked. It is empty if there is none or if this daemon is to run
+	// gathers itself.
 	Runner(asked []string) string
-	// Handover opens a call to it.
+	// OpenHandover opens a handover call to the daemon at addr.
 	Handover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error)
-	// Scatter opens a call to a daemon near leaves.
+	// OpenScatter opens a scatter call to the daemon at addr.
 	Scatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error)
-	// Ended tells how what was asked of a daemon ended: nil if it answered. It is called
-	// once for each address that Daemon or Runner has returned.
+	// ReportResult reports the outcome of a call, nil if the daemon answered. It is called
+	// once for each address that DelegateAddr or HandoverAddr has returned.
 	Ended(addr string, err error)
-	// Suspect tells that a daemon is long overdue.
+	// ReportOverdue reports that the reply of a daemon is long overdue.
 	Suspect(addr string)
 }
 
-// partSet is parts whose records came merged: they can be used only together, and with
-// the sets that came before them, in which records of theirs may be left out for greater
-// ones.
+// partSet is a set of parts whose records arrived merged. The parts can be used only
+// together, and only with the previous sets of the same daemon: the daemon leaves out records
+// that are not among the greatest that it has sent so far.
 type partSet struct {
 	records []byte
 	spoiled bool
-	before  *partSet // of the same daemon; nil: none
+	before  *partSet // previous set of the same daemon; nil if there is none
 }
 
-// unusable reports whether the set, or one that it builds on, holds what must not be in
-// an answer.
+// unusable reports whether the set or one of its previous sets has been discarded.
 func (s *partSet) unusable() bool {
 	return s != nil && (s.spoiled || s.before.unusable())
 }
 
-// batch is the shards of a gather that one daemon near their leaves is asked for. For
-// the run each is a flight like any other. Only the goroutine of the run uses heard and
-// given.
+// delegatedBatch is the set of sends of a gather that are delegated to one daemon near their
+// leaves. The run keeps a pendingSend for each of them, as for direct sends. Only the
+// goroutine of the run uses replied and bypassed.
 type batch struct {
 	run   *run
 	addr  string
 	sends []delegated
-	heard bool // something has come
-	given bool // up: its shards were sent for directly
+	heard bool // at least one reply has arrived
+	given bool // its shards have been sent to leaves directly
 
 	mu     sync.Mutex
 	stream wire.DRPCGather_ScatterClient
 	over   bool
 	cancel context.CancelFunc
-	newest *partSet // only the goroutine of follow uses it
+	newest *partSet // used only by the goroutine of runCall
 }
 
-// delegated is one send of a batch.
+// delegatedSend is one send of a delegatedBatch.
 type delegated struct {
 	shard int
 	leaf  *discovery.Leaf
-	call  *target.Call // names the flight; nothing is sent on it
+	call  *target.Call // identifies the pendingSend; nothing is sent on it
 	began vm.Instant
 	ended bool
 }
 
-// choice is the leaf that a shard is to be asked at.
+// assignment is the leaf chosen for a shard.
 type choice struct {
 	shard int
 	leaf  *discovery.Leaf
 }
 
-// launchAll makes the first send for every shard. Parts whose leaf is in another failure
-// domain are asked for through a daemon there, which sends back the greatest records
-// of all in place of every part with its headers.
+// launchAll makes the first send for every shard. Sends to leaves in another failure domain
+// are delegated to a daemon there, which returns only the greatest records of all parts
+// instead of every part with its headers.
 func (r *run) launchAll() {
 	if len(r.shards) < fewDelegated || r.e.cfg.Near == nil || r.send.Stream != nil || r.suspicion.Guarded() {
 		for i := range r.shards {
@@ -142,8 +144,8 @@
 	}
 }
 
-// delegate asks a daemon in the failure domain for the parts of these shards. It is
-// false when there is none to ask.
+// delegate delegates the sends for the shards in list to a daemon in the failure domain. It
+// returns false if no daemon is available.
 func (r *run) delegate(domain string, list []choice) bool {
 	addr := r.e.cfg.Near.Daemon(domain)
 	if addr == "" {
@@ -174,7 +176,7 @@
 
 func micros(d time.Duration) uint32 { return uint32(max(0, min(d, time.Hour)).Microseconds()) }
 
-// follow carries out the call.
+// runCall makes the scatter call and records the end of every send of the batch.
 func (b *batch) follow(ctx context.Context, req *wire.ScatterRequest) {
 	defer b.cancel()
 	err := b.exchange(ctx, req)
@@ -191,7 +193,7 @@
 		err = errors.New("forward: the daemon ended its answer early")
 	}
 	if over && !peer.NotSent(err) {
-		b.run.e.cfg.Near.Ended(b.addr, nil) // it was told that nobody waits
+		b.run.e.cfg.Near.Ended(b.addr, nil) // the call was cancelled by this daemon
 	} else {
 		b.run.e.cfg.Near.Ended(b.addr, err)
 	}
@@ -211,8 +213,8 @@
 	b.deliver(ends)
 }
 
-// mayHaveRunThere is the fault of sends of which nothing is known but that the call
-// failed.
+// callFault returns the error of delegated sends whose call failed with err before their
+// results arrived.
 func mayHaveRunThere(err error) *contract.Error {
 	if peer.NotSent(err) {
 		return contract.Refuse(contract.ReasonOverload, err)
@@ -225,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = stream.Close() }() // it has ended, or its connection has
+	defer func() { _ = stream.Close() }() // the stream or its connection has already ended
 	if !b.opened(stream) {
 		return nil
 	}
@@ -244,7 +246,7 @@
 	}
 }
 
-// opened notes the stream; it is false when nobody waits any more.
+// attachStream stores the stream. It returns false if the batch has already been released.
 func (b *batch) opened(stream wire.DRPCGather_ScatterClient) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -255,8 +257,8 @@
 	return true
 }
 
-// release tells the daemon that nobody waits any more. A stream that is closed keeps
-// its connection, where one whose context ends loses it.
+// release tells the daemon that its results are no longer needed. It closes the stream
+// instead of cancelling its context, since cancelling would also close the connection.
 func (b *batch) release() {
 	b.mu.Lock()
 	before := b.over
@@ -267,13 +269,14 @@
 		return
 	}
 	if stream == nil {
-		b.cancel() // nothing was sent yet
+		b.cancel() // nothing has been sent yet
 		return
 	}
-	go func() { _ = stream.CloseSend() }() // the stream's end shows a failure
+	go func() { _ = stream.CloseSend() }() // a failure shows when the stream ends
 }
 
-// sent reports whether the daemon may have got the request, once it is released.
+// mayHaveSent reports whether the daemon may have received the request. It is to be called
+// after release.
 func (b *batch) sent() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -286,7 +289,7 @@
 	ends := make([]result, 0, len(reply.Ends))
 	for _, e := range reply.Ends {
 		if int(e.Send) >= len(b.sends) {
-			continue // no send of this batch
+			continue // not a send of this batch
 		}
 		out, answer, fault := b.read(e)
 		res := result{reply: answer, err: fault, took: time.Duration(e.TookUs) * time.Microsecond, set: set}
@@ -295,7 +298,7 @@
 	b.deliver(ends)
 }
 
-// deliver hands the run what came together.
+// deliver passes results that arrived together to the run as one result.
 func (b *batch) deliver(ends []result) {
 	if len(ends) > 0 {
 		first := ends[0]
@@ -304,7 +307,7 @@
 	}
 }
 
-// read returns what a daemon near a leaf says became of a send there.
+// decodeEnd decodes the result of a delegated send.
 func (b *batch) read(e *wire.PartEnd) (policy.Outcome, *target.Reply, *contract.Error) {
 	if e.Status == 0 {
 		fault := &contract.Error{Verdict: contract.Verdict(min(e.Verdict, uint32(contract.Ran))), Reason: contract.Reason(e.Reason), Cause: errors.New(e.Cause)}
@@ -323,7 +326,8 @@
 	return learnedFrom(reply), reply, nil
 }
 
-// end notes how a send ended, once, and adds it to ends.
+// endSend records the result of send i and appends it to ends, unless the send has already
+// ended.
 func (b *batch) end(ends []result, i int, res result, out policy.Outcome) []result {
 	d := &b.sends[i]
 	if d.ended {
@@ -336,8 +340,8 @@
 	return append(ends, res)
 }
 
-// silent reports whether nothing has come of the batch although its first parts are
-// overdue.
+// isSilent reports whether no reply has arrived although daemonSilenceTimeout has passed since
+// late, the time from which replies count as late.
 func (b *batch) silent(now, wanted time.Time) bool {
 	return !b.heard && now.Sub(wanted) >= silentHelper
 }
--- a/internal/forward/delegate_test.go
+++ b/internal/forward/delegate_test.go
@@ -24,10 +24,10 @@
 	"pearmoor/internal/vm"
 )
 
-// oneNear is a Near that knows one daemon.
+// fakePeers is a PeerDaemons with one daemon for delegated sends.
 type oneNear struct {
 	addr      string
-	runners   []string // none: gathers are not handed over
+	runners   []string // empty if gathers are not handed over
 	pool      *peer.Pool
 	asked     atomic.Int32
 	failed    atomic.Int32
@@ -69,18 +69,19 @@
 
 func (n *oneNear) Suspect(string) { n.suspected.Add(1) }
 
-// twoDaemons is a daemon in one failure domain, with callers, and one in another, beside
-// the leaves.
+// twoDaemonFixture is a local daemon that serves callers and a remote daemon in the failure
+// domain of all leaves.
 type twoDaemons struct {
 	*world
 	near   *oneNear
 	helper *Engine
-	stop   func() // the helper's process ends
+	stop   func() // stops the server of the remote daemon
 }
 
 const awayShards = 8
 
-// newTwoDaemons puts every leaf of a route into the failure domain of the second daemon.
+// newTwoDaemonFixture returns a fixture with every leaf of the route in the failure domain of
+// the remote daemon.
 func newTwoDaemons(t *testing.T, rt route.Route, leaves map[string][]*fakeLeaf) *twoDaemons {
 	t.Helper()
 	w := newWorld(t, rt, leaves)
@@ -115,7 +116,8 @@
 	return &twoDaemons{world: w, near: near, helper: helper, stop: stop}
 }
 
-// awayRoute is a gather over shards of two leaves each, made by make.
+// remoteRoute returns a gather route over remoteShards shards and two leaves for each of them,
+// with the scripts that newScript returns.
 func awayRoute(t *testing.T, make func(shard, copy int) script) (route.Route, map[string][]*fakeLeaf) {
 	rt, leaves := gatherOver(t, awayShards, make)
 	rt.LeastCoverage, rt.Top = 0.5, 5
@@ -136,12 +138,12 @@
 	return n
 }
 
-// All leaves are in another failure domain. The caller gets the greatest records of all
-// parts, each part named once, and every leaf's request came through the daemon there.
+// If all leaves are in another failure domain, every send is delegated to the daemon there.
+// The answer holds the greatest records of all parts and lists each part once.
 func TestGatherThroughDaemonNearTheLeaves(t *testing.T) {
 	rt, leaves := awayRoute(t, wholePart)
-	// On a busy machine replies may be late enough for second sends, or for an answer
-	// without them; neither is what is looked at here.
+	// On a busy machine, late replies could cause hedges or an answer with missing parts,
+	// which are not under test here.
 	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
 	w := newTwoDaemons(t, rt, leaves)
 	resp, text := w.do(t, http.MethodGet, "/x?y=1", "")
@@ -164,17 +166,17 @@
 		t.Errorf("%d requests reached leaves", n)
 	}
 	if len(w.board.leaves) == 0 || w.near.asked.Load() != 1 {
-		t.Errorf("the daemon near the leaves was asked %d times", w.near.asked.Load())
+		t.Errorf("%d calls to DelegateAddr, want 1", w.near.asked.Load())
 	}
 	for _, s := range w.board.leaves {
 		if s.link != nil || s.InFlight() != 0 {
-			t.Error("a request went directly, or counts as in flight")
+			t.Error("a request was sent directly or still counts as in flight")
 		}
 	}
 }
 
-// The daemon near the leaves can't be reached: nothing was sent, and the caller gets all
-// parts directly.
+// Guards against missing parts when the remote daemon is unreachable: nothing was sent, so
+// every part must be requested directly.
 func TestUnreachableDaemonNearTheLeaves(t *testing.T) {
 	rt, leaves := awayRoute(t, wholePart)
 	w := newTwoDaemons(t, rt, leaves)
@@ -184,12 +186,12 @@
 		t.Errorf("status %d, missing %s", resp.StatusCode, resp.Header.Get("Missing"))
 	}
 	if w.near.failed.Load() == 0 {
-		t.Error("the failure is not told")
+		t.Error("the failed call was not reported")
 	}
 }
 
-// The daemon near the leaves takes the call and says nothing, as one that is frozen. Its
-// caller gets the whole answer in time from the leaves themselves.
+// Guards against a late or incomplete answer when the remote daemon is frozen: it accepts the
+// connection and does not reply. The parts must be requested from the leaves directly.
 func TestSilentDaemonNearTheLeaves(t *testing.T) {
 	rt, leaves := awayRoute(t, wholePart)
 	w := newTwoDaemons(t, rt, leaves)
@@ -198,23 +200,23 @@
 		t.Fatal(err)
 	}
 	defer lis.Close()
-	w.near.addr = lis.Addr().String() // connects are accepted by the kernel
+	w.near.addr = lis.Addr().String() // the kernel accepts connections
 	began := time.Now()
 	resp, _ := w.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != 200 || resp.Header.Get("Missing") != "0" {
 		t.Errorf("status %d, missing %s", resp.StatusCode, resp.Header.Get("Missing"))
 	}
 	if took := time.Since(began); took > rt.TargetLatency {
-		t.Errorf("took %v", took)
+		t.Errorf("took %v, want at most the target latency", took)
 	}
 	if w.near.suspected.Load() != 1 {
-		t.Errorf("suspected %d times", w.near.suspected.Load())
+		t.Errorf("reported as overdue %d times, want 1", w.near.suspected.Load())
 	}
 }
 
-// The process of the daemon near the leaves ends while its leaves are at work. What was
-// asked of it may have run; the requests of this route may be sent again, and the caller
-// gets the whole answer from other leaves.
+// Guards against missing parts when the remote daemon stops while the leaves are working. The
+// delegated sends may have run; since the route is repeatable, they are sent again to other
+// leaves.
 func TestDaemonNearTheLeavesEnds(t *testing.T) {
 	var w *twoDaemons
 	var reached atomic.Int32
@@ -240,15 +242,15 @@
 	for name, list := range leaves {
 		for _, l := range list {
 			if n := len(l.requests()); n > 1 {
-				t.Errorf("a leaf of %s got %d requests of one attempt", name, n)
+				t.Errorf("a leaf of %s got %d sends of one request, want at most 1", name, n)
 			}
 		}
 	}
 }
 
-// One leaf is slow. The others' parts come back when they are wanted, its shard is asked
-// at the other leaf, and when both parts come the records of one of them only are in
-// the answer.
+// Guards against duplicate records when a leaf behind the remote daemon is slow. The other
+// parts are returned when they are due, the slow shard is hedged to its other leaf, and only
+// one of its two parts may be in the answer.
 func TestStragglerBehindDaemonNearTheLeaves(t *testing.T) {
 	rt, leaves := awayRoute(t, func(shard, copy int) script {
 		if shard != 2 {
@@ -266,17 +268,17 @@
 	for range 6 {
 		resp, text := w.do(t, http.MethodGet, "/", "")
 		if resp.Header.Get("Missing") != "0" {
-			t.Fatalf("missing %s", resp.Header.Get("Missing"))
+			t.Fatalf("%s parts missing, want 0", resp.Header.Get("Missing"))
 		}
 		if n := strings.Count(text, record("z2")); n != 1 {
-			t.Fatalf("the records of one part are in the answer %d times", n)
+			t.Fatalf("the records of one part are in the answer %d times, want 1", n)
 		}
 	}
 }
 
-// What is no part is none through another daemon either, and a signature that two shards
-// bear spoils what came merged with it: the answer names no part twice and holds only
-// the records of parts that it names.
+// Guards against invalid parts in an answer of delegated sends: an error, a reply to another
+// request, and two parts with the same signature. Merged parts with a duplicate signature are
+// discarded together. The answer lists no part twice and holds only records of listed parts.
 func TestOddPartsThroughDaemonNearTheLeaves(t *testing.T) {
 	rt, leaves := awayRoute(t, func(shard, copy int) script {
 		switch shard {
@@ -300,7 +302,7 @@
 	seen := map[string]bool{}
 	for _, p := range parts {
 		if seen[p] {
-			t.Errorf("%s is named twice in %v", p, parts)
+			t.Errorf("%s is listed twice in %v", p, parts)
 		}
 		seen[p] = true
 	}
@@ -312,9 +314,9 @@
 	}
 }
 
-// The first parts of a daemon near the leaves bear one signature twice, and a later part
-// comes with only those of its records that the first ones leave room for. Without the
-// first parts an answer with the later one would lack records: it is asked for again.
+// Guards against missing records after parts are discarded. A later reply of the remote daemon
+// leaves out records that are not among the greatest together with the first parts. If the
+// first parts are discarded, the later part is incomplete and must be requested again.
 func TestWhatBuildsOnSpoiledPartsIsNotUsed(t *testing.T) {
 	first := &partSet{records: []byte(record("c"))}
 	later := &partSet{records: []byte(record("b")), before: first}
@@ -328,16 +330,16 @@
 	r.have = 3
 	r.spoil(first)
 	if r.shards[0].done || r.shards[1].done || !r.shards[2].done || r.have != 1 {
-		t.Errorf("done: %v, %v and %v; %d parts", r.shards[0].done, r.shards[1].done, r.shards[2].done, r.have)
+		t.Errorf("done: %v, %v and %v; %d parts, want false, false and true; 1 part", r.shards[0].done, r.shards[1].done, r.shards[2].done, r.have)
 	}
 	res := result{reply: &target.Reply{Status: 200, Stamp: "new"}, set: &partSet{before: later}}
 	if r.accept(&r.shards[1], &res) {
-		t.Error("a part that builds on spoiled ones is taken")
+		t.Error("a part that depends on discarded parts is accepted")
 	}
 }
 
-// Parts come in several replies of one daemon, each with only the records that are among
-// the greatest so far. Merged, they hold what all parts merged at once hold.
+// Parts arrive in several replies of one daemon, each with only the records that are among
+// the greatest so far. The merged replies must equal the result of merging all parts at once.
 func TestRecordsToldInSeveralReplies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := rapid.IntRange(0, 6).Draw(t, "k")
@@ -352,12 +354,12 @@
 			merged.add(batch.atLeast(told).bytes())
 		}
 		if !bytes.Equal(merged.bytes(), all.bytes()) {
-			t.Fatalf("merged %q, all at once %q", merged.bytes(), all.bytes())
+			t.Fatalf("merged replies %q, merged at once %q", merged.bytes(), all.bytes())
 		}
 	})
 }
 
-// A caller leaves. The leaves behind the other daemon must not go on working for nobody.
+// Guards against leaves that keep working on delegated sends after the caller has left.
 func TestCallerLeavesDaemonNearTheLeaves(t *testing.T) {
 	var gone, reached atomic.Int32
 	rt, leaves := awayRoute(t, func(int, int) script {
@@ -368,7 +370,7 @@
 			return false
 		}
 	})
-	rt.TargetLatency = 0 // no second sends before the caller leaves
+	rt.TargetLatency = 0 // no hedges before the caller leaves
 	w := newTwoDaemons(t, rt, leaves)
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, w.url+"/", nil)
@@ -387,14 +389,15 @@
 	}
 	for end := time.Now().Add(5 * time.Second); gone.Load() < reached.Load(); {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d leaves still hold the request", reached.Load()-gone.Load(), reached.Load())
+			t.Fatalf("%d of %d leaves still have the request", reached.Load()-gone.Load(), reached.Load())
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// A daemon near the leaves that does not know the leaf, knows another life of it, or
-// knows that it leaves sends nothing: the request may go elsewhere.
+// Guards against delegated sends to the wrong leaf. A daemon that does not know the leaf, or
+// knows a process of it with another start time or service, sends nothing and reports the send
+// as not run, so that it can be retried elsewhere.
 func TestScattererSendsOnlyToTheLeafThatIsMeant(t *testing.T) {
 	rt, leaves := awayRoute(t, wholePart)
 	w := newTwoDaemons(t, rt, leaves)
--- a/internal/forward/doc.go
+++ b/internal/forward/doc.go
@@ -1,9 +1,9 @@
-// Package forward sends callers' requests on to leaves as they are: to one leaf of
-// one service (single), or to one leaf of each of many services whose parts are
-// merged (gather).
+// Package forward forwards requests of callers to leaves without changing them. A single
+// request goes to one leaf of one service. A gather goes to one leaf of each of many
+// services, called shards, and the replies, called parts, are merged into one answer.
 //
-// A request's verdict decides everything that follows a failure. What provably did
-// not run may go to another leaf and may be refused as not run; what may have run
-// goes to another leaf only if it is repeatable, and is never called not run.
-// Extra sends are bounded by a budget that all daemons share (Budgets).
+// The verdict of a send decides how its failure is handled. A request that provably did
+// not run may be sent to another leaf, and may be refused as not run. A request that may
+// have run is sent to another leaf only if it is repeatable, and is never reported as not
+// run. Retries and hedges are bounded by a budget that all daemons share (policy.Budgets).
 package forward
--- a/internal/forward/engine.go
+++ b/internal/forward/engine.go
@@ -21,7 +21,7 @@
 	"pearmoor/internal/work"
 )
 
-// Config is what an Engine needs.
+// Config holds the dependencies of an Engine.
 type Config struct {
 	Clock   vm.Clock
 	Dialect *target.Dialect
@@ -29,52 +29,55 @@
 	Board   *Board
 	Budgets *policy.Budgets
 	Log     *decision.Log
-	// Senders returns among how many daemons what is shared by those that send to leaves
-	// is divided, 0 while that is not known.
+	// DaemonCount returns the number of daemons that share the connection limits of the
+	// leaves, 0 while it is unknown.
 	Senders func() int
-	// Near finds daemons near leaves; nil: every part is asked for directly.
+	// Peers gives access to other daemons; nil if all sends are made directly.
 	Near Near
-	// Quarantine knows the requests that crash leaves; nil: none.
+	// Quarantine records the requests that crash leaves; nil if there is no quarantine.
 	Quarantine *quarantine.Registry
 }
 
-// Engine forwards requests by the newest table. It is safe for concurrent use.
+// Engine forwards requests according to the installed routing table. It is safe for
+// concurrent use.
 type Engine struct {
 	cfg    Config
 	active atomic.Pointer[active]
-	ending chan struct{} // closed by EndAll
+	ending chan struct{} // closed by FinishAll
 	ended  sync.Once
 	sends  *work.Pool[send]
 }
 
-// active is a table in use, with what has been learned of its routes.
+// activeTable is the routing table in use with the statistics of its routes.
 type active struct {
 	senders func() int
 	table   *route.Table
-	version uint64 // of the settings tree
+	version uint64 // of the settings tree that the table was made from
 	learned map[*route.Entry]*learned
 }
 
-// learned is what is known of a route over all tables that held it.
+// routeStats holds the statistics of a route. They are kept when a new table with the same
+// route is installed.
 type learned struct {
 	pace  policy.Pace
 	waits policy.Waits
 }
 
-// New returns an engine that refuses every request until Install.
+// New returns an engine that refuses every request until Install is called.
 func New(cfg Config) *Engine {
 	e := &Engine{cfg: cfg, ending: make(chan struct{})}
 	e.sends = work.NewPool(e.perform)
 	return e
 }
 
-// EndAll gives every request under way its final answer now, and every later one: the
-// process is about to end. A connection that breaks off tells its caller less than an
-// answer that says whether the request may have run.
+// FinishAll makes every request in progress, and every later one, return its final answer
+// immediately. It is called before the process exits: an answer tells the caller whether the
+// request may have run, a broken connection does not.
 func (e *Engine) EndAll() { e.ended.Do(func() { close(e.ending) }) }
 
-// Install puts a table in use for the requests that arrive from now on; version is
-// that of the settings tree it was made from. An older one is left out.
+// Install makes t the table for requests that arrive from now on; version is the version of
+// the settings tree that t was made from. A table that is not newer than the installed one is
+// ignored.
 func (e *Engine) Install(t *route.Table, version uint64) {
 	old := e.active.Load()
 	if old != nil && old.version >= version {
@@ -99,7 +102,7 @@
 	e.active.Store(next)
 }
 
-// Table returns the table in use, nil when there is none.
+// Table returns the table in use, nil if none has been installed.
 func (e *Engine) Table() *route.Table {
 	if a := e.active.Load(); a != nil {
 		return a.table
@@ -107,45 +110,46 @@
 	return nil
 }
 
-// Request is a caller's request as it arrived.
+// Request is a request from a caller.
 type Request struct {
 	ID      string
 	Method  string
-	URI     string // path and query, as the caller sent them
+	URI     string // path and query, unchanged
 	Path    string
 	Host    string
-	Caller  string      // its address, without the port
-	Header  http.Header // less those that concern one connection only
+	Caller  string      // the caller's address without the port
+	Header  http.Header // without hop-by-hop headers
 	Body    []byte
-	Stream  *target.Stream // the rest of a long body; nil when Body is whole
+	Stream  *target.Stream // the rest of a long body; nil if Body is complete
 	Arrived time.Time
-	Wait    time.Duration // how long the caller waits from its arrival; 0: not stated
-	Handed  bool          // another daemon handed it over
-	Head    []byte        // as it goes to leaves; nil: to be made of the above
+	Wait    time.Duration // how long the caller waits, from Arrived; 0 if not stated
+	Handed  bool          // the request was handed over by another daemon
+	Head    []byte        // request head as sent to leaves; nil if it is to be rendered from the fields above
 }
 
-// Answer is what a caller is told. A nil Answer means that the caller has left.
+// Answer is the answer to a caller. A nil Answer means that the caller has left.
 type Answer struct {
 	Status     int
-	Header     http.Header // of the leaf, when the answer is a leaf's reply
+	Header     http.Header // from the leaf, if the answer is a leaf's reply
 	Body       []byte
 	Rest       *target.Rest
-	Parts      []string // signatures of the parts, when the answer is made of parts
+	Parts      []string // signatures of the parts, if the answer is merged
 	Missing    int
 	Merged     bool
-	Handed     bool // by another daemon
+	Handed     bool // the gather was handed over to another daemon
 	RetryAfter time.Duration
 	Verdict    contract.Verdict
 	Reason     contract.Reason
 	Cause      error
 }
 
-// firstRetryAfter is told to a caller who came before this daemon had learned the
-// configuration: longer than a daemon takes to learn it after a restart of everything.
+// unconfiguredRetryAfter is the Retry-After of requests that arrive before this daemon has
+// its configuration. It is longer than a daemon needs to get the configuration after a
+// restart of the whole system.
 const firstRetryAfter = 500 * time.Millisecond
 
-// Forward answers one request. It returns when the answer is ready, the request
-// has been given up, or ctx ends because the caller has left.
+// Forward answers one request. It returns when the answer is ready, the request has failed,
+// or ctx is cancelled because the caller has left.
 func (e *Engine) Forward(ctx context.Context, req *Request) *Answer {
 	a := e.active.Load()
 	if a == nil {
@@ -165,7 +169,7 @@
 	return r.enterAndDo(ctx)
 }
 
-// enterAndDo answers a request here, unless it must not reach a leaf.
+// checkAndExecute executes the request on this daemon, unless the quarantine refuses it.
 func (r *run) enterAndDo(ctx context.Context) *Answer {
 	if refused := r.enter(ctx); refused != nil {
 		r.log(refused)
@@ -174,8 +178,8 @@
 	return r.do(ctx)
 }
 
-// guard answers a request whose handling panics with an error: its caller would see a
-// connection that breaks off, which says nothing of what became of the request.
+// recoverPanic calls handle and turns a panic into an internal error answer. Without it the
+// caller would see a broken connection, which does not tell whether the request may have run.
 func (e *Engine) guard(id string, handle func() *Answer) (a *Answer) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -187,8 +191,8 @@
 	return handle()
 }
 
-// limit returns how many connections this daemon may have open to a leaf. The leaf's own
-// limit is for all daemons together.
+// connectionLimit returns how many connections this daemon may open to a leaf. It is this
+// daemon's share of the leaf's limit, which applies to all daemons together.
 func (a *active) limit(l *discovery.Leaf) int {
 	most := 0
 	if s, ok := a.table.Service(l.Service); ok {
@@ -197,7 +201,8 @@
 	return policy.Connections(most, a.senders())
 }
 
-// Tend adjusts links to the newest leaves and membership until ctx ends.
+// MaintainLinks periodically adapts the links to the current leaves and number of daemons
+// until ctx is cancelled.
 func (e *Engine) Tend(ctx context.Context) {
 	for vm.Sleep(ctx, tendEvery) {
 		snap := e.cfg.Book.Snapshot()
--- a/internal/forward/gather_test.go
+++ b/internal/forward/gather_test.go
@@ -13,7 +13,8 @@
 
 func record(s string) string { return fmt.Sprintf("%-16s", s)[:16] }
 
-// gatherOver returns a route over n shards and the leaves of each, made by make.
+// gatherRoute returns a gather route over n shards and two leaves for each of them, with the
+// scripts that newScript returns.
 func gatherOver(t *testing.T, n int, make func(shard, copy int) script) (route.Route, map[string][]*fakeLeaf) {
 	t.Helper()
 	rt := route.Route{Repeatable: true, Attempts: 2, Top: 3, LeastCoverage: 0.7, TargetLatency: 200 * time.Millisecond, AnswerMargin: 20 * time.Millisecond}
@@ -28,7 +29,8 @@
 	return rt, leaves
 }
 
-// An answer holds the greatest records of all parts, falling, and names each part.
+// The answer holds the greatest records of all parts in descending order, and its header lists
+// the signature of each part.
 func TestGatherMerges(t *testing.T) {
 	rt, leaves := gatherOver(t, 4, func(shard, _ int) script {
 		return answers(record(fmt.Sprint("b", shard)) + record(fmt.Sprint("d", shard)) + "rest")
@@ -43,8 +45,9 @@
 	}
 }
 
-// Both leaves of one shard are silent. The caller wants its answer within 200 ms and
-// accepts 7 in 10 shards: it gets the others in time, and is told that one is missing.
+// Guards against a gather that is late because both leaves of one shard do not reply. With a
+// target latency of 200 ms and a least coverage of 0.7 (7 in 10 shards), the answer has the
+// other parts in time and reports one as missing.
 func TestGatherAnswersInTimeWithoutSilentShard(t *testing.T) {
 	rt, leaves := gatherOver(t, 5, func(shard, _ int) script {
 		if shard == 2 {
@@ -60,11 +63,12 @@
 		t.Errorf("status %d, missing %s", resp.StatusCode, resp.Header.Get("Missing"))
 	}
 	if took < 150*time.Millisecond || took > time.Second {
-		t.Errorf("answered after %v: it should wait for the missing part almost until the target latency", took)
+		t.Errorf("answered after %v, want almost the target latency: the gather waits for the missing part until then", took)
 	}
 }
 
-// A leaf is silent and its copy is well: the second send brings the part.
+// Guards against a part that is missing because one leaf of the shard does not reply: a hedge
+// to the other leaf must bring it.
 func TestGatherHedges(t *testing.T) {
 	rt, leaves := gatherOver(t, 5, func(shard, copy int) script {
 		if shard == 2 && copy == 0 {
@@ -75,13 +79,13 @@
 	w := newWorld(t, rt, leaves)
 	for range 4 {
 		if resp, _ := w.do(t, http.MethodGet, "/", ""); resp.Header.Get("Missing") != "0" {
-			t.Fatalf("missing %s", resp.Header.Get("Missing"))
+			t.Fatalf("%s parts missing, want 0", resp.Header.Get("Missing"))
 		}
 	}
 }
 
-// What is no part: a failure, an answer that broke off, one to another request. None
-// may be counted, also when it bears a signature.
+// Guards against replies that are counted as parts although they are not valid: an error, a
+// truncated reply and the reply to another request, each with a signature.
 func TestWhatIsNoPart(t *testing.T) {
 	bad := map[int]script{
 		0: func(_ *fakeLeaf, c net.Conn, req asked) bool { return reply(c, req, 500, record("z"), stamp()) },
@@ -108,14 +112,14 @@
 	for shard := range bad {
 		for _, l := range leaves[fmt.Sprintf("s%d", shard)] {
 			if n := len(l.requests()); n > 1 {
-				t.Errorf("a leaf of shard %d got %d sends of one request", shard, n)
+				t.Errorf("a leaf of shard %d got %d sends of one request, want at most 1", shard, n)
 			}
 		}
 	}
 }
 
-// Two leaves of different shards hand out the same signature: an answer that named
-// it twice would be wrong as a whole.
+// Guards against an answer that lists a signature twice, which would be invalid as a whole.
+// The leaves of two shards return the same signature.
 func TestSignatureOnlyOnce(t *testing.T) {
 	rt, leaves := gatherOver(t, 10, func(int, int) script { return answers(record("x")) })
 	same := func(l *fakeLeaf, c net.Conn, req asked) bool {
@@ -130,8 +134,8 @@
 	}
 }
 
-// Too few shards can be had at all, and some have run: the caller is told at once
-// that its request failed, and not that it did not run.
+// Guards against a gather that waits, or that is reported as not run, when too many shards
+// have failed for an answer and some leaves have run the request.
 func TestGatherGivesUpAtOnce(t *testing.T) {
 	rt, leaves := gatherOver(t, 4, func(shard, _ int) script {
 		if shard < 2 {
@@ -146,17 +150,16 @@
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if took := time.Since(began); took > 700*time.Millisecond {
-		t.Errorf("held for %v", took)
+		t.Errorf("answered after %v, want at most 700 ms", took)
 	}
 }
 
-// No leaf is listed: the request can't run, and the caller is told so at once, with
-// a time to come back.
+// A gather whose shards have no leaves is refused as not run with a Retry-After.
 func TestGatherWithoutLeaves(t *testing.T) {
 	rt, _ := gatherOver(t, 3, func(int, int) script { return answers("") })
 	w := newWorld(t, rt, nil)
 	resp, _ := w.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("status %d, come back %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// wholeBody is the longest body that is read before it is sent on; only such a
-	// request can be sent to a second leaf.
+	// bufferedBodyBytes is the longest body that is read completely before it is forwarded.
+	// Only a request with such a body can be sent to a second leaf.
 	wholeBody = 64 << 10
-	// defaultBodyLimit and defaultHeaderLimit hold until a configuration is known.
+	// defaultBodyLimit and defaultHeaderLimit apply until a configuration is installed.
 	defaultBodyLimit   = 1 << 20
 	defaultHeaderLimit = 64 << 10
 	longestID          = 256
@@ -40,14 +40,14 @@
 	latency  = metrics.GetOrRegisterHistogram("forward.latency_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
 )
 
-// Handler serves callers over net/http. It never resends and never rewrites a
-// path: the request line goes on as the caller wrote it.
+// Handler serves requests of callers over net/http. It does not retry, and it does not
+// rewrite paths: the request line is forwarded as the caller sent it.
 type Handler struct {
 	Engine  *Engine
 	Dialect *target.Dialect
 	Log     *decision.Log
-	// Draining reports whether callers should go elsewhere: each answer then ends
-	// its connection.
+	// Draining reports whether callers should move to other daemons. If it returns true,
+	// each answer closes its connection.
 	Draining func() bool
 }
 
@@ -76,7 +76,7 @@
 	latency.Update(time.Since(arrived).Microseconds())
 }
 
-// badRequest is a fault of the request itself with its status.
+// badRequest describes an invalid request and the HTTP status of the answer.
 type badRequest struct {
 	contract.Fault
 	status int
@@ -115,13 +115,13 @@
 	return req, nil
 }
 
-// pathOf returns the path of a request line's target, as the caller wrote it.
+// pathOf returns the path of a request URI, unchanged.
 func pathOf(uri string) string {
 	path, _, _ := strings.Cut(uri, "?")
 	return path
 }
 
-// callerOf returns the address of a request's caller, whatever its connection.
+// callerAddr returns the address of the caller without the port.
 func callerOf(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -168,7 +168,8 @@
 	return max(time.Duration(ms*float64(time.Millisecond)), time.Microsecond), nil
 }
 
-// readBody reads a short body whole, and the beginning of a longer one.
+// readBody reads a short body completely. Of a longer body it reads the beginning and sets
+// req.Stream for the rest.
 func readBody(r *http.Request, req *Request, limit int64) *badRequest {
 	if r.ContentLength > limit {
 		return tooLong(limit)
@@ -204,8 +205,8 @@
 
 var errBodyTooLong = errors.New("forward: the body is longer than the limit")
 
-// bounded fails once more than left bytes were read. A leaf then sees the body
-// break off, and no whole request of a size that is not allowed.
+// limitedReader fails once more than remaining bytes have been read. The leaf then receives a
+// truncated body instead of a complete request that exceeds the limit.
 type bounded struct {
 	from io.Reader
 	left int64
@@ -219,10 +220,10 @@
 	return n, err
 }
 
-// write sends an answer to the caller.
+// writeAnswer writes an answer to the caller.
 //
-// The connection ends where another daemon answered, so that callers keep connections to
-// daemons that answer themselves.
+// If the request was handed over, it closes the connection, so that callers keep connections
+// to daemons that answer requests themselves.
 func (h *Handler) write(w http.ResponseWriter, a *Answer) {
 	if a.Handed {
 		w.Header().Set("Connection", "close")
@@ -246,10 +247,10 @@
 	hd.Set(h.Dialect.Parts, strings.Join(a.Parts, ", "))
 	hd.Set(h.Dialect.Missing, strconv.Itoa(a.Missing))
 	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body) // the connection logs a failure
+	_, _ = w.Write(a.Body) // callerConn logs a write error
 }
 
-// promises are the statuses that tell a caller its request did not run.
+// notRunStatuses are the HTTP statuses that tell a caller that its request did not run.
 var promises = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
 func (h *Handler) writeReply(w http.ResponseWriter, a *Answer) {
@@ -263,19 +264,19 @@
 		hd.Set("Connection", closing)
 	}
 	if a.Header["Content-Type"] == nil {
-		hd["Content-Type"] = nil // or one would be guessed from the body
+		hd["Content-Type"] = nil // prevents net/http from detecting a type from the body
 	}
 	status := a.Status
 	if slices.Contains(promises, status) && a.Verdict != contract.NotRun {
-		// The leaf did not say that it did not run the request, and to a caller this
-		// status would.
+		// The caller would take this status to mean that the request did not run, which
+		// the leaf has not stated.
 		status = http.StatusBadGateway
 		hd.Del(h.Dialect.Stamp)
 	}
 	if a.Rest == nil {
 		hd.Set("Content-Length", strconv.Itoa(len(a.Body)))
 		w.WriteHeader(status)
-		_, _ = w.Write(a.Body) // the connection logs a failure
+		_, _ = w.Write(a.Body) // callerConn logs a write error
 		return
 	}
 	defer a.Rest.Close()
@@ -284,7 +285,7 @@
 		return
 	}
 	if _, err := io.Copy(w, a.Rest); err != nil {
-		// An answer that ends early must not look complete.
+		// A truncated answer must not look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/forward/handover.go
+++ b/internal/forward/handover.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// acceptWithin is how long a daemon may take to accept a gather before another one is
-	// asked beside it, and mostOffers how many are asked.
+	// acceptTimeout is how long a daemon may take to accept a gather before it is also
+	// offered to another one. At most maxOffers daemons get an offer.
 	acceptWithin = 25 * time.Millisecond
 	mostOffers   = 3
-	// silentRunner is how long a daemon that has begun may go without a reply after the time
-	// for an answer before it counts as lost.
+	// handoverSilenceTimeout is how long after the time for an answer a daemon that has begun a
+	// gather may send no reply before the gather counts as lost.
 	silentRunner = 100 * time.Millisecond
 )
 
@@ -29,27 +29,27 @@
 	handoversUntaken  = metrics.GetOrRegisterCounter("forward.handovers.untaken", metrics.DefaultRegistry)
 	handoverAccepted  = metrics.GetOrRegisterHistogram("forward.handovers.accept_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
 
-	errDeclined     = errors.New("forward: the daemon has another configuration, or stops")
-	errSilentRunner = errors.New("forward: the daemon that has the gather does not answer")
+	errDeclined     = errors.New("forward: handover declined: the daemon has another configuration or is stopping")
+	errSilentRunner = errors.New("forward: the daemon that accepted the handover does not answer")
 )
 
-// handover is a gather that is offered to daemons with the processor for it.
+// handover is the attempt to hand a gather over to a daemon with enough CPU for it.
 //
-// A daemon accepts an offer first and starts only when it is told to begin. Until then the
-// gather can be withdrawn and has not run. After that no other daemon gets it: one that does
-// not answer may only be slow, and two of them would send to more leaves of a shard than
-// the route allows.
+// A daemon first accepts an offer and starts only when it is told to begin. Until then the
+// gather can be withdrawn and has not run. After that it is not offered to any other daemon:
+// a daemon that does not answer may only be slow, and two daemons would send to more leaves of
+// a shard than the route allows.
 type handover struct {
 	run    *run
 	req    *wire.HandoverRequest
 	events chan offerEvent
 	offers []*offer
-	open   int           // offers without a reply
-	taken  *offer        // the one that was told to begin
-	over   chan struct{} // closed when the caller has its answer, or has left
+	open   int           // offers without a reply yet
+	taken  *offer        // the offer whose daemon is told to begin
+	over   chan struct{} // closed when handOver returns
 }
 
-// offer is a call to one daemon.
+// offer is the handover call to one daemon.
 type offer struct {
 	of     *handover
 	addr   string
@@ -57,15 +57,15 @@
 	cancel context.CancelFunc
 }
 
-// offerEvent is a reply to an offer, or the end of its call.
+// offerEvent is a reply to an offer, or the error that ended its call.
 type offerEvent struct {
 	from   *offer
-	answer *Answer // nil: the daemon accepts, or is at work
+	answer *Answer // nil if the daemon accepts the offer or is still working
 	err    error
 }
 
-// handOver has another daemon answer a gather that this one has too little processor for.
-// It is false when none has accepted and this daemon is to answer.
+// handOver lets another daemon answer a gather for which this one has too little CPU. handed
+// is false if no daemon has accepted and this daemon has to answer.
 func (r *run) handOver(ctx context.Context) (a *Answer, handed bool) {
 	if r.e.cfg.Near == nil || r.req.Handed || r.send.Stream != nil || !r.entry.Gathers() {
 		return nil, false
@@ -84,7 +84,7 @@
 	return a, true
 }
 
-// offer calls one more daemon. It is false when there is none.
+// offerNext offers the gather to one more daemon. It returns false if there is none.
 func (h *handover) offer() bool {
 	if len(h.offers) >= mostOffers {
 		return false
@@ -112,7 +112,8 @@
 	return true
 }
 
-// accepted returns the first daemon that accepts, and nil when none does or the caller leaves.
+// awaitAcceptance returns the first offer that is accepted. It returns nil if none is
+// accepted in time, the caller leaves or the process shuts down.
 func (h *handover) accepted(ctx context.Context) *offer {
 	timer := time.NewTimer(acceptWithin)
 	defer timer.Stop()
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// follow tells the daemon that has accepted to begin and returns its answer, nil if the caller leaves.
+// awaitAnswer tells the daemon that has accepted to begin and returns its answer, nil if the
+// caller leaves.
 func (h *handover) follow(ctx context.Context) *Answer {
 	r := h.run
 	h.taken.begin <- struct{}{}
@@ -175,7 +177,7 @@
 	}
 }
 
-// lost is the answer to a gather whose daemon has begun and does not answer.
+// lostAnswer returns the answer to a gather that another daemon has begun and does not answer.
 func (h *handover) lost(err error, reason contract.Reason) *Answer {
 	handoversLost.Inc(1)
 	h.log("handover lost", h.taken, err)
@@ -196,7 +198,7 @@
 	l.Err(err).End()
 }
 
-// call makes the offer and passes on the replies.
+// call makes the handover call and reports its outcome.
 func (o *offer) call(ctx context.Context) {
 	defer o.cancel()
 	err := o.exchange(ctx)
@@ -210,6 +212,7 @@
 	}
 }
 
+// notify sends an event to the handover, unless it is done.
 func (o *offer) tell(ev offerEvent) {
 	select {
 	case o.of.events <- ev:
@@ -217,6 +220,7 @@
 	}
 }
 
+// isDone reports whether handOver has returned.
 func (h *handover) isOver() bool {
 	select {
 	case <-h.over:
@@ -226,12 +230,13 @@
 	}
 }
 
+// exchange makes the offer, waits for begin and passes the replies to the handover.
 func (o *offer) exchange(ctx context.Context) error {
 	stream, err := o.of.run.e.cfg.Near.Handover(ctx, o.addr)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = stream.Close() }() // it has ended, or its connection has
+	defer func() { _ = stream.Close() }() // the stream or its connection has already ended
 	if err := stream.Send(o.of.req); err != nil {
 		return err
 	}
@@ -240,7 +245,7 @@
 	go func() {
 		select {
 		case <-o.of.over:
-			_ = stream.CloseSend() // the stream's end shows a failure
+			_ = stream.CloseSend() // a failure shows when the stream ends
 		case <-ended:
 		}
 	}()
@@ -273,7 +278,7 @@
 	}
 }
 
-// answerOf returns the answer in a reply, nil where there is none yet.
+// decodeAnswer returns the answer in a reply, nil if the reply has none yet.
 func answerOf(reply *wire.HandoverReply) *Answer {
 	if reply.Status == 0 {
 		return nil
@@ -289,6 +294,7 @@
 	return a
 }
 
+// encodeAnswer is the inverse of decodeAnswer.
 func replyOf(a *Answer) *wire.HandoverReply {
 	out := &wire.HandoverReply{
 		Status: uint32(a.Status), Body: a.Body, Parts: a.Parts, Missing: uint32(a.Missing),
@@ -314,12 +320,12 @@
 		return err
 	}
 	if _, err := stream.Recv(); err != nil {
-		return nil // taken back
+		return nil // the offer was withdrawn
 	}
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
 	go func() {
-		_, _ = stream.Recv() // the asking daemon has closed its side, or is gone
+		_, _ = stream.Recv() // returns when the calling daemon closes its side or is gone
 		cancel()
 	}()
 	answer := make(chan *Answer, 1)
@@ -330,7 +336,7 @@
 		select {
 		case a := <-answer:
 			if a == nil {
-				return nil // nobody waits
+				return nil // the caller has left
 			}
 			return stream.Send(replyOf(a))
 		case <-late.C:
@@ -341,8 +347,9 @@
 	}
 }
 
-// handedRun returns the run of a gather that another daemon hands over, nil to decline: one
-// that was routed by another configuration must not be followed by one of this daemon's.
+// newHandedOverRun returns a run for a gather that another daemon hands over. It returns nil
+// to decline if this daemon shuts down or has another configuration, since the gather must be
+// executed according to the configuration that it was routed by.
 func (e *Engine) handedRun(in *wire.HandoverRequest) *run {
 	a := e.active.Load()
 	if a == nil || a.table.Number != in.Release || e.stopping() {
--- a/internal/forward/handover_test.go
+++ b/internal/forward/handover_test.go
@@ -17,15 +17,16 @@
 	"pearmoor/internal/route"
 )
 
-// newHandover is newTwoDaemons with a first daemon that hands gathers to the second. It has
-// others to ask that never answer, so that the second has the time of a tier to accept.
+// newHandoverFixture returns a twoDaemonFixture whose local daemon hands gathers over to the
+// remote one. Two more addresses never answer, so that the remote daemon has three times
+// acceptTimeout to accept, as in a tier with several daemons.
 func newHandover(t *testing.T, rt route.Route, leaves map[string][]*fakeLeaf) *twoDaemons {
 	w := newTwoDaemons(t, rt, leaves)
 	w.near.runners = []string{w.near.addr, silentAddr(t), silentAddr(t)}
 	return w
 }
 
-// severable passes connections on to addr until the link is cut, which ends them all.
+// cuttableProxy forwards connections to addr until cut is called, which closes all of them.
 func severable(t *testing.T, addr string) (at string, cut func()) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,7 +66,7 @@
 	return lis.Addr().String(), cut
 }
 
-// silentAddr is an address where connections are accepted and nothing is answered.
+// silentAddr returns an address that accepts connections and sends no reply.
 func silentAddr(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,10 +77,11 @@
 	return lis.Addr().String()
 }
 
-// Guards against gathers that a small VM scatters by itself, late, though another has the processor for them.
+// Guards against gathers that are late because a small VM executes them although another VM has
+// the CPU for them.
 func TestGatherIsHandedOverWhole(t *testing.T) {
 	rt, leaves := awayRoute(t, wholePart)
-	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second // no second sends
+	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second // no hedges
 	w := newHandover(t, rt, leaves)
 	resp, text := w.do(t, http.MethodGet, "/x?y=1", "")
 	want := ""
@@ -90,11 +92,11 @@
 		t.Errorf("status %d, missing %s, close %v, %q", resp.StatusCode, resp.Header.Get("Missing"), resp.Close, text)
 	}
 	if n := total(leaves); n != awayShards || len(w.board.leaves) != 0 {
-		t.Errorf("%d requests reached leaves, %d of them of the daemon that handed it over", n, len(w.board.leaves))
+		t.Errorf("%d requests reached leaves, the local daemon has state of %d leaves", n, len(w.board.leaves))
 	}
 }
 
-// Guards against gathers that are lost when the daemon they are offered to can't take them.
+// Guards against gathers that are lost when no daemon accepts the handover.
 func TestGatherThatNobodyTakesIsAnsweredHere(t *testing.T) {
 	for _, c := range []struct {
 		what  string
@@ -115,7 +117,7 @@
 			rt, leaves := awayRoute(t, wholePart)
 			rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
 			w := newHandover(t, rt, leaves)
-			w.near.addr = "" // parts are asked for directly
+			w.near.addr = "" // parts are requested directly
 			c.spoil(t, w)
 			resp, _ := w.do(t, http.MethodGet, "/", "")
 			if resp.StatusCode != 200 || resp.Header.Get("Missing") != "0" || resp.Close {
@@ -128,7 +130,7 @@
 	}
 }
 
-// Guards against a gather that is taken back as not run and reaches leaves after all.
+// Guards against a gather that reaches leaves after its handover was withdrawn as not run.
 func TestGatherTakenBackNeverRuns(t *testing.T) {
 	rt, leaves := awayRoute(t, wholePart)
 	w := newHandover(t, rt, leaves)
@@ -148,14 +150,15 @@
 		t.Fatal(err)
 	}
 	if reply, err := stream.Recv(); err == nil {
-		t.Errorf("the daemon answered %v", reply)
+		t.Errorf("the daemon answered a withdrawn gather: %v", reply)
 	}
 	if n := total(leaves); n != 0 {
 		t.Errorf("%d requests reached leaves", n)
 	}
 }
 
-// Guards against more runs of a shard than the route allows, and a caller kept waiting, when the daemon that has the gather ends.
+// Guards against more runs of a shard than the route allows, and a caller left waiting, when the
+// daemon that has begun the gather is lost.
 func TestGatherOfALostDaemonIsNotRepeated(t *testing.T) {
 	rt, leaves := awayRoute(t, func(int, int) script { return silent })
 	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
@@ -177,7 +180,7 @@
 	}
 }
 
-// Guards against leaves that work on for a caller who has left the daemon that handed the gather over.
+// Guards against leaves that keep working on a handed over gather after its caller has left.
 func TestCallerLeavesAHandedGather(t *testing.T) {
 	var freed atomic.Int32
 	rt, leaves := awayRoute(t, func(int, int) script {
@@ -201,17 +204,17 @@
 		leave()
 	}()
 	if _, err := http.DefaultClient.Do(req); err == nil {
-		t.Error("the request was answered")
+		t.Error("the request was answered although the caller left")
 	}
 	for end := time.Now().Add(5 * time.Second); freed.Load() < awayShards && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if n := freed.Load(); n != awayShards {
-		t.Errorf("%d of %d leaves were let go", n, awayShards)
+		t.Errorf("%d of %d leaves were released", n, awayShards)
 	}
 }
 
-// Guards against a refusal that reaches the caller without its time to come back or with another verdict.
+// Guards against an answer that loses its Retry-After or verdict in a handover.
 func TestAnswersOfAHandoverAreKept(t *testing.T) {
 	for _, a := range []*Answer{
 		{Status: 200, Merged: true, Handed: true, Body: []byte("records"), Parts: []string{"a", "b"}, Missing: 3, Verdict: contract.Ran},
@@ -224,7 +227,8 @@
 	}
 }
 
-// Guards against a daemon that counts as lost at once where the time for an answer was over when it began.
+// Guards against a daemon that counts as lost immediately because the time for an answer had
+// already passed when it accepted the handover.
 func TestSlowDaemonIsNotLostWhereTheAimIsPast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &run{
@@ -233,14 +237,14 @@
 		}
 		h := &handover{run: r, events: make(chan offerEvent, mostOffers), over: make(chan struct{})}
 		h.taken = &offer{of: h, begin: make(chan struct{}, 1)}
-		time.Sleep(silentRunner) // until it has accepted
+		time.Sleep(silentRunner) // time until the offer is accepted
 		go func() {
 			<-h.taken.begin
 			time.Sleep(silentRunner - time.Millisecond)
 			h.events <- offerEvent{from: h.taken, answer: &Answer{Status: http.StatusOK}}
 		}()
 		if a := h.follow(t.Context()); a == nil || a.Status != http.StatusOK {
-			t.Errorf("answer %+v", a)
+			t.Errorf("answer %+v, want status 200", a)
 		}
 	})
 }
--- a/internal/forward/head.go
+++ b/internal/forward/head.go
@@ -5,15 +5,14 @@
 	"net/http"
 )
 
-// hopByHop are the headers that concern one connection only, and those that the
-// link writes itself.
+// hopByHop lists the hop-by-hop headers and the headers that the link to a leaf writes itself.
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// StripHop removes from h what concerns one connection only, headers that its
-// Connection header names included.
+// StripHopByHop removes the hop-by-hop headers from h, including those named in its Connection
+// header.
 func StripHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for _, name := range bytes.Split([]byte(line), []byte{','}) {
@@ -25,7 +24,7 @@
 	}
 }
 
-// targetOf returns the path with query and the host of a head that head has rendered.
+// parseHead returns the request URI and the host of a head rendered by renderHead.
 func targetOf(head []byte) (uri, host string) {
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
 	_, target, _ := bytes.Cut(line, []byte{' '})
@@ -34,7 +33,7 @@
 	return string(target), string(bytes.TrimPrefix(line, []byte("Host: ")))
 }
 
-// head renders the request line and the headers that all leaves get.
+// renderHead renders the request line and the headers that are sent to every leaf.
 func head(req *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(256)
@@ -44,6 +43,6 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(req.Host)
 	b.WriteString("\r\n")
-	_ = req.Header.Write(&b) // a buffer takes everything
+	_ = req.Header.Write(&b) // writes to a bytes.Buffer do not fail
 	return b.Bytes()
 }
--- a/internal/forward/idle.go
+++ b/internal/forward/idle.go
@@ -9,15 +9,15 @@
 	"pearmoor/internal/vm"
 )
 
-// idleConns ends callers' connections that have been idle for longer than the
-// configuration allows. A server's own limit is fixed when it starts, before the
+// idleConns closes caller connections that exceed the configured idle timeout.
+// http.Server.IdleTimeout cannot be used, since it is fixed when the server starts, before the
 // configuration is known.
 type idleConns struct {
 	mu    sync.Mutex
 	conns map[*callerConn]struct{}
 }
 
-// note keeps the idle connections.
+// update adds conn to the idle connections or removes it.
 func (c *idleConns) note(conn net.Conn, idle bool) {
 	cc, ok := conn.(*callerConn)
 	if !ok {
@@ -33,6 +33,7 @@
 	}
 }
 
+// expireIdle expires the connections that have been idle for longer than limit.
 func (c *idleConns) closeOld(limit time.Duration) {
 	now := time.Now()
 	c.mu.Lock()
@@ -42,7 +43,8 @@
 	}
 }
 
-// run closes idle connections until ctx ends.
+// run periodically closes connections that have been idle for longer than limit until ctx is
+// cancelled.
 func (c *idleConns) run(ctx context.Context, limit func() time.Duration) {
 	for vm.Sleep(ctx, idleLookEvery) {
 		c.closeOld(limit())
--- a/internal/forward/leaf_test.go
+++ b/internal/forward/leaf_test.go
@@ -19,15 +19,15 @@
 	"pearmoor/internal/vm"
 )
 
-// asked is one request as a fake leaf read it.
+// receivedRequest is one request as a fake leaf received it.
 type asked struct {
 	line   string
 	header map[string]string
 	body   string
 }
 
-// fakeLeaf is a leaf on loopback whose script answers each request on the raw
-// connection; it returns false to close it.
+// fakeLeaf is a leaf on the loopback interface. Its script replies to each request on the raw
+// connection and returns false to close the connection.
 type fakeLeaf struct {
 	addr string
 	lis  net.Listener
@@ -110,7 +110,7 @@
 	return append([]asked(nil), l.got...)
 }
 
-// reply writes a whole reply with the request's id.
+// reply writes a complete reply with the id of the request.
 func reply(c net.Conn, req asked, status int, body string, headers ...string) bool {
 	extra := ""
 	for _, h := range headers {
@@ -125,7 +125,7 @@
 
 func stamp() string { return fmt.Sprintf("Signature: s%d", stampNumber.Add(1)) }
 
-// answers runs each request and replies at once.
+// replyWith returns a script that counts each request as run and replies immediately.
 func answers(body string) script {
 	return func(l *fakeLeaf, c net.Conn, req asked) bool {
 		l.runs.Add(1)
@@ -133,21 +133,21 @@
 	}
 }
 
-// dies ends the leaf as soon as it runs a request.
+// crash is a script that simulates a leaf that crashes when it runs a request.
 func dies(l *fakeLeaf, _ net.Conn, _ asked) bool {
 	l.runs.Add(1)
 	_ = l.lis.Close()
 	return false
 }
 
-// silent runs each request and never replies.
+// neverReply is a script that counts each request as run and does not reply.
 func silent(l *fakeLeaf, c net.Conn, _ asked) bool {
 	l.runs.Add(1)
 	_, _ = io.Copy(io.Discard, c) // until the other side closes
 	return false
 }
 
-// world is an engine behind an HTTP server, with the leaves of its services.
+// fixture is an engine behind an HTTP server.
 type world struct {
 	url    string
 	board  *Board
--- a/internal/forward/life_test.go
+++ b/internal/forward/life_test.go
@@ -10,10 +10,10 @@
 	"pearmoor/internal/vm"
 )
 
-// A leaf is cut off with a request, crashes behind the cut and starts again under its
-// id at once. The old connection stays open and silent. As soon as the list tells of
-// the new life the request is taken for one that may have run: a repeatable one goes
-// to the new life, and its caller is not left to wait for a leaf that is no more.
+// Guards against a request that waits for a leaf process that no longer exists. A leaf is
+// cut off from the network during a request, crashes and restarts under the same id, while the
+// old connection stays open without a reply. Once the list shows the restarted leaf, the
+// request counts as one that may have run, and a repeatable one is sent to the new process.
 func TestRequestInFlightEndsWithItsLife(t *testing.T) {
 	hold := startLeaf(t, silent)
 	rt := route.Route{Repeatable: true, Attempts: 2, Service: "s"}
@@ -33,6 +33,6 @@
 		t.Errorf("status %d, %q", resp.StatusCode, text)
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("took %v", took)
+		t.Errorf("took %v, want at most 1 s", took)
 	}
 }
--- a/internal/forward/main_test.go
+++ b/internal/forward/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain gives rapid a fixed seed, so that every run has the same verdict.
+// TestMain sets a fixed seed for rapid, so that test results are reproducible.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "3", "rapid.checks": "100", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -13,70 +13,72 @@
 )
 
 const (
-	partLimit = 1 << 20 // bytes of a part
-	// wholeLimit is how many bytes of a reply are read before it is passed on: a
-	// shorter one that breaks off can still be had from another leaf.
+	partLimit = 1 << 20 // maximum size of a part
+	// bufferedReplyBytes is how many bytes of a reply are read before it is passed on. A
+	// shorter reply that is truncated can still be replaced by a reply of another leaf.
 	wholeLimit = 64 << 10
 )
 
-// run is one request under way. Only the goroutine of do uses it.
+// run is the execution of one request. It is used only by the goroutine of execute.
 type run struct {
 	e     *Engine
 	a     *active
 	entry *route.Entry
 	know  *learned
 	req   *Request
-	send  target.Request // what goes to every leaf
+	send  target.Request // the part of the request that is the same for every leaf
 
 	shards    []shard
-	need      int // parts
+	need      int // parts needed for an answer
 	have      int
 	batches   []*batch
-	delegated int // first sends asked for at other daemons
+	delegated int // first sends delegated to other daemons
 	results   chan result
-	over      chan struct{} // closed when do returns
+	over      chan struct{} // closed when execute returns
 	times     policy.Times
-	hedgeAt   time.Time // when to look for late shards next; zero: not again
+	hedgeAt   time.Time // next check for late shards; zero if there is none
 	hedges    int
 	sends     int
-	denied    int // further sends that the budget did not allow
+	denied    int // retries and hedges denied by the budget
 	suspicion policy.Suspicion
-	trial     bool                     // it is sent to one leaf first, since it is suspected to crash leaves
-	granted   bool                     // with the leader's permission
-	blocked   bool                     // it was found to be so meanwhile
-	held      bool                     // a shard may be held
-	names     *quarantine.Fingerprints // once they were asked for
+	trial     bool                     // the request is first sent to one leaf only, since it is suspected to crash leaves
+	granted   bool                     // the leader has granted the trial
+	blocked   bool                     // the request was found to be quarantined during the run
+	held      bool                     // at least one shard may be held
+	names     *quarantine.Fingerprints // nil until first used
 	verdict   contract.Verdict
 	last      *target.Reply
 	lastErr   *contract.Error
 }
 
-// shard is one service that is to answer.
+// shard is the state of one service that the request goes to.
 type shard struct {
 	service string
 	flights []flight
 	tried   []*discovery.Leaf
-	sends   int // that may have reached a leaf
-	runs    int // that may have run
-	tries   int
-	stamp   string
-	body    []byte   // of the part, where it came alone
-	set     *partSet // where it came merged with others
+	sends   int      // sends that may have reached a leaf
+	runs    int      // sends that may have run
+	tries   int      // sends started, for policy.MostSends
+	stamp   string   // signature of the part
+	body    []byte   // records of the part, if it did not arrive merged
+	set     *partSet // the set of the part, if it arrived merged with others
 	done    bool
-	stuck   bool      // there is no leaf to send to now
-	held    bool      // it is not sent to while another send is under way
-	gone    bool      // because none could be connected to
-	listed  bool      // the service has leaves, be they out of reach
-	wake    time.Time // when to try again; zero: not waiting
+	stuck   bool      // there is no leaf to send to at present
+	held    bool      // not sent to until a send for another shard has ended
+	gone    bool      // the last send could not connect to its leaf
+	listed  bool      // the service has leaves in the snapshot, reachable or not
+	wake    time.Time // time of the next attempt; zero if none is scheduled
 	pause   time.Duration
 }
 
+// pendingSend is a send that has not ended.
 type flight struct {
 	call  *target.Call
 	leaf  *discovery.Leaf
-	batch *batch // of the daemon that is asked for it; nil: this one sends itself
+	batch *batch // the batch of a delegated send; nil for a direct send
 }
 
+// result is the result of one send.
 type result struct {
 	shard int
 	call  *target.Call
@@ -84,8 +86,10 @@
 	reply *target.Reply
 	err   *contract.Error
 	took  time.Duration
-	set   *partSet // the parts that it came merged with; nil: it came alone
-	with  []result // those that came with it. Taken one by one, an answer between two of them would hold records of parts that it does not name
+	set   *partSet // the parts that it was merged with; nil if it was not merged
+	// together holds the results that arrived in the same reply. They must be handled together: an
+	// answer made between two of them would contain records of parts that it does not list.
+	with []result
 }
 
 func (e *Engine) newRun(a *active, entry *route.Entry, req *Request) *run {
@@ -108,10 +112,10 @@
 	return r
 }
 
-// at returns the instant that is d after the request's arrival.
+// afterArrival returns the time d after the arrival of the request.
 func (r *run) at(d time.Duration) time.Time { return r.req.Arrived.Add(d) }
 
-// ceilShare returns the least number of parts that make up the share.
+// minParts returns the smallest number of parts that is at least the given share of total.
 func ceilShare(share float64, of int) int {
 	n := int(share * float64(of))
 	if float64(n) < share*float64(of)-1e-9 {
@@ -120,7 +124,7 @@
 	return n
 }
 
-// prepare makes what is the same in every send.
+// prepareLeafRequest sets the part of the request that is the same in every send.
 func (r *run) prepare() {
 	r.send = target.Request{
 		Dialect: r.e.cfg.Dialect, Method: r.req.Method, ID: r.req.ID,
@@ -136,7 +140,7 @@
 	}
 }
 
-// do sends the request and follows it to its answer.
+// execute sends the request to leaves and returns its answer, nil if the caller leaves.
 func (r *run) do(ctx context.Context) *Answer {
 	defer close(r.over)
 	defer r.abandon()
@@ -174,11 +178,11 @@
 	}
 }
 
-// next returns when something is due without a reply, after now.
+// nextTimer returns the next time at which something is due even if no result arrives.
 func (r *run) next(now time.Time) time.Time {
 	at := r.at(r.times.End)
 	if by := r.at(r.times.AnswerBy); by.After(now) {
-		at = by // it is never after the end
+		at = by // AnswerBy is never after End
 	}
 	if !r.hedgeAt.IsZero() && r.hedgeAt.Before(at) {
 		at = r.hedgeAt
@@ -191,7 +195,7 @@
 	return at
 }
 
-// wake does what is due at now.
+// runTimers makes the hedges and retries that are due at now.
 func (r *run) wake(now time.Time) {
 	if !r.hedgeAt.IsZero() && !now.Before(r.hedgeAt) {
 		r.hedgeAt = time.Time{}
@@ -206,9 +210,9 @@
 	}
 }
 
-// hedge sends once more to every shard that is late. Where many are, it is this
-// daemon that is behind, or all leaves are: their replies are looked at a moment
-// later, since as many sends again would make both slower still.
+// hedge sends once more for every late shard. If many shards are late, this daemon or all
+// leaves are overloaded, and as many additional sends would slow both down further. The check
+// is then repeated after policy.HedgeAgain.
 func (r *run) hedge(now time.Time) {
 	if !r.entry.Repeatable || r.send.Stream != nil || r.suspicion.Guarded() {
 		return
@@ -233,8 +237,9 @@
 	}
 }
 
-// sendForSilent sends directly for the shards of daemons from which nothing has come
-// although the first parts are overdue, and returns how many of these are still missing.
+// bypassSilentDaemons sends directly for the shards delegated to daemons that have not replied
+// although their first parts are overdue. It returns how many shards of such daemons are still
+// missing.
 func (r *run) sendForSilent(now time.Time) int {
 	n := 0
 	for _, b := range r.batches {
@@ -261,8 +266,8 @@
 	return n
 }
 
-// unheard reports whether a shard's one send is with a daemon whose first word is
-// still to come.
+// awaitsFirstReply reports whether the only pending send of the shard is delegated to a daemon
+// that has not replied yet.
 func (s *shard) unheard() bool {
 	return len(s.flights) == 1 && s.flights[0].batch != nil && !s.flights[0].batch.heard
 }
--- a/internal/forward/scatter.go
+++ b/internal/forward/scatter.go
@@ -11,17 +11,17 @@
 	"pearmoor/internal/policy"
 )
 
-// Scatterer sends to leaves for gathers of other daemons. It implements
-// wire.DRPCGatherServer.
+// GatherServer serves gather calls of other daemons: sends that they delegate (Scatter) and
+// whole gathers that they hand over (Handover). It implements wire.DRPCGatherServer.
 //
-// It makes the sends it is asked for, each once: the daemon that has the gather decides
-// on further ones, since it alone knows what the whole still needs and may spend.
+// Scatter makes each requested send once. The calling daemon decides on retries and hedges,
+// since only it knows which parts are missing and what the budget allows.
 type Scatterer struct{ e *Engine }
 
-// Scatterer returns what answers other daemons.
+// GatherServer returns the server for gather calls of other daemons.
 func (e *Engine) Scatterer() *Scatterer { return &Scatterer{e} }
 
-// scatter is one such request under way.
+// scatterCall is the state of one Scatter call.
 type scatter struct {
 	e       *Engine
 	a       *active
@@ -29,9 +29,9 @@
 	send    target.Request
 	usual   time.Duration
 	calls   []*target.Call
-	results chan result // result.shard is the place in the request
+	results chan result // result.shard is the index in req.Sends
 	over    chan struct{}
-	told    top // the greatest records of the replies so far
+	told    top // the greatest records in the replies sent so far
 }
 
 var (
@@ -39,8 +39,8 @@
 	errNoTableHere = errors.New("forward: this daemon has no configuration")
 )
 
-// Scatter implements wire.DRPCGatherServer. What is there when the first parts are wanted
-// goes back together, and what comes later as it comes.
+// Scatter implements wire.DRPCGatherServer. Results that are available when the first parts
+// are due are sent in one reply, later results as they arrive.
 func (s *Scatterer) Scatter(stream wire.DRPCGather_ScatterStream) error {
 	req, err := stream.Recv()
 	if err != nil {
@@ -61,7 +61,7 @@
 	defer sc.end()
 	left := make(chan struct{})
 	go func() {
-		_, _ = stream.Recv() // the asking daemon has closed its side, or is gone
+		_, _ = stream.Recv() // returns when the calling daemon closes its side or is gone
 		close(left)
 	}()
 	sc.launch()
@@ -91,7 +91,7 @@
 	}
 }
 
-// deliver implements sender.
+// deliver implements sendOwner.
 func (sc *scatter) deliver(res result) {
 	select {
 	case sc.results <- res:
@@ -99,10 +99,10 @@
 	}
 }
 
-// learner implements sender: how long replies to this route usually take.
+// paceStats implements sendOwner with the usual reply time stated by the calling daemon.
 func (sc *scatter) learner() (time.Duration, *policy.Pace) { return sc.usual, nil }
 
-// end lets go of what is still under way.
+// abandonSends cancels the sends in flight.
 func (sc *scatter) end() {
 	close(sc.over)
 	for _, c := range sc.calls {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// more takes what else is there already.
+// drainResults appends the results that are already available to batch.
 func (sc *scatter) more(batch []result, open int) ([]result, int) {
 	for {
 		select {
@@ -155,7 +155,7 @@
 	}
 }
 
-// reply tells of a batch of sends and merges their parts.
+// buildReply returns the reply for a batch of results, with their parts merged.
 func (sc *scatter) reply(batch []result) *wire.ScatterReply {
 	out := &wire.ScatterReply{Ends: make([]*wire.PartEnd, 0, len(batch))}
 	merged := top{k: int(sc.req.Top)}
@@ -185,5 +185,5 @@
 	return out
 }
 
-// isPart reports whether a leaf's reply may be a part of a merged answer.
+// isPart reports whether the reply of a leaf is valid as a part of a merged answer.
 func isPart(r *target.Reply) bool { return r.OK() && !r.Refused && r.Stamp != "" }
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -12,9 +12,10 @@
 	"pearmoor/internal/vm"
 )
 
+// maxAttempts returns the maximum number of runs of a repeatable request per shard.
 func (r *run) attempts() int { return max(1, r.entry.Attempts) }
 
-// launch sends to the best leaf of a shard. Without one it makes the shard wait.
+// launch sends to the best leaf of a shard. If there is no leaf, it schedules a retry.
 func (r *run) launch(i int, hedge bool) {
 	s := &r.shards[i]
 	if !r.maySend() {
@@ -37,8 +38,8 @@
 	r.sendTo(i, leaf, hedge)
 }
 
-// sendTo sends to a leaf, if this is the first send of the shard or the budget allows a
-// further one.
+// sendTo sends to a leaf. After the first send of the shard, it sends only if the budget
+// allows it.
 func (r *run) sendTo(i int, leaf *discovery.Leaf, hedge bool) {
 	s := &r.shards[i]
 	if s.sends+len(s.flights) > 0 && !r.e.cfg.Budgets.Spend(s.service, hedge) {
@@ -57,7 +58,7 @@
 	r.e.sends.Run(send{to: r, request: &r.send, i: i, leaf: leaf, link: link, call: call})
 }
 
-// started counts a send as under way.
+// recordStart records a send as pending.
 func (r *run) started(i int, f flight) {
 	s := &r.shards[i]
 	s.held = false
@@ -70,8 +71,8 @@
 	r.sends++
 }
 
-// roundOver makes a shard wait after every leaf was tried, a little longer each
-// time.
+// scheduleRetry schedules a new round of attempts after all leaves of the shard have been
+// tried. The wait increases with each round.
 func (r *run) roundOver(s *shard) {
 	s.stuck = true
 	if s.tries >= policy.MostSends {
@@ -85,11 +86,11 @@
 	}
 }
 
-// end leaves a shard without another send for good.
+// stopSending prevents any further send for the shard.
 func (s *shard) end() { s.stuck, s.tries = true, policy.MostSends }
 
-// noBudget leaves a shard whose leaf has failed without another send for now. A
-// caller whose one reply is a failure gets it at once.
+// handleBudgetDenied handles a retry that the budget does not allow. It schedules a later
+// retry, unless a single request already has a failure reply, which is then the answer.
 func (r *run) noBudget(s *shard) {
 	if !r.entry.Gathers() && r.last != nil {
 		s.end()
@@ -98,25 +99,25 @@
 	r.roundOver(s)
 }
 
-// sender is who wants to know how a send ended.
+// sendOwner receives the result of a send.
 type sender interface {
 	deliver(result)
-	// learner returns how long replies usually take, and what learns from this one, nil
-	// for nothing.
+	// paceStats returns the usual reply time and the statistics to add the reply time to,
+	// nil if there are none.
 	learner() (usual time.Duration, pace *policy.Pace)
 }
 
-// send is one request on its way to a leaf.
+// sendTask is one send of a request to a leaf.
 type send struct {
 	to      sender
 	request *target.Request
-	i       int // which one, for the sender
+	i       int // index of the send, as the owner counts it
 	leaf    *discovery.Leaf
 	link    *target.Link
 	call    *target.Call
 }
 
-// perform sends and tells what is learned from it.
+// perform makes a send, records its outcome and delivers the result to the owner.
 func (e *Engine) perform(s send) {
 	began := e.cfg.Board.Begin(s.leaf.Life())
 	reply, err := s.link.Do(s.call, s.request)
@@ -130,20 +131,20 @@
 	s.to.deliver(result{shard: s.i, call: s.call, leaf: s.leaf, reply: reply, err: err, took: took})
 }
 
-// noted is the end of a send, for what is learned from it.
+// sendOutcome is the outcome of a send, from which the health of the leaf is updated.
 type noted struct {
 	leaf  *discovery.Leaf
 	began vm.Instant
 	took  time.Duration
 	out   policy.Outcome
-	usual time.Duration // of pace, where that is nil
+	usual time.Duration // usual reply time; set by recordSend if pace is not nil
 	reply *target.Reply
 	fault *contract.Error
-	pace  *policy.Pace // of the route; nil: not known here
-	away  bool         // another daemon made the send
+	pace  *policy.Pace // reply time statistics of the route; nil if this daemon has none
+	away  bool         // the send was made by another daemon
 }
 
-// ended is what it tells of the leaf.
+// policyEnded converts the outcome for LeafTracker.End.
 func (n *noted) ended() policy.Ended {
 	out := policy.Ended{Outcome: n.out, Took: n.took, Usual: n.usual, Heard: n.reply != nil}
 	if n.reply != nil && n.reply.HasLoad {
@@ -152,7 +153,7 @@
 	return out
 }
 
-// note learns from the end of a send.
+// recordSend updates the health of the leaf and the statistics of the route.
 func (e *Engine) note(n noted) {
 	board, life := e.cfg.Board, n.leaf.Life()
 	if n.pace != nil {
@@ -173,7 +174,7 @@
 	}
 }
 
-// deliver implements sender.
+// deliver implements sendOwner.
 func (r *run) deliver(res result) {
 	select {
 	case r.results <- res:
@@ -184,21 +185,21 @@
 	}
 }
 
-// learner implements sender.
+// paceStats implements sendOwner.
 func (r *run) learner() (time.Duration, *policy.Pace) { return 0, &r.know.pace }
 
-// learnedFrom says what a reply tells of the leaf.
+// outcomeOfReply returns the outcome of a send that got a reply.
 func learnedFrom(reply *target.Reply) policy.Outcome {
 	switch {
 	case reply.Refused:
 		return policy.Rejected
-	case reply.Status < http.StatusInternalServerError: // the leaf is well
+	case reply.Status < http.StatusInternalServerError: // the leaf is healthy
 		return policy.Replied
 	}
 	return policy.Failed
 }
 
-// learnedOf says what an exchange without a reply tells of the leaf.
+// outcomeOfError returns the outcome of a send that got no reply.
 func learnedOf(err *contract.Error) policy.Outcome {
 	switch {
 	case err == nil, err.Verdict == contract.NotRun:
@@ -211,7 +212,7 @@
 	return policy.Misbehaved
 }
 
-// take handles the end of one send.
+// handleResult handles the result of one send.
 func (r *run) take(res result) {
 	s := &r.shards[res.shard]
 	for k, f := range s.flights {
@@ -240,9 +241,9 @@
 	r.failed(res.shard, &res)
 }
 
-// late handles the end of a send for a shard that has its part already. The records of
-// a part that came merged with others can't be told apart: it takes the place of the
-// one that is there.
+// handleLateResult handles the result of a send for a shard that already has its part. The
+// records of a merged part cannot be separated from the others, so a merged part replaces the
+// existing part of the shard.
 func (r *run) late(s *shard, res *result) {
 	switch {
 	case res.reply == nil:
@@ -257,9 +258,9 @@
 	}
 }
 
-// spoil gives up parts that came merged, since one of them bears the signature of
-// another part: an answer that names it twice would be wrong as a whole. With them go
-// those that came after them from the same daemon.
+// discardParts discards merged parts because one of them has the signature of another part:
+// an answer that lists a signature twice would be invalid as a whole. Later parts from the
+// same daemon are discarded as well.
 func (r *run) spoil(set *partSet) {
 	set.spoiled = true
 	for i := range r.shards {
@@ -274,7 +275,7 @@
 	}
 }
 
-// count keeps what the sends so far allow.
+// countSend updates the send counts of the shard and the verdict of the request.
 func (r *run) count(s *shard, res *result) {
 	switch {
 	case res.err == nil && res.reply.Refused:
@@ -290,7 +291,7 @@
 	}
 }
 
-// accept takes a reply as the shard's.
+// acceptReply reports whether the reply completes the shard, and stores it.
 func (r *run) accept(s *shard, res *result) bool {
 	if res.err != nil || res.reply.Refused {
 		return false
@@ -326,13 +327,13 @@
 	return false
 }
 
-// mayRepeat reports whether a request that may have run at the shard may be sent
+// mayRepeat reports whether a request that may already have run for the shard may be sent
 // again.
 func (r *run) mayRepeat(s *shard) bool {
 	return r.entry.Repeatable && r.send.Stream == nil && s.runs+len(s.flights) < r.attempts()
 }
 
-// failed sends again, or leaves the shard with what it has.
+// handleFailure handles a send that did not complete the shard. It retries if allowed.
 func (r *run) failed(i int, res *result) {
 	s := &r.shards[i]
 	if res.err != nil {
@@ -342,7 +343,7 @@
 	}
 	unreachable := res.err != nil && res.err.Verdict == contract.NotRun && res.err.Reason == contract.ReasonTargetFailed
 	if !unreachable || !s.gone {
-		r.logFailed(s, res) // of several connects in a row the first
+		r.logFailed(s, res) // of consecutive failures to connect, only the first is logged
 	}
 	s.gone = unreachable
 	notRun := res.err != nil && res.err.Verdict == contract.NotRun || res.err == nil && res.reply.Refused
@@ -350,19 +351,19 @@
 	case len(s.flights) > 0:
 		return
 	case r.send.Stream != nil && (!notRun || res.err == nil):
-		s.end() // part of the body is gone
+		s.end() // part of the streamed body has been consumed
 		return
 	case isStale(res.err) && !res.err.LeafEnded() && r.entry.Repeatable:
-		// The leaf itself is well: it only dropped a connection.
+		// The leaf is healthy and only dropped an idle connection.
 		s.tried = nil
 	case res.set != nil && notRun || res.err != nil && peer.NotSent(res.err.Cause):
-		// Another daemon could not send there; this one may.
+		// Another daemon could not send to the leaf; this one may be able to.
 		s.tried = nil
 	}
 	r.again(i)
 }
 
-// again sends once more for a shard without a send under way, if it may be.
+// resend sends once more for a shard without a pending send, if that is allowed.
 func (r *run) again(i int) {
 	s := &r.shards[i]
 	if s.runs > 0 && !r.mayRepeat(s) || s.tries >= policy.MostSends {
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -12,24 +12,25 @@
 )
 
 const (
-	// headerTimeout bounds how long a caller may take for a request's header;
-	// longer than any configuration allows, since it is fixed at the start.
+	// headerTimeout bounds how long a caller may take to send a request header. It is longer
+	// than any configurable value, since it is fixed when the server starts.
 	headerTimeout = 10 * time.Second
-	// defaultIdle holds until a configuration is known.
+	// defaultIdleTimeout applies until a configuration is installed.
 	defaultIdle = 75 * time.Second
-	// idleSlack keeps this side from closing first: a caller that goes by the same
-	// limit may be sending at that very moment.
+	// idleMargin is added to the configured idle timeout, so that callers with the same
+	// timeout close first. Otherwise a caller could be sending a request at the moment when
+	// the server closes the connection.
 	idleSlack = 2 * time.Second
 )
 
-// Server takes callers' connections.
+// Server serves connections of callers.
 type Server struct {
 	http *http.Server
 	idle *idleConns
 	h    *Handler
 }
 
-// NewServer returns a server for h.
+// NewServer returns a server that answers requests with handler.
 func NewServer(h *Handler) *Server {
 	s := &Server{idle: &idleConns{conns: make(map[*callerConn]struct{})}, h: h}
 	s.http = &http.Server{
@@ -43,7 +44,8 @@
 	return s
 }
 
-// Serve takes connections until Shutdown; ctx ends what goes on beside it.
+// Serve accepts connections until Shutdown is called. ctx ends the closing of idle
+// connections.
 func (s *Server) Serve(ctx context.Context, lis net.Listener) error {
 	go s.idle.run(ctx, s.idleLimit)
 	err := s.http.Serve(callerListener{lis, s.h.Log})
@@ -60,6 +62,6 @@
 	return defaultIdle
 }
 
-// Shutdown stops taking connections, closes idle ones and waits for requests in
-// flight until ctx ends.
+// Shutdown stops accepting connections, closes idle connections and waits for requests in
+// flight until ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
--- a/internal/forward/single_test.go
+++ b/internal/forward/single_test.go
@@ -19,8 +19,8 @@
 	return route.Route{Service: service, Attempts: 2, Repeatable: true}
 }
 
-// The request line, the body and the caller's own headers reach the leaf unchanged;
-// headers of one connection and the system's own do not pass.
+// The request line, the body and the caller's end-to-end headers reach the leaf unchanged.
+// Hop-by-hop headers and forged headers of the tier do not.
 func TestRequestGoesOnUnchanged(t *testing.T) {
 	leaf := startLeaf(t, answers("whole"))
 	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
@@ -39,17 +39,16 @@
 	}
 	h := got[0].header
 	if h["Request-Id"] != "id" || h["Custom"] != "kept" || h["Leaf-Id"] != "i-s-0" || h["Drop-Me"] != "" {
-		t.Errorf("headers %v", h)
+		t.Errorf("headers at the leaf: %v", h)
 	}
 	var left int
 	if _, err := fmt.Sscan(h["Wait-Ms"], &left); err != nil || left > 1500 || left < 500 {
-		t.Errorf("the leaf is told to wait %q of 1500 ms", h["Wait-Ms"])
+		t.Errorf("deadline at the leaf is %q ms, want 500 to 1500", h["Wait-Ms"])
 	}
 }
 
-// A leaf reads a request that must not run twice and then drops the connection. It
-// may have run: the caller must not be told that it has not, and no other leaf may
-// get it.
+// Guards against an unrepeatable request that is sent to a second leaf, or reported as not
+// run, after a leaf has read it and dropped the connection.
 func TestLostAnswerOfUnrepeatable(t *testing.T) {
 	drop := func(l *fakeLeaf, _ net.Conn, _ asked) bool { l.runs.Add(1); return false }
 	a, b := startLeaf(t, drop), startLeaf(t, drop)
@@ -59,12 +58,12 @@
 		t.Errorf("status %d", resp.StatusCode)
 	}
 	if n := a.runs.Load() + b.runs.Load(); n != 1 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("the request ran %d times, want 1", n)
 	}
 }
 
-// A leaf says that it did not run the request: that may go to another leaf, also
-// when it must not run twice.
+// A request that a leaf refuses as not run is sent to another leaf, even if it is not
+// repeatable.
 func TestRefusedGoesToAnotherLeaf(t *testing.T) {
 	full := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req asked) bool {
 		return reply(c, req, 503, "", "Not-Run: full")
@@ -77,27 +76,27 @@
 		}
 	}
 	if good.runs.Load() != 6 {
-		t.Errorf("%d runs of 6 requests", good.runs.Load())
+		t.Errorf("%d runs of 6 requests, want 6", good.runs.Load())
 	}
 }
 
-// Every leaf refuses: the caller is told truly that its request did not run, and
-// when to come back, and is not held until its time is over.
+// Guards against a caller that waits until its deadline although every leaf refuses. It gets
+// an answer that the request did not run, with a Retry-After.
 func TestAllLeavesRefuse(t *testing.T) {
 	full := func(_ *fakeLeaf, c net.Conn, req asked) bool { return reply(c, req, 503, "", "Not-Run: full") }
 	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {startLeaf(t, full), startLeaf(t, full)}})
 	began := time.Now()
 	resp, _ := w.do(t, http.MethodPost, "/", "x")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("status %d, come back %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("held for %v", took)
+		t.Errorf("answered after %v, want at most 1 s", took)
 	}
 }
 
-// A leaf answers 503 without saying that it did not run the request. To a caller
-// that status is a promise, so it must not see it for a request that may have run.
+// Guards against a 503 for a request that may have run. Callers take that status to mean that
+// the request did not run, but the leaf has returned it without stating so.
 func TestUnmarkedRefusalIsNoPromise(t *testing.T) {
 	leaf := startLeaf(t, func(l *fakeLeaf, c net.Conn, req asked) bool {
 		l.runs.Add(1)
@@ -110,8 +109,8 @@
 	}
 }
 
-// A leaf's address belongs to another leaf by now, which says so and does not run
-// the request.
+// Guards against repeated sends to an address that another leaf has taken over. That leaf
+// refuses the request with 421 and does not run it.
 func TestReusedAddress(t *testing.T) {
 	other := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req asked) bool { return reply(c, req, 421, "") })
 	good := startLeaf(t, answers("done"))
@@ -122,12 +121,13 @@
 		}
 	}
 	if n := len(other.requests()); n > 1 {
-		t.Errorf("%d requests went to the wrong leaf, which was known after the first", n)
+		t.Errorf("%d requests were sent to the wrong leaf, want at most 1", n)
 	}
 }
 
-// A leaf sends a second answer to a request, late: it arrives on the kept connection
-// where the answer to the next request is expected. The next caller must never get it.
+// Guards against a caller that gets the reply to another request. The leaf sends a second
+// reply to each request late, on a kept connection where the reply to the next request is
+// expected.
 func TestLateExtraAnswer(t *testing.T) {
 	leaf := startLeaf(t, func(l *fakeLeaf, c net.Conn, req asked) bool {
 		l.runs.Add(1)
@@ -149,8 +149,7 @@
 	}
 }
 
-// A leaf's answer breaks off in the middle. The caller must not take what came for
-// the whole.
+// Guards against a truncated reply of a leaf that looks complete to the caller.
 func TestBrokenLongAnswer(t *testing.T) {
 	leaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req asked) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 x\r\nRequest-Id: %s\r\nSignature: s\r\nContent-Length: 400000\r\n\r\n%s", req.header["Request-Id"], strings.Repeat("x", 200000))
@@ -158,17 +157,18 @@
 	})
 	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
 	if _, text, err := w.try(http.MethodPost, "/", "x"); err == nil {
-		t.Errorf("%d bytes look like a whole answer", len(text))
+		t.Errorf("a truncated reply of %d bytes looks complete", len(text))
 	}
 }
 
-// A leaf has dropped the idle connection. A repeatable request goes out again at
-// once, and the leaf is not taken for a failing one.
+// Guards against a repeatable request that fails because the leaf has dropped the idle
+// connection, and against the leaf being treated as failed. The request is sent again
+// immediately.
 func TestIdleConnectionDropped(t *testing.T) {
 	var n atomic.Int32
 	leaf := startLeaf(t, func(l *fakeLeaf, c net.Conn, req asked) bool {
 		if n.Add(1) == 2 {
-			return false // what was sent on the idle connection is lost
+			return false // drops the request that arrives on the idle connection
 		}
 		l.runs.Add(1)
 		return reply(c, req, 200, "done", stamp())
@@ -181,8 +181,8 @@
 	}
 }
 
-// The caller leaves while its request runs. The leaf's connection is closed within
-// half a second, so that it works for nobody no longer.
+// Guards against a leaf that keeps working after the caller has left: the connection to the
+// leaf must be closed within half a second of the caller leaving.
 func TestCallerLeaves(t *testing.T) {
 	closed := make(chan time.Time, 1)
 	leaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, _ asked) bool {
@@ -197,16 +197,16 @@
 	req.Header.Set("Request-Id", "leaving")
 	req.Header.Set("Wait-Ms", "1500")
 	if _, err := http.DefaultClient.Do(req); err == nil {
-		t.Fatal("it was answered")
+		t.Fatal("the request was answered")
 	}
 	select {
 	case <-closed:
 	case <-time.After(time.Second):
-		t.Error("the leaf still works for a caller that has left")
+		t.Error("the connection to the leaf is still open after the caller has left")
 	}
 }
 
-// A body of more than what is read at once goes on as it comes, in chunks too.
+// A body that is longer than bufferedBodyBytes is streamed to the leaf.
 func TestLongBodies(t *testing.T) {
 	long := strings.Repeat("0123456789", 15_000)
 	leaf := startLeaf(t, answers("done"))
@@ -215,11 +215,11 @@
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	if got := leaf.requests(); got[0].body != long {
-		t.Errorf("%d bytes arrived of %d", len(got[0].body), len(long))
+		t.Errorf("the leaf got %d bytes of %d", len(got[0].body), len(long))
 	}
 }
 
-// Requests that are at fault are refused with what is wrong, and reach no leaf.
+// Invalid requests are refused with the matching status and do not reach a leaf.
 func TestBadRequests(t *testing.T) {
 	leaf := startLeaf(t, answers("done"))
 	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
@@ -255,12 +255,12 @@
 		}
 	}
 	if n := len(leaf.requests()); n != 0 {
-		t.Errorf("%d of them reached the leaf", n)
+		t.Errorf("%d invalid requests reached the leaf", n)
 	}
 }
 
-// Length and chunks at once: which of the two holds is read differently by different
-// servers. The leaf gets the one body that this side has read, framed anew.
+// Guards against request smuggling with both Content-Length and chunked encoding, which
+// servers interpret differently. The leaf gets the body as parsed here, with new framing.
 func TestLengthAndChunks(t *testing.T) {
 	leaf := startLeaf(t, answers("done"))
 	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
@@ -279,9 +279,9 @@
 	}
 }
 
-// A daemon is told to stop while a leaf says nothing to a request that must not run
-// twice. Before the process ends the caller gets a final answer that promises nothing,
-// in place of a connection that breaks off; a gather gets the parts there are.
+// Guards against connections that break when a daemon is stopped during a request. Before the
+// process exits, the caller of an unrepeatable request gets an answer that it may have run,
+// and a gather returns the parts received so far.
 func TestLastWordBeforeTheEnd(t *testing.T) {
 	hold := func(l *fakeLeaf, _ net.Conn, _ asked) bool { l.runs.Add(1); time.Sleep(5 * time.Second); return false }
 	silent := startLeaf(t, hold)
@@ -293,7 +293,7 @@
 		t.Errorf("status %d, %q", resp.StatusCode, text)
 	}
 	if took := time.Since(began); took > 600*time.Millisecond {
-		t.Errorf("the answer came after %v", took)
+		t.Errorf("answered after %v, want at most 600 ms", took)
 	}
 
 	whole := startLeaf(t, answers("0123456789abcdef"))
--- a/internal/forward/suspicion.go
+++ b/internal/forward/suspicion.go
@@ -21,10 +21,11 @@
 
 var errQuarantined = errors.New("forward: the request is known or suspected to crash the leaves that run it")
 
-// trialWait bounds the wait for permission to try a suspected request.
+// trialGrantTimeout bounds the wait for permission to try a suspected request.
 const trialWait = 300 * time.Millisecond
 
-// content is what names the request, whichever attempt of it this is.
+// quarantineRequest returns the content that identifies the request in the quarantine. It is
+// the same for every attempt.
 func (r *Request) content() *quarantine.Request {
 	q := &quarantine.Request{Method: r.Method, Host: r.Host, URI: r.URI, Caller: r.Caller, Body: r.Body, Length: int64(len(r.Body))}
 	if r.Stream != nil {
@@ -41,7 +42,8 @@
 	return *r.names
 }
 
-// enter returns the answer to a request that must not reach a leaf now, nil to go on.
+// checkQuarantine returns the answer to a request that must not be sent to a leaf now, nil if
+// the request may proceed.
 func (r *run) enter(ctx context.Context) *Answer {
 	known := r.e.cfg.Quarantine
 	if known.Empty() {
@@ -76,7 +78,7 @@
 	return &Answer{Status: http.StatusServiceUnavailable, RetryAfter: retry, Verdict: contract.NotRun, Reason: contract.ReasonQuarantined, Cause: errQuarantined}
 }
 
-// maySend reports whether one more send may be made now.
+// maySend reports whether the quarantine rules allow one more send now.
 func (r *run) maySend() bool {
 	switch {
 	case r.blocked:
@@ -90,7 +92,8 @@
 	return r.suspicion.MaySend(r.inFlight())
 }
 
-// follow keeps what a send tells of whether the request ends leaves.
+// updateSuspicion updates the suspicion that the request crashes leaves from the result of a
+// send.
 func (r *run) follow(s *shard, res *result) {
 	switch {
 	case res.err != nil && res.err.Reason == contract.ReasonQuarantined:
@@ -98,7 +101,7 @@
 	case res.err == nil && res.reply.Refused, res.err != nil && res.err.Verdict == contract.NotRun:
 		r.suspicion.Unsent()
 	case res.err == nil && res.reply.Status < http.StatusInternalServerError:
-		r.suspicion.Survived = true // a leaf that fails may not have come to what ends it
+		r.suspicion.Survived = true // a leaf that returns an error may not have reached the code that crashes it
 	case res.err.LeafEnded():
 		r.suspicion.Ends++
 		leafEnds.Inc(1)
@@ -109,8 +112,8 @@
 	}
 }
 
-// resume sends for the shards that were held, as far as they may be, and ends those that
-// are left when none may be any more.
+// resumeHeldShards sends for held shards as far as the suspicion allows. If no further send is
+// allowed, it stops the shards without a pending send.
 func (r *run) resume() {
 	if !r.held && !r.blocked && !r.suspicion.Guarded() {
 		return
@@ -136,7 +139,8 @@
 	}
 }
 
-// report hands what became of the leaves to the registry, at the end of the run.
+// reportAttempt reports to the quarantine registry, at the end of the run, how many leaves
+// crashed and whether one survived the request.
 func (r *run) report() {
 	known, s := r.e.cfg.Quarantine, &r.suspicion
 	if known == nil || !r.trial && (s.Ends == 0 || s.Survived) {
@@ -159,7 +163,7 @@
 	known.Report(report)
 }
 
-// inFlight returns how many sends are under way.
+// inFlight returns the number of pending sends.
 func (r *run) inFlight() int {
 	n := 0
 	for i := range r.shards {
@@ -168,8 +172,8 @@
 	return n
 }
 
-// quarantined reports whether this daemon knows a request that another one asks it to
-// send as one that may crash leaves.
+// isQuarantined reports whether this daemon's quarantine registry has a ruling against the
+// request that another daemon has delegated.
 func (sc *scatter) quarantined() bool {
 	known := sc.e.cfg.Quarantine
 	if known.Empty() {
--- a/internal/forward/suspicion_test.go
+++ b/internal/forward/suspicion_test.go
@@ -16,7 +16,7 @@
 	"pearmoor/internal/vm"
 )
 
-// noLeader is a control group that can't be reached.
+// unreachableLeader is a quarantine.Leader that cannot be reached.
 type noLeader struct{}
 
 var errNoLeader = errors.New("no leader")
@@ -33,12 +33,12 @@
 	return known
 }
 
-// A request crashes every leaf that runs it: second sends would take the other leaf of each
-// shard too.
+// Guards against a request that crashes every leaf that runs it: retries and hedges would also
+// crash the other leaf of each shard.
 func TestAttemptUnderWhichLeavesEndTakesNoMore(t *testing.T) {
 	for _, c := range []struct {
 		what      string
-		first, at int // most leaves that end in the first attempt and the next
+		first, at int // maximum number of leaves that crash in the first attempt and in the second
 		far       bool
 	}{{"direct", awayShards + 1, 1, false}, {"through another daemon", awayShards + 1, 1, true}} {
 		t.Run(c.what, func(t *testing.T) {
@@ -54,26 +54,26 @@
 				t.Errorf("status %d", resp.StatusCode)
 			}
 			if n := total(leaves); n > c.first {
-				t.Errorf("%d leaves ended in the first attempt, at most %d should", n, c.first)
+				t.Errorf("%d leaves crashed in the first attempt, want at most %d", n, c.first)
 			}
 			before := total(leaves)
 			w.do(t, http.MethodGet, "/a", "")
 			if n := total(leaves) - before; n > c.at {
-				t.Errorf("%d leaves ended in the second attempt, at most %d should", n, c.at)
+				t.Errorf("%d leaves crashed in the second attempt, want at most %d", n, c.at)
 			}
 			before = total(leaves)
 			if resp, text := w.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusServiceUnavailable || text != "quarantined, not_run\n" {
 				t.Errorf("status %d, %q", resp.StatusCode, text)
 			}
 			if n := total(leaves) - before; n > 0 {
-				t.Errorf("%d leaves ended in the third attempt", n)
+				t.Errorf("%d leaves crashed in the third attempt, want 0", n)
 			}
 		})
 	}
 }
 
-// One leaf of a shard crashes under a gather of which nothing has been answered yet: its
-// caller must not go without that shard.
+// Guards against a missing part when a leaf crashes during a gather before any leaf has
+// replied.
 func TestLeafThatEndsUnderAGatherIsMadeUpFor(t *testing.T) {
 	var first sync.Once
 	rt, leaves := gatherOver(t, 4, func(shard, _ int) script {
@@ -95,11 +95,12 @@
 		t.Errorf("status %d, %s parts missing", resp.StatusCode, resp.Header.Get("Missing"))
 	}
 	if !known.Empty() {
-		t.Error("the request is suspected, though leaves have answered it")
+		t.Error("the request is suspected although leaves have answered it")
 	}
 }
 
-// The leaf of a single request crashes: the other one serves it, and nothing is held against it.
+// Guards against a single request that fails or becomes suspected because one leaf crashes: the
+// other leaf answers it.
 func TestLeafThatEndsUnderASingleRequestIsMadeUpFor(t *testing.T) {
 	var first sync.Once
 	s := func(l *fakeLeaf, c net.Conn, req asked) bool {
@@ -116,12 +117,13 @@
 		t.Errorf("status %d, %q", resp.StatusCode, text)
 	}
 	if !known.Empty() {
-		t.Error("the request is suspected, though a leaf has answered it")
+		t.Error("the request is suspected although a leaf has answered it")
 	}
 }
 
-// Leaves of a service are lost all at once under requests that have nothing to do with it:
-// tried at one leaf when they are back, an answer clears them.
+// Guards against a request that stays suspected although it did not crash any leaf. When
+// several leaves crash at the same time for another reason, the requests in flight become
+// suspected. A trial at one leaf that is answered must clear them.
 func TestAnswerClearsASuspectedRequest(t *testing.T) {
 	rt, leaves := gatherOver(t, 4, func(shard, _ int) script { return answers(record(fmt.Sprint("b", shard))) })
 	w := newWorld(t, rt, leaves)
@@ -136,6 +138,6 @@
 		t.Errorf("status %d, %s parts missing", resp.StatusCode, resp.Header.Get("Missing"))
 	}
 	if got := known.Rule(req.content().Fingerprints()); got != quarantine.Free {
-		t.Errorf("the request is %v after an answer", got)
+		t.Errorf("the ruling is %v after an answer, want free", got)
 	}
 }
--- a/internal/forward/top.go
+++ b/internal/forward/top.go
@@ -2,16 +2,16 @@
 
 import "bytes"
 
-// recordSize is the length of a record, in bytes.
+// recordSize is the size of a record in bytes.
 const recordSize = 16
 
-// top keeps the k greatest records, falling.
+// topRecords holds the k greatest records in descending order.
 type top struct {
 	k    int
 	list [][recordSize]byte
 }
 
-// add takes the records of a part; a remainder shorter than a record is none.
+// add inserts the records of a part. A remainder shorter than a record is ignored.
 func (t *top) add(part []byte) {
 	for len(part) >= recordSize {
 		t.insert([recordSize]byte(part))
@@ -36,8 +36,9 @@
 	t.list[i] = rec
 }
 
-// atLeast returns the records that are among the k greatest of other, which holds those
-// of t: what comes after greater ones were told need not be told.
+// withinTop returns the records of t that are among the k greatest records of other, which
+// includes the records of t. The remaining records need not be sent, since k greater records
+// have already been sent.
 func (t *top) atLeast(other top) *top {
 	if other.k <= 0 || len(other.list) < other.k {
 		return t
--- a/internal/forward/unsent_test.go
+++ b/internal/forward/unsent_test.go
@@ -12,8 +12,8 @@
 	"pearmoor/internal/route"
 )
 
-// unreachableLeaf returns a leaf whose address accepts no further connection: a connect to
-// it gets no answer, as from a VM without power.
+// unreachableLeaf returns a leaf whose listen queue is full, so that a connect to it gets no
+// answer, as with a VM that is powered off.
 func unreachableLeaf(t *testing.T) *fakeLeaf {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -39,33 +39,34 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	t.Fatal("the address accepts every connection")
+	t.Fatal("the listen queue does not fill up")
 	return nil
 }
 
-// Guards against "may have run" for a request of which nothing was sent to any leaf when its time is over.
+// Guards against a request that is reported as "may have run" when its time-out expires although
+// nothing was sent to any leaf.
 func TestRequestThatNeverLeftIsNotRun(t *testing.T) {
 	rt := once("s")
 	rt.Timeout = 300 * time.Millisecond
 	w := newWorld(t, rt, map[string][]*fakeLeaf{"s": {unreachableLeaf(t)}})
 	resp, text := w.do(t, http.MethodPost, "/", "charge")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-		t.Errorf("status %d %q, come back %q", resp.StatusCode, text, resp.Header.Get("Retry-After"))
+		t.Errorf("status %d %q, Retry-After %q", resp.StatusCode, text, resp.Header.Get("Retry-After"))
 	}
 }
 
-// Guards against "not run" for a gather of which one part has been sent to a leaf.
+// Guards against a gather that is reported as "not run" although it was sent to one leaf.
 func TestGatherThatLeftForOneLeafMayHaveRun(t *testing.T) {
 	rt := route.Route{Shards: []string{"s0", "s1"}, Attempts: 1, Repeatable: true, Top: 2, LeastCoverage: 1, Timeout: 300 * time.Millisecond}
 	quiet := startLeaf(t, silent)
 	w := newWorld(t, rt, map[string][]*fakeLeaf{"s0": {unreachableLeaf(t)}, "s1": {quiet}})
 	resp, text := w.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusGatewayTimeout || quiet.runs.Load() != 1 {
-		t.Errorf("status %d %q, %d runs", resp.StatusCode, text, quiet.runs.Load())
+		t.Errorf("status %d %q, %d runs, want 1", resp.StatusCode, text, quiet.runs.Load())
 	}
 }
 
-// Guards against a send that is withdrawn as not run and goes out after all.
+// Guards against a request that is sent after its call was abandoned and reported as not run.
 func TestWithdrawnCallSendsNothing(t *testing.T) {
 	leaf := startLeaf(t, answers("done"))
 	call := &target.Call{}
