--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -24,7 +24,7 @@
 }
 
 // serveInstantReplies serves one connection of a leaf that replies to every request immediately.
-func replyTo(c net.Conn, body string) {
+func serveInstantReplies(c net.Conn, body string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -51,7 +51,7 @@
 }
 
 // newBenchEngine returns an engine with a gather route over leaves that reply immediately.
-func benchWorld(b *testing.B, shards int) *Engine {
+func newBenchEngine(b *testing.B, shards int) *Engine {
 	b.Helper()
 	var list []discovery.Listed
 	rel := &route.Release{Number: 1, Routes: []route.Route{{
@@ -69,7 +69,7 @@
 				if err != nil {
 					return
 				}
-				go replyTo(c, strings.Repeat("0123456789abcdef", 12))
+				go serveInstantReplies(c, strings.Repeat("0123456789abcdef", 12))
 			}
 		}()
 		name := fmt.Sprintf("s%d", i)
@@ -97,7 +97,7 @@
 }
 
 func benchGather(b *testing.B, shards int) {
-	e := benchWorld(b, shards)
+	e := newBenchEngine(b, shards)
 	for i := 0; b.Loop(); i++ {
 		req := &Request{ID: fmt.Sprint(i), Method: http.MethodGet, URI: "/x", Path: "/x", Host: "h",
 			Header: http.Header{"Request-Id": {fmt.Sprint(i)}}, Arrived: time.Now()}
--- a/internal/forward/board.go
+++ b/internal/forward/board.go
@@ -19,26 +19,26 @@
 
 	mu     sync.Mutex
 	rng    *rand.Rand
-	leaves map[discovery.Life]*standing
+	leaves map[discovery.Life]*leafState
 }
 
 // NewLeafTracker returns an empty tracker for a daemon in the given failure domain.
 func NewBoard(clock vm.Clock, domain string) *Board {
-	return &Board{clock: clock, domain: domain, leaves: make(map[discovery.Life]*standing), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+	return &Board{clock: clock, domain: domain, leaves: make(map[discovery.Life]*leafState), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
 // leafState is the observed health of one leaf and the link to it.
-type standing struct {
+type leafState struct {
 	policy.Standing
 	link *target.Link
 }
 
 // Link returns the link to a leaf. It creates the link with the connection limit from
 // limit if there is none yet.
-func (b *Board) Link(l *discovery.Leaf, limit func(*discovery.Leaf) int) *target.Link {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.of(l.Life())
+func (t *Board) Link(l *discovery.Leaf, limit func(*discovery.Leaf) int) *target.Link {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.state(l.Life())
 	if s.link == nil {
 		s.link = target.NewLink(l.ID, l.Addr, limit(l))
 	}
@@ -46,11 +46,11 @@
 }
 
 // state returns the state of a leaf and creates it if needed. The caller holds t.mu.
-func (b *Board) of(life discovery.Life) *standing {
-	s := b.leaves[life]
+func (t *Board) state(life discovery.Life) *leafState {
+	s := t.leaves[life]
 	if s == nil {
-		s = &standing{}
-		b.leaves[life] = s
+		s = &leafState{}
+		t.leaves[life] = s
 	}
 	return s
 }
@@ -59,44 +59,44 @@
 // closes idle connections of the remaining links. Requests in flight at a leaf that was
 // removed are allowed to finish. Requests in flight at a leaf that has restarted are aborted,
 // since the process that received them no longer exists.
-func (b *Board) Keep(snap *discovery.Snapshot) {
-	var links, left, over []*target.Link
-	b.mu.Lock()
-	for life, s := range b.leaves {
-		now, ok := snap.Find(life.ID)
-		if ok && now.Life() == life {
+func (t *Board) Keep(snap *discovery.Snapshot) {
+	var current, removed, restarted []*target.Link
+	t.mu.Lock()
+	for life, s := range t.leaves {
+		leaf, ok := snap.Find(life.ID)
+		if ok && leaf.Life() == life {
 			if s.link != nil {
-				links = append(links, s.link)
+				current = append(current, s.link)
 			}
 			continue
 		}
-		delete(b.leaves, life)
+		delete(t.leaves, life)
 		switch {
 		case s.link == nil:
 		case ok:
-			over = append(over, s.link)
+			restarted = append(restarted, s.link)
 		default:
-			left = append(left, s.link)
+			removed = append(removed, s.link)
 		}
 	}
-	b.mu.Unlock()
-	for _, l := range left {
+	t.mu.Unlock()
+	for _, l := range removed {
 		l.Close()
 	}
-	for _, l := range over {
+	for _, l := range restarted {
 		l.Abort()
 	}
 	now := time.Now()
-	for _, l := range links {
+	for _, l := range current {
 		l.CloseIdle(now)
 	}
 }
 
 // SetConnectionLimits updates the connection limit of every link.
-func (b *Board) SetLimits(snap *discovery.Snapshot, limit func(*discovery.Leaf) int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for life, s := range b.leaves {
+func (t *Board) SetLimits(snap *discovery.Snapshot, limit func(*discovery.Leaf) int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for life, s := range t.leaves {
 		if l, ok := snap.Find(life.ID); ok && s.link != nil {
 			s.link.SetLimit(limit(l))
 		}
@@ -104,69 +104,69 @@
 }
 
 // Begin counts a request as in flight and returns its start time.
-func (b *Board) Begin(life discovery.Life) vm.Instant {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock()
-	b.of(life).Begin(now)
+func (t *Board) Begin(life discovery.Life) vm.Instant {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock()
+	t.state(life).Begin(now)
 	return now
 }
 
 // End removes a request that started at began from the requests in flight and updates the
 // health of the leaf from its outcome.
-func (b *Board) End(life discovery.Life, began vm.Instant, e policy.Ended) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.leaves[life]; s != nil { // otherwise the leaf was removed or has restarted
-		s.End(b.clock(), began, e, b.rng)
+func (t *Board) End(life discovery.Life, began vm.Instant, e policy.Ended) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.leaves[life]; s != nil { // otherwise the leaf was removed or has restarted
+		s.End(t.clock(), began, e, t.rng)
 	}
 }
 
 // MarkUnreachable records that a connection to the leaf could not be established.
-func (b *Board) Unreachable(life discovery.Life) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.of(life).Unreachable(b.clock(), b.rng)
+func (t *Board) Unreachable(life discovery.Life) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.state(life).Unreachable(t.clock(), t.rng)
 }
 
 // MarkMisplaced records that another leaf answers at the leaf's address.
-func (b *Board) Misplaced(life discovery.Life) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.of(life).Misplaced(b.clock())
+func (t *Board) Misplaced(life discovery.Life) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.state(life).Misplaced(t.clock())
 }
 
 // stackCandidates is the number of leaves of a service up to which Choose does not allocate
 // memory.
-const usualCopies = 8
+const stackCandidates = 8
 
 // Choose returns the best leaf of list, according to policy.Choose, for a request that usually
 // takes the given time. It skips leaves that are in tried or draining, and returns nil if no
 // leaf remains.
-func (b *Board) Choose(list []*discovery.Leaf, tried []*discovery.Leaf, usual time.Duration) *discovery.Leaf {
-	var leaves [usualCopies]*discovery.Leaf
-	var known [usualCopies]policy.Candidate
-	from, of := leaves[:0], known[:0]
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock()
+func (t *Board) Choose(list []*discovery.Leaf, tried []*discovery.Leaf, usual time.Duration) *discovery.Leaf {
+	var leafBuf [stackCandidates]*discovery.Leaf
+	var candidateBuf [stackCandidates]policy.Candidate
+	eligible, candidates := leafBuf[:0], candidateBuf[:0]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock()
 	for _, l := range list {
-		if l.Draining || contains(tried, l) {
+		if l.Draining || containsLeaf(tried, l) {
 			continue
 		}
-		c := policy.Candidate{Near: l.Domain == b.domain, Cold: l.Cold(now), Slots: l.Slots}
-		if s := b.leaves[l.Life()]; s != nil {
+		c := policy.Candidate{Near: l.Domain == t.domain, Cold: l.Cold(now), Slots: l.Slots}
+		if s := t.leaves[l.Life()]; s != nil {
 			c.Standing = &s.Standing
 		}
-		from, of = append(from, l), append(of, c)
+		eligible, candidates = append(eligible, l), append(candidates, c)
 	}
-	if i := policy.Choose(of, now, usual, b.rng); i >= 0 {
-		return from[i]
+	if i := policy.Choose(candidates, now, usual, t.rng); i >= 0 {
+		return eligible[i]
 	}
 	return nil
 }
 
-func contains(list []*discovery.Leaf, l *discovery.Leaf) bool {
+func containsLeaf(list []*discovery.Leaf, l *discovery.Leaf) bool {
 	for _, x := range list {
 		if x.Life() == l.Life() {
 			return true
--- a/internal/forward/board_test.go
+++ b/internal/forward/board_test.go
@@ -9,15 +9,15 @@
 	"pearmoor/internal/vm"
 )
 
-type boardRig struct {
-	now   vm.Instant
-	board *Board
-	a, b  *discovery.Leaf
+type leafTrackerFixture struct {
+	now     vm.Instant
+	tracker *Board
+	a, b    *discovery.Leaf
 }
 
-func newBoardRig() *boardRig {
-	r := &boardRig{now: 1}
-	r.board = NewBoard(func() vm.Instant { return r.now }, "here")
+func newLeafTrackerFixture() *leafTrackerFixture {
+	r := &leafTrackerFixture{now: 1}
+	r.tracker = NewBoard(func() vm.Instant { return r.now }, "here")
 	r.a = &discovery.Leaf{ID: "a", Service: "s", Domain: "here", Slots: 2}
 	r.b = &discovery.Leaf{ID: "b", Service: "s", Domain: "here", Slots: 2}
 	return r
@@ -26,50 +26,50 @@
 const usualTime = 20 * time.Millisecond
 
 // countChoicesOfA returns how many of 100 calls to Choose return leaf a.
-func (r *boardRig) share() int {
+func (r *leafTrackerFixture) countChoicesOfA() int {
 	n := 0
 	for range 100 {
-		if r.board.Choose([]*discovery.Leaf{r.a, r.b}, nil, usualTime) == r.a {
+		if r.tracker.Choose([]*discovery.Leaf{r.a, r.b}, nil, usualTime) == r.a {
 			n++
 		}
 	}
 	return n
 }
 
-func (r *boardRig) exchange(l *discovery.Leaf, took time.Duration, out policy.Outcome) {
-	began := r.board.Begin(l.Life())
+func (r *leafTrackerFixture) exchange(l *discovery.Leaf, took time.Duration, out policy.Outcome) {
+	began := r.tracker.Begin(l.Life())
 	r.now = r.now.Add(took)
-	r.board.End(l.Life(), began, policy.Ended{Outcome: out, Took: took, Usual: usualTime, Heard: out == policy.Replied})
+	r.tracker.End(l.Life(), began, policy.Ended{Outcome: out, Took: took, Usual: usualTime, Heard: out == policy.Replied})
 }
 
-func TestChoiceNeverTakesLeavingLeaf(t *testing.T) {
-	r := newBoardRig()
+func TestChooseSkipsDrainingLeaf(t *testing.T) {
+	r := newLeafTrackerFixture()
 	r.a.Draining = true
-	if n := r.share(); n != 0 {
+	if n := r.countChoicesOfA(); n != 0 {
 		t.Errorf("%d of 100 choices returned the draining leaf", n)
 	}
-	if got := r.board.Choose([]*discovery.Leaf{r.a}, nil, usualTime); got != nil {
+	if got := r.tracker.Choose([]*discovery.Leaf{r.a}, nil, usualTime); got != nil {
 		t.Errorf("Choose returned the draining leaf when there was no other")
 	}
 }
 
 // Guards against a restarted leaf that gets no requests because of the health recorded for
 // its previous process, which was slow, failing and marked as misplaced.
-func TestNewLifeIsJudgedAnew(t *testing.T) {
-	r := newBoardRig()
+func TestRestartedLeafStartsWithoutHistory(t *testing.T) {
+	r := newLeafTrackerFixture()
 	for range 20 {
 		r.exchange(r.a, 6*usualTime, policy.Failed)
 		r.exchange(r.b, usualTime, policy.Replied)
 	}
-	r.board.Misplaced(r.a.Life())
-	began := r.board.Begin(r.a.Life())
-	before := r.a.Life()
+	r.tracker.Misplaced(r.a.Life())
+	began := r.tracker.Begin(r.a.Life())
+	oldLife := r.a.Life()
 	r.a = &discovery.Leaf{ID: "a", Born: 7, Service: "s", Domain: "here", Slots: 2}
-	if n := r.share(); n < 20 {
+	if n := r.countChoicesOfA(); n < 20 {
 		t.Errorf("%d of 100 choices returned the restarted leaf", n)
 	}
-	r.board.End(before, began, policy.Ended{Outcome: policy.Failed, Took: usualTime, Usual: usualTime}) // a request to the previous process
-	if n := r.share(); n < 20 {
+	r.tracker.End(oldLife, began, policy.Ended{Outcome: policy.Failed, Took: usualTime, Usual: usualTime}) // a request to the previous process
+	if n := r.countChoicesOfA(); n < 20 {
 		t.Errorf("%d of 100 choices returned the restarted leaf after a failure of its previous process", n)
 	}
 }
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -14,11 +14,11 @@
 )
 
 // bufferedReadTimeout bounds a read of bytes that are already in the receive buffer.
-const arrivedWait = time.Millisecond
+const bufferedReadTimeout = time.Millisecond
 
 var (
-	unanswered  = metrics.GetOrRegisterCounter("forward.closed_unanswered", metrics.DefaultRegistry)
-	undelivered = metrics.GetOrRegisterCounter("forward.undelivered", metrics.DefaultRegistry)
+	closedUnanswered   = metrics.GetOrRegisterCounter("forward.closed_unanswered", metrics.DefaultRegistry)
+	undeliveredAnswers = metrics.GetOrRegisterCounter("forward.undelivered", metrics.DefaultRegistry)
 )
 
 // callerConn is a connection from a caller. It records the current request and the first
@@ -27,12 +27,12 @@
 	*net.TCPConn
 	log *decision.Log
 
-	mu      sync.Mutex
-	id      string // id of the current request; empty if there is none
-	began   time.Time
-	written int   // bytes of the answer to the current request
-	failure error // first I/O error on the connection
-	closed  bool
+	mu           sync.Mutex
+	requestID    string // id of the current request; empty if there is none
+	requestStart time.Time
+	written      int   // bytes of the answer to the current request
+	firstErr     error // first I/O error on the connection
+	closed       bool
 
 	idleSince time.Time // zero while a request is in progress and before the first one
 	expired   bool      // idle for too long; the next read ends the connection unless data has arrived
@@ -57,38 +57,38 @@
 	return &callerConn{TCPConn: tcp, log: l.log}, nil
 }
 
-type connKey struct{}
+type callerConnKey struct{}
 
 func withCallerConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
 // callerConnFrom returns the caller connection from the context of a request, nil if it is
 // not a callerConn.
-func connOf(ctx context.Context) *callerConn {
-	c, _ := ctx.Value(connKey{}).(*callerConn)
+func callerConnFrom(ctx context.Context) *callerConn {
+	c, _ := ctx.Value(callerConnKey{}).(*callerConn)
 	return c
 }
 
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if c.takeExpired() {
+	if c.clearExpired() {
 		switch {
 		case n > 0 && err == nil:
 			err = c.TCPConn.SetReadDeadline(time.Time{}) // the deadline passed just after the data arrived
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			n, err = c.readArrived(p)
+			n, err = c.readBuffered(p)
 		}
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // net/http uses deadlines to interrupt its own reads
-		c.failed("read", err)
+		c.recordFailure("read", err)
 	}
 	return n, err
 }
 
 // clearExpired clears the idle state and reports whether the connection had expired.
-func (c *callerConn) takeExpired() bool {
+func (c *callerConn) clearExpired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	expired := c.expired
@@ -99,8 +99,8 @@
 // readBuffered reads data that arrived before the connection expired. It returns
 // os.ErrDeadlineExceeded if there is none. After a CPU stall, a process can find that the
 // connection has expired although a request is already in the receive buffer.
-func (c *callerConn) readArrived(p []byte) (int, error) {
-	if err := c.TCPConn.SetReadDeadline(time.Now().Add(arrivedWait)); err != nil {
+func (c *callerConn) readBuffered(p []byte) (int, error) {
+	if err := c.TCPConn.SetReadDeadline(time.Now().Add(bufferedReadTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.TCPConn.Read(p)
@@ -139,10 +139,10 @@
 	n, err := c.TCPConn.Write(p)
 	c.mu.Lock()
 	c.written += n
-	id, written := c.id, c.written
+	id, written := c.requestID, c.written
 	c.mu.Unlock()
-	if err != nil && c.failed("write", err) {
-		undelivered.Inc(1)
+	if err != nil && c.recordFailure("write", err) {
+		undeliveredAnswers.Inc(1)
 		c.log.Line("caller", "answer not delivered").Str("id", id).Str("from", c.RemoteAddr().String()).
 			Int("written", int64(written)).Err(err).End()
 	}
@@ -151,29 +151,29 @@
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
-	c.closing()
+	c.logUnanswered()
 	return c.TCPConn.Close()
 }
 
 // recordFailure stores the first I/O error and reports whether err is the first one.
-func (c *callerConn) failed(op string, err error) bool {
+func (c *callerConn) recordFailure(op string, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	first := c.failure == nil
+	first := c.firstErr == nil
 	if first {
-		c.failure = errors.Wrap(err, op)
+		c.firstErr = errors.Wrap(err, op)
 	}
 	return first
 }
 
 // beginRequest records the start of a request.
-func (c *callerConn) begin(id string, at time.Time) {
+func (c *callerConn) beginRequest(id string, start time.Time) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.id, c.began, c.written = id, at, 0
+	c.requestID, c.requestStart, c.written = id, start, 0
 }
 
 // cause returns the first I/O error on the connection, nil if there was none.
@@ -183,22 +183,22 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failure
+	return c.firstErr
 }
 
 // logUnanswered logs a connection that is closed during a request before any byte of the
 // answer was written.
-func (c *callerConn) closing() {
+func (c *callerConn) logUnanswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
 	c.closed = true
-	if c.id == "" || c.written > 0 {
+	if c.requestID == "" || c.written > 0 {
 		return
 	}
-	unanswered.Inc(1)
-	c.log.Line("caller", "closed without an answer").Str("id", c.id).Str("from", c.RemoteAddr().String()).
-		Ms("took", time.Since(c.began)).Err(c.failure).End()
+	closedUnanswered.Inc(1)
+	c.log.Line("caller", "closed without an answer").Str("id", c.requestID).Str("from", c.RemoteAddr().String()).
+		Ms("took", time.Since(c.requestStart)).Err(c.firstErr).End()
 }
--- a/internal/forward/conn_test.go
+++ b/internal/forward/conn_test.go
@@ -22,18 +22,18 @@
 )
 
 // panickingPeers is a PeerDaemons that panics, to simulate a bug in the handling of a request.
-type panicsAt struct{ oneNear }
+type panickingPeers struct{ fakePeers }
 
-func (*panicsAt) Daemon(string) string { panic("simulated bug in request handling") }
+func (*panickingPeers) Daemon(string) string { panic("simulated bug in request handling") }
 
 // Guards against a panic in request handling that the caller sees as a closed connection
 // instead of an error answer.
-func TestPanicIsAnsweredWithAnError(t *testing.T) {
-	rt, leaves := awayRoute(t, wholePart)
-	w := newTwoDaemons(t, rt, leaves)
-	w.engine.cfg.Near = &panicsAt{}
+func TestPanicInHandlingReturnsInternalError(t *testing.T) {
+	rt, leaves := remoteRoute(t, validPart)
+	f := newTwoDaemonFixture(t, rt, leaves)
+	f.engine.cfg.Near = &panickingPeers{}
 	before := panics.Count()
-	resp, text := w.do(t, http.MethodGet, "/", "")
+	resp, text := f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusInternalServerError || !strings.Contains(text, "may_have_run") {
 		t.Errorf("status %d, %q", resp.StatusCode, text)
 	}
@@ -62,9 +62,9 @@
 
 // serveCallers starts a Server for the fixture's engine, as the daemon does, and returns its
 // address.
-func serveCallers(t *testing.T, w *world, lines *decision.Log) (*Server, string) {
+func serveCallers(t *testing.T, f *fixture, log *decision.Log) (*Server, string) {
 	t.Helper()
-	s := NewServer(&Handler{Engine: w.engine, Dialect: testDialect, Log: lines, Draining: func() bool { return false }})
+	s := NewServer(&Handler{Engine: f.engine, Dialect: testDialect, Log: log, Draining: func() bool { return false }})
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,16 +78,16 @@
 // gives the cause.
 func TestUnansweredConnectionIsLogged(t *testing.T) {
 	reached := make(chan struct{}, 1)
-	leaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, _ asked) bool {
+	leaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, _ receivedRequest) bool {
 		reached <- struct{}{}
 		_, _ = io.Copy(io.Discard, c)
 		return false
 	})
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
 	out := &lockedBuffer{}
-	lines := decision.New(out)
-	defer lines.Close()
-	_, addr := serveCallers(t, w, lines)
+	log := decision.New(out)
+	defer log.Close()
+	_, addr := serveCallers(t, f, log)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -110,26 +110,26 @@
 
 // Guards against the idle timeout closing a connection whose next request has already been
 // read.
-func TestIdleLimitNeverCutsARequest(t *testing.T) {
-	const callers, asks = 16, 60
-	leaf := startLeaf(t, answers("done"))
-	w := newWorld(t, repeatable("s"), map[string][]*fakeLeaf{"s": {leaf}})
-	s, addr := serveCallers(t, w, nil)
-	var over atomic.Bool
-	var sweeps, all sync.WaitGroup
+func TestIdleTimeoutKeepsReceivedRequest(t *testing.T) {
+	const callers, requestsPerCaller = 16, 60
+	leaf := startLeaf(t, replyWith("done"))
+	f := newFixture(t, repeatableRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	s, addr := serveCallers(t, f, nil)
+	var stop atomic.Bool
+	var sweeps, requests sync.WaitGroup
 	sweeps.Go(func() {
-		for !over.Load() {
-			s.idle.closeOld(0)
+		for !stop.Load() {
+			s.idle.expireIdle(0)
 			runtime.Gosched()
 		}
 	})
 	var lost, answered atomic.Int32
 	for c := range callers {
-		all.Go(func() {
+		requests.Go(func() {
 			var conn net.Conn
 			var r *bufio.Reader
 			var err error
-			for i := range asks {
+			for i := range requestsPerCaller {
 				if conn == nil {
 					if conn, err = net.Dial("tcp", addr); err != nil {
 						t.Error(err)
@@ -149,14 +149,14 @@
 				}
 				conn.Close()
 				conn = nil
-				if slices.ContainsFunc(leaf.requests(), func(a asked) bool { return a.header["Request-Id"] == id }) {
+				if slices.ContainsFunc(leaf.requests(), func(a receivedRequest) bool { return a.header["Request-Id"] == id }) {
 					lost.Add(1)
 				}
 			}
 		})
 	}
-	all.Wait()
-	over.Store(true)
+	requests.Wait()
+	stop.Store(true)
 	sweeps.Wait()
 	if lost.Load() > 0 || answered.Load() == 0 {
 		t.Errorf("%d requests reached the leaf but were not answered, %d were answered", lost.Load(), answered.Load())
@@ -166,8 +166,8 @@
 // Guards against idle connections that stay open past the idle timeout and use up file
 // descriptors.
 func TestIdleConnectionIsClosed(t *testing.T) {
-	w := newWorld(t, repeatable("s"), map[string][]*fakeLeaf{"s": {startLeaf(t, answers("done"))}})
-	s, addr := serveCallers(t, w, nil)
+	f := newFixture(t, repeatableRoute("s"), map[string][]*fakeLeaf{"s": {startLeaf(t, replyWith("done"))}})
+	s, addr := serveCallers(t, f, nil)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 		ended <- err
 	}()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); vm.Sleep(t.Context(), 5*time.Millisecond) {
-		s.idle.closeOld(time.Millisecond)
+		s.idle.expireIdle(time.Millisecond)
 		select {
 		case err := <-ended:
 			if !errors.Is(err, io.EOF) {
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -13,7 +13,7 @@
 )
 
 // isStaleConn reports whether err is a failure on a connection that had been idle.
-func isStale(err *contract.Error) bool {
+func isStaleConn(err *contract.Error) bool {
 	return err != nil && err.Cause != nil && errors.Is(err.Cause, target.ErrStale)
 }
 
@@ -21,11 +21,11 @@
 func (r *run) decide(now time.Time) *Answer {
 	switch r.progress(now).Decide(r.times) {
 	case policy.AnswerNow:
-		return r.answer()
+		return r.successAnswer()
 	case policy.GiveUpLate:
 		return r.giveUp(contract.ReasonDeadline)
 	case policy.GiveUpFailed:
-		if r.blocked {
+		if r.quarantined {
 			return r.giveUp(contract.ReasonQuarantined)
 		}
 		return r.giveUp("")
@@ -40,7 +40,7 @@
 // progress summarizes the states of the shards for policy.Progress.Decide.
 func (r *run) progress(now time.Time) policy.Progress {
 	p := policy.Progress{
-		Shards: len(r.shards), Need: r.need, Have: r.have,
+		Shards: len(r.shards), Need: r.requiredParts, Have: r.receivedParts,
 		Unsent: r.verdict == contract.NotRun, Passed: now.Sub(r.req.Arrived),
 	}
 	for i := range r.shards {
@@ -48,16 +48,16 @@
 		if s.done {
 			continue
 		}
-		if !s.listed {
+		if !s.hasLeaves {
 			p.Unlisted++
 		}
 		switch {
-		case !s.stuck || len(s.flights) > 0:
+		case !s.unsendable || len(s.pending) > 0:
 			p.Open++
 			continue
-		case s.wake.IsZero():
+		case s.retryAt.IsZero():
 			p.Ended++
-		case s.gone:
+		case s.unreachable:
 			p.Gone++
 		}
 		p.Stuck++
@@ -68,34 +68,34 @@
 // finalAnswer returns the answer of a request that must end now because the process shuts
 // down.
 func (r *run) finalAnswer() *Answer {
-	if r.have > 0 && r.have >= r.need {
-		return r.answer()
+	if r.receivedParts > 0 && r.receivedParts >= r.requiredParts {
+		return r.successAnswer()
 	}
 	return r.giveUp(contract.ReasonDraining)
 }
 
 // successAnswer returns the merged parts of a gather, or the reply to a single request.
-func (r *run) answer() *Answer {
+func (r *run) successAnswer() *Answer {
 	if !r.entry.Gathers() {
 		return &Answer{
-			Status: r.last.Status, Header: http.Header(r.last.Header), Body: r.last.Body, Rest: r.last.Rest,
+			Status: r.lastReply.Status, Header: http.Header(r.lastReply.Header), Body: r.lastReply.Body, Rest: r.lastReply.Rest,
 			Verdict: contract.Ran,
 		}
 	}
-	a := &Answer{Status: http.StatusOK, Merged: true, Verdict: contract.Ran, Missing: len(r.shards) - r.have}
-	a.Parts = make([]string, 0, r.have)
+	a := &Answer{Status: http.StatusOK, Merged: true, Verdict: contract.Ran, Missing: len(r.shards) - r.receivedParts}
+	a.Parts = make([]string, 0, r.receivedParts)
 	for i := range r.shards {
 		if s := &r.shards[i]; s.done {
-			a.Parts = append(a.Parts, s.stamp)
+			a.Parts = append(a.Parts, s.signature)
 		}
 	}
-	a.Body = r.merge()
+	a.Body = r.mergeParts()
 	return a
 }
 
 // mergeParts returns the greatest records of all parts in descending order.
-func (r *run) merge() []byte {
-	merged := top{k: r.entry.Top}
+func (r *run) mergeParts() []byte {
+	merged := topRecords{k: r.entry.Top}
 	used := make(map[*partSet]bool)
 	for i := range r.shards {
 		switch s := &r.shards[i]; {
@@ -113,8 +113,8 @@
 // giveUp abandons the sends in flight and returns the answer of a request that has failed.
 func (r *run) giveUp(reason contract.Reason) *Answer {
 	verdict := r.verdict
-	r.abandon()
-	if r.sent() {
+	r.abandonSends()
+	if r.mayHaveSent() {
 		verdict = verdict.Join(contract.MayHaveRun)
 	}
 	a := &Answer{Verdict: verdict, Reason: reason}
@@ -130,13 +130,13 @@
 	switch {
 	case verdict == contract.NotRun:
 		a.Status = http.StatusServiceUnavailable
-		a.RetryAfter = r.comeBack()
+		a.RetryAfter = r.retryAfter()
 		if a.Reason == contract.ReasonQuarantined {
 			a.RetryAfter = policy.QuarantinedRetryAfter
 		}
-	case !r.entry.Gathers() && r.last != nil && !r.last.Refused:
+	case !r.entry.Gathers() && r.lastReply != nil && !r.lastReply.Refused:
 		// The leaf's own error reply is more specific than an answer of this daemon.
-		a.Status, a.Header, a.Body, a.Rest = r.last.Status, http.Header(r.last.Header), r.last.Body, r.last.Rest
+		a.Status, a.Header, a.Body, a.Rest = r.lastReply.Status, http.Header(r.lastReply.Header), r.lastReply.Body, r.lastReply.Rest
 	case reason == contract.ReasonDeadline:
 		a.Status = http.StatusGatewayTimeout
 	default:
@@ -146,18 +146,18 @@
 }
 
 // retryAfter returns the Retry-After of a request that did not run.
-func (r *run) comeBack() time.Duration {
-	if r.last == nil {
+func (r *run) retryAfter() time.Duration {
+	if r.lastReply == nil {
 		return policy.ComeBack(0)
 	}
-	return policy.ComeBack(r.last.RetryAfter)
+	return policy.ComeBack(r.lastReply.RetryAfter)
 }
 
 // abandonSends cancels the sends in flight.
-func (r *run) abandon() {
+func (r *run) abandonSends() {
 	for i := range r.shards {
-		for _, f := range r.shards[i].flights {
-			f.call.Abandon()
+		for _, p := range r.shards[i].pending {
+			p.call.Abandon()
 		}
 	}
 	for _, b := range r.batches {
@@ -167,10 +167,10 @@
 
 // mayHaveSent reports whether any of the sends in flight may have reached a leaf. If the sends
 // were abandoned before, false means that none of them will.
-func (r *run) sent() bool {
+func (r *run) mayHaveSent() bool {
 	for i := range r.shards {
-		for _, f := range r.shards[i].flights {
-			if f.batch == nil && f.call.Sent() || f.batch != nil && f.batch.sent() {
+		for _, p := range r.shards[i].pending {
+			if p.batch == nil && p.call.Sent() || p.batch != nil && p.batch.mayHaveSent() {
 				return true
 			}
 		}
@@ -178,19 +178,19 @@
 	return false
 }
 
-func (r *run) log(a *Answer) {
-	what := "answered"
+func (r *run) logAnswer(a *Answer) {
+	event := "answered"
 	if a.Status >= http.StatusInternalServerError && a.Header == nil {
-		what = "gave up"
+		event = "gave up"
 	}
-	l := r.e.cfg.Log.Line(r.part(), what).Str("id", r.req.ID).Str("route", r.entry.Name).
+	l := r.e.cfg.Log.Line(r.logComponent(), event).Str("id", r.req.ID).Str("route", r.entry.Name).
 		Int("status", int64(a.Status)).Ms("took", time.Since(r.req.Arrived)).
-		Ms("wait", r.req.Wait).Ms("answer_by", r.times.AnswerBy).Int("release", int64(r.a.table.Number)).Int("sends", int64(r.sends)).Int("hedges", int64(r.hedges)).
-		Int("attempts", int64(r.attempts())).Bool("repeatable", r.entry.Repeatable).Int("denied", int64(r.denied))
+		Ms("wait", r.req.Wait).Ms("answer_by", r.times.AnswerBy).Int("release", int64(r.active.table.Number)).Int("sends", int64(r.sendCount)).Int("hedges", int64(r.hedgeCount)).
+		Int("attempts", int64(r.maxAttempts())).Bool("repeatable", r.entry.Repeatable).Int("denied", int64(r.budgetDenials))
 	if r.entry.Gathers() {
-		l = l.Int("parts", int64(r.have)).Int("of", int64(len(r.shards))).Int("need", int64(r.need)).Int("delegated", int64(r.delegated))
-		if r.have < len(r.shards) {
-			l = l.Str("missing", r.missing())
+		l = l.Int("parts", int64(r.receivedParts)).Int("of", int64(len(r.shards))).Int("need", int64(r.requiredParts)).Int("delegated", int64(r.delegatedSends))
+		if r.receivedParts < len(r.shards) {
+			l = l.Str("missing", r.missingShards())
 		}
 	}
 	if a.Reason != "" {
@@ -200,7 +200,7 @@
 }
 
 // missingShards lists the shards without a part, each with the leaves it was sent to.
-func (r *run) missing() string {
+func (r *run) missingShards() string {
 	out := ""
 	for i := range r.shards {
 		s := &r.shards[i]
@@ -219,21 +219,21 @@
 }
 
 // logComponent returns the component name for decision log lines.
-func (r *run) part() string {
+func (r *run) logComponent() string {
 	if r.entry.Gathers() {
 		return "gather"
 	}
 	return "single"
 }
 
-func (r *run) logLeft(ctx context.Context) {
-	r.e.cfg.Log.Line(r.part(), "caller left").Str("id", r.req.ID).Str("route", r.entry.Name).
-		Ms("took", time.Since(r.req.Arrived)).Int("parts", int64(r.have)).Err(connOf(ctx).cause()).End()
+func (r *run) logCallerLeft(ctx context.Context) {
+	r.e.cfg.Log.Line(r.logComponent(), "caller left").Str("id", r.req.ID).Str("route", r.entry.Name).
+		Ms("took", time.Since(r.req.Arrived)).Int("parts", int64(r.receivedParts)).Err(callerConnFrom(ctx).cause()).End()
 }
 
-func (r *run) logFailed(s *shard, res *result) {
-	l := r.e.cfg.Log.Line(r.part(), "send failed").Str("id", r.req.ID).Str("service", s.service).
-		Str("leaf", res.leaf.ID).Ms("after", time.Since(r.req.Arrived)).Int("runs", int64(s.runs))
+func (r *run) logSendFailed(s *shard, res *result) {
+	l := r.e.cfg.Log.Line(r.logComponent(), "send failed").Str("id", r.req.ID).Str("service", s.service).
+		Str("leaf", res.leaf.ID).Ms("after", time.Since(r.req.Arrived)).Int("runs", int64(s.possibleRuns))
 	if res.err != nil {
 		l.Str("verdict", res.err.Verdict.String()).Str("reason", string(res.err.Reason)).Err(res.err.Cause).End()
 		return
--- a/internal/forward/delegate.go
+++ b/internal/forward/delegate.go
@@ -22,22 +22,22 @@
 	// minDelegatedShards is the minimum number of shards with a leaf in one failure domain
 	// for which a daemon there is called. One call takes the CPU time of 2.4 parts, so with
 	// fewer shards it costs as much as direct sends.
-	fewDelegated = 3
+	minDelegatedShards = 3
 	// interDomainDelay is the time allowed for a call to a daemon in another failure domain:
 	// a round trip between domains of 1 to 3 ms plus the processing of the call. The first
 	// parts are requested this much before a reply counts as late.
-	hopTime = 4 * time.Millisecond
+	interDomainDelay = 4 * time.Millisecond
 	// daemonSilenceTimeout is how long after a reply counts as late a daemon may send no
 	// reply before its shards are sent to leaves directly. Such a daemon is frozen, cut off
 	// or overloaded.
-	silentHelper = 12 * time.Millisecond
+	daemonSilenceTimeout = 12 * time.Millisecond
 	// streamGracePeriod is how long a stream to another daemon may outlive the request.
-	streamOver = 200 * time.Millisecond
+	streamGracePeriod = 200 * time.Millisecond
 )
 
 var (
-	delegatedParts = metrics.GetOrRegisterCounter("forward.delegated.parts", metrics.DefaultRegistry)
-	delegatedLost  = metrics.GetOrRegisterCounter("forward.delegated.failed_calls", metrics.DefaultRegistry)
+	delegatedParts       = metrics.GetOrRegisterCounter("forward.delegated.parts", metrics.DefaultRegistry)
+	delegatedCallsFailed = metrics.GetOrRegisterCounter("forward.delegated.failed_calls", metrics.DefaultRegistry)
 )
 
 // PeerDaemons selects other daemons and opens calls to them. A daemon in the failure domain
@@ -66,35 +66,35 @@
 // together, and only with the previous sets of the same daemon: the daemon leaves out records
 // that are not among the greatest that it has sent so far.
 type partSet struct {
-	records []byte
-	spoiled bool
-	before  *partSet // previous set of the same daemon; nil if there is none
+	records   []byte
+	discarded bool
+	previous  *partSet // previous set of the same daemon; nil if there is none
 }
 
 // unusable reports whether the set or one of its previous sets has been discarded.
 func (s *partSet) unusable() bool {
-	return s != nil && (s.spoiled || s.before.unusable())
+	return s != nil && (s.discarded || s.previous.unusable())
 }
 
 // delegatedBatch is the set of sends of a gather that are delegated to one daemon near their
 // leaves. The run keeps a pendingSend for each of them, as for direct sends. Only the
 // goroutine of the run uses replied and bypassed.
-type batch struct {
-	run   *run
-	addr  string
-	sends []delegated
-	heard bool // at least one reply has arrived
-	given bool // its shards have been sent to leaves directly
+type delegatedBatch struct {
+	run      *run
+	addr     string
+	sends    []delegatedSend
+	replied  bool // at least one reply has arrived
+	bypassed bool // its shards have been sent to leaves directly
 
-	mu     sync.Mutex
-	stream wire.DRPCGather_ScatterClient
-	over   bool
-	cancel context.CancelFunc
-	newest *partSet // used only by the goroutine of runCall
+	mu       sync.Mutex
+	stream   wire.DRPCGather_ScatterClient
+	released bool
+	cancel   context.CancelFunc
+	latest   *partSet // used only by the goroutine of runCall
 }
 
 // delegatedSend is one send of a delegatedBatch.
-type delegated struct {
+type delegatedSend struct {
 	shard int
 	leaf  *discovery.Leaf
 	call  *target.Call // identifies the pendingSend; nothing is sent on it
@@ -103,7 +103,7 @@
 }
 
 // assignment is the leaf chosen for a shard.
-type choice struct {
+type assignment struct {
 	shard int
 	leaf  *discovery.Leaf
 }
@@ -112,123 +112,123 @@
 // are delegated to a daemon there, which returns only the greatest records of all parts
 // instead of every part with its headers.
 func (r *run) launchAll() {
-	if len(r.shards) < fewDelegated || r.e.cfg.Near == nil || r.send.Stream != nil || r.suspicion.Guarded() {
+	if len(r.shards) < minDelegatedShards || r.e.cfg.Near == nil || r.leafRequest.Stream != nil || r.suspicion.Guarded() {
 		for i := range r.shards {
 			r.launch(i, false)
 		}
 		return
 	}
-	board := r.e.cfg.Board
+	tracker := r.e.cfg.Board
 	snap := r.e.cfg.Book.Snapshot()
-	usual := r.know.pace.Usual()
-	away := make(map[string][]choice)
-	var direct []choice
+	usual := r.stats.pace.Usual()
+	remote := make(map[string][]assignment)
+	var direct []assignment
 	for i := range r.shards {
-		leaf := board.Choose(snap.Of(r.shards[i].service), nil, usual)
+		leaf := tracker.Choose(snap.Of(r.shards[i].service), nil, usual)
 		switch {
 		case leaf == nil:
 			r.launch(i, false)
-		case leaf.Domain == board.domain:
-			direct = append(direct, choice{i, leaf})
+		case leaf.Domain == tracker.domain:
+			direct = append(direct, assignment{i, leaf})
 		default:
-			away[leaf.Domain] = append(away[leaf.Domain], choice{i, leaf})
+			remote[leaf.Domain] = append(remote[leaf.Domain], assignment{i, leaf})
 		}
 	}
-	for domain, list := range away {
-		if len(list) < fewDelegated || !r.delegate(domain, list) {
-			direct = append(direct, list...)
+	for domain, assignments := range remote {
+		if len(assignments) < minDelegatedShards || !r.delegate(domain, assignments) {
+			direct = append(direct, assignments...)
 		}
 	}
-	for _, c := range direct {
-		r.sendTo(c.shard, c.leaf, false)
+	for _, assigned := range direct {
+		r.sendTo(assigned.shard, assigned.leaf, false)
 	}
 }
 
 // delegate delegates the sends for the shards in list to a daemon in the failure domain. It
 // returns false if no daemon is available.
-func (r *run) delegate(domain string, list []choice) bool {
+func (r *run) delegate(domain string, assignments []assignment) bool {
 	addr := r.e.cfg.Near.Daemon(domain)
 	if addr == "" {
 		return false
 	}
 	now := time.Now()
-	b := &batch{run: r, addr: addr, sends: make([]delegated, len(list))}
+	b := &delegatedBatch{run: r, addr: addr, sends: make([]delegatedSend, len(assignments))}
 	req := &wire.ScatterRequest{
-		Id: r.req.ID, Method: r.send.Method, Head: r.send.Head, Body: r.send.Body,
-		LeftUs: micros(r.send.Deadline.Sub(now)), FirstUs: micros(r.at(r.times.Late - hopTime).Sub(now)),
-		UsualUs: micros(r.know.pace.Usual()), Top: uint32(r.entry.Top),
-		Sends: make([]*wire.PartSend, len(list)), Caller: r.req.Caller,
+		Id: r.req.ID, Method: r.leafRequest.Method, Head: r.leafRequest.Head, Body: r.leafRequest.Body,
+		LeftUs: toMicros(r.leafRequest.Deadline.Sub(now)), FirstUs: toMicros(r.afterArrival(r.times.Late - interDomainDelay).Sub(now)),
+		UsualUs: toMicros(r.stats.pace.Usual()), Top: uint32(r.entry.Top),
+		Sends: make([]*wire.PartSend, len(assignments)), Caller: r.req.Caller,
 	}
-	for i, c := range list {
-		d := delegated{shard: c.shard, leaf: c.leaf, call: &target.Call{}, began: r.e.cfg.Board.Begin(c.leaf.Life())}
-		b.sends[i] = d
-		req.Sends[i] = &wire.PartSend{Leaf: c.leaf.Mark()}
-		r.started(c.shard, flight{call: d.call, leaf: c.leaf, batch: b})
+	for i, assigned := range assignments {
+		send := delegatedSend{shard: assigned.shard, leaf: assigned.leaf, call: &target.Call{}, began: r.e.cfg.Board.Begin(assigned.leaf.Life())}
+		b.sends[i] = send
+		req.Sends[i] = &wire.PartSend{Leaf: assigned.leaf.Mark()}
+		r.recordStart(assigned.shard, pendingSend{call: send.call, leaf: assigned.leaf, batch: b})
 	}
 	r.batches = append(r.batches, b)
-	r.delegated += len(list)
-	delegatedParts.Inc(int64(len(list)))
-	ctx, cancel := context.WithDeadline(context.Background(), r.at(r.times.End+streamOver))
+	r.delegatedSends += len(assignments)
+	delegatedParts.Inc(int64(len(assignments)))
+	ctx, cancel := context.WithDeadline(context.Background(), r.afterArrival(r.times.End+streamGracePeriod))
 	b.cancel = cancel
-	go b.follow(ctx, req)
+	go b.runCall(ctx, req)
 	return true
 }
 
-func micros(d time.Duration) uint32 { return uint32(max(0, min(d, time.Hour)).Microseconds()) }
+func toMicros(d time.Duration) uint32 { return uint32(max(0, min(d, time.Hour)).Microseconds()) }
 
 // runCall makes the scatter call and records the end of every send of the batch.
-func (b *batch) follow(ctx context.Context, req *wire.ScatterRequest) {
+func (b *delegatedBatch) runCall(ctx context.Context, req *wire.ScatterRequest) {
 	defer b.cancel()
 	err := b.exchange(ctx, req)
-	open := 0
+	unfinished := 0
 	for i := range b.sends {
 		if !b.sends[i].ended {
-			open++
+			unfinished++
 		}
 	}
 	b.mu.Lock()
-	over := b.over
+	released := b.released
 	b.mu.Unlock()
-	if open > 0 && err == nil {
+	if unfinished > 0 && err == nil {
 		err = errors.New("forward: the daemon ended its answer early")
 	}
-	if over && !peer.NotSent(err) {
+	if released && !peer.NotSent(err) {
 		b.run.e.cfg.Near.Ended(b.addr, nil) // the call was cancelled by this daemon
 	} else {
 		b.run.e.cfg.Near.Ended(b.addr, err)
 	}
-	if open == 0 {
+	if unfinished == 0 {
 		return
 	}
-	if !over {
-		delegatedLost.Inc(1)
+	if !released {
+		delegatedCallsFailed.Inc(1)
 		b.run.e.cfg.Log.Line("gather", "daemon near the leaves failed").Str("id", b.run.req.ID).Str("daemon", b.addr).
-			Int("sends", int64(open)).Bool("sent", !peer.NotSent(err)).Err(err).End()
+			Int("sends", int64(unfinished)).Bool("sent", !peer.NotSent(err)).Err(err).End()
 	}
-	fault := mayHaveRunThere(err)
+	fault := callFault(err)
 	var ends []result
 	for i := range b.sends {
-		ends = b.end(ends, i, result{err: fault}, policy.Unlearned)
+		ends = b.endSend(ends, i, result{err: fault}, policy.Unlearned)
 	}
 	b.deliver(ends)
 }
 
 // callFault returns the error of delegated sends whose call failed with err before their
 // results arrived.
-func mayHaveRunThere(err error) *contract.Error {
+func callFault(err error) *contract.Error {
 	if peer.NotSent(err) {
 		return contract.Refuse(contract.ReasonOverload, err)
 	}
 	return &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonTargetFailed, Cause: err}
 }
 
-func (b *batch) exchange(ctx context.Context, req *wire.ScatterRequest) error {
+func (b *delegatedBatch) exchange(ctx context.Context, req *wire.ScatterRequest) error {
 	stream, err := b.run.e.cfg.Near.Scatter(ctx, b.addr)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = stream.Close() }() // the stream or its connection has already ended
-	if !b.opened(stream) {
+	if !b.attachStream(stream) {
 		return nil
 	}
 	if err := stream.Send(req); err != nil {
@@ -247,10 +247,10 @@
 }
 
 // attachStream stores the stream. It returns false if the batch has already been released.
-func (b *batch) opened(stream wire.DRPCGather_ScatterClient) bool {
+func (b *delegatedBatch) attachStream(stream wire.DRPCGather_ScatterClient) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.over {
+	if b.released {
 		return false
 	}
 	b.stream = stream
@@ -259,13 +259,13 @@
 
 // release tells the daemon that its results are no longer needed. It closes the stream
 // instead of cancelling its context, since cancelling would also close the connection.
-func (b *batch) release() {
+func (b *delegatedBatch) release() {
 	b.mu.Lock()
-	before := b.over
-	b.over = true
+	already := b.released
+	b.released = true
 	stream := b.stream
 	b.mu.Unlock()
-	if before {
+	if already {
 		return
 	}
 	if stream == nil {
@@ -277,38 +277,38 @@
 
 // mayHaveSent reports whether the daemon may have received the request. It is to be called
 // after release.
-func (b *batch) sent() bool {
+func (b *delegatedBatch) mayHaveSent() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stream != nil
 }
 
-func (b *batch) receive(reply *wire.ScatterReply) {
-	set := &partSet{records: reply.Records, before: b.newest}
-	b.newest = set
+func (b *delegatedBatch) receive(reply *wire.ScatterReply) {
+	set := &partSet{records: reply.Records, previous: b.latest}
+	b.latest = set
 	ends := make([]result, 0, len(reply.Ends))
 	for _, e := range reply.Ends {
 		if int(e.Send) >= len(b.sends) {
 			continue // not a send of this batch
 		}
-		out, answer, fault := b.read(e)
-		res := result{reply: answer, err: fault, took: time.Duration(e.TookUs) * time.Microsecond, set: set}
-		ends = b.end(ends, int(e.Send), res, out)
+		outcome, leafReply, fault := b.decodeEnd(e)
+		res := result{reply: leafReply, err: fault, took: time.Duration(e.TookUs) * time.Microsecond, set: set}
+		ends = b.endSend(ends, int(e.Send), res, outcome)
 	}
 	b.deliver(ends)
 }
 
 // deliver passes results that arrived together to the run as one result.
-func (b *batch) deliver(ends []result) {
+func (b *delegatedBatch) deliver(ends []result) {
 	if len(ends) > 0 {
-		first := ends[0]
-		first.with = ends[1:]
-		b.run.deliver(first)
+		combined := ends[0]
+		combined.together = ends[1:]
+		b.run.deliver(combined)
 	}
 }
 
 // decodeEnd decodes the result of a delegated send.
-func (b *batch) read(e *wire.PartEnd) (policy.Outcome, *target.Reply, *contract.Error) {
+func (b *delegatedBatch) decodeEnd(e *wire.PartEnd) (policy.Outcome, *target.Reply, *contract.Error) {
 	if e.Status == 0 {
 		fault := &contract.Error{Verdict: contract.Verdict(min(e.Verdict, uint32(contract.Ran))), Reason: contract.Reason(e.Reason), Cause: errors.New(e.Cause)}
 		if e.Stale {
@@ -317,31 +317,31 @@
 		if e.Ended {
 			fault.Cause = errors.Mark(fault.Cause, contract.ErrLeafEnded)
 		}
-		return learnedOf(fault), nil, fault
+		return outcomeOfError(fault), nil, fault
 	}
 	reply := &target.Reply{Status: int(e.Status), Stamp: e.Stamp, Refused: e.Refused, HasLoad: e.HasLoad}
 	if e.HasLoad {
 		reply.Load = policy.Load{Running: int(e.Running), Waiting: int(e.Waiting), Slots: int(e.Slots), Pace: float64(e.Pace)}
 	}
-	return learnedFrom(reply), reply, nil
+	return outcomeOfReply(reply), reply, nil
 }
 
 // endSend records the result of send i and appends it to ends, unless the send has already
 // ended.
-func (b *batch) end(ends []result, i int, res result, out policy.Outcome) []result {
-	d := &b.sends[i]
-	if d.ended {
+func (b *delegatedBatch) endSend(ends []result, i int, res result, outcome policy.Outcome) []result {
+	s := &b.sends[i]
+	if s.ended {
 		return ends
 	}
-	d.ended = true
+	s.ended = true
 	r := b.run
-	r.e.note(noted{leaf: d.leaf, began: d.began, took: res.took, out: out, reply: res.reply, fault: res.err, pace: &r.know.pace, away: true})
-	res.shard, res.call, res.leaf = d.shard, d.call, d.leaf
+	r.e.recordSend(sendOutcome{leaf: s.leaf, began: s.began, took: res.took, outcome: outcome, reply: res.reply, fault: res.err, pace: &r.stats.pace, delegated: true})
+	res.shard, res.call, res.leaf = s.shard, s.call, s.leaf
 	return append(ends, res)
 }
 
 // isSilent reports whether no reply has arrived although daemonSilenceTimeout has passed since
 // late, the time from which replies count as late.
-func (b *batch) silent(now, wanted time.Time) bool {
-	return !b.heard && now.Sub(wanted) >= silentHelper
+func (b *delegatedBatch) isSilent(now, late time.Time) bool {
+	return !b.replied && now.Sub(late) >= daemonSilenceTimeout
 }
--- a/internal/forward/engine.go
+++ b/internal/forward/engine.go
@@ -41,39 +41,39 @@
 // Engine forwards requests according to the installed routing table. It is safe for
 // concurrent use.
 type Engine struct {
-	cfg    Config
-	active atomic.Pointer[active]
-	ending chan struct{} // closed by FinishAll
-	ended  sync.Once
-	sends  *work.Pool[send]
+	cfg        Config
+	active     atomic.Pointer[activeTable]
+	finishing  chan struct{} // closed by FinishAll
+	finishOnce sync.Once
+	sendPool   *work.Pool[sendTask]
 }
 
 // activeTable is the routing table in use with the statistics of its routes.
-type active struct {
-	senders func() int
-	table   *route.Table
-	version uint64 // of the settings tree that the table was made from
-	learned map[*route.Entry]*learned
+type activeTable struct {
+	daemonCount func() int
+	table       *route.Table
+	version     uint64 // of the settings tree that the table was made from
+	stats       map[*route.Entry]*routeStats
 }
 
 // routeStats holds the statistics of a route. They are kept when a new table with the same
 // route is installed.
-type learned struct {
-	pace  policy.Pace
-	waits policy.Waits
+type routeStats struct {
+	pace        policy.Pace
+	callerWaits policy.Waits
 }
 
 // New returns an engine that refuses every request until Install is called.
 func New(cfg Config) *Engine {
-	e := &Engine{cfg: cfg, ending: make(chan struct{})}
-	e.sends = work.NewPool(e.perform)
+	e := &Engine{cfg: cfg, finishing: make(chan struct{})}
+	e.sendPool = work.NewPool(e.perform)
 	return e
 }
 
 // FinishAll makes every request in progress, and every later one, return its final answer
 // immediately. It is called before the process exits: an answer tells the caller whether the
 // request may have run, a broken connection does not.
-func (e *Engine) EndAll() { e.ended.Do(func() { close(e.ending) }) }
+func (e *Engine) EndAll() { e.finishOnce.Do(func() { close(e.finishing) }) }
 
 // Install makes t the table for requests that arrive from now on; version is the version of
 // the settings tree that t was made from. A table that is not newer than the installed one is
@@ -83,29 +83,29 @@
 	if old != nil && old.version >= version {
 		return
 	}
-	known := make(map[string]*learned)
+	previous := make(map[string]*routeStats)
 	if old != nil {
-		for entry, l := range old.learned {
-			known[entry.Host+entry.Prefix] = l
+		for entry, stats := range old.stats {
+			previous[entry.Host+entry.Prefix] = stats
 		}
 	}
-	next := &active{senders: e.cfg.Senders, table: t, version: version, learned: make(map[*route.Entry]*learned)}
-	var pace work.Pacer
+	next := &activeTable{daemonCount: e.cfg.Senders, table: t, version: version, stats: make(map[*route.Entry]*routeStats)}
+	var pacer work.Pacer
 	for _, entry := range t.Entries() {
-		pace.Step()
-		l := known[entry.Host+entry.Prefix]
-		if l == nil {
-			l = &learned{}
+		pacer.Step()
+		stats := previous[entry.Host+entry.Prefix]
+		if stats == nil {
+			stats = &routeStats{}
 		}
-		next.learned[entry] = l
+		next.stats[entry] = stats
 	}
 	e.active.Store(next)
 }
 
 // Table returns the table in use, nil if none has been installed.
 func (e *Engine) Table() *route.Table {
-	if a := e.active.Load(); a != nil {
-		return a.table
+	if active := e.active.Load(); active != nil {
+		return active.table
 	}
 	return nil
 }
@@ -146,41 +146,41 @@
 // unconfiguredRetryAfter is the Retry-After of requests that arrive before this daemon has
 // its configuration. It is longer than a daemon needs to get the configuration after a
 // restart of the whole system.
-const firstRetryAfter = 500 * time.Millisecond
+const unconfiguredRetryAfter = 500 * time.Millisecond
 
 // Forward answers one request. It returns when the answer is ready, the request has failed,
 // or ctx is cancelled because the caller has left.
 func (e *Engine) Forward(ctx context.Context, req *Request) *Answer {
-	a := e.active.Load()
-	if a == nil {
-		return &Answer{Status: http.StatusServiceUnavailable, RetryAfter: firstRetryAfter,
+	active := e.active.Load()
+	if active == nil {
+		return &Answer{Status: http.StatusServiceUnavailable, RetryAfter: unconfiguredRetryAfter,
 			Verdict: contract.NotRun, Reason: contract.ReasonUnconfirmed}
 	}
-	entry, ok := a.table.Find(req.Host, req.Path)
+	entry, ok := active.table.Find(req.Host, req.Path)
 	if !ok {
 		e.cfg.Log.Line("route", "none").Str("id", req.ID).Str("host", req.Host).Str("path", req.Path).
-			Int("release", int64(a.table.Number)).End()
+			Int("release", int64(active.table.Number)).End()
 		return &Answer{Status: http.StatusNotFound, Verdict: contract.NotRun, Reason: contract.ReasonUnknownPath}
 	}
-	r := e.newRun(a, entry, req)
+	r := e.newRun(active, entry, req)
 	if answer, handed := r.handOver(ctx); handed {
 		return answer
 	}
-	return r.enterAndDo(ctx)
+	return r.checkAndExecute(ctx)
 }
 
 // checkAndExecute executes the request on this daemon, unless the quarantine refuses it.
-func (r *run) enterAndDo(ctx context.Context) *Answer {
-	if refused := r.enter(ctx); refused != nil {
-		r.log(refused)
+func (r *run) checkAndExecute(ctx context.Context) *Answer {
+	if refused := r.checkQuarantine(ctx); refused != nil {
+		r.logAnswer(refused)
 		return refused
 	}
-	return r.do(ctx)
+	return r.execute(ctx)
 }
 
 // recoverPanic calls handle and turns a panic into an internal error answer. Without it the
 // caller would see a broken connection, which does not tell whether the request may have run.
-func (e *Engine) guard(id string, handle func() *Answer) (a *Answer) {
+func (e *Engine) recoverPanic(id string, handle func() *Answer) (a *Answer) {
 	defer func() {
 		if p := recover(); p != nil {
 			panics.Inc(1)
@@ -193,24 +193,24 @@
 
 // connectionLimit returns how many connections this daemon may open to a leaf. It is this
 // daemon's share of the leaf's limit, which applies to all daemons together.
-func (a *active) limit(l *discovery.Leaf) int {
-	most := 0
+func (a *activeTable) connectionLimit(l *discovery.Leaf) int {
+	total := 0
 	if s, ok := a.table.Service(l.Service); ok {
-		most = s.Connections
+		total = s.Connections
 	}
-	return policy.Connections(most, a.senders())
+	return policy.Connections(total, a.daemonCount())
 }
 
 // MaintainLinks periodically adapts the links to the current leaves and number of daemons
 // until ctx is cancelled.
 func (e *Engine) Tend(ctx context.Context) {
-	for vm.Sleep(ctx, tendEvery) {
+	for vm.Sleep(ctx, linkMaintenanceInterval) {
 		snap := e.cfg.Book.Snapshot()
 		e.cfg.Board.Keep(snap)
-		if a := e.active.Load(); a != nil {
-			e.cfg.Board.SetLimits(snap, a.limit)
+		if active := e.active.Load(); active != nil {
+			e.cfg.Board.SetLimits(snap, active.connectionLimit)
 		}
 	}
 }
 
-const tendEvery = 500 * time.Millisecond
+const linkMaintenanceInterval = 500 * time.Millisecond
--- a/internal/forward/gather_test.go
+++ b/internal/forward/gather_test.go
@@ -15,7 +15,7 @@
 
 // gatherRoute returns a gather route over n shards and two leaves for each of them, with the
 // scripts that newScript returns.
-func gatherOver(t *testing.T, n int, make func(shard, copy int) script) (route.Route, map[string][]*fakeLeaf) {
+func gatherRoute(t *testing.T, n int, newScript func(shard, copy int) script) (route.Route, map[string][]*fakeLeaf) {
 	t.Helper()
 	rt := route.Route{Repeatable: true, Attempts: 2, Top: 3, LeastCoverage: 0.7, TargetLatency: 200 * time.Millisecond, AnswerMargin: 20 * time.Millisecond}
 	leaves := map[string][]*fakeLeaf{}
@@ -23,7 +23,7 @@
 		name := fmt.Sprintf("s%d", i)
 		rt.Shards = append(rt.Shards, name)
 		for k := range 2 {
-			leaves[name] = append(leaves[name], startLeaf(t, make(i, k)))
+			leaves[name] = append(leaves[name], startLeaf(t, newScript(i, k)))
 		}
 	}
 	return rt, leaves
@@ -31,12 +31,12 @@
 
 // The answer holds the greatest records of all parts in descending order, and its header lists
 // the signature of each part.
-func TestGatherMerges(t *testing.T) {
-	rt, leaves := gatherOver(t, 4, func(shard, _ int) script {
-		return answers(record(fmt.Sprint("b", shard)) + record(fmt.Sprint("d", shard)) + "rest")
+func TestGatherMergesGreatestRecords(t *testing.T) {
+	rt, leaves := gatherRoute(t, 4, func(shard, _ int) script {
+		return replyWith(record(fmt.Sprint("b", shard)) + record(fmt.Sprint("d", shard)) + "rest")
 	})
-	w := newWorld(t, rt, leaves)
-	resp, text := w.do(t, http.MethodGet, "/", "")
+	f := newFixture(t, rt, leaves)
+	resp, text := f.do(t, http.MethodGet, "/", "")
 	if want := record("d3") + record("d2") + record("d1"); text != want {
 		t.Errorf("got %q, want %q", text, want)
 	}
@@ -49,15 +49,15 @@
 // target latency of 200 ms and a least coverage of 0.7 (7 in 10 shards), the answer has the
 // other parts in time and reports one as missing.
 func TestGatherAnswersInTimeWithoutSilentShard(t *testing.T) {
-	rt, leaves := gatherOver(t, 5, func(shard, _ int) script {
+	rt, leaves := gatherRoute(t, 5, func(shard, _ int) script {
 		if shard == 2 {
-			return silent
+			return neverReply
 		}
-		return answers(record("x"))
+		return replyWith(record("x"))
 	})
-	w := newWorld(t, rt, leaves)
+	f := newFixture(t, rt, leaves)
 	began := time.Now()
-	resp, _ := w.do(t, http.MethodGet, "/", "")
+	resp, _ := f.do(t, http.MethodGet, "/", "")
 	took := time.Since(began)
 	if resp.StatusCode != 200 || resp.Header.Get("Missing") != "1" {
 		t.Errorf("status %d, missing %s", resp.StatusCode, resp.Header.Get("Missing"))
@@ -69,16 +69,16 @@
 
 // Guards against a part that is missing because one leaf of the shard does not reply: a hedge
 // to the other leaf must bring it.
-func TestGatherHedges(t *testing.T) {
-	rt, leaves := gatherOver(t, 5, func(shard, copy int) script {
+func TestGatherHedgesSilentLeaf(t *testing.T) {
+	rt, leaves := gatherRoute(t, 5, func(shard, copy int) script {
 		if shard == 2 && copy == 0 {
-			return silent
+			return neverReply
 		}
-		return answers(record("x"))
+		return replyWith(record("x"))
 	})
-	w := newWorld(t, rt, leaves)
+	f := newFixture(t, rt, leaves)
 	for range 4 {
-		if resp, _ := w.do(t, http.MethodGet, "/", ""); resp.Header.Get("Missing") != "0" {
+		if resp, _ := f.do(t, http.MethodGet, "/", ""); resp.Header.Get("Missing") != "0" {
 			t.Fatalf("%s parts missing, want 0", resp.Header.Get("Missing"))
 		}
 	}
@@ -86,26 +86,28 @@
 
 // Guards against replies that are counted as parts although they are not valid: an error, a
 // truncated reply and the reply to another request, each with a signature.
-func TestWhatIsNoPart(t *testing.T) {
+func TestInvalidPartsAreNotCounted(t *testing.T) {
 	bad := map[int]script{
-		0: func(_ *fakeLeaf, c net.Conn, req asked) bool { return reply(c, req, 500, record("z"), stamp()) },
-		1: func(_ *fakeLeaf, c net.Conn, req asked) bool {
-			fmt.Fprintf(c, "HTTP/1.1 200 x\r\nRequest-Id: %s\r\n%s\r\nContent-Length: 64\r\n\r\n%s", req.header["Request-Id"], stamp(), record("z"))
+		0: func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool {
+			return reply(c, req, 500, record("z"), nextSignature())
+		},
+		1: func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool {
+			fmt.Fprintf(c, "HTTP/1.1 200 x\r\nRequest-Id: %s\r\n%s\r\nContent-Length: 64\r\n\r\n%s", req.header["Request-Id"], nextSignature(), record("z"))
 			return false
 		},
-		2: func(_ *fakeLeaf, c net.Conn, req asked) bool {
+		2: func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool {
 			req.header["Request-Id"] = "another"
-			return reply(c, req, 200, record("z"), stamp())
+			return reply(c, req, 200, record("z"), nextSignature())
 		},
 	}
-	rt, leaves := gatherOver(t, 10, func(shard, _ int) script {
+	rt, leaves := gatherRoute(t, 10, func(shard, _ int) script {
 		if s := bad[shard]; s != nil {
 			return s
 		}
-		return answers(record("x"))
+		return replyWith(record("x"))
 	})
-	w := newWorld(t, rt, leaves)
-	resp, text := w.do(t, http.MethodGet, "/", "")
+	f := newFixture(t, rt, leaves)
+	resp, text := f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != 200 || resp.Header.Get("Missing") != "3" || strings.Contains(text, "z") {
 		t.Errorf("status %d, missing %s, body %q", resp.StatusCode, resp.Header.Get("Missing"), text)
 	}
@@ -120,15 +122,15 @@
 
 // Guards against an answer that lists a signature twice, which would be invalid as a whole.
 // The leaves of two shards return the same signature.
-func TestSignatureOnlyOnce(t *testing.T) {
-	rt, leaves := gatherOver(t, 10, func(int, int) script { return answers(record("x")) })
-	same := func(l *fakeLeaf, c net.Conn, req asked) bool {
+func TestDuplicateSignatureIsUsedOnce(t *testing.T) {
+	rt, leaves := gatherRoute(t, 10, func(int, int) script { return replyWith(record("x")) })
+	same := func(l *fakeLeaf, c net.Conn, req receivedRequest) bool {
 		return reply(c, req, 200, record("y"), "Signature: same")
 	}
 	leaves["s0"] = []*fakeLeaf{startLeaf(t, same), startLeaf(t, same)}
 	leaves["s1"] = []*fakeLeaf{startLeaf(t, same), startLeaf(t, same)}
-	w := newWorld(t, rt, leaves)
-	resp, _ := w.do(t, http.MethodGet, "/", "")
+	f := newFixture(t, rt, leaves)
+	resp, _ := f.do(t, http.MethodGet, "/", "")
 	if strings.Count(resp.Header.Get("Parts"), "same") != 1 || resp.Header.Get("Missing") != "1" {
 		t.Errorf("parts %q, missing %s", resp.Header.Get("Parts"), resp.Header.Get("Missing"))
 	}
@@ -136,16 +138,18 @@
 
 // Guards against a gather that waits, or that is reported as not run, when too many shards
 // have failed for an answer and some leaves have run the request.
-func TestGatherGivesUpAtOnce(t *testing.T) {
-	rt, leaves := gatherOver(t, 4, func(shard, _ int) script {
+func TestGatherFailsFastWithoutEnoughShards(t *testing.T) {
+	rt, leaves := gatherRoute(t, 4, func(shard, _ int) script {
 		if shard < 2 {
-			return func(_ *fakeLeaf, c net.Conn, req asked) bool { return reply(c, req, 500, "", stamp()) }
+			return func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool {
+				return reply(c, req, 500, "", nextSignature())
+			}
 		}
-		return answers(record("x"))
+		return replyWith(record("x"))
 	})
-	w := newWorld(t, rt, leaves)
+	f := newFixture(t, rt, leaves)
 	began := time.Now()
-	resp, _ := w.do(t, http.MethodGet, "/", "")
+	resp, _ := f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -155,10 +159,10 @@
 }
 
 // A gather whose shards have no leaves is refused as not run with a Retry-After.
-func TestGatherWithoutLeaves(t *testing.T) {
-	rt, _ := gatherOver(t, 3, func(int, int) script { return answers("") })
-	w := newWorld(t, rt, nil)
-	resp, _ := w.do(t, http.MethodGet, "/", "")
+func TestGatherWithoutLeavesIsRefused(t *testing.T) {
+	rt, _ := gatherRoute(t, 3, func(int, int) script { return replyWith("") })
+	f := newFixture(t, rt, nil)
+	resp, _ := f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -22,22 +22,22 @@
 const (
 	// bufferedBodyBytes is the longest body that is read completely before it is forwarded.
 	// Only a request with such a body can be sent to a second leaf.
-	wholeBody = 64 << 10
+	bufferedBodyBytes = 64 << 10
 	// defaultBodyLimit and defaultHeaderLimit apply until a configuration is installed.
 	defaultBodyLimit   = 1 << 20
 	defaultHeaderLimit = 64 << 10
-	longestID          = 256
-	longestWait        = time.Hour
+	maxIDBytes         = 256
+	maxWait            = time.Hour
 )
 
 var (
-	answered = metrics.GetOrRegisterCounter("forward.answered", metrics.DefaultRegistry)
-	gaveUp   = metrics.GetOrRegisterCounter("forward.gave_up", metrics.DefaultRegistry)
-	refused  = metrics.GetOrRegisterCounter("forward.refused", metrics.DefaultRegistry)
-	panics   = metrics.GetOrRegisterCounter("forward.panics", metrics.DefaultRegistry)
-	left     = metrics.GetOrRegisterCounter("forward.callers_left", metrics.DefaultRegistry)
-	badCalls = metrics.GetOrRegisterCounter("forward.bad_requests", metrics.DefaultRegistry)
-	latency  = metrics.GetOrRegisterHistogram("forward.latency_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
+	answered    = metrics.GetOrRegisterCounter("forward.answered", metrics.DefaultRegistry)
+	gaveUp      = metrics.GetOrRegisterCounter("forward.gave_up", metrics.DefaultRegistry)
+	refused     = metrics.GetOrRegisterCounter("forward.refused", metrics.DefaultRegistry)
+	panics      = metrics.GetOrRegisterCounter("forward.panics", metrics.DefaultRegistry)
+	callersLeft = metrics.GetOrRegisterCounter("forward.callers_left", metrics.DefaultRegistry)
+	badRequests = metrics.GetOrRegisterCounter("forward.bad_requests", metrics.DefaultRegistry)
+	latency     = metrics.GetOrRegisterHistogram("forward.latency_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
 )
 
 // Handler serves requests of callers over net/http. It does not retry, and it does not
@@ -57,22 +57,22 @@
 	if h.Draining() {
 		w.Header().Set("Connection", "close")
 	}
-	req, bad := h.read(r, arrived)
-	if bad != nil {
-		badCalls.Inc(1)
+	req, fault := h.parseRequest(r, arrived)
+	if fault != nil {
+		badRequests.Inc(1)
 		h.Log.Line("caller", "bad request").Str("id", r.Header.Get(h.Dialect.RequestID)).
-			Str("from", r.RemoteAddr).Int("status", int64(bad.status)).Str("field", bad.Field).Str("why", bad.Why).End()
-		http.Error(w, bad.String(), bad.status)
+			Str("from", r.RemoteAddr).Int("status", int64(fault.status)).Str("field", fault.Field).Str("why", fault.Why).End()
+		http.Error(w, fault.String(), fault.status)
 		return
 	}
-	conn := connOf(r.Context())
-	conn.begin(req.ID, arrived)
-	a := h.Engine.guard(req.ID, func() *Answer { return h.Engine.Forward(r.Context(), req) })
+	conn := callerConnFrom(r.Context())
+	conn.beginRequest(req.ID, arrived)
+	a := h.Engine.recoverPanic(req.ID, func() *Answer { return h.Engine.Forward(r.Context(), req) })
 	if a == nil {
-		left.Inc(1)
+		callersLeft.Inc(1)
 		panic(http.ErrAbortHandler)
 	}
-	h.write(w, a)
+	h.writeAnswer(w, a)
 	latency.Update(time.Since(arrived).Microseconds())
 }
 
@@ -82,29 +82,29 @@
 	status int
 }
 
-func bad(status int, field, value, why, fix string) *badRequest {
+func newBadRequest(status int, field, value, why, fix string) *badRequest {
 	return &badRequest{contract.Fault{Field: field, Value: value, Why: why, Fix: fix}, status}
 }
 
-func (h *Handler) read(r *http.Request, arrived time.Time) (*Request, *badRequest) {
+func (h *Handler) parseRequest(r *http.Request, arrived time.Time) (*Request, *badRequest) {
 	limits := h.limits()
 	if n := headerBytes(r); n > limits.HeaderBytes {
-		return nil, bad(http.StatusRequestHeaderFieldsTooLarge, "header", strconv.Itoa(n), "it is longer than "+strconv.Itoa(limits.HeaderBytes)+" bytes", "send less")
+		return nil, newBadRequest(http.StatusRequestHeaderFieldsTooLarge, "header", strconv.Itoa(n), "it is longer than "+strconv.Itoa(limits.HeaderBytes)+" bytes", "send less")
 	}
 	if !strings.HasPrefix(r.RequestURI, "/") {
-		return nil, bad(http.StatusBadRequest, "path", r.RequestURI, "it does not begin with a slash", "send the path only")
+		return nil, newBadRequest(http.StatusBadRequest, "path", r.RequestURI, "it does not begin with a slash", "send the path only")
 	}
 	id := r.Header.Get(h.Dialect.RequestID)
-	if id == "" || len(id) > longestID || len(r.Header.Values(h.Dialect.RequestID)) > 1 {
-		return nil, bad(http.StatusBadRequest, h.Dialect.RequestID, id, "a request needs one id of at most 256 bytes", "name each attempt")
+	if id == "" || len(id) > maxIDBytes || len(r.Header.Values(h.Dialect.RequestID)) > 1 {
+		return nil, newBadRequest(http.StatusBadRequest, h.Dialect.RequestID, id, "a request needs one id of at most 256 bytes", "name each attempt")
 	}
-	wait, fault := h.wait(r)
+	wait, fault := h.parseWait(r)
 	if fault != nil {
 		return nil, fault
 	}
 	req := &Request{
 		ID: id, Method: r.Method, URI: r.RequestURI, Path: pathOf(r.RequestURI), Host: r.Host,
-		Caller: callerOf(r), Header: r.Header, Arrived: arrived, Wait: wait,
+		Caller: callerAddr(r), Header: r.Header, Arrived: arrived, Wait: wait,
 	}
 	if fault := readBody(r, req, limits.BodyBytes); fault != nil {
 		return nil, fault
@@ -122,7 +122,7 @@
 }
 
 // callerAddr returns the address of the caller without the port.
-func callerOf(r *http.Request) string {
+func callerAddr(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
@@ -153,17 +153,17 @@
 	return n
 }
 
-func (h *Handler) wait(r *http.Request) (time.Duration, *badRequest) {
-	v := r.Header.Get(h.Dialect.Deadline)
-	if v == "" {
+func (h *Handler) parseWait(r *http.Request) (time.Duration, *badRequest) {
+	value := r.Header.Get(h.Dialect.Deadline)
+	if value == "" {
 		return 0, nil
 	}
-	ms, err := strconv.ParseFloat(v, 64)
+	ms, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(ms >= 0) {
-		return 0, bad(http.StatusBadRequest, h.Dialect.Deadline, v, "it is no number of milliseconds", "state how long you wait")
+		return 0, newBadRequest(http.StatusBadRequest, h.Dialect.Deadline, value, "it is no number of milliseconds", "state how long you wait")
 	}
-	if ms >= float64(longestWait.Milliseconds()) {
-		return longestWait, nil
+	if ms >= float64(maxWait.Milliseconds()) {
+		return maxWait, nil
 	}
 	return max(time.Duration(ms*float64(time.Millisecond)), time.Microsecond), nil
 }
@@ -172,49 +172,49 @@
 // req.Stream for the rest.
 func readBody(r *http.Request, req *Request, limit int64) *badRequest {
 	if r.ContentLength > limit {
-		return tooLong(limit)
+		return bodyTooLong(limit)
 	}
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil
 	}
 	var buf bytes.Buffer
 	if n := r.ContentLength; n > 0 {
-		buf.Grow(int(min(n, wholeBody)) + bytes.MinRead)
+		buf.Grow(int(min(n, bufferedBodyBytes)) + bytes.MinRead)
 	}
-	n, err := io.Copy(&buf, io.LimitReader(r.Body, wholeBody+1))
+	n, err := io.Copy(&buf, io.LimitReader(r.Body, bufferedBodyBytes+1))
 	if err != nil {
-		return bad(http.StatusBadRequest, "body", "", "it broke off: "+err.Error(), "send it whole")
+		return newBadRequest(http.StatusBadRequest, "body", "", "it broke off: "+err.Error(), "send it whole")
 	}
 	req.Body = buf.Bytes()
-	if n <= wholeBody && len(r.Trailer) == 0 {
+	if n <= bufferedBodyBytes && len(r.Trailer) == 0 {
 		if n > limit {
-			return tooLong(limit)
+			return bodyTooLong(limit)
 		}
 		return nil
 	}
 	req.Stream = &target.Stream{
-		Reader: &bounded{from: r.Body, left: limit - n}, Length: r.ContentLength,
+		Reader: &limitedReader{source: r.Body, remaining: limit - n}, Length: r.ContentLength,
 		Trailer: func() http.Header { return r.Trailer },
 	}
 	return nil
 }
 
-func tooLong(limit int64) *badRequest {
-	return bad(http.StatusRequestEntityTooLarge, "body", "", "it is longer than "+strconv.FormatInt(limit, 10)+" bytes", "send less")
+func bodyTooLong(limit int64) *badRequest {
+	return newBadRequest(http.StatusRequestEntityTooLarge, "body", "", "it is longer than "+strconv.FormatInt(limit, 10)+" bytes", "send less")
 }
 
 var errBodyTooLong = errors.New("forward: the body is longer than the limit")
 
 // limitedReader fails once more than remaining bytes have been read. The leaf then receives a
 // truncated body instead of a complete request that exceeds the limit.
-type bounded struct {
-	from io.Reader
-	left int64
+type limitedReader struct {
+	source    io.Reader
+	remaining int64
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	n, err := b.from.Read(p)
-	if b.left -= int64(n); b.left < 0 {
+func (b *limitedReader) Read(p []byte) (int, error) {
+	n, err := b.source.Read(p)
+	if b.remaining -= int64(n); b.remaining < 0 {
 		return 0, errBodyTooLong
 	}
 	return n, err
@@ -224,7 +224,7 @@
 //
 // If the request was handed over, it closes the connection, so that callers keep connections
 // to daemons that answer requests themselves.
-func (h *Handler) write(w http.ResponseWriter, a *Answer) {
+func (h *Handler) writeAnswer(w http.ResponseWriter, a *Answer) {
 	if a.Handed {
 		w.Header().Set("Connection", "close")
 	}
@@ -234,47 +234,47 @@
 		h.writeMerged(w, a)
 	case a.Header != nil:
 		answered.Inc(1)
-		h.writeReply(w, a)
+		h.writeLeafReply(w, a)
 	default:
-		h.writeOwn(w, a)
+		h.writeError(w, a)
 	}
 }
 
 func (h *Handler) writeMerged(w http.ResponseWriter, a *Answer) {
-	hd := w.Header()
-	hd.Set("Content-Type", "application/octet-stream")
-	hd.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	hd.Set(h.Dialect.Parts, strings.Join(a.Parts, ", "))
-	hd.Set(h.Dialect.Missing, strconv.Itoa(a.Missing))
+	header := w.Header()
+	header.Set("Content-Type", "application/octet-stream")
+	header.Set("Content-Length", strconv.Itoa(len(a.Body)))
+	header.Set(h.Dialect.Parts, strings.Join(a.Parts, ", "))
+	header.Set(h.Dialect.Missing, strconv.Itoa(a.Missing))
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body) // callerConn logs a write error
 }
 
 // notRunStatuses are the HTTP statuses that tell a caller that its request did not run.
-var promises = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
+var notRunStatuses = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
-func (h *Handler) writeReply(w http.ResponseWriter, a *Answer) {
-	hd := w.Header()
-	closing := hd.Get("Connection")
+func (h *Handler) writeLeafReply(w http.ResponseWriter, a *Answer) {
+	header := w.Header()
+	connection := header.Get("Connection")
 	StripHop(a.Header)
 	for k, vs := range a.Header {
-		hd[k] = vs
+		header[k] = vs
 	}
-	if closing != "" {
-		hd.Set("Connection", closing)
+	if connection != "" {
+		header.Set("Connection", connection)
 	}
 	if a.Header["Content-Type"] == nil {
-		hd["Content-Type"] = nil // prevents net/http from detecting a type from the body
+		header["Content-Type"] = nil // prevents net/http from detecting a type from the body
 	}
 	status := a.Status
-	if slices.Contains(promises, status) && a.Verdict != contract.NotRun {
+	if slices.Contains(notRunStatuses, status) && a.Verdict != contract.NotRun {
 		// The caller would take this status to mean that the request did not run, which
 		// the leaf has not stated.
 		status = http.StatusBadGateway
-		hd.Del(h.Dialect.Stamp)
+		header.Del(h.Dialect.Stamp)
 	}
 	if a.Rest == nil {
-		hd.Set("Content-Length", strconv.Itoa(len(a.Body)))
+		header.Set("Content-Length", strconv.Itoa(len(a.Body)))
 		w.WriteHeader(status)
 		_, _ = w.Write(a.Body) // callerConn logs a write error
 		return
@@ -290,7 +290,7 @@
 	}
 }
 
-func (h *Handler) writeOwn(w http.ResponseWriter, a *Answer) {
+func (h *Handler) writeError(w http.ResponseWriter, a *Answer) {
 	if a.Verdict == contract.NotRun {
 		refused.Inc(1)
 	} else {
--- a/internal/forward/handover.go
+++ b/internal/forward/handover.go
@@ -16,21 +16,21 @@
 const (
 	// acceptTimeout is how long a daemon may take to accept a gather before it is also
 	// offered to another one. At most maxOffers daemons get an offer.
-	acceptWithin = 25 * time.Millisecond
-	mostOffers   = 3
+	acceptTimeout = 25 * time.Millisecond
+	maxOffers     = 3
 	// handoverSilenceTimeout is how long after the time for an answer a daemon that has begun a
 	// gather may send no reply before the gather counts as lost.
-	silentRunner = 100 * time.Millisecond
+	handoverSilenceTimeout = 100 * time.Millisecond
 )
 
 var (
-	handoversAnswered = metrics.GetOrRegisterCounter("forward.handovers.answered", metrics.DefaultRegistry)
-	handoversLost     = metrics.GetOrRegisterCounter("forward.handovers.lost", metrics.DefaultRegistry)
-	handoversUntaken  = metrics.GetOrRegisterCounter("forward.handovers.untaken", metrics.DefaultRegistry)
-	handoverAccepted  = metrics.GetOrRegisterHistogram("forward.handovers.accept_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
+	handoversAnswered     = metrics.GetOrRegisterCounter("forward.handovers.answered", metrics.DefaultRegistry)
+	handoversLost         = metrics.GetOrRegisterCounter("forward.handovers.lost", metrics.DefaultRegistry)
+	handoversUnaccepted   = metrics.GetOrRegisterCounter("forward.handovers.untaken", metrics.DefaultRegistry)
+	handoverAcceptLatency = metrics.GetOrRegisterHistogram("forward.handovers.accept_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
 
-	errDeclined     = errors.New("forward: handover declined: the daemon has another configuration or is stopping")
-	errSilentRunner = errors.New("forward: the daemon that accepted the handover does not answer")
+	errDeclined       = errors.New("forward: handover declined: the daemon has another configuration or is stopping")
+	errHandoverSilent = errors.New("forward: the daemon that accepted the handover does not answer")
 )
 
 // handover is the attempt to hand a gather over to a daemon with enough CPU for it.
@@ -40,21 +40,21 @@
 // a daemon that does not answer may only be slow, and two daemons would send to more leaves of
 // a shard than the route allows.
 type handover struct {
-	run    *run
-	req    *wire.HandoverRequest
-	events chan offerEvent
-	offers []*offer
-	open   int           // offers without a reply yet
-	taken  *offer        // the offer whose daemon is told to begin
-	over   chan struct{} // closed when handOver returns
+	run           *run
+	req           *wire.HandoverRequest
+	events        chan offerEvent
+	offers        []*offer
+	pendingOffers int           // offers without a reply yet
+	acceptedOffer *offer        // the offer whose daemon is told to begin
+	done          chan struct{} // closed when handOver returns
 }
 
 // offer is the handover call to one daemon.
 type offer struct {
-	of     *handover
-	addr   string
-	begin  chan struct{}
-	cancel context.CancelFunc
+	handover *handover
+	addr     string
+	begin    chan struct{}
+	cancel   context.CancelFunc
 }
 
 // offerEvent is a reply to an offer, or the error that ended its call.
@@ -67,26 +67,26 @@
 // handOver lets another daemon answer a gather for which this one has too little CPU. handed
 // is false if no daemon has accepted and this daemon has to answer.
 func (r *run) handOver(ctx context.Context) (a *Answer, handed bool) {
-	if r.e.cfg.Near == nil || r.req.Handed || r.send.Stream != nil || !r.entry.Gathers() {
+	if r.e.cfg.Near == nil || r.req.Handed || r.leafRequest.Stream != nil || !r.entry.Gathers() {
 		return nil, false
 	}
-	h := &handover{run: r, events: make(chan offerEvent, mostOffers), over: make(chan struct{})}
-	if !h.offer() {
+	h := &handover{run: r, events: make(chan offerEvent, maxOffers), done: make(chan struct{})}
+	if !h.offerNext() {
 		return nil, false
 	}
-	defer close(h.over)
-	if h.taken = h.accepted(ctx); h.taken == nil {
+	defer close(h.done)
+	if h.acceptedOffer = h.awaitAcceptance(ctx); h.acceptedOffer == nil {
 		r.hedgeAt = time.Now().Add(r.times.Late)
 		return nil, ctx.Err() != nil
 	}
-	handoverAccepted.Update(time.Since(r.req.Arrived).Microseconds())
-	a = h.follow(ctx)
+	handoverAcceptLatency.Update(time.Since(r.req.Arrived).Microseconds())
+	a = h.awaitAnswer(ctx)
 	return a, true
 }
 
 // offerNext offers the gather to one more daemon. It returns false if there is none.
-func (h *handover) offer() bool {
-	if len(h.offers) >= mostOffers {
+func (h *handover) offerNext() bool {
+	if len(h.offers) >= maxOffers {
 		return false
 	}
 	var asked []string
@@ -100,87 +100,87 @@
 	}
 	if h.req == nil {
 		h.req = &wire.HandoverRequest{
-			Id: r.req.ID, Method: r.req.Method, Head: r.send.Head, Body: r.req.Body, Caller: r.req.Caller,
-			WaitUs: micros(r.req.Wait), SpentUs: micros(time.Since(r.req.Arrived) + hopTime), Release: r.a.table.Number,
+			Id: r.req.ID, Method: r.req.Method, Head: r.leafRequest.Head, Body: r.req.Body, Caller: r.req.Caller,
+			WaitUs: toMicros(r.req.Wait), SpentUs: toMicros(time.Since(r.req.Arrived) + interDomainDelay), Release: r.active.table.Number,
 		}
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), r.at(r.times.End+streamOver))
-	o := &offer{of: h, addr: addr, begin: make(chan struct{}, 1), cancel: cancel}
+	ctx, cancel := context.WithDeadline(context.Background(), r.afterArrival(r.times.End+streamGracePeriod))
+	o := &offer{handover: h, addr: addr, begin: make(chan struct{}, 1), cancel: cancel}
 	h.offers = append(h.offers, o)
-	h.open++
+	h.pendingOffers++
 	go o.call(ctx)
 	return true
 }
 
 // awaitAcceptance returns the first offer that is accepted. It returns nil if none is
 // accepted in time, the caller leaves or the process shuts down.
-func (h *handover) accepted(ctx context.Context) *offer {
-	timer := time.NewTimer(acceptWithin)
+func (h *handover) awaitAcceptance(ctx context.Context) *offer {
+	timer := time.NewTimer(acceptTimeout)
 	defer timer.Stop()
-	for h.open > 0 {
+	for h.pendingOffers > 0 {
 		select {
 		case ev := <-h.events:
 			if ev.err == nil {
 				return ev.from
 			}
-			h.open--
-			h.log("handover not accepted", ev.from, ev.err)
-			h.offer()
+			h.pendingOffers--
+			h.logEvent("handover not accepted", ev.from, ev.err)
+			h.offerNext()
 		case <-timer.C:
 			h.run.e.cfg.Near.Suspect(h.offers[len(h.offers)-1].addr)
-			if !h.offer() {
-				h.log("handover not accepted in time", nil, nil)
-				handoversUntaken.Inc(1)
+			if !h.offerNext() {
+				h.logEvent("handover not accepted in time", nil, nil)
+				handoversUnaccepted.Inc(1)
 				return nil
 			}
-			timer.Reset(acceptWithin)
-		case <-h.run.e.ending:
+			timer.Reset(acceptTimeout)
+		case <-h.run.e.finishing:
 			return nil
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	handoversUntaken.Inc(1)
+	handoversUnaccepted.Inc(1)
 	return nil
 }
 
 // awaitAnswer tells the daemon that has accepted to begin and returns its answer, nil if the
 // caller leaves.
-func (h *handover) follow(ctx context.Context) *Answer {
+func (h *handover) awaitAnswer(ctx context.Context) *Answer {
 	r := h.run
-	h.taken.begin <- struct{}{}
-	silent := time.NewTimer(max(time.Until(r.at(r.times.AnswerBy)), 0) + silentRunner)
-	defer silent.Stop()
+	h.acceptedOffer.begin <- struct{}{}
+	silenceTimer := time.NewTimer(max(time.Until(r.afterArrival(r.times.AnswerBy)), 0) + handoverSilenceTimeout)
+	defer silenceTimer.Stop()
 	for {
 		select {
 		case ev := <-h.events:
 			switch {
-			case ev.from != h.taken:
+			case ev.from != h.acceptedOffer:
 			case ev.err != nil:
-				return h.lost(ev.err, contract.ReasonTargetFailed)
+				return h.lostAnswer(ev.err, contract.ReasonTargetFailed)
 			case ev.answer != nil:
 				handoversAnswered.Inc(1)
-				h.log("handed over", h.taken, nil)
+				h.logEvent("handed over", h.acceptedOffer, nil)
 				return ev.answer
 			default:
-				silent.Reset(time.Until(r.at(r.times.End + streamOver)))
+				silenceTimer.Reset(time.Until(r.afterArrival(r.times.End + streamGracePeriod)))
 			}
-		case <-silent.C:
-			r.e.cfg.Near.Suspect(h.taken.addr)
-			return h.lost(errSilentRunner, contract.ReasonDeadline)
-		case <-r.e.ending:
-			return h.lost(nil, contract.ReasonDraining)
+		case <-silenceTimer.C:
+			r.e.cfg.Near.Suspect(h.acceptedOffer.addr)
+			return h.lostAnswer(errHandoverSilent, contract.ReasonDeadline)
+		case <-r.e.finishing:
+			return h.lostAnswer(nil, contract.ReasonDraining)
 		case <-ctx.Done():
-			r.logLeft(ctx)
+			r.logCallerLeft(ctx)
 			return nil
 		}
 	}
 }
 
 // lostAnswer returns the answer to a gather that another daemon has begun and does not answer.
-func (h *handover) lost(err error, reason contract.Reason) *Answer {
+func (h *handover) lostAnswer(err error, reason contract.Reason) *Answer {
 	handoversLost.Inc(1)
-	h.log("handover lost", h.taken, err)
+	h.logEvent("handover lost", h.acceptedOffer, err)
 	status := http.StatusBadGateway
 	if reason == contract.ReasonDeadline {
 		status = http.StatusGatewayTimeout
@@ -188,10 +188,10 @@
 	return &Answer{Status: status, Verdict: contract.MayHaveRun, Reason: reason, Cause: err, Handed: true}
 }
 
-func (h *handover) log(what string, o *offer, err error) {
+func (h *handover) logEvent(event string, o *offer, err error) {
 	r := h.run
-	l := r.e.cfg.Log.Line("gather", what).Str("id", r.req.ID).Str("route", r.entry.Name).Int("asked", int64(len(h.offers))).
-		Ms("after", time.Since(r.req.Arrived)).Ms("answer_by", r.times.AnswerBy).Int("release", int64(r.a.table.Number))
+	l := r.e.cfg.Log.Line("gather", event).Str("id", r.req.ID).Str("route", r.entry.Name).Int("asked", int64(len(h.offers))).
+		Ms("after", time.Since(r.req.Arrived)).Ms("answer_by", r.times.AnswerBy).Int("release", int64(r.active.table.Number))
 	if o != nil {
 		l = l.Str("daemon", o.addr)
 	}
@@ -202,28 +202,28 @@
 func (o *offer) call(ctx context.Context) {
 	defer o.cancel()
 	err := o.exchange(ctx)
-	ended := err
-	if errors.Is(err, errDeclined) || o.of.isOver() && !peer.NotSent(err) {
-		ended = nil
+	reported := err
+	if errors.Is(err, errDeclined) || o.handover.isDone() && !peer.NotSent(err) {
+		reported = nil
 	}
-	o.of.run.e.cfg.Near.Ended(o.addr, ended)
+	o.handover.run.e.cfg.Near.Ended(o.addr, reported)
 	if err != nil {
-		o.tell(offerEvent{from: o, err: err})
+		o.notify(offerEvent{from: o, err: err})
 	}
 }
 
 // notify sends an event to the handover, unless it is done.
-func (o *offer) tell(ev offerEvent) {
+func (o *offer) notify(ev offerEvent) {
 	select {
-	case o.of.events <- ev:
-	case <-o.of.over:
+	case o.handover.events <- ev:
+	case <-o.handover.done:
 	}
 }
 
 // isDone reports whether handOver has returned.
-func (h *handover) isOver() bool {
+func (h *handover) isDone() bool {
 	select {
-	case <-h.over:
+	case <-h.done:
 		return true
 	default:
 		return false
@@ -232,19 +232,19 @@
 
 // exchange makes the offer, waits for begin and passes the replies to the handover.
 func (o *offer) exchange(ctx context.Context) error {
-	stream, err := o.of.run.e.cfg.Near.Handover(ctx, o.addr)
+	stream, err := o.handover.run.e.cfg.Near.Handover(ctx, o.addr)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = stream.Close() }() // the stream or its connection has already ended
-	if err := stream.Send(o.of.req); err != nil {
+	if err := stream.Send(o.handover.req); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() {
 		select {
-		case <-o.of.over:
+		case <-o.handover.done:
 			_ = stream.CloseSend() // a failure shows when the stream ends
 		case <-ended:
 		}
@@ -256,10 +256,10 @@
 	case reply.Declined:
 		return errDeclined
 	}
-	o.tell(offerEvent{from: o})
+	o.notify(offerEvent{from: o})
 	select {
 	case <-o.begin:
-	case <-o.of.over:
+	case <-o.handover.done:
 		return nil
 	}
 	if err := stream.Send(&wire.HandoverRequest{}); err != nil {
@@ -270,8 +270,8 @@
 		if err != nil {
 			return err
 		}
-		ev := offerEvent{from: o, answer: answerOf(reply)}
-		o.tell(ev)
+		ev := offerEvent{from: o, answer: decodeAnswer(reply)}
+		o.notify(ev)
 		if ev.answer != nil {
 			return nil
 		}
@@ -279,7 +279,7 @@
 }
 
 // decodeAnswer returns the answer in a reply, nil if the reply has none yet.
-func answerOf(reply *wire.HandoverReply) *Answer {
+func decodeAnswer(reply *wire.HandoverReply) *Answer {
 	if reply.Status == 0 {
 		return nil
 	}
@@ -295,10 +295,10 @@
 }
 
 // encodeAnswer is the inverse of decodeAnswer.
-func replyOf(a *Answer) *wire.HandoverReply {
+func encodeAnswer(a *Answer) *wire.HandoverReply {
 	out := &wire.HandoverReply{
 		Status: uint32(a.Status), Body: a.Body, Parts: a.Parts, Missing: uint32(a.Missing),
-		RetryAfterUs: micros(a.RetryAfter), Verdict: uint32(a.Verdict), Reason: string(a.Reason),
+		RetryAfterUs: toMicros(a.RetryAfter), Verdict: uint32(a.Verdict), Reason: string(a.Reason),
 	}
 	if a.Cause != nil {
 		out.Cause = a.Cause.Error()
@@ -312,7 +312,7 @@
 	if err != nil {
 		return err
 	}
-	r := s.e.handedRun(in)
+	r := s.e.newHandedOverRun(in)
 	if r == nil {
 		return stream.Send(&wire.HandoverReply{Declined: true})
 	}
@@ -329,8 +329,8 @@
 		cancel()
 	}()
 	answer := make(chan *Answer, 1)
-	go func() { answer <- s.e.guard(r.req.ID, func() *Answer { return r.enterAndDo(ctx) }) }()
-	late := time.NewTimer(time.Until(r.at(r.times.AnswerBy)))
+	go func() { answer <- s.e.recoverPanic(r.req.ID, func() *Answer { return r.checkAndExecute(ctx) }) }()
+	late := time.NewTimer(time.Until(r.afterArrival(r.times.AnswerBy)))
 	defer late.Stop()
 	for {
 		select {
@@ -338,7 +338,7 @@
 			if a == nil {
 				return nil // the caller has left
 			}
-			return stream.Send(replyOf(a))
+			return stream.Send(encodeAnswer(a))
 		case <-late.C:
 			if err := stream.Send(&wire.HandoverReply{}); err != nil {
 				return err
@@ -350,26 +350,26 @@
 // newHandedOverRun returns a run for a gather that another daemon hands over. It returns nil
 // to decline if this daemon shuts down or has another configuration, since the gather must be
 // executed according to the configuration that it was routed by.
-func (e *Engine) handedRun(in *wire.HandoverRequest) *run {
-	a := e.active.Load()
-	if a == nil || a.table.Number != in.Release || e.stopping() {
+func (e *Engine) newHandedOverRun(in *wire.HandoverRequest) *run {
+	active := e.active.Load()
+	if active == nil || active.table.Number != in.Release || e.isFinishing() {
 		return nil
 	}
-	uri, host := targetOf(in.Head)
-	entry, ok := a.table.Find(host, pathOf(uri))
+	uri, host := parseHead(in.Head)
+	entry, ok := active.table.Find(host, pathOf(uri))
 	if !ok || !entry.Gathers() {
 		return nil
 	}
-	return e.newRun(a, entry, &Request{
+	return e.newRun(active, entry, &Request{
 		ID: in.Id, Method: in.Method, URI: uri, Path: pathOf(uri), Host: host, Caller: in.Caller, Body: in.Body,
 		Arrived: time.Now().Add(-time.Duration(in.SpentUs) * time.Microsecond), Wait: time.Duration(in.WaitUs) * time.Microsecond,
 		Head: in.Head, Handed: true,
 	})
 }
 
-func (e *Engine) stopping() bool {
+func (e *Engine) isFinishing() bool {
 	select {
-	case <-e.ending:
+	case <-e.finishing:
 		return true
 	default:
 		return false
--- a/internal/forward/handover_test.go
+++ b/internal/forward/handover_test.go
@@ -20,14 +20,14 @@
 // newHandoverFixture returns a twoDaemonFixture whose local daemon hands gathers over to the
 // remote one. Two more addresses never answer, so that the remote daemon has three times
 // acceptTimeout to accept, as in a tier with several daemons.
-func newHandover(t *testing.T, rt route.Route, leaves map[string][]*fakeLeaf) *twoDaemons {
-	w := newTwoDaemons(t, rt, leaves)
-	w.near.runners = []string{w.near.addr, silentAddr(t), silentAddr(t)}
-	return w
+func newHandoverFixture(t *testing.T, rt route.Route, leaves map[string][]*fakeLeaf) *twoDaemonFixture {
+	f := newTwoDaemonFixture(t, rt, leaves)
+	f.peers.handoverAddrs = []string{f.peers.addr, unresponsiveAddr(t), unresponsiveAddr(t)}
+	return f
 }
 
 // cuttableProxy forwards connections to addr until cut is called, which closes all of them.
-func severable(t *testing.T, addr string) (at string, cut func()) {
+func cuttableProxy(t *testing.T, addr string) (proxyAddr string, cut func()) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,8 +66,8 @@
 	return lis.Addr().String(), cut
 }
 
-// silentAddr returns an address that accepts connections and sends no reply.
-func silentAddr(t *testing.T) string {
+// unresponsiveAddr returns an address that accepts connections and sends no reply.
+func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -79,11 +79,11 @@
 
 // Guards against gathers that are late because a small VM executes them although another VM has
 // the CPU for them.
-func TestGatherIsHandedOverWhole(t *testing.T) {
-	rt, leaves := awayRoute(t, wholePart)
+func TestGatherIsHandedOver(t *testing.T) {
+	rt, leaves := remoteRoute(t, validPart)
 	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second // no hedges
-	w := newHandover(t, rt, leaves)
-	resp, text := w.do(t, http.MethodGet, "/x?y=1", "")
+	f := newHandoverFixture(t, rt, leaves)
+	resp, text := f.do(t, http.MethodGet, "/x?y=1", "")
 	want := ""
 	for _, s := range []string{"c7", "c6", "c5", "c4", "c3"} {
 		want += record(s)
@@ -91,39 +91,39 @@
 	if resp.StatusCode != 200 || text != want || resp.Header.Get("Missing") != "0" || !resp.Close {
 		t.Errorf("status %d, missing %s, close %v, %q", resp.StatusCode, resp.Header.Get("Missing"), resp.Close, text)
 	}
-	if n := total(leaves); n != awayShards || len(w.board.leaves) != 0 {
-		t.Errorf("%d requests reached leaves, the local daemon has state of %d leaves", n, len(w.board.leaves))
+	if n := totalRequests(leaves); n != remoteShards || len(f.tracker.leaves) != 0 {
+		t.Errorf("%d requests reached leaves, the local daemon has state of %d leaves", n, len(f.tracker.leaves))
 	}
 }
 
 // Guards against gathers that are lost when no daemon accepts the handover.
-func TestGatherThatNobodyTakesIsAnsweredHere(t *testing.T) {
+func TestUnacceptedHandoverIsAnsweredLocally(t *testing.T) {
 	for _, c := range []struct {
-		what  string
-		spoil func(*testing.T, *twoDaemons)
+		name      string
+		breakPeer func(*testing.T, *twoDaemonFixture)
 	}{
-		{"unreachable", func(_ *testing.T, w *twoDaemons) { w.stop() }},
-		{"silent", func(t *testing.T, w *twoDaemons) {
-			w.near.runners = []string{silentAddr(t)}
+		{"unreachable", func(_ *testing.T, f *twoDaemonFixture) { f.stop() }},
+		{"silent", func(t *testing.T, f *twoDaemonFixture) {
+			f.peers.handoverAddrs = []string{unresponsiveAddr(t)}
 		}},
-		{"another configuration", func(_ *testing.T, w *twoDaemons) {
-			newer := *w.engine.Table()
+		{"another configuration", func(_ *testing.T, f *twoDaemonFixture) {
+			newer := *f.engine.Table()
 			newer.Number++
-			w.helper.Install(&newer, 2)
+			f.remote.Install(&newer, 2)
 		}},
-		{"stopping", func(_ *testing.T, w *twoDaemons) { w.helper.EndAll() }},
+		{"stopping", func(_ *testing.T, f *twoDaemonFixture) { f.remote.EndAll() }},
 	} {
-		t.Run(c.what, func(t *testing.T) {
-			rt, leaves := awayRoute(t, wholePart)
+		t.Run(c.name, func(t *testing.T) {
+			rt, leaves := remoteRoute(t, validPart)
 			rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
-			w := newHandover(t, rt, leaves)
-			w.near.addr = "" // parts are requested directly
-			c.spoil(t, w)
-			resp, _ := w.do(t, http.MethodGet, "/", "")
+			f := newHandoverFixture(t, rt, leaves)
+			f.peers.addr = "" // parts are requested directly
+			c.breakPeer(t, f)
+			resp, _ := f.do(t, http.MethodGet, "/", "")
 			if resp.StatusCode != 200 || resp.Header.Get("Missing") != "0" || resp.Close {
 				t.Errorf("status %d, missing %s, close %v", resp.StatusCode, resp.Header.Get("Missing"), resp.Close)
 			}
-			if n := total(leaves); n != awayShards {
+			if n := totalRequests(leaves); n != remoteShards {
 				t.Errorf("%d requests reached leaves", n)
 			}
 		})
@@ -131,16 +131,16 @@
 }
 
 // Guards against a gather that reaches leaves after its handover was withdrawn as not run.
-func TestGatherTakenBackNeverRuns(t *testing.T) {
-	rt, leaves := awayRoute(t, wholePart)
-	w := newHandover(t, rt, leaves)
-	stream, err := w.near.Handover(context.Background(), w.near.addr)
+func TestWithdrawnHandoverNeverRuns(t *testing.T) {
+	rt, leaves := remoteRoute(t, validPart)
+	f := newHandoverFixture(t, rt, leaves)
+	stream, err := f.peers.Handover(context.Background(), f.peers.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	req := &Request{ID: "id", Method: http.MethodGet, URI: "/", Host: "127.0.0.1"}
-	offer := &wire.HandoverRequest{Id: req.ID, Method: req.Method, Head: head(req), WaitUs: micros(time.Second), Release: 1}
-	if err := stream.Send(offer); err != nil {
+	handoverRequest := &wire.HandoverRequest{Id: req.ID, Method: req.Method, Head: renderHead(req), WaitUs: toMicros(time.Second), Release: 1}
+	if err := stream.Send(handoverRequest); err != nil {
 		t.Fatal(err)
 	}
 	if reply, err := stream.Recv(); err != nil || reply.Declined {
@@ -152,76 +152,76 @@
 	if reply, err := stream.Recv(); err == nil {
 		t.Errorf("the daemon answered a withdrawn gather: %v", reply)
 	}
-	if n := total(leaves); n != 0 {
+	if n := totalRequests(leaves); n != 0 {
 		t.Errorf("%d requests reached leaves", n)
 	}
 }
 
 // Guards against more runs of a shard than the route allows, and a caller left waiting, when the
 // daemon that has begun the gather is lost.
-func TestGatherOfALostDaemonIsNotRepeated(t *testing.T) {
-	rt, leaves := awayRoute(t, func(int, int) script { return silent })
+func TestLostHandoverIsNotRepeated(t *testing.T) {
+	rt, leaves := remoteRoute(t, func(int, int) script { return neverReply })
 	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
-	w := newHandover(t, rt, leaves)
-	runner, cut := severable(t, w.near.addr)
-	w.near.runners[0] = runner
+	f := newHandoverFixture(t, rt, leaves)
+	proxyAddr, cut := cuttableProxy(t, f.peers.addr)
+	f.peers.handoverAddrs[0] = proxyAddr
 	go func() {
-		for total(leaves) < awayShards {
+		for totalRequests(leaves) < remoteShards {
 			time.Sleep(time.Millisecond)
 		}
 		cut()
 	}()
-	resp, text := w.do(t, http.MethodGet, "/", "")
+	resp, text := f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("status %d %q", resp.StatusCode, text)
 	}
-	if n := total(leaves); n != awayShards {
+	if n := totalRequests(leaves); n != remoteShards {
 		t.Errorf("%d requests reached leaves", n)
 	}
 }
 
 // Guards against leaves that keep working on a handed over gather after its caller has left.
-func TestCallerLeavesAHandedGather(t *testing.T) {
-	var freed atomic.Int32
-	rt, leaves := awayRoute(t, func(int, int) script {
-		return func(l *fakeLeaf, c net.Conn, req asked) bool {
-			defer freed.Add(1)
-			return silent(l, c, req)
+func TestCallerLeavingCancelsHandover(t *testing.T) {
+	var released atomic.Int32
+	rt, leaves := remoteRoute(t, func(int, int) script {
+		return func(l *fakeLeaf, c net.Conn, req receivedRequest) bool {
+			defer released.Add(1)
+			return neverReply(l, c, req)
 		}
 	})
 	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
-	w := newHandover(t, rt, leaves)
-	ctx, leave := context.WithCancel(context.Background())
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, w.url+"/", nil)
+	f := newHandoverFixture(t, rt, leaves)
+	ctx, cancel := context.WithCancel(context.Background())
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+"/", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	req.Header.Set("Request-Id", "left")
 	go func() {
-		for total(leaves) < awayShards {
+		for totalRequests(leaves) < remoteShards {
 			time.Sleep(time.Millisecond)
 		}
-		leave()
+		cancel()
 	}()
 	if _, err := http.DefaultClient.Do(req); err == nil {
 		t.Error("the request was answered although the caller left")
 	}
-	for end := time.Now().Add(5 * time.Second); freed.Load() < awayShards && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); released.Load() < remoteShards && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	if n := freed.Load(); n != awayShards {
-		t.Errorf("%d of %d leaves were released", n, awayShards)
+	if n := released.Load(); n != remoteShards {
+		t.Errorf("%d of %d leaves were released", n, remoteShards)
 	}
 }
 
 // Guards against an answer that loses its Retry-After or verdict in a handover.
-func TestAnswersOfAHandoverAreKept(t *testing.T) {
+func TestHandoverAnswerRoundTrip(t *testing.T) {
 	for _, a := range []*Answer{
 		{Status: 200, Merged: true, Handed: true, Body: []byte("records"), Parts: []string{"a", "b"}, Missing: 3, Verdict: contract.Ran},
 		{Status: 503, Handed: true, RetryAfter: 60 * time.Millisecond, Verdict: contract.NotRun, Reason: contract.ReasonNoReplica},
 		{Status: 504, Handed: true, Verdict: contract.MayHaveRun, Reason: contract.ReasonDeadline},
 	} {
-		if got := answerOf(replyOf(a)); fmt.Sprint(got) != fmt.Sprint(a) {
+		if got := decodeAnswer(encodeAnswer(a)); fmt.Sprint(got) != fmt.Sprint(a) {
 			t.Errorf("%+v became %+v", a, got)
 		}
 	}
@@ -229,21 +229,21 @@
 
 // Guards against a daemon that counts as lost immediately because the time for an answer had
 // already passed when it accepted the handover.
-func TestSlowDaemonIsNotLostWhereTheAimIsPast(t *testing.T) {
+func TestHandoverSilenceTimeoutStartsAtAcceptance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &run{
-			e: New(Config{Near: &oneNear{}}), a: &active{table: &route.Table{}}, entry: &route.Entry{},
+			e: New(Config{Near: &fakePeers{}}), active: &activeTable{table: &route.Table{}}, entry: &route.Entry{},
 			req: &Request{Arrived: time.Now()}, times: policy.Times{End: time.Second},
 		}
-		h := &handover{run: r, events: make(chan offerEvent, mostOffers), over: make(chan struct{})}
-		h.taken = &offer{of: h, begin: make(chan struct{}, 1)}
-		time.Sleep(silentRunner) // time until the offer is accepted
+		h := &handover{run: r, events: make(chan offerEvent, maxOffers), done: make(chan struct{})}
+		h.acceptedOffer = &offer{handover: h, begin: make(chan struct{}, 1)}
+		time.Sleep(handoverSilenceTimeout) // time until the offer is accepted
 		go func() {
-			<-h.taken.begin
-			time.Sleep(silentRunner - time.Millisecond)
-			h.events <- offerEvent{from: h.taken, answer: &Answer{Status: http.StatusOK}}
+			<-h.acceptedOffer.begin
+			time.Sleep(handoverSilenceTimeout - time.Millisecond)
+			h.events <- offerEvent{from: h.acceptedOffer, answer: &Answer{Status: http.StatusOK}}
 		}()
-		if a := h.follow(t.Context()); a == nil || a.Status != http.StatusOK {
+		if a := h.awaitAnswer(t.Context()); a == nil || a.Status != http.StatusOK {
 			t.Errorf("answer %+v, want status 200", a)
 		}
 	})
--- a/internal/forward/head.go
+++ b/internal/forward/head.go
@@ -25,7 +25,7 @@
 }
 
 // parseHead returns the request URI and the host of a head rendered by renderHead.
-func targetOf(head []byte) (uri, host string) {
+func parseHead(head []byte) (uri, host string) {
 	line, rest, _ := bytes.Cut(head, []byte("\r\n"))
 	_, target, _ := bytes.Cut(line, []byte{' '})
 	target = bytes.TrimSuffix(target, []byte(" HTTP/1.1"))
@@ -34,7 +34,7 @@
 }
 
 // renderHead renders the request line and the headers that are sent to every leaf.
-func head(req *Request) []byte {
+func renderHead(req *Request) []byte {
 	var b bytes.Buffer
 	b.Grow(256)
 	b.WriteString(req.Method)
--- a/internal/forward/idle.go
+++ b/internal/forward/idle.go
@@ -18,7 +18,7 @@
 }
 
 // update adds conn to the idle connections or removes it.
-func (c *idleConns) note(conn net.Conn, idle bool) {
+func (c *idleConns) update(conn net.Conn, idle bool) {
 	cc, ok := conn.(*callerConn)
 	if !ok {
 		return
@@ -34,7 +34,7 @@
 }
 
 // expireIdle expires the connections that have been idle for longer than limit.
-func (c *idleConns) closeOld(limit time.Duration) {
+func (c *idleConns) expireIdle(limit time.Duration) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -46,9 +46,9 @@
 // run periodically closes connections that have been idle for longer than limit until ctx is
 // cancelled.
 func (c *idleConns) run(ctx context.Context, limit func() time.Duration) {
-	for vm.Sleep(ctx, idleLookEvery) {
-		c.closeOld(limit())
+	for vm.Sleep(ctx, idleCheckInterval) {
+		c.expireIdle(limit())
 	}
 }
 
-const idleLookEvery = time.Second
+const idleCheckInterval = time.Second
--- a/internal/forward/leaf_test.go
+++ b/internal/forward/leaf_test.go
@@ -20,7 +20,7 @@
 )
 
 // receivedRequest is one request as a fake leaf received it.
-type asked struct {
+type receivedRequest struct {
 	line   string
 	header map[string]string
 	body   string
@@ -29,14 +29,14 @@
 // fakeLeaf is a leaf on the loopback interface. Its script replies to each request on the raw
 // connection and returns false to close the connection.
 type fakeLeaf struct {
-	addr string
-	lis  net.Listener
-	runs atomic.Int32
-	mu   sync.Mutex
-	got  []asked
+	addr     string
+	lis      net.Listener
+	runs     atomic.Int32
+	mu       sync.Mutex
+	received []receivedRequest
 }
 
-type script func(l *fakeLeaf, c net.Conn, req asked) bool
+type script func(l *fakeLeaf, c net.Conn, req receivedRequest) bool
 
 func startLeaf(t *testing.T, s script) *fakeLeaf {
 	t.Helper()
@@ -62,12 +62,12 @@
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
-		req, err := readAsked(r)
+		req, err := readLeafRequest(r)
 		if err != nil {
 			return
 		}
 		l.mu.Lock()
-		l.got = append(l.got, req)
+		l.received = append(l.received, req)
 		l.mu.Unlock()
 		if !s(l, c, req) {
 			return
@@ -75,8 +75,8 @@
 	}
 }
 
-func readAsked(r *bufio.Reader) (asked, error) {
-	var out asked
+func readLeafRequest(r *bufio.Reader) (receivedRequest, error) {
+	var out receivedRequest
 	out.header = map[string]string{}
 	first := true
 	for {
@@ -104,14 +104,14 @@
 	}
 }
 
-func (l *fakeLeaf) requests() []asked {
+func (l *fakeLeaf) requests() []receivedRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]asked(nil), l.got...)
+	return append([]receivedRequest(nil), l.received...)
 }
 
 // reply writes a complete reply with the id of the request.
-func reply(c net.Conn, req asked, status int, body string, headers ...string) bool {
+func reply(c net.Conn, req receivedRequest, status int, body string, headers ...string) bool {
 	extra := ""
 	for _, h := range headers {
 		extra += h + "\r\n"
@@ -121,40 +121,40 @@
 	return err == nil
 }
 
-var stampNumber atomic.Int64
+var lastSignature atomic.Int64
 
-func stamp() string { return fmt.Sprintf("Signature: s%d", stampNumber.Add(1)) }
+func nextSignature() string { return fmt.Sprintf("Signature: s%d", lastSignature.Add(1)) }
 
 // replyWith returns a script that counts each request as run and replies immediately.
-func answers(body string) script {
-	return func(l *fakeLeaf, c net.Conn, req asked) bool {
+func replyWith(body string) script {
+	return func(l *fakeLeaf, c net.Conn, req receivedRequest) bool {
 		l.runs.Add(1)
-		return reply(c, req, 200, body, stamp())
+		return reply(c, req, 200, body, nextSignature())
 	}
 }
 
 // crash is a script that simulates a leaf that crashes when it runs a request.
-func dies(l *fakeLeaf, _ net.Conn, _ asked) bool {
+func crash(l *fakeLeaf, _ net.Conn, _ receivedRequest) bool {
 	l.runs.Add(1)
 	_ = l.lis.Close()
 	return false
 }
 
 // neverReply is a script that counts each request as run and does not reply.
-func silent(l *fakeLeaf, c net.Conn, _ asked) bool {
+func neverReply(l *fakeLeaf, c net.Conn, _ receivedRequest) bool {
 	l.runs.Add(1)
 	_, _ = io.Copy(io.Discard, c) // until the other side closes
 	return false
 }
 
 // fixture is an engine behind an HTTP server.
-type world struct {
-	url    string
-	board  *Board
-	engine *Engine
+type fixture struct {
+	url     string
+	tracker *Board
+	engine  *Engine
 }
 
-func newWorld(t *testing.T, rt route.Route, leaves map[string][]*fakeLeaf) *world {
+func newFixture(t *testing.T, rt route.Route, leaves map[string][]*fakeLeaf) *fixture {
 	t.Helper()
 	rel := &route.Release{Number: 1, Routes: []route.Route{rt}}
 	rel.Routes[0].Name, rel.Routes[0].Host, rel.Routes[0].Prefix = "r", "127.0.0.1", "/"
@@ -174,34 +174,34 @@
 	book := discovery.NewBook(vm.Monotonic)
 	book.Take(list, vm.Monotonic())
 	one := func() int { return 1 }
-	board := NewBoard(vm.Monotonic, "")
+	tracker := NewBoard(vm.Monotonic, "")
 	e := New(Config{
-		Clock: vm.Monotonic, Dialect: testDialect, Book: book, Board: board, Senders: one,
+		Clock: vm.Monotonic, Dialect: testDialect, Book: book, Board: tracker, Senders: one,
 		Budgets: policy.NewBudgets(policy.BudgetTerms{Ratio: 100, Burst: 100, Window: 10 * time.Second}, vm.Monotonic, one),
 	})
 	e.Install(route.NewTable(rel), 1)
 	srv := httptest.NewServer(&Handler{Engine: e, Dialect: testDialect, Draining: func() bool { return false }})
 	t.Cleanup(srv.Close)
-	return &world{url: srv.URL, board: board, engine: e}
+	return &fixture{url: srv.URL, tracker: tracker, engine: e}
 }
 
-var idNumber atomic.Int64
+var lastRequestID atomic.Int64
 
-func (w *world) do(t *testing.T, method, path, body string) (*http.Response, string) {
+func (f *fixture) do(t *testing.T, method, path, body string) (*http.Response, string) {
 	t.Helper()
-	resp, text, err := w.try(method, path, body)
+	resp, text, err := f.doRequest(method, path, body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return resp, text
 }
 
-func (w *world) try(method, path, body string) (*http.Response, string, error) {
-	req, err := http.NewRequest(method, w.url+path, strings.NewReader(body))
+func (f *fixture) doRequest(method, path, body string) (*http.Response, string, error) {
+	req, err := http.NewRequest(method, f.url+path, strings.NewReader(body))
 	if err != nil {
 		return nil, "", err
 	}
-	req.Header.Set("Request-Id", fmt.Sprintf("id-%d", idNumber.Add(1)))
+	req.Header.Set("Request-Id", fmt.Sprintf("id-%d", lastRequestID.Add(1)))
 	req.Header.Set("Wait-Ms", "1500")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/internal/forward/life_test.go
+++ b/internal/forward/life_test.go
@@ -14,21 +14,21 @@
 // cut off from the network during a request, crashes and restarts under the same id, while the
 // old connection stays open without a reply. Once the list shows the restarted leaf, the
 // request counts as one that may have run, and a repeatable one is sent to the new process.
-func TestRequestInFlightEndsWithItsLife(t *testing.T) {
-	hold := startLeaf(t, silent)
+func TestRequestInFlightEndsWhenLeafRestarts(t *testing.T) {
+	oldLeaf := startLeaf(t, neverReply)
 	rt := route.Route{Repeatable: true, Attempts: 2, Service: "s"}
-	w := newWorld(t, rt, map[string][]*fakeLeaf{"s": {hold}})
+	f := newFixture(t, rt, map[string][]*fakeLeaf{"s": {oldLeaf}})
 	go func() {
-		for hold.runs.Load() == 0 {
+		for oldLeaf.runs.Load() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		well := startLeaf(t, answers("from the new life"))
-		book := w.engine.cfg.Book
-		book.Take([]discovery.Listed{{ID: "i-s-0", Born: 5, Service: "s", Addr: well.addr, Slots: 2}}, vm.Monotonic())
-		w.board.Keep(book.Snapshot())
+		newLeaf := startLeaf(t, replyWith("from the new life"))
+		book := f.engine.cfg.Book
+		book.Take([]discovery.Listed{{ID: "i-s-0", Born: 5, Service: "s", Addr: newLeaf.addr, Slots: 2}}, vm.Monotonic())
+		f.tracker.Keep(book.Snapshot())
 	}()
 	began := time.Now()
-	resp, text := w.do(t, http.MethodGet, "/", "")
+	resp, text := f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != 200 || text != "from the new life" {
 		t.Errorf("status %d, %q", resp.StatusCode, text)
 	}
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -13,69 +13,69 @@
 )
 
 const (
-	partLimit = 1 << 20 // maximum size of a part
+	maxPartBytes = 1 << 20 // maximum size of a part
 	// bufferedReplyBytes is how many bytes of a reply are read before it is passed on. A
 	// shorter reply that is truncated can still be replaced by a reply of another leaf.
-	wholeLimit = 64 << 10
+	bufferedReplyBytes = 64 << 10
 )
 
 // run is the execution of one request. It is used only by the goroutine of execute.
 type run struct {
-	e     *Engine
-	a     *active
-	entry *route.Entry
-	know  *learned
-	req   *Request
-	send  target.Request // the part of the request that is the same for every leaf
+	e           *Engine
+	active      *activeTable
+	entry       *route.Entry
+	stats       *routeStats
+	req         *Request
+	leafRequest target.Request // the part of the request that is the same for every leaf
 
-	shards    []shard
-	need      int // parts needed for an answer
-	have      int
-	batches   []*batch
-	delegated int // first sends delegated to other daemons
-	results   chan result
-	over      chan struct{} // closed when execute returns
-	times     policy.Times
-	hedgeAt   time.Time // next check for late shards; zero if there is none
-	hedges    int
-	sends     int
-	denied    int // retries and hedges denied by the budget
-	suspicion policy.Suspicion
-	trial     bool                     // the request is first sent to one leaf only, since it is suspected to crash leaves
-	granted   bool                     // the leader has granted the trial
-	blocked   bool                     // the request was found to be quarantined during the run
-	held      bool                     // at least one shard may be held
-	names     *quarantine.Fingerprints // nil until first used
-	verdict   contract.Verdict
-	last      *target.Reply
-	lastErr   *contract.Error
+	shards             []shard
+	requiredParts      int // parts needed for an answer
+	receivedParts      int
+	batches            []*delegatedBatch
+	delegatedSends     int // first sends delegated to other daemons
+	results            chan result
+	finished           chan struct{} // closed when execute returns
+	times              policy.Times
+	hedgeAt            time.Time // next check for late shards; zero if there is none
+	hedgeCount         int
+	sendCount          int
+	budgetDenials      int // retries and hedges denied by the budget
+	suspicion          policy.Suspicion
+	isTrial            bool                     // the request is first sent to one leaf only, since it is suspected to crash leaves
+	trialGranted       bool                     // the leader has granted the trial
+	quarantined        bool                     // the request was found to be quarantined during the run
+	hasHeldShards      bool                     // at least one shard may be held
+	cachedFingerprints *quarantine.Fingerprints // nil until first used
+	verdict            contract.Verdict
+	lastReply          *target.Reply
+	lastErr            *contract.Error
 }
 
 // shard is the state of one service that the request goes to.
 type shard struct {
-	service string
-	flights []flight
-	tried   []*discovery.Leaf
-	sends   int      // sends that may have reached a leaf
-	runs    int      // sends that may have run
-	tries   int      // sends started, for policy.MostSends
-	stamp   string   // signature of the part
-	body    []byte   // records of the part, if it did not arrive merged
-	set     *partSet // the set of the part, if it arrived merged with others
-	done    bool
-	stuck   bool      // there is no leaf to send to at present
-	held    bool      // not sent to until a send for another shard has ended
-	gone    bool      // the last send could not connect to its leaf
-	listed  bool      // the service has leaves in the snapshot, reachable or not
-	wake    time.Time // time of the next attempt; zero if none is scheduled
-	pause   time.Duration
+	service      string
+	pending      []pendingSend
+	tried        []*discovery.Leaf
+	reachedSends int      // sends that may have reached a leaf
+	possibleRuns int      // sends that may have run
+	totalSends   int      // sends started, for policy.MostSends
+	signature    string   // signature of the part
+	body         []byte   // records of the part, if it did not arrive merged
+	set          *partSet // the set of the part, if it arrived merged with others
+	done         bool
+	unsendable   bool      // there is no leaf to send to at present
+	held         bool      // not sent to until a send for another shard has ended
+	unreachable  bool      // the last send could not connect to its leaf
+	hasLeaves    bool      // the service has leaves in the snapshot, reachable or not
+	retryAt      time.Time // time of the next attempt; zero if none is scheduled
+	backoff      time.Duration
 }
 
 // pendingSend is a send that has not ended.
-type flight struct {
+type pendingSend struct {
 	call  *target.Call
 	leaf  *discovery.Leaf
-	batch *batch // the batch of a delegated send; nil for a direct send
+	batch *delegatedBatch // the batch of a delegated send; nil for a direct send
 }
 
 // result is the result of one send.
@@ -89,62 +89,62 @@
 	set   *partSet // the parts that it was merged with; nil if it was not merged
 	// together holds the results that arrived in the same reply. They must be handled together: an
 	// answer made between two of them would contain records of parts that it does not list.
-	with []result
+	together []result
 }
 
-func (e *Engine) newRun(a *active, entry *route.Entry, req *Request) *run {
-	r := &run{e: e, a: a, entry: entry, know: a.learned[entry], req: req, over: make(chan struct{}), verdict: contract.NotRun}
+func (e *Engine) newRun(active *activeTable, entry *route.Entry, req *Request) *run {
+	r := &run{e: e, active: active, entry: entry, stats: active.stats[entry], req: req, finished: make(chan struct{}), verdict: contract.NotRun}
 	if entry.Gathers() {
 		r.shards = make([]shard, len(entry.Shards))
 		for i, s := range entry.Shards {
 			r.shards[i].service = s
 		}
-		r.need = max(1, ceilShare(entry.LeastCoverage, len(r.shards)))
+		r.requiredParts = max(1, minParts(entry.LeastCoverage, len(r.shards)))
 	} else {
 		r.shards = []shard{{service: entry.Pick()}}
-		r.need = 1
+		r.requiredParts = 1
 	}
 	r.results = make(chan result, len(r.shards))
 	terms := policy.Terms{Timeout: entry.Timeout, Aim: entry.TargetLatency, Margin: entry.AnswerMargin}
-	r.times = policy.TimesOf(terms, req.Wait, r.know.waits.Passed(req.Wait), &r.know.pace)
-	r.hedgeAt = r.at(r.times.Late)
-	r.prepare()
+	r.times = policy.TimesOf(terms, req.Wait, r.stats.callerWaits.Passed(req.Wait), &r.stats.pace)
+	r.hedgeAt = r.afterArrival(r.times.Late)
+	r.prepareLeafRequest()
 	return r
 }
 
 // afterArrival returns the time d after the arrival of the request.
-func (r *run) at(d time.Duration) time.Time { return r.req.Arrived.Add(d) }
+func (r *run) afterArrival(d time.Duration) time.Time { return r.req.Arrived.Add(d) }
 
 // minParts returns the smallest number of parts that is at least the given share of total.
-func ceilShare(share float64, of int) int {
-	n := int(share * float64(of))
-	if float64(n) < share*float64(of)-1e-9 {
+func minParts(share float64, total int) int {
+	n := int(share * float64(total))
+	if float64(n) < share*float64(total)-1e-9 {
 		n++
 	}
 	return n
 }
 
 // prepareLeafRequest sets the part of the request that is the same in every send.
-func (r *run) prepare() {
-	r.send = target.Request{
+func (r *run) prepareLeafRequest() {
+	r.leafRequest = target.Request{
 		Dialect: r.e.cfg.Dialect, Method: r.req.Method, ID: r.req.ID,
 		Head: r.req.Head, Body: r.req.Body, Stream: r.req.Stream,
-		Deadline: r.at(r.times.Deadline), Repeatable: r.entry.Repeatable,
-		BodyLimit: wholeLimit, ConnWait: policy.ConnWait(r.know.pace.Usual()),
+		Deadline: r.afterArrival(r.times.Deadline), Repeatable: r.entry.Repeatable,
+		BodyLimit: bufferedReplyBytes, ConnWait: policy.ConnWait(r.stats.pace.Usual()),
 	}
-	if r.send.Head == nil {
-		r.send.Head = head(r.req)
+	if r.leafRequest.Head == nil {
+		r.leafRequest.Head = renderHead(r.req)
 	}
 	if r.entry.Gathers() {
-		r.send.BodyLimit, r.send.WholeOnly = partLimit, true
+		r.leafRequest.BodyLimit, r.leafRequest.WholeOnly = maxPartBytes, true
 	}
 }
 
 // execute sends the request to leaves and returns its answer, nil if the caller leaves.
-func (r *run) do(ctx context.Context) *Answer {
-	defer close(r.over)
-	defer r.abandon()
-	defer r.report()
+func (r *run) execute(ctx context.Context) *Answer {
+	defer close(r.finished)
+	defer r.abandonSends()
+	defer r.reportAttempt()
 	for i := range r.shards {
 		r.e.cfg.Budgets.Request(r.shards[i].service)
 	}
@@ -154,41 +154,41 @@
 	for {
 		now := time.Now()
 		if a := r.decide(now); a != nil {
-			r.log(a)
+			r.logAnswer(a)
 			return a
 		}
-		timer.Reset(r.next(now).Sub(now))
+		timer.Reset(r.nextTimer(now).Sub(now))
 		select {
 		case res := <-r.results:
-			r.take(res)
-			for _, w := range res.with {
-				r.take(w)
+			r.handleResult(res)
+			for _, other := range res.together {
+				r.handleResult(other)
 			}
-			r.resume()
+			r.resumeHeldShards()
 		case <-timer.C:
-			r.wake(time.Now())
-		case <-r.e.ending:
+			r.runTimers(time.Now())
+		case <-r.e.finishing:
 			a := r.finalAnswer()
-			r.log(a)
+			r.logAnswer(a)
 			return a
 		case <-ctx.Done():
-			r.logLeft(ctx)
+			r.logCallerLeft(ctx)
 			return nil
 		}
 	}
 }
 
 // nextTimer returns the next time at which something is due even if no result arrives.
-func (r *run) next(now time.Time) time.Time {
-	at := r.at(r.times.End)
-	if by := r.at(r.times.AnswerBy); by.After(now) {
+func (r *run) nextTimer(now time.Time) time.Time {
+	at := r.afterArrival(r.times.End)
+	if by := r.afterArrival(r.times.AnswerBy); by.After(now) {
 		at = by // AnswerBy is never after End
 	}
 	if !r.hedgeAt.IsZero() && r.hedgeAt.Before(at) {
 		at = r.hedgeAt
 	}
 	for i := range r.shards {
-		if w := r.shards[i].wake; !w.IsZero() && w.Before(at) {
+		if w := r.shards[i].retryAt; !w.IsZero() && w.Before(at) {
 			at = w
 		}
 	}
@@ -196,15 +196,15 @@
 }
 
 // runTimers makes the hedges and retries that are due at now.
-func (r *run) wake(now time.Time) {
+func (r *run) runTimers(now time.Time) {
 	if !r.hedgeAt.IsZero() && !now.Before(r.hedgeAt) {
 		r.hedgeAt = time.Time{}
 		r.hedge(now)
 	}
 	for i := range r.shards {
 		s := &r.shards[i]
-		if !s.wake.IsZero() && !now.Before(s.wake) {
-			s.wake = time.Time{}
+		if !s.retryAt.IsZero() && !now.Before(s.retryAt) {
+			s.retryAt = time.Time{}
 			r.launch(i, false)
 		}
 	}
@@ -214,22 +214,22 @@
 // leaves are overloaded, and as many additional sends would slow both down further. The check
 // is then repeated after policy.HedgeAgain.
 func (r *run) hedge(now time.Time) {
-	if !r.entry.Repeatable || r.send.Stream != nil || r.suspicion.Guarded() {
+	if !r.entry.Repeatable || r.leafRequest.Stream != nil || r.suspicion.Guarded() {
 		return
 	}
-	missing := len(r.shards) - r.have - r.sendForSilent(now)
+	missing := len(r.shards) - r.receivedParts - r.bypassSilentDaemons(now)
 	if policy.HoldHedges(missing, len(r.shards)) {
-		if again := now.Add(policy.HedgeAgain); again.Before(r.at(r.times.End)) {
-			r.hedgeAt = again
+		if next := now.Add(policy.HedgeAgain); next.Before(r.afterArrival(r.times.End)) {
+			r.hedgeAt = next
 			return
 		}
 	}
 	for i := range r.shards {
 		s := &r.shards[i]
-		if s.done || len(s.flights) != 1 || !r.mayRepeat(s) {
+		if s.done || len(s.pending) != 1 || !r.mayRepeat(s) {
 			continue
 		}
-		if s.unheard() {
+		if s.awaitsFirstReply() {
 			r.hedgeAt = now.Add(policy.HedgeAgain)
 			continue
 		}
@@ -240,15 +240,15 @@
 // bypassSilentDaemons sends directly for the shards delegated to daemons that have not replied
 // although their first parts are overdue. It returns how many shards of such daemons are still
 // missing.
-func (r *run) sendForSilent(now time.Time) int {
-	n := 0
+func (r *run) bypassSilentDaemons(now time.Time) int {
+	missing := 0
 	for _, b := range r.batches {
-		first := !b.given && b.silent(now, r.at(r.times.Late))
+		first := !b.bypassed && b.isSilent(now, r.afterArrival(r.times.Late))
 		if first {
-			b.given = true
+			b.bypassed = true
 			r.e.cfg.Near.Suspect(b.addr)
 		}
-		if !b.given {
+		if !b.bypassed {
 			continue
 		}
 		for k := range b.sends {
@@ -257,17 +257,17 @@
 			if s.done {
 				continue
 			}
-			n++
-			if first && len(s.flights) == 1 && r.mayRepeat(s) {
+			missing++
+			if first && len(s.pending) == 1 && r.mayRepeat(s) {
 				r.launch(i, true)
 			}
 		}
 	}
-	return n
+	return missing
 }
 
 // awaitsFirstReply reports whether the only pending send of the shard is delegated to a daemon
 // that has not replied yet.
-func (s *shard) unheard() bool {
-	return len(s.flights) == 1 && s.flights[0].batch != nil && !s.flights[0].batch.heard
+func (s *shard) awaitsFirstReply() bool {
+	return len(s.pending) == 1 && s.pending[0].batch != nil && !s.pending[0].batch.replied
 }
--- a/internal/forward/scatter.go
+++ b/internal/forward/scatter.go
@@ -22,21 +22,21 @@
 func (e *Engine) Scatterer() *Scatterer { return &Scatterer{e} }
 
 // scatterCall is the state of one Scatter call.
-type scatter struct {
-	e       *Engine
-	a       *active
-	req     *wire.ScatterRequest
-	send    target.Request
-	usual   time.Duration
-	calls   []*target.Call
-	results chan result // result.shard is the index in req.Sends
-	over    chan struct{}
-	told    top // the greatest records in the replies sent so far
+type scatterCall struct {
+	e           *Engine
+	active      *activeTable
+	req         *wire.ScatterRequest
+	leafRequest target.Request
+	usual       time.Duration
+	calls       []*target.Call
+	results     chan result // result.shard is the index in req.Sends
+	finished    chan struct{}
+	sentTop     topRecords // the greatest records in the replies sent so far
 }
 
 var (
-	errNotHere     = errors.New("forward: the leaf is not known here, or leaves")
-	errNoTableHere = errors.New("forward: this daemon has no configuration")
+	errUnknownLeaf = errors.New("forward: the leaf is not known here, or leaves")
+	errNoTable     = errors.New("forward: this daemon has no configuration")
 )
 
 // Scatter implements wire.DRPCGatherServer. Results that are available when the first parts
@@ -47,64 +47,64 @@
 		return err
 	}
 	now := time.Now()
-	sc := &scatter{
-		e: s.e, a: s.e.active.Load(), req: req, usual: time.Duration(req.UsualUs) * time.Microsecond,
-		results: make(chan result, len(req.Sends)), over: make(chan struct{}), told: top{k: int(req.Top)},
+	sc := &scatterCall{
+		e: s.e, active: s.e.active.Load(), req: req, usual: time.Duration(req.UsualUs) * time.Microsecond,
+		results: make(chan result, len(req.Sends)), finished: make(chan struct{}), sentTop: topRecords{k: int(req.Top)},
 		calls: make([]*target.Call, len(req.Sends)),
-		send: target.Request{
+		leafRequest: target.Request{
 			Dialect: s.e.cfg.Dialect, Method: req.Method, ID: req.Id, Head: req.Head, Body: req.Body,
 			Deadline:   now.Add(time.Duration(req.LeftUs) * time.Microsecond),
-			Repeatable: true, BodyLimit: partLimit, WholeOnly: true,
+			Repeatable: true, BodyLimit: maxPartBytes, WholeOnly: true,
 			ConnWait: policy.ConnWait(time.Duration(req.UsualUs) * time.Microsecond),
 		},
 	}
-	defer sc.end()
-	left := make(chan struct{})
+	defer sc.abandonSends()
+	peerLeft := make(chan struct{})
 	go func() {
 		_, _ = stream.Recv() // returns when the calling daemon closes its side or is gone
-		close(left)
+		close(peerLeft)
 	}()
 	sc.launch()
-	return sc.answer(stream, left, now.Add(time.Duration(req.FirstUs)*time.Microsecond))
+	return sc.sendReplies(stream, peerLeft, now.Add(time.Duration(req.FirstUs)*time.Microsecond))
 }
 
-func (sc *scatter) launch() {
+func (sc *scatterCall) launch() {
 	snap := sc.e.cfg.Book.Snapshot()
-	kept := sc.quarantined()
-	for i, want := range sc.req.Sends {
+	quarantined := sc.isQuarantined()
+	for i, part := range sc.req.Sends {
 		call := &target.Call{}
 		sc.calls[i] = call
-		leaf, ok := snap.FindMark(want.Leaf)
+		leaf, ok := snap.FindMark(part.Leaf)
 		switch {
-		case kept:
+		case quarantined:
 			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonQuarantined, errQuarantined)}
 			continue
-		case sc.a == nil:
-			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonUnconfirmed, errNoTableHere)}
+		case sc.active == nil:
+			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonUnconfirmed, errNoTable)}
 			continue
 		case !ok || leaf.Draining:
-			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonNoReplica, errNotHere)}
+			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonNoReplica, errUnknownLeaf)}
 			continue
 		}
-		link := sc.e.cfg.Board.Link(leaf, sc.a.limit)
-		sc.e.sends.Run(send{to: sc, request: &sc.send, i: i, leaf: leaf, link: link, call: call})
+		link := sc.e.cfg.Board.Link(leaf, sc.active.connectionLimit)
+		sc.e.sendPool.Run(sendTask{owner: sc, request: &sc.leafRequest, i: i, leaf: leaf, link: link, call: call})
 	}
 }
 
 // deliver implements sendOwner.
-func (sc *scatter) deliver(res result) {
+func (sc *scatterCall) deliver(res result) {
 	select {
 	case sc.results <- res:
-	case <-sc.over:
+	case <-sc.finished:
 	}
 }
 
 // paceStats implements sendOwner with the usual reply time stated by the calling daemon.
-func (sc *scatter) learner() (time.Duration, *policy.Pace) { return sc.usual, nil }
+func (sc *scatterCall) paceStats() (time.Duration, *policy.Pace) { return sc.usual, nil }
 
 // abandonSends cancels the sends in flight.
-func (sc *scatter) end() {
-	close(sc.over)
+func (sc *scatterCall) abandonSends() {
+	close(sc.finished)
 	for _, c := range sc.calls {
 		if c != nil {
 			c.Abandon()
@@ -112,28 +112,28 @@
 	}
 }
 
-func (sc *scatter) answer(stream wire.DRPCGather_ScatterStream, left <-chan struct{}, first time.Time) error {
-	timer := time.NewTimer(time.Until(first))
+func (sc *scatterCall) sendReplies(stream wire.DRPCGather_ScatterStream, peerLeft <-chan struct{}, firstDue time.Time) error {
+	timer := time.NewTimer(time.Until(firstDue))
 	defer timer.Stop()
 	var batch []result
 	due := false
-	for open := len(sc.calls); open > 0; {
+	for unfinished := len(sc.calls); unfinished > 0; {
 		select {
 		case res := <-sc.results:
 			batch = append(batch, res)
-			open--
-			batch, open = sc.more(batch, open)
+			unfinished--
+			batch, unfinished = sc.drainResults(batch, unfinished)
 		case <-timer.C:
 			due = true
-		case <-left:
+		case <-peerLeft:
 			return nil
 		case <-stream.Context().Done():
 			return nil
-		case <-sc.e.ending:
+		case <-sc.e.finishing:
 			return errors.New("forward: the daemon stops")
 		}
-		if len(batch) > 0 && (due || open == 0) {
-			if err := stream.Send(sc.reply(batch)); err != nil {
+		if len(batch) > 0 && (due || unfinished == 0) {
+			if err := stream.Send(sc.buildReply(batch)); err != nil {
 				return err
 			}
 			batch = batch[:0]
@@ -143,29 +143,29 @@
 }
 
 // drainResults appends the results that are already available to batch.
-func (sc *scatter) more(batch []result, open int) ([]result, int) {
+func (sc *scatterCall) drainResults(batch []result, unfinished int) ([]result, int) {
 	for {
 		select {
 		case res := <-sc.results:
 			batch = append(batch, res)
-			open--
+			unfinished--
 		default:
-			return batch, open
+			return batch, unfinished
 		}
 	}
 }
 
 // buildReply returns the reply for a batch of results, with their parts merged.
-func (sc *scatter) reply(batch []result) *wire.ScatterReply {
+func (sc *scatterCall) buildReply(batch []result) *wire.ScatterReply {
 	out := &wire.ScatterReply{Ends: make([]*wire.PartEnd, 0, len(batch))}
-	merged := top{k: int(sc.req.Top)}
+	merged := topRecords{k: int(sc.req.Top)}
 	for i := range batch {
 		res := &batch[i]
-		e := &wire.PartEnd{Send: uint32(res.shard), TookUs: micros(res.took)}
+		e := &wire.PartEnd{Send: uint32(res.shard), TookUs: toMicros(res.took)}
 		if res.err != nil {
 			e.Verdict, e.Reason = uint32(res.err.Verdict), string(res.err.Reason)
 			if res.err.Cause != nil {
-				e.Cause, e.Stale, e.Ended = res.err.Cause.Error(), isStale(res.err), res.err.LeafEnded()
+				e.Cause, e.Stale, e.Ended = res.err.Cause.Error(), isStaleConn(res.err), res.err.LeafEnded()
 			}
 		} else {
 			e.Status, e.Refused = uint32(res.reply.Status), res.reply.Refused
@@ -180,8 +180,8 @@
 		}
 		out.Ends = append(out.Ends, e)
 	}
-	sc.told.add(merged.bytes())
-	out.Records = merged.atLeast(sc.told).bytes()
+	sc.sentTop.add(merged.bytes())
+	out.Records = merged.withinTop(sc.sentTop).bytes()
 	return out
 }
 
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -16,29 +16,29 @@
 	// than any configurable value, since it is fixed when the server starts.
 	headerTimeout = 10 * time.Second
 	// defaultIdleTimeout applies until a configuration is installed.
-	defaultIdle = 75 * time.Second
+	defaultIdleTimeout = 75 * time.Second
 	// idleMargin is added to the configured idle timeout, so that callers with the same
 	// timeout close first. Otherwise a caller could be sending a request at the moment when
 	// the server closes the connection.
-	idleSlack = 2 * time.Second
+	idleMargin = 2 * time.Second
 )
 
 // Server serves connections of callers.
 type Server struct {
-	http *http.Server
-	idle *idleConns
-	h    *Handler
+	http    *http.Server
+	idle    *idleConns
+	handler *Handler
 }
 
 // NewServer returns a server that answers requests with handler.
-func NewServer(h *Handler) *Server {
-	s := &Server{idle: &idleConns{conns: make(map[*callerConn]struct{})}, h: h}
+func NewServer(handler *Handler) *Server {
+	s := &Server{idle: &idleConns{conns: make(map[*callerConn]struct{})}, handler: handler}
 	s.http = &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: 1 << 20,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: 1 << 20,
 		ErrorLog:    decision.ServerLog("caller"),
 		ConnContext: withCallerConn,
 		ConnState: func(c net.Conn, st http.ConnState) {
-			s.idle.note(c, st == http.StateIdle)
+			s.idle.update(c, st == http.StateIdle)
 		},
 	}
 	return s
@@ -47,19 +47,19 @@
 // Serve accepts connections until Shutdown is called. ctx ends the closing of idle
 // connections.
 func (s *Server) Serve(ctx context.Context, lis net.Listener) error {
-	go s.idle.run(ctx, s.idleLimit)
-	err := s.http.Serve(callerListener{lis, s.h.Log})
+	go s.idle.run(ctx, s.idleTimeout)
+	err := s.http.Serve(callerListener{lis, s.handler.Log})
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-func (s *Server) idleLimit() time.Duration {
-	if t := s.h.Engine.Table(); t != nil && t.Limits.IdleTimeout > 0 {
-		return t.Limits.IdleTimeout + idleSlack
+func (s *Server) idleTimeout() time.Duration {
+	if t := s.handler.Engine.Table(); t != nil && t.Limits.IdleTimeout > 0 {
+		return t.Limits.IdleTimeout + idleMargin
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 // Shutdown stops accepting connections, closes idle connections and waits for requests in
--- a/internal/forward/single_test.go
+++ b/internal/forward/single_test.go
@@ -13,18 +13,18 @@
 	"pearmoor/internal/route"
 )
 
-func once(service string) route.Route { return route.Route{Service: service, Attempts: 2} }
+func singleRoute(service string) route.Route { return route.Route{Service: service, Attempts: 2} }
 
-func repeatable(service string) route.Route {
+func repeatableRoute(service string) route.Route {
 	return route.Route{Service: service, Attempts: 2, Repeatable: true}
 }
 
 // The request line, the body and the caller's end-to-end headers reach the leaf unchanged.
 // Hop-by-hop headers and forged headers of the tier do not.
-func TestRequestGoesOnUnchanged(t *testing.T) {
-	leaf := startLeaf(t, answers("whole"))
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
-	req, _ := http.NewRequest(http.MethodPost, w.url+"/a%2Fb/../c//d?x=1&y=%20", strings.NewReader("the body"))
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	leaf := startLeaf(t, replyWith("whole"))
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	req, _ := http.NewRequest(http.MethodPost, f.url+"/a%2Fb/../c//d?x=1&y=%20", strings.NewReader("the body"))
 	for k, v := range map[string]string{"Request-Id": "id", "Wait-Ms": "1500", "Leaf-Id": "forged", "Custom": "kept", "Connection": "Drop-Me", "Drop-Me": "x"} {
 		req.Header.Set(k, v)
 	}
@@ -49,11 +49,11 @@
 
 // Guards against an unrepeatable request that is sent to a second leaf, or reported as not
 // run, after a leaf has read it and dropped the connection.
-func TestLostAnswerOfUnrepeatable(t *testing.T) {
-	drop := func(l *fakeLeaf, _ net.Conn, _ asked) bool { l.runs.Add(1); return false }
+func TestLostReplyOfUnrepeatableRequest(t *testing.T) {
+	drop := func(l *fakeLeaf, _ net.Conn, _ receivedRequest) bool { l.runs.Add(1); return false }
 	a, b := startLeaf(t, drop), startLeaf(t, drop)
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {a, b}})
-	resp, _ := w.do(t, http.MethodPost, "/", "charge")
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {a, b}})
+	resp, _ := f.do(t, http.MethodPost, "/", "charge")
 	if resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("status %d", resp.StatusCode)
 	}
@@ -64,14 +64,14 @@
 
 // A request that a leaf refuses as not run is sent to another leaf, even if it is not
 // repeatable.
-func TestRefusedGoesToAnotherLeaf(t *testing.T) {
-	full := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req asked) bool {
+func TestRefusedRequestGoesToAnotherLeaf(t *testing.T) {
+	full := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool {
 		return reply(c, req, 503, "", "Not-Run: full")
 	})
-	good := startLeaf(t, answers("done"))
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {full, good}})
+	good := startLeaf(t, replyWith("done"))
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {full, good}})
 	for range 6 {
-		if resp, text := w.do(t, http.MethodPost, "/", "x"); resp.StatusCode != 200 || text != "done" {
+		if resp, text := f.do(t, http.MethodPost, "/", "x"); resp.StatusCode != 200 || text != "done" {
 			t.Fatalf("%d %q", resp.StatusCode, text)
 		}
 	}
@@ -83,10 +83,12 @@
 // Guards against a caller that waits until its deadline although every leaf refuses. It gets
 // an answer that the request did not run, with a Retry-After.
 func TestAllLeavesRefuse(t *testing.T) {
-	full := func(_ *fakeLeaf, c net.Conn, req asked) bool { return reply(c, req, 503, "", "Not-Run: full") }
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {startLeaf(t, full), startLeaf(t, full)}})
+	full := func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool {
+		return reply(c, req, 503, "", "Not-Run: full")
+	}
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {startLeaf(t, full), startLeaf(t, full)}})
 	began := time.Now()
-	resp, _ := w.do(t, http.MethodPost, "/", "x")
+	resp, _ := f.do(t, http.MethodPost, "/", "x")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
@@ -97,13 +99,13 @@
 
 // Guards against a 503 for a request that may have run. Callers take that status to mean that
 // the request did not run, but the leaf has returned it without stating so.
-func TestUnmarkedRefusalIsNoPromise(t *testing.T) {
-	leaf := startLeaf(t, func(l *fakeLeaf, c net.Conn, req asked) bool {
+func TestUnmarked503IsNotPassedOn(t *testing.T) {
+	leaf := startLeaf(t, func(l *fakeLeaf, c net.Conn, req receivedRequest) bool {
 		l.runs.Add(1)
-		return reply(c, req, 503, "broken", stamp())
+		return reply(c, req, 503, "broken", nextSignature())
 	})
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
-	resp, _ := w.do(t, http.MethodPost, "/", "x")
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	resp, _ := f.do(t, http.MethodPost, "/", "x")
 	if resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Signature") != "" {
 		t.Errorf("status %d, signature %q", resp.StatusCode, resp.Header.Get("Signature"))
 	}
@@ -111,12 +113,12 @@
 
 // Guards against repeated sends to an address that another leaf has taken over. That leaf
 // refuses the request with 421 and does not run it.
-func TestReusedAddress(t *testing.T) {
-	other := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req asked) bool { return reply(c, req, 421, "") })
-	good := startLeaf(t, answers("done"))
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {other, good}})
+func TestReusedAddressIsAvoided(t *testing.T) {
+	other := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool { return reply(c, req, 421, "") })
+	good := startLeaf(t, replyWith("done"))
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {other, good}})
 	for range 4 {
-		if resp, _ := w.do(t, http.MethodPost, "/", "x"); resp.StatusCode != 200 {
+		if resp, _ := f.do(t, http.MethodPost, "/", "x"); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
@@ -128,20 +130,20 @@
 // Guards against a caller that gets the reply to another request. The leaf sends a second
 // reply to each request late, on a kept connection where the reply to the next request is
 // expected.
-func TestLateExtraAnswer(t *testing.T) {
-	leaf := startLeaf(t, func(l *fakeLeaf, c net.Conn, req asked) bool {
+func TestExtraReplyIsNotUsedForNextRequest(t *testing.T) {
+	leaf := startLeaf(t, func(l *fakeLeaf, c net.Conn, req receivedRequest) bool {
 		l.runs.Add(1)
 		body := "answer to " + req.header["Request-Id"]
-		if !reply(c, req, 200, body, stamp()) {
+		if !reply(c, req, 200, body, nextSignature()) {
 			return false
 		}
 		time.Sleep(20 * time.Millisecond)
-		return reply(c, req, 200, body, stamp())
+		return reply(c, req, 200, body, nextSignature())
 	})
-	w := newWorld(t, repeatable("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	f := newFixture(t, repeatableRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
 	for i := range 8 {
-		want := fmt.Sprintf("answer to id-%d", idNumber.Load()+1)
-		resp, text := w.do(t, http.MethodGet, "/", "")
+		want := fmt.Sprintf("answer to id-%d", lastRequestID.Load()+1)
+		resp, text := f.do(t, http.MethodGet, "/", "")
 		if resp.StatusCode == 200 && text != want {
 			t.Fatalf("request %d got %q, want %q", i, text, want)
 		}
@@ -150,13 +152,13 @@
 }
 
 // Guards against a truncated reply of a leaf that looks complete to the caller.
-func TestBrokenLongAnswer(t *testing.T) {
-	leaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req asked) bool {
+func TestTruncatedReplyIsNotComplete(t *testing.T) {
+	leaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 x\r\nRequest-Id: %s\r\nSignature: s\r\nContent-Length: 400000\r\n\r\n%s", req.header["Request-Id"], strings.Repeat("x", 200000))
 		return false
 	})
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
-	if _, text, err := w.try(http.MethodPost, "/", "x"); err == nil {
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	if _, text, err := f.doRequest(http.MethodPost, "/", "x"); err == nil {
 		t.Errorf("a truncated reply of %d bytes looks complete", len(text))
 	}
 }
@@ -164,18 +166,18 @@
 // Guards against a repeatable request that fails because the leaf has dropped the idle
 // connection, and against the leaf being treated as failed. The request is sent again
 // immediately.
-func TestIdleConnectionDropped(t *testing.T) {
+func TestDroppedIdleConnectionIsRetried(t *testing.T) {
 	var n atomic.Int32
-	leaf := startLeaf(t, func(l *fakeLeaf, c net.Conn, req asked) bool {
+	leaf := startLeaf(t, func(l *fakeLeaf, c net.Conn, req receivedRequest) bool {
 		if n.Add(1) == 2 {
 			return false // drops the request that arrives on the idle connection
 		}
 		l.runs.Add(1)
-		return reply(c, req, 200, "done", stamp())
+		return reply(c, req, 200, "done", nextSignature())
 	})
-	w := newWorld(t, repeatable("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	f := newFixture(t, repeatableRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
 	for range 3 {
-		if resp, _ := w.do(t, http.MethodGet, "/", ""); resp.StatusCode != 200 {
+		if resp, _ := f.do(t, http.MethodGet, "/", ""); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
@@ -183,17 +185,17 @@
 
 // Guards against a leaf that keeps working after the caller has left: the connection to the
 // leaf must be closed within half a second of the caller leaving.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerLeavingClosesLeafConnection(t *testing.T) {
 	closed := make(chan time.Time, 1)
-	leaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, _ asked) bool {
+	leaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, _ receivedRequest) bool {
 		_, _ = c.Read(make([]byte, 1))
 		closed <- time.Now()
 		return false
 	})
-	w := newWorld(t, repeatable("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	f := newFixture(t, repeatableRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, w.url+"/", nil)
+	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, f.url+"/", nil)
 	req.Header.Set("Request-Id", "leaving")
 	req.Header.Set("Wait-Ms", "1500")
 	if _, err := http.DefaultClient.Do(req); err == nil {
@@ -207,11 +209,11 @@
 }
 
 // A body that is longer than bufferedBodyBytes is streamed to the leaf.
-func TestLongBodies(t *testing.T) {
+func TestLongBodyIsForwarded(t *testing.T) {
 	long := strings.Repeat("0123456789", 15_000)
-	leaf := startLeaf(t, answers("done"))
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
-	if resp, _ := w.do(t, http.MethodPost, "/", long); resp.StatusCode != 200 {
+	leaf := startLeaf(t, replyWith("done"))
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	if resp, _ := f.do(t, http.MethodPost, "/", long); resp.StatusCode != 200 {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
 	if got := leaf.requests(); got[0].body != long {
@@ -221,9 +223,9 @@
 
 // Invalid requests are refused with the matching status and do not reach a leaf.
 func TestBadRequests(t *testing.T) {
-	leaf := startLeaf(t, answers("done"))
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
-	host := strings.TrimPrefix(w.url, "http://")
+	leaf := startLeaf(t, replyWith("done"))
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	host := strings.TrimPrefix(f.url, "http://")
 	for name, c := range map[string]struct {
 		head   string
 		status string
@@ -261,10 +263,10 @@
 
 // Guards against request smuggling with both Content-Length and chunked encoding, which
 // servers interpret differently. The leaf gets the body as parsed here, with new framing.
-func TestLengthAndChunks(t *testing.T) {
-	leaf := startLeaf(t, answers("done"))
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {leaf}})
-	conn, err := net.Dial("tcp", strings.TrimPrefix(w.url, "http://"))
+func TestContentLengthWithChunkedBody(t *testing.T) {
+	leaf := startLeaf(t, replyWith("done"))
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {leaf}})
+	conn, err := net.Dial("tcp", strings.TrimPrefix(f.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -282,13 +284,17 @@
 // Guards against connections that break when a daemon is stopped during a request. Before the
 // process exits, the caller of an unrepeatable request gets an answer that it may have run,
 // and a gather returns the parts received so far.
-func TestLastWordBeforeTheEnd(t *testing.T) {
-	hold := func(l *fakeLeaf, _ net.Conn, _ asked) bool { l.runs.Add(1); time.Sleep(5 * time.Second); return false }
+func TestFinishAllAnswersRequestsInProgress(t *testing.T) {
+	hold := func(l *fakeLeaf, _ net.Conn, _ receivedRequest) bool {
+		l.runs.Add(1)
+		time.Sleep(5 * time.Second)
+		return false
+	}
 	silent := startLeaf(t, hold)
-	w := newWorld(t, once("s"), map[string][]*fakeLeaf{"s": {silent}})
-	time.AfterFunc(100*time.Millisecond, w.engine.EndAll)
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {silent}})
+	time.AfterFunc(100*time.Millisecond, f.engine.EndAll)
 	began := time.Now()
-	resp, text := w.do(t, http.MethodPost, "/", "charge")
+	resp, text := f.do(t, http.MethodPost, "/", "charge")
 	if resp.StatusCode != http.StatusBadGateway || !strings.Contains(text, "draining, may_have_run") {
 		t.Errorf("status %d, %q", resp.StatusCode, text)
 	}
@@ -296,11 +302,11 @@
 		t.Errorf("answered after %v, want at most 600 ms", took)
 	}
 
-	whole := startLeaf(t, answers("0123456789abcdef"))
+	whole := startLeaf(t, replyWith("0123456789abcdef"))
 	gather := route.Route{Shards: []string{"a", "b"}, Attempts: 2, Repeatable: true, Top: 5, LeastCoverage: 0.5}
-	w = newWorld(t, gather, map[string][]*fakeLeaf{"a": {whole}, "b": {startLeaf(t, hold)}})
-	time.AfterFunc(200*time.Millisecond, w.engine.EndAll)
-	resp, _ = w.do(t, http.MethodGet, "/", "")
+	f = newFixture(t, gather, map[string][]*fakeLeaf{"a": {whole}, "b": {startLeaf(t, hold)}})
+	time.AfterFunc(200*time.Millisecond, f.engine.EndAll)
+	resp, _ = f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusOK || resp.Header.Get(testDialect.Missing) != "1" {
 		t.Errorf("gather: status %d, %q missing", resp.StatusCode, resp.Header.Get(testDialect.Missing))
 	}
--- a/internal/forward/suspicion.go
+++ b/internal/forward/suspicion.go
@@ -14,19 +14,19 @@
 )
 
 var (
-	leafEnds         = metrics.GetOrRegisterCounter("forward.leaf_ends", metrics.DefaultRegistry)
-	quarantineKept   = metrics.GetOrRegisterCounter("forward.quarantined", metrics.DefaultRegistry)
-	quarantineTrials = metrics.GetOrRegisterCounter("forward.quarantine_trials", metrics.DefaultRegistry)
+	leafEnds           = metrics.GetOrRegisterCounter("forward.leaf_ends", metrics.DefaultRegistry)
+	quarantineRefusals = metrics.GetOrRegisterCounter("forward.quarantined", metrics.DefaultRegistry)
+	quarantineTrials   = metrics.GetOrRegisterCounter("forward.quarantine_trials", metrics.DefaultRegistry)
 )
 
 var errQuarantined = errors.New("forward: the request is known or suspected to crash the leaves that run it")
 
 // trialGrantTimeout bounds the wait for permission to try a suspected request.
-const trialWait = 300 * time.Millisecond
+const trialGrantTimeout = 300 * time.Millisecond
 
 // quarantineRequest returns the content that identifies the request in the quarantine. It is
 // the same for every attempt.
-func (r *Request) content() *quarantine.Request {
+func (r *Request) quarantineRequest() *quarantine.Request {
 	q := &quarantine.Request{Method: r.Method, Host: r.Host, URI: r.URI, Caller: r.Caller, Body: r.Body, Length: int64(len(r.Body))}
 	if r.Stream != nil {
 		q.Length = r.Stream.Length
@@ -35,22 +35,22 @@
 }
 
 func (r *run) fingerprints() quarantine.Fingerprints {
-	if r.names == nil {
-		names := r.req.content().Fingerprints()
-		r.names = &names
+	if r.cachedFingerprints == nil {
+		fingerprints := r.req.quarantineRequest().Fingerprints()
+		r.cachedFingerprints = &fingerprints
 	}
-	return *r.names
+	return *r.cachedFingerprints
 }
 
 // checkQuarantine returns the answer to a request that must not be sent to a leaf now, nil if
 // the request may proceed.
-func (r *run) enter(ctx context.Context) *Answer {
-	known := r.e.cfg.Quarantine
-	if known.Empty() {
+func (r *run) checkQuarantine(ctx context.Context) *Answer {
+	registry := r.e.cfg.Quarantine
+	if registry.Empty() {
 		return nil
 	}
-	names := r.fingerprints()
-	ruling := known.Rule(names)
+	fingerprints := r.fingerprints()
+	ruling := registry.Rule(fingerprints)
 	grant := quarantine.Denied
 	switch ruling {
 	case quarantine.Free:
@@ -58,35 +58,35 @@
 	case quarantine.Canary:
 		grant = quarantine.Granted
 	case quarantine.Suspect:
-		ctx, cancel := context.WithTimeout(ctx, trialWait)
+		ctx, cancel := context.WithTimeout(ctx, trialGrantTimeout)
 		defer cancel()
-		grant = known.Try(ctx, names[quarantine.Exact])
-		r.granted = grant == quarantine.Granted
+		grant = registry.Try(ctx, fingerprints[quarantine.Exact])
+		r.trialGranted = grant == quarantine.Granted
 	}
-	r.e.cfg.Log.Line("quarantine", "request checked").Str("id", r.req.ID).Str("request", names[quarantine.Exact].String()).
+	r.e.cfg.Log.Line("quarantine", "request checked").Str("id", r.req.ID).Str("request", fingerprints[quarantine.Exact].String()).
 		Str("ruling", ruling.String()).Str("trial", grant.String()).End()
 	if grant == quarantine.Granted {
 		quarantineTrials.Inc(1)
-		r.trial, r.suspicion.Suspect = true, true
+		r.isTrial, r.suspicion.Suspect = true, true
 		return nil
 	}
-	quarantineKept.Inc(1)
-	retry := policy.QuarantinedRetryAfter
+	quarantineRefusals.Inc(1)
+	retryAfter := policy.QuarantinedRetryAfter
 	if grant == quarantine.Wait {
-		retry = policy.TrialRetryAfter
+		retryAfter = policy.TrialRetryAfter
 	}
-	return &Answer{Status: http.StatusServiceUnavailable, RetryAfter: retry, Verdict: contract.NotRun, Reason: contract.ReasonQuarantined, Cause: errQuarantined}
+	return &Answer{Status: http.StatusServiceUnavailable, RetryAfter: retryAfter, Verdict: contract.NotRun, Reason: contract.ReasonQuarantined, Cause: errQuarantined}
 }
 
 // maySend reports whether the quarantine rules allow one more send now.
 func (r *run) maySend() bool {
 	switch {
-	case r.blocked:
+	case r.quarantined:
 		return false
 	case !r.suspicion.Guarded():
 		return true
 	case r.suspicion.Ends > 0 && r.e.cfg.Quarantine != nil && r.e.cfg.Quarantine.Rule(r.fingerprints()) == quarantine.Blocked:
-		r.blocked = true
+		r.quarantined = true
 		return false
 	}
 	return r.suspicion.MaySend(r.inFlight())
@@ -94,10 +94,10 @@
 
 // updateSuspicion updates the suspicion that the request crashes leaves from the result of a
 // send.
-func (r *run) follow(s *shard, res *result) {
+func (r *run) updateSuspicion(s *shard, res *result) {
 	switch {
 	case res.err != nil && res.err.Reason == contract.ReasonQuarantined:
-		r.blocked = true
+		r.quarantined = true
 	case res.err == nil && res.reply.Refused, res.err != nil && res.err.Verdict == contract.NotRun:
 		r.suspicion.Unsent()
 	case res.err == nil && res.reply.Status < http.StatusInternalServerError:
@@ -105,7 +105,7 @@
 	case res.err.LeafEnded():
 		r.suspicion.Ends++
 		leafEnds.Inc(1)
-		r.e.cfg.Log.Line(r.part(), "leaf ended").Str("id", r.req.ID).Str("request", r.fingerprints()[quarantine.Exact].String()).
+		r.e.cfg.Log.Line(r.logComponent(), "leaf ended").Str("id", r.req.ID).Str("request", r.fingerprints()[quarantine.Exact].String()).
 			Str("service", s.service).Str("leaf", res.leaf.ID).Ms("after", time.Since(r.req.Arrived)).Ms("took", res.took).
 			Int("ends", int64(r.suspicion.Ends)).Bool("survived", r.suspicion.Survived).Int("in_flight", int64(r.inFlight())).
 			Bool("delegated", res.set != nil).End()
@@ -114,15 +114,15 @@
 
 // resumeHeldShards sends for held shards as far as the suspicion allows. If no further send is
 // allowed, it stops the shards without a pending send.
-func (r *run) resume() {
-	if !r.held && !r.blocked && !r.suspicion.Guarded() {
+func (r *run) resumeHeldShards() {
+	if !r.hasHeldShards && !r.quarantined && !r.suspicion.Guarded() {
 		return
 	}
-	r.held = false
-	if r.blocked || r.suspicion.Spent(r.inFlight()) {
+	r.hasHeldShards = false
+	if r.quarantined || r.suspicion.Spent(r.inFlight()) {
 		for i := range r.shards {
-			if s := &r.shards[i]; !s.done && len(s.flights) == 0 {
-				s.end()
+			if s := &r.shards[i]; !s.done && len(s.pending) == 0 {
+				s.stopSending()
 			}
 		}
 		return
@@ -132,54 +132,54 @@
 		case !s.held || s.done:
 		case r.maySend():
 			s.held = false
-			r.again(i)
+			r.resend(i)
 		default:
-			r.held = true
+			r.hasHeldShards = true
 		}
 	}
 }
 
 // reportAttempt reports to the quarantine registry, at the end of the run, how many leaves
 // crashed and whether one survived the request.
-func (r *run) report() {
-	known, s := r.e.cfg.Quarantine, &r.suspicion
-	if known == nil || !r.trial && (s.Ends == 0 || s.Survived) {
+func (r *run) reportAttempt() {
+	registry, s := r.e.cfg.Quarantine, &r.suspicion
+	if registry == nil || !r.isTrial && (s.Ends == 0 || s.Survived) {
 		return
 	}
-	names := r.fingerprints()
-	if r.trial && !s.Survived && s.Ends == 0 && r.verdict == contract.NotRun && r.inFlight() == 0 {
-		if r.granted {
-			known.Release(names[quarantine.Exact])
+	fingerprints := r.fingerprints()
+	if r.isTrial && !s.Survived && s.Ends == 0 && r.verdict == contract.NotRun && r.inFlight() == 0 {
+		if r.trialGranted {
+			registry.Release(fingerprints[quarantine.Exact])
 		}
 		return
 	}
-	r.e.cfg.Log.Line("quarantine", "attempt reported").Str("id", r.req.ID).Str("request", names[quarantine.Exact].String()).Int("ends", int64(s.Ends)).
-		Bool("survived", s.Survived).Bool("tried", r.trial).End()
-	report := &quarantine.Report{Request: names, Ends: s.Ends, Survived: s.Survived, Began: time.Since(r.req.Arrived)}
-	content := r.req.content()
+	r.e.cfg.Log.Line("quarantine", "attempt reported").Str("id", r.req.ID).Str("request", fingerprints[quarantine.Exact].String()).Int("ends", int64(s.Ends)).
+		Bool("survived", s.Survived).Bool("tried", r.isTrial).End()
+	report := &quarantine.Report{Request: fingerprints, Ends: s.Ends, Survived: s.Survived, Began: time.Since(r.req.Arrived)}
+	content := r.req.quarantineRequest()
 	for w := range report.Describe {
 		report.Describe[w] = content.Describe(quarantine.Width(w))
 	}
-	known.Report(report)
+	registry.Report(report)
 }
 
 // inFlight returns the number of pending sends.
 func (r *run) inFlight() int {
 	n := 0
 	for i := range r.shards {
-		n += len(r.shards[i].flights)
+		n += len(r.shards[i].pending)
 	}
 	return n
 }
 
 // isQuarantined reports whether this daemon's quarantine registry has a ruling against the
 // request that another daemon has delegated.
-func (sc *scatter) quarantined() bool {
-	known := sc.e.cfg.Quarantine
-	if known.Empty() {
+func (sc *scatterCall) isQuarantined() bool {
+	registry := sc.e.cfg.Quarantine
+	if registry.Empty() {
 		return false
 	}
 	q := &quarantine.Request{Method: sc.req.Method, Caller: sc.req.Caller, Body: sc.req.Body, Length: int64(len(sc.req.Body))}
-	q.URI, q.Host = targetOf(sc.req.Head)
-	return known.Rule(q.Fingerprints()) != quarantine.Free
+	q.URI, q.Host = parseHead(sc.req.Head)
+	return registry.Rule(q.Fingerprints()) != quarantine.Free
 }
--- a/internal/forward/suspicion_test.go
+++ b/internal/forward/suspicion_test.go
@@ -17,55 +17,59 @@
 )
 
 // unreachableLeader is a quarantine.Leader that cannot be reached.
-type noLeader struct{}
+type unreachableLeader struct{}
 
-var errNoLeader = errors.New("no leader")
+var errLeaderUnreachable = errors.New("no leader")
 
-func (noLeader) Report(context.Context, []*quarantine.Report) error    { return errNoLeader }
-func (noLeader) Release(context.Context, quarantine.Fingerprint) error { return errNoLeader }
-func (noLeader) Try(context.Context, quarantine.Fingerprint) (quarantine.Grant, error) {
-	return quarantine.Denied, errNoLeader
+func (unreachableLeader) Report(context.Context, []*quarantine.Report) error {
+	return errLeaderUnreachable
+}
+func (unreachableLeader) Release(context.Context, quarantine.Fingerprint) error {
+	return errLeaderUnreachable
+}
+func (unreachableLeader) Try(context.Context, quarantine.Fingerprint) (quarantine.Grant, error) {
+	return quarantine.Denied, errLeaderUnreachable
 }
 
-func (w *world) quarantine() *quarantine.Registry {
-	known := quarantine.NewRegistry(vm.Monotonic, noLeader{})
-	w.engine.cfg.Quarantine = known
-	return known
+func (f *fixture) enableQuarantine() *quarantine.Registry {
+	registry := quarantine.NewRegistry(vm.Monotonic, unreachableLeader{})
+	f.engine.cfg.Quarantine = registry
+	return registry
 }
 
 // Guards against a request that crashes every leaf that runs it: retries and hedges would also
 // crash the other leaf of each shard.
-func TestAttemptUnderWhichLeavesEndTakesNoMore(t *testing.T) {
+func TestRequestThatCrashesLeavesIsContained(t *testing.T) {
 	for _, c := range []struct {
-		what      string
-		first, at int // maximum number of leaves that crash in the first attempt and in the second
-		far       bool
-	}{{"direct", awayShards + 1, 1, false}, {"through another daemon", awayShards + 1, 1, true}} {
-		t.Run(c.what, func(t *testing.T) {
-			rt, leaves := awayRoute(t, func(int, int) script { return dies })
-			var w *world
-			if c.far {
-				w = newTwoDaemons(t, rt, leaves).world
+		name                string
+		maxFirst, maxSecond int // maximum number of leaves that crash in the first attempt and in the second
+		remote              bool
+	}{{"direct", remoteShards + 1, 1, false}, {"through another daemon", remoteShards + 1, 1, true}} {
+		t.Run(c.name, func(t *testing.T) {
+			rt, leaves := remoteRoute(t, func(int, int) script { return crash })
+			var f *fixture
+			if c.remote {
+				f = newTwoDaemonFixture(t, rt, leaves).fixture
 			} else {
-				w = newWorld(t, rt, leaves)
+				f = newFixture(t, rt, leaves)
 			}
-			w.quarantine()
-			if resp, _ := w.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusBadGateway {
+			f.enableQuarantine()
+			if resp, _ := f.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusBadGateway {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			if n := total(leaves); n > c.first {
-				t.Errorf("%d leaves crashed in the first attempt, want at most %d", n, c.first)
+			if n := totalRequests(leaves); n > c.maxFirst {
+				t.Errorf("%d leaves crashed in the first attempt, want at most %d", n, c.maxFirst)
 			}
-			before := total(leaves)
-			w.do(t, http.MethodGet, "/a", "")
-			if n := total(leaves) - before; n > c.at {
-				t.Errorf("%d leaves crashed in the second attempt, want at most %d", n, c.at)
+			before := totalRequests(leaves)
+			f.do(t, http.MethodGet, "/a", "")
+			if n := totalRequests(leaves) - before; n > c.maxSecond {
+				t.Errorf("%d leaves crashed in the second attempt, want at most %d", n, c.maxSecond)
 			}
-			before = total(leaves)
-			if resp, text := w.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusServiceUnavailable || text != "quarantined, not_run\n" {
+			before = totalRequests(leaves)
+			if resp, text := f.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusServiceUnavailable || text != "quarantined, not_run\n" {
 				t.Errorf("status %d, %q", resp.StatusCode, text)
 			}
-			if n := total(leaves) - before; n > 0 {
+			if n := totalRequests(leaves) - before; n > 0 {
 				t.Errorf("%d leaves crashed in the third attempt, want 0", n)
 			}
 		})
@@ -74,49 +78,49 @@
 
 // Guards against a missing part when a leaf crashes during a gather before any leaf has
 // replied.
-func TestLeafThatEndsUnderAGatherIsMadeUpFor(t *testing.T) {
+func TestLeafCrashDuringGatherIsRetried(t *testing.T) {
 	var first sync.Once
-	rt, leaves := gatherOver(t, 4, func(shard, _ int) script {
-		return func(l *fakeLeaf, c net.Conn, req asked) bool {
-			ends := false
+	rt, leaves := gatherRoute(t, 4, func(shard, _ int) script {
+		return func(l *fakeLeaf, c net.Conn, req receivedRequest) bool {
+			crashes := false
 			if shard == 0 {
-				first.Do(func() { ends = true })
+				first.Do(func() { crashes = true })
 			}
-			if ends {
-				return dies(l, c, req)
+			if crashes {
+				return crash(l, c, req)
 			}
 			time.Sleep(20 * time.Millisecond)
-			return answers(record(fmt.Sprint("b", shard)))(l, c, req)
+			return replyWith(record(fmt.Sprint("b", shard)))(l, c, req)
 		}
 	})
-	w := newWorld(t, rt, leaves)
-	known := w.quarantine()
-	if resp, _ := w.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusOK || resp.Header.Get("Missing") != "0" {
+	f := newFixture(t, rt, leaves)
+	registry := f.enableQuarantine()
+	if resp, _ := f.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusOK || resp.Header.Get("Missing") != "0" {
 		t.Errorf("status %d, %s parts missing", resp.StatusCode, resp.Header.Get("Missing"))
 	}
-	if !known.Empty() {
+	if !registry.Empty() {
 		t.Error("the request is suspected although leaves have answered it")
 	}
 }
 
 // Guards against a single request that fails or becomes suspected because one leaf crashes: the
 // other leaf answers it.
-func TestLeafThatEndsUnderASingleRequestIsMadeUpFor(t *testing.T) {
+func TestLeafCrashDuringSingleRequestIsRetried(t *testing.T) {
 	var first sync.Once
-	s := func(l *fakeLeaf, c net.Conn, req asked) bool {
-		ends := false
-		first.Do(func() { ends = true })
-		if ends {
-			return dies(l, c, req)
+	s := func(l *fakeLeaf, c net.Conn, req receivedRequest) bool {
+		crashes := false
+		first.Do(func() { crashes = true })
+		if crashes {
+			return crash(l, c, req)
 		}
-		return answers("well")(l, c, req)
+		return replyWith("well")(l, c, req)
 	}
-	w := newWorld(t, route.Route{Repeatable: true, Attempts: 2, Service: "s"}, map[string][]*fakeLeaf{"s": {startLeaf(t, s), startLeaf(t, s)}})
-	known := w.quarantine()
-	if resp, text := w.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusOK || text != "well" {
+	f := newFixture(t, route.Route{Repeatable: true, Attempts: 2, Service: "s"}, map[string][]*fakeLeaf{"s": {startLeaf(t, s), startLeaf(t, s)}})
+	registry := f.enableQuarantine()
+	if resp, text := f.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusOK || text != "well" {
 		t.Errorf("status %d, %q", resp.StatusCode, text)
 	}
-	if !known.Empty() {
+	if !registry.Empty() {
 		t.Error("the request is suspected although a leaf has answered it")
 	}
 }
@@ -124,20 +128,20 @@
 // Guards against a request that stays suspected although it did not crash any leaf. When
 // several leaves crash at the same time for another reason, the requests in flight become
 // suspected. A trial at one leaf that is answered must clear them.
-func TestAnswerClearsASuspectedRequest(t *testing.T) {
-	rt, leaves := gatherOver(t, 4, func(shard, _ int) script { return answers(record(fmt.Sprint("b", shard))) })
-	w := newWorld(t, rt, leaves)
-	known := w.quarantine()
-	req := &Request{Method: http.MethodGet, Host: w.url[len("http://"):], URI: "/a", Caller: "127.0.0.1"}
-	known.Report(&quarantine.Report{Request: req.content().Fingerprints(), Ends: 4})
-	if known.Rule(req.content().Fingerprints()) != quarantine.Suspect {
+func TestAnswerClearsSuspectedRequest(t *testing.T) {
+	rt, leaves := gatherRoute(t, 4, func(shard, _ int) script { return replyWith(record(fmt.Sprint("b", shard))) })
+	f := newFixture(t, rt, leaves)
+	registry := f.enableQuarantine()
+	req := &Request{Method: http.MethodGet, Host: f.url[len("http://"):], URI: "/a", Caller: "127.0.0.1"}
+	registry.Report(&quarantine.Report{Request: req.quarantineRequest().Fingerprints(), Ends: 4})
+	if registry.Rule(req.quarantineRequest().Fingerprints()) != quarantine.Suspect {
 		t.Fatal("the request is not suspected")
 	}
-	resp, _ := w.do(t, http.MethodGet, "/a", "")
+	resp, _ := f.do(t, http.MethodGet, "/a", "")
 	if resp.StatusCode != http.StatusOK || resp.Header.Get("Missing") != "0" {
 		t.Errorf("status %d, %s parts missing", resp.StatusCode, resp.Header.Get("Missing"))
 	}
-	if got := known.Rule(req.content().Fingerprints()); got != quarantine.Free {
+	if got := registry.Rule(req.quarantineRequest().Fingerprints()); got != quarantine.Free {
 		t.Errorf("the ruling is %v after an answer, want free", got)
 	}
 }
--- a/internal/forward/top.go
+++ b/internal/forward/top.go
@@ -6,55 +6,55 @@
 const recordSize = 16
 
 // topRecords holds the k greatest records in descending order.
-type top struct {
-	k    int
-	list [][recordSize]byte
+type topRecords struct {
+	k       int
+	records [][recordSize]byte
 }
 
 // add inserts the records of a part. A remainder shorter than a record is ignored.
-func (t *top) add(part []byte) {
+func (t *topRecords) add(part []byte) {
 	for len(part) >= recordSize {
 		t.insert([recordSize]byte(part))
 		part = part[recordSize:]
 	}
 }
 
-func (t *top) insert(rec [recordSize]byte) {
-	n := len(t.list)
-	if n >= t.k && (t.k <= 0 || bytes.Compare(rec[:], t.list[n-1][:]) <= 0) {
+func (t *topRecords) insert(rec [recordSize]byte) {
+	n := len(t.records)
+	if n >= t.k && (t.k <= 0 || bytes.Compare(rec[:], t.records[n-1][:]) <= 0) {
 		return
 	}
 	if n < t.k {
-		t.list = append(t.list, rec)
+		t.records = append(t.records, rec)
 		n++
 	}
 	i := n - 1
-	for i > 0 && bytes.Compare(t.list[i-1][:], rec[:]) < 0 {
-		t.list[i] = t.list[i-1]
+	for i > 0 && bytes.Compare(t.records[i-1][:], rec[:]) < 0 {
+		t.records[i] = t.records[i-1]
 		i--
 	}
-	t.list[i] = rec
+	t.records[i] = rec
 }
 
 // withinTop returns the records of t that are among the k greatest records of other, which
 // includes the records of t. The remaining records need not be sent, since k greater records
 // have already been sent.
-func (t *top) atLeast(other top) *top {
-	if other.k <= 0 || len(other.list) < other.k {
+func (t *topRecords) withinTop(other topRecords) *topRecords {
+	if other.k <= 0 || len(other.records) < other.k {
 		return t
 	}
-	least := other.list[len(other.list)-1]
-	n := len(t.list)
-	for n > 0 && bytes.Compare(t.list[n-1][:], least[:]) < 0 {
+	smallest := other.records[len(other.records)-1]
+	n := len(t.records)
+	for n > 0 && bytes.Compare(t.records[n-1][:], smallest[:]) < 0 {
 		n--
 	}
-	return &top{k: t.k, list: t.list[:n]}
+	return &topRecords{k: t.k, records: t.records[:n]}
 }
 
-func (t *top) bytes() []byte {
-	out := make([]byte, 0, len(t.list)*recordSize)
-	for i := range t.list {
-		out = append(out, t.list[i][:]...)
+func (t *topRecords) bytes() []byte {
+	out := make([]byte, 0, len(t.records)*recordSize)
+	for i := range t.records {
+		out = append(out, t.records[i][:]...)
 	}
 	return out
 }
--- a/internal/forward/unsent_test.go
+++ b/internal/forward/unsent_test.go
@@ -27,11 +27,11 @@
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	sockaddr, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: at.(*syscall.SockaddrInet4).Port}).String()
+	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: sockaddr.(*syscall.SockaddrInet4).Port}).String()
 	for range 16 {
 		c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
 		if err != nil {
@@ -45,30 +45,30 @@
 
 // Guards against a request that is reported as "may have run" when its time-out expires although
 // nothing was sent to any leaf.
-func TestRequestThatNeverLeftIsNotRun(t *testing.T) {
-	rt := once("s")
+func TestUnsentRequestIsReportedNotRun(t *testing.T) {
+	rt := singleRoute("s")
 	rt.Timeout = 300 * time.Millisecond
-	w := newWorld(t, rt, map[string][]*fakeLeaf{"s": {unreachableLeaf(t)}})
-	resp, text := w.do(t, http.MethodPost, "/", "charge")
+	f := newFixture(t, rt, map[string][]*fakeLeaf{"s": {unreachableLeaf(t)}})
+	resp, text := f.do(t, http.MethodPost, "/", "charge")
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
 		t.Errorf("status %d %q, Retry-After %q", resp.StatusCode, text, resp.Header.Get("Retry-After"))
 	}
 }
 
 // Guards against a gather that is reported as "not run" although it was sent to one leaf.
-func TestGatherThatLeftForOneLeafMayHaveRun(t *testing.T) {
+func TestPartlySentGatherMayHaveRun(t *testing.T) {
 	rt := route.Route{Shards: []string{"s0", "s1"}, Attempts: 1, Repeatable: true, Top: 2, LeastCoverage: 1, Timeout: 300 * time.Millisecond}
-	quiet := startLeaf(t, silent)
-	w := newWorld(t, rt, map[string][]*fakeLeaf{"s0": {unreachableLeaf(t)}, "s1": {quiet}})
-	resp, text := w.do(t, http.MethodGet, "/", "")
+	quiet := startLeaf(t, neverReply)
+	f := newFixture(t, rt, map[string][]*fakeLeaf{"s0": {unreachableLeaf(t)}, "s1": {quiet}})
+	resp, text := f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusGatewayTimeout || quiet.runs.Load() != 1 {
 		t.Errorf("status %d %q, %d runs, want 1", resp.StatusCode, text, quiet.runs.Load())
 	}
 }
 
 // Guards against a request that is sent after its call was abandoned and reported as not run.
-func TestWithdrawnCallSendsNothing(t *testing.T) {
-	leaf := startLeaf(t, answers("done"))
+func TestAbandonedCallSendsNothing(t *testing.T) {
+	leaf := startLeaf(t, replyWith("done"))
 	call := &target.Call{}
 	call.Abandon()
 	link := target.NewLink("i", leaf.addr, 2)
