--- a/internal/forward/conn_test.go
+++ b/internal/forward/conn_test.go
@@ -32,12 +32,12 @@
 	rt, leaves := remoteRoute(t, validPart)
 	f := newTwoDaemonFixture(t, rt, leaves)
 	f.engine.cfg.Near = &panickingPeers{}
-	before := panics.Count()
+	before := handlerPanics.Count()
 	resp, text := f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusInternalServerError || !strings.Contains(text, "may_have_run") {
 		t.Errorf("status %d, %q", resp.StatusCode, text)
 	}
-	if n := panics.Count() - before; n != 1 {
+	if n := handlerPanics.Count() - before; n != 1 {
 		t.Errorf("%d panics counted, want 1", n)
 	}
 }
--- a/internal/forward/delegate.go
+++ b/internal/forward/delegate.go
@@ -174,6 +174,7 @@
 	return true
 }
 
+// toMicros converts d to whole microseconds. It limits d to the range from zero to one hour.
 func toMicros(d time.Duration) uint32 { return uint32(max(0, min(d, time.Hour)).Microseconds()) }
 
 // runCall makes the scatter call and records the end of every send of the batch.
@@ -222,6 +223,7 @@
 	return &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonTargetFailed, Cause: err}
 }
 
+// exchange opens the scatter call, sends the request and receives replies until the call ends.
 func (b *delegatedBatch) exchange(ctx context.Context, req *wire.ScatterRequest) error {
 	stream, err := b.run.e.cfg.Near.Scatter(ctx, b.addr)
 	if err != nil {
@@ -283,6 +285,7 @@
 	return b.stream != nil
 }
 
+// receive handles one reply of the daemon.
 func (b *delegatedBatch) receive(reply *wire.ScatterReply) {
 	set := &partSet{records: reply.Records, previous: b.latest}
 	b.latest = set
--- a/internal/forward/engine.go
+++ b/internal/forward/engine.go
@@ -183,7 +183,7 @@
 func (e *Engine) recoverPanic(id string, handle func() *Answer) (a *Answer) {
 	defer func() {
 		if p := recover(); p != nil {
-			panics.Inc(1)
+			handlerPanics.Inc(1)
 			klog.Errorf("caller: handling id=%s panicked: %v %s", id, p, debug.Stack())
 			a = &Answer{Status: http.StatusInternalServerError, Verdict: contract.MayHaveRun, Reason: contract.ReasonInternal}
 		}
@@ -213,4 +213,5 @@
 	}
 }
 
+// linkMaintenanceInterval is the time between two runs of the maintenance of links.
 const linkMaintenanceInterval = 500 * time.Millisecond
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -31,13 +31,13 @@
 )
 
 var (
-	answered    = metrics.GetOrRegisterCounter("forward.answered", metrics.DefaultRegistry)
-	gaveUp      = metrics.GetOrRegisterCounter("forward.gave_up", metrics.DefaultRegistry)
-	refused     = metrics.GetOrRegisterCounter("forward.refused", metrics.DefaultRegistry)
-	panics      = metrics.GetOrRegisterCounter("forward.panics", metrics.DefaultRegistry)
-	callersLeft = metrics.GetOrRegisterCounter("forward.callers_left", metrics.DefaultRegistry)
-	badRequests = metrics.GetOrRegisterCounter("forward.bad_requests", metrics.DefaultRegistry)
-	latency     = metrics.GetOrRegisterHistogram("forward.latency_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
+	answeredRequests = metrics.GetOrRegisterCounter("forward.answered", metrics.DefaultRegistry)
+	failedRequests   = metrics.GetOrRegisterCounter("forward.gave_up", metrics.DefaultRegistry)
+	refusedRequests  = metrics.GetOrRegisterCounter("forward.refused", metrics.DefaultRegistry)
+	handlerPanics    = metrics.GetOrRegisterCounter("forward.panics", metrics.DefaultRegistry)
+	callersLeft      = metrics.GetOrRegisterCounter("forward.callers_left", metrics.DefaultRegistry)
+	badRequests      = metrics.GetOrRegisterCounter("forward.bad_requests", metrics.DefaultRegistry)
+	latency          = metrics.GetOrRegisterHistogram("forward.latency_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
 )
 
 // Handler serves requests of callers over net/http. It does not retry, and it does not
@@ -86,6 +86,7 @@
 	return &badRequest{contract.Fault{Field: field, Value: value, Why: why, Fix: fix}, status}
 }
 
+// parseRequest validates an HTTP request and converts it to a Request.
 func (h *Handler) parseRequest(r *http.Request, arrived time.Time) (*Request, *badRequest) {
 	limits := h.limits()
 	if n := headerBytes(r); n > limits.HeaderBytes {
@@ -130,6 +131,7 @@
 	return host
 }
 
+// limits returns the request limits of the installed configuration, or the defaults.
 func (h *Handler) limits() route.Limits {
 	out := route.Limits{HeaderBytes: defaultHeaderLimit, BodyBytes: defaultBodyLimit}
 	if t := h.Engine.Table(); t != nil {
@@ -143,6 +145,7 @@
 	return out
 }
 
+// headerBytes returns the size of the request line and the headers in HTTP/1.1.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + len("  HTTP/1.1\r\nHost: \r\n\r\n")
 	for k, vs := range r.Header {
@@ -153,6 +156,7 @@
 	return n
 }
 
+// parseWait returns the wait that the caller has stated, zero if it has stated none.
 func (h *Handler) parseWait(r *http.Request) (time.Duration, *badRequest) {
 	value := r.Header.Get(h.Dialect.Deadline)
 	if value == "" {
@@ -212,9 +216,9 @@
 	remaining int64
 }
 
-func (b *limitedReader) Read(p []byte) (int, error) {
-	n, err := b.source.Read(p)
-	if b.remaining -= int64(n); b.remaining < 0 {
+func (r *limitedReader) Read(p []byte) (int, error) {
+	n, err := r.source.Read(p)
+	if r.remaining -= int64(n); r.remaining < 0 {
 		return 0, errBodyTooLong
 	}
 	return n, err
@@ -230,16 +234,17 @@
 	}
 	switch {
 	case a.Merged:
-		answered.Inc(1)
+		answeredRequests.Inc(1)
 		h.writeMerged(w, a)
 	case a.Header != nil:
-		answered.Inc(1)
+		answeredRequests.Inc(1)
 		h.writeLeafReply(w, a)
 	default:
 		h.writeError(w, a)
 	}
 }
 
+// writeMerged writes an answer that is merged from parts.
 func (h *Handler) writeMerged(w http.ResponseWriter, a *Answer) {
 	header := w.Header()
 	header.Set("Content-Type", "application/octet-stream")
@@ -253,6 +258,7 @@
 // notRunStatuses are the HTTP statuses that tell a caller that its request did not run.
 var notRunStatuses = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
+// writeLeafReply writes the reply of a leaf as the answer.
 func (h *Handler) writeLeafReply(w http.ResponseWriter, a *Answer) {
 	header := w.Header()
 	connection := header.Get("Connection")
@@ -290,11 +296,12 @@
 	}
 }
 
+// writeError writes an answer that has no reply of a leaf: a refusal or a failure.
 func (h *Handler) writeError(w http.ResponseWriter, a *Answer) {
 	if a.Verdict == contract.NotRun {
-		refused.Inc(1)
+		refusedRequests.Inc(1)
 	} else {
-		gaveUp.Inc(1)
+		failedRequests.Inc(1)
 	}
 	if a.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -92,6 +92,7 @@
 	together []result
 }
 
+// newRun prepares the execution of a request according to a route of the table.
 func (e *Engine) newRun(active *activeTable, entry *route.Entry, req *Request) *run {
 	r := &run{e: e, active: active, entry: entry, stats: active.stats[entry], req: req, finished: make(chan struct{}), verdict: contract.NotRun}
 	if entry.Gathers() {
--- a/internal/forward/scatter.go
+++ b/internal/forward/scatter.go
@@ -68,6 +68,7 @@
 	return sc.sendReplies(stream, peerLeft, now.Add(time.Duration(req.FirstUs)*time.Microsecond))
 }
 
+// launch starts the requested sends. A send that is not allowed here gets an error result.
 func (sc *scatterCall) launch() {
 	snap := sc.e.cfg.Book.Snapshot()
 	quarantined := sc.isQuarantined()
@@ -112,6 +113,8 @@
 	}
 }
 
+// sendReplies sends the results to the calling daemon until all sends have ended or the
+// calling daemon closes the call. It sends nothing before firstDue, unless all sends have ended.
 func (sc *scatterCall) sendReplies(stream wire.DRPCGather_ScatterStream, peerLeft <-chan struct{}, firstDue time.Time) error {
 	timer := time.NewTimer(time.Until(firstDue))
 	defer timer.Stop()
--- a/internal/forward/single_test.go
+++ b/internal/forward/single_test.go
@@ -65,18 +65,18 @@
 // A request that a leaf refuses as not run is sent to another leaf, even if it is not
 // repeatable.
 func TestRefusedRequestGoesToAnotherLeaf(t *testing.T) {
-	full := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool {
+	fullLeaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool {
 		return reply(c, req, 503, "", "Not-Run: full")
 	})
-	good := startLeaf(t, replyWith("done"))
-	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {full, good}})
+	healthyLeaf := startLeaf(t, replyWith("done"))
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {fullLeaf, healthyLeaf}})
 	for range 6 {
 		if resp, text := f.do(t, http.MethodPost, "/", "x"); resp.StatusCode != 200 || text != "done" {
 			t.Fatalf("%d %q", resp.StatusCode, text)
 		}
 	}
-	if good.runs.Load() != 6 {
-		t.Errorf("%d runs of 6 requests, want 6", good.runs.Load())
+	if healthyLeaf.runs.Load() != 6 {
+		t.Errorf("%d runs of 6 requests, want 6", healthyLeaf.runs.Load())
 	}
 }
 
@@ -114,15 +114,15 @@
 // Guards against repeated sends to an address that another leaf has taken over. That leaf
 // refuses the request with 421 and does not run it.
 func TestReusedAddressIsAvoided(t *testing.T) {
-	other := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool { return reply(c, req, 421, "") })
-	good := startLeaf(t, replyWith("done"))
-	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {other, good}})
+	otherLeaf := startLeaf(t, func(_ *fakeLeaf, c net.Conn, req receivedRequest) bool { return reply(c, req, 421, "") })
+	healthyLeaf := startLeaf(t, replyWith("done"))
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {otherLeaf, healthyLeaf}})
 	for range 4 {
 		if resp, _ := f.do(t, http.MethodPost, "/", "x"); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
-	if n := len(other.requests()); n > 1 {
+	if n := len(otherLeaf.requests()); n > 1 {
 		t.Errorf("%d requests were sent to the wrong leaf, want at most 1", n)
 	}
 }
@@ -285,13 +285,13 @@
 // process exits, the caller of an unrepeatable request gets an answer that it may have run,
 // and a gather returns the parts received so far.
 func TestFinishAllAnswersRequestsInProgress(t *testing.T) {
-	hold := func(l *fakeLeaf, _ net.Conn, _ receivedRequest) bool {
+	hang := func(l *fakeLeaf, _ net.Conn, _ receivedRequest) bool {
 		l.runs.Add(1)
 		time.Sleep(5 * time.Second)
 		return false
 	}
-	silent := startLeaf(t, hold)
-	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {silent}})
+	silentLeaf := startLeaf(t, hang)
+	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {silentLeaf}})
 	time.AfterFunc(100*time.Millisecond, f.engine.EndAll)
 	began := time.Now()
 	resp, text := f.do(t, http.MethodPost, "/", "charge")
@@ -302,9 +302,9 @@
 		t.Errorf("answered after %v, want at most 600 ms", took)
 	}
 
-	whole := startLeaf(t, replyWith("0123456789abcdef"))
+	replyingLeaf := startLeaf(t, replyWith("0123456789abcdef"))
 	gather := route.Route{Shards: []string{"a", "b"}, Attempts: 2, Repeatable: true, Top: 5, LeastCoverage: 0.5}
-	f = newFixture(t, gather, map[string][]*fakeLeaf{"a": {whole}, "b": {startLeaf(t, hold)}})
+	f = newFixture(t, gather, map[string][]*fakeLeaf{"a": {replyingLeaf}, "b": {startLeaf(t, hang)}})
 	time.AfterFunc(200*time.Millisecond, f.engine.EndAll)
 	resp, _ = f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusOK || resp.Header.Get(testDialect.Missing) != "1" {
--- a/internal/forward/suspicion.go
+++ b/internal/forward/suspicion.go
@@ -14,7 +14,7 @@
 )
 
 var (
-	leafEnds           = metrics.GetOrRegisterCounter("forward.leaf_ends", metrics.DefaultRegistry)
+	leafCrashes        = metrics.GetOrRegisterCounter("forward.leaf_ends", metrics.DefaultRegistry)
 	quarantineRefusals = metrics.GetOrRegisterCounter("forward.quarantined", metrics.DefaultRegistry)
 	quarantineTrials   = metrics.GetOrRegisterCounter("forward.quarantine_trials", metrics.DefaultRegistry)
 )
@@ -34,6 +34,7 @@
 	return q
 }
 
+// fingerprints returns the quarantine fingerprints of the request, computed on first use.
 func (r *run) fingerprints() quarantine.Fingerprints {
 	if r.cachedFingerprints == nil {
 		fingerprints := r.req.quarantineRequest().Fingerprints()
@@ -104,7 +105,7 @@
 		r.suspicion.Survived = true // a leaf that returns an error may not have reached the code that crashes it
 	case res.err.LeafEnded():
 		r.suspicion.Ends++
-		leafEnds.Inc(1)
+		leafCrashes.Inc(1)
 		r.e.cfg.Log.Line(r.logComponent(), "leaf ended").Str("id", r.req.ID).Str("request", r.fingerprints()[quarantine.Exact].String()).
 			Str("service", s.service).Str("leaf", res.leaf.ID).Ms("after", time.Since(r.req.Arrived)).Ms("took", res.took).
 			Int("ends", int64(r.suspicion.Ends)).Bool("survived", r.suspicion.Survived).Int("in_flight", int64(r.inFlight())).
@@ -172,8 +173,8 @@
 	return n
 }
 
-// isQuarantined reports whether this daemon's quarantine registry has a ruling against the
-// request that another daemon has delegated.
+// isQuarantined reports whether this daemon's quarantine registry restricts the request that
+// another daemon has delegated.
 func (sc *scatterCall) isQuarantined() bool {
 	registry := sc.e.cfg.Quarantine
 	if registry.Empty() {
--- a/internal/forward/unsent_test.go
+++ b/internal/forward/unsent_test.go
@@ -58,11 +58,11 @@
 // Guards against a gather that is reported as "not run" although it was sent to one leaf.
 func TestPartlySentGatherMayHaveRun(t *testing.T) {
 	rt := route.Route{Shards: []string{"s0", "s1"}, Attempts: 1, Repeatable: true, Top: 2, LeastCoverage: 1, Timeout: 300 * time.Millisecond}
-	quiet := startLeaf(t, neverReply)
-	f := newFixture(t, rt, map[string][]*fakeLeaf{"s0": {unreachableLeaf(t)}, "s1": {quiet}})
+	silentLeaf := startLeaf(t, neverReply)
+	f := newFixture(t, rt, map[string][]*fakeLeaf{"s0": {unreachableLeaf(t)}, "s1": {silentLeaf}})
 	resp, text := f.do(t, http.MethodGet, "/", "")
-	if resp.StatusCode != http.StatusGatewayTimeout || quiet.runs.Load() != 1 {
-		t.Errorf("status %d %q, %d runs, want 1", resp.StatusCode, text, quiet.runs.Load())
+	if resp.StatusCode != http.StatusGatewayTimeout || silentLeaf.runs.Load() != 1 {
+		t.Errorf("status %d %q, %d runs, want 1", resp.StatusCode, text, silentLeaf.runs.Load())
 	}
 }
 
