--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -23,8 +23,8 @@
 	ParseLoad: func(string) (policy.Load, bool) { return policy.Load{Slots: 2}, true },
 }
 
-// replyTo serves one connection of a leaf that answers every request at once.
-func replyTo(c net.Conn, body string) {
+// serveInstantReplies serves one connection of a leaf that replies to every request immediately.
+func serveInstantReplies(c net.Conn, body string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 0; ; n++ {
@@ -50,8 +50,8 @@
 	}
 }
 
-// benchWorld is an engine with a gather over leaves that answer at once.
-func benchWorld(b *testing.B, shards int) *Engine {
+// newBenchEngine returns an engine with a gather route over leaves that reply immediately.
+func newBenchEngine(b *testing.B, shards int) *Engine {
 	b.Helper()
 	var list []discovery.Listed
 	rel := &route.Release{Number: 1, Routes: []route.Route{{
@@ -69,7 +69,7 @@
 				if err != nil {
 					return
 				}
-				go replyTo(c, strings.Repeat("0123456789abcdef", 12))
+				go serveInstantReplies(c, strings.Repeat("0123456789abcdef", 12))
 			}
 		}()
 		name := fmt.Sprintf("s%d", i)
@@ -88,8 +88,8 @@
 	return e
 }
 
-// BenchmarkGather tells the time of one gather over that many shards, the leaves' side
-// included.
+// BenchmarkGather measures one gather over the given number of shards. The time includes the
+// work of the leaves, which run in the same process.
 func BenchmarkGather(b *testing.B) {
 	for _, shards := range []int{10, 30, 90, 470} {
 		b.Run(fmt.Sprint(shards), func(b *testing.B) { benchGather(b, shards) })
@@ -97,12 +97,12 @@
 }
 
 func benchGather(b *testing.B, shards int) {
-	e := benchWorld(b, shards)
+	e := newBenchEngine(b, shards)
 	for i := 0; b.Loop(); i++ {
 		req := &Request{ID: fmt.Sprint(i), Method: http.MethodGet, URI: "/x", Path: "/x", Host: "h",
 			Header: http.Header{"Request-Id": {fmt.Sprint(i)}}, Arrived: time.Now()}
 		if a := e.Forward(context.Background(), req); a.Missing != 0 {
-			b.Fatalf("%+v", a)
+			b.Fatalf("answer with missing parts: %+v", a)
 		}
 	}
 }
--- a/internal/forward/board.go
+++ b/internal/forward/board.go
@@ -11,157 +11,162 @@
 	"pearmoor/internal/vm"
 )
 
-// Board holds what has been learned of each leaf. It is safe for concurrent use.
+// LeafTracker records the observed health of each leaf and holds the connections to it.
+// It is safe for concurrent use.
 type Board struct {
 	clock  vm.Clock
 	domain string
 
 	mu     sync.Mutex
 	rng    *rand.Rand
-	leaves map[discovery.Life]*standing
+	leaves map[discovery.Life]*leafState
 }
 
-// NewBoard returns an empty board of a daemon in that failure domain.
+// NewLeafTracker returns an empty tracker for a daemon in the given failure domain.
 func NewBoard(clock vm.Clock, domain string) *Board {
-	return &Board{clock: clock, domain: domain, leaves: make(map[discovery.Life]*standing), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+	return &Board{clock: clock, domain: domain, leaves: make(map[discovery.Life]*leafState), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
-// standing is what is known of one leaf.
-type standing struct {
+// leafState is the observed health of one leaf and the link to it.
+type leafState struct {
 	policy.Standing
 	link *target.Link
 }
 
-// Link returns the link to a leaf, made if need be with its limit.
-func (b *Board) Link(l *discovery.Leaf, limit func(*discovery.Leaf) int) *target.Link {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := b.of(l.Life())
+// Link returns the link to a leaf. It creates the link with the connection limit from
+// limit if there is none yet.
+func (t *Board) Link(l *discovery.Leaf, limit func(*discovery.Leaf) int) *target.Link {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.state(l.Life())
 	if s.link == nil {
 		s.link = target.NewLink(l.ID, l.Addr, limit(l))
 	}
 	return s.link
 }
 
-func (b *Board) of(life discovery.Life) *standing {
-	s := b.leaves[life]
+// state returns the state of a leaf and creates it if needed. The caller holds t.mu.
+func (t *Board) state(life discovery.Life) *leafState {
+	s := t.leaves[life]
 	if s == nil {
-		s = &standing{}
-		b.leaves[life] = s
+		s = &leafState{}
+		t.leaves[life] = s
 	}
 	return s
 }
 
-// Keep forgets the leaves that are not in the snapshot and closes their links, and
-// closes connections that have been idle for long. Requests in flight at a leaf that
-// has left end as they will; those at the earlier life of one that has started again
-// end now, since nobody is there to answer them.
-func (b *Board) Keep(snap *discovery.Snapshot) {
-	var links, left, over []*target.Link
-	b.mu.Lock()
-	for life, s := range b.leaves {
-		now, ok := snap.Find(life.ID)
-		if ok && now.Life() == life {
+// Reconcile drops the state of leaves that are not in the snapshot, closes their links, and
+// closes idle connections of the remaining links. Requests in flight at a leaf that was
+// removed are allowed to finish. Requests in flight at a leaf that has restarted are aborted,
+// since the process that received them no longer exists.
+func (t *Board) Keep(snap *discovery.Snapshot) {
+	var current, removed, restarted []*target.Link
+	t.mu.Lock()
+	for life, s := range t.leaves {
+		leaf, ok := snap.Find(life.ID)
+		if ok && leaf.Life() == life {
 			if s.link != nil {
-				links = append(links, s.link)
+				current = append(current, s.link)
 			}
 			continue
 		}
-		delete(b.leaves, life)
+		delete(t.leaves, life)
 		switch {
 		case s.link == nil:
 		case ok:
-			over = append(over, s.link)
+			restarted = append(restarted, s.link)
 		default:
-			left = append(left, s.link)
+			removed = append(removed, s.link)
 		}
 	}
-	b.mu.Unlock()
-	for _, l := range left {
+	t.mu.Unlock()
+	for _, l := range removed {
 		l.Close()
 	}
-	for _, l := range over {
+	for _, l := range restarted {
 		l.Abort()
 	}
 	now := time.Now()
-	for _, l := range links {
+	for _, l := range current {
 		l.CloseIdle(now)
 	}
 }
 
-// SetLimits gives every link its limit.
-func (b *Board) SetLimits(snap *discovery.Snapshot, limit func(*discovery.Leaf) int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for life, s := range b.leaves {
+// SetConnectionLimits updates the connection limit of every link.
+func (t *Board) SetLimits(snap *discovery.Snapshot, limit func(*discovery.Leaf) int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for life, s := range t.leaves {
 		if l, ok := snap.Find(life.ID); ok && s.link != nil {
 			s.link.SetLimit(limit(l))
 		}
 	}
 }
 
-// Begin counts a request as in flight and returns its start.
-func (b *Board) Begin(life discovery.Life) vm.Instant {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock()
-	b.of(life).Begin(now)
+// Begin counts a request as in flight and returns its start time.
+func (t *Board) Begin(life discovery.Life) vm.Instant {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock()
+	t.state(life).Begin(now)
 	return now
 }
 
-// End counts a request out that began then, and learns from its end.
-func (b *Board) End(life discovery.Life, began vm.Instant, e policy.Ended) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if s := b.leaves[life]; s != nil { // else it has left, or started again
-		s.End(b.clock(), began, e, b.rng)
+// End removes a request that started at began from the requests in flight and updates the
+// health of the leaf from its outcome.
+func (t *Board) End(life discovery.Life, began vm.Instant, e policy.Ended) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.leaves[life]; s != nil { // otherwise the leaf was removed or has restarted
+		s.End(t.clock(), began, e, t.rng)
 	}
 }
 
-// Unreachable notes that a leaf could not be connected to.
-func (b *Board) Unreachable(life discovery.Life) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.of(life).Unreachable(b.clock(), b.rng)
+// MarkUnreachable records that a connection to the leaf could not be established.
+func (t *Board) Unreachable(life discovery.Life) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.state(life).Unreachable(t.clock(), t.rng)
 }
 
-// Misplaced notes that another leaf answers at a leaf's address.
-func (b *Board) Misplaced(life discovery.Life) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.of(life).Misplaced(b.clock())
+// MarkMisplaced records that another leaf answers at the leaf's address.
+func (t *Board) Misplaced(life discovery.Life) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.state(life).Misplaced(t.clock())
 }
 
-// usualCopies is how many leaves of a service a choice among them needs no memory for.
-const usualCopies = 8
-
-// Choose returns the best leaf of list for a request that usually takes that long:
-// one that is neither in tried nor leaving, by policy.Choose. It returns nil when there
-// is none.
-func (b *Board) Choose(list []*discovery.Leaf, tried []*discovery.Leaf, usual time.Duration) *discovery.Leaf {
-	var leaves [usualCopies]*discovery.Leaf
-	var known [usualCopies]policy.Candidate
-	from, of := leaves[:0], known[:0]
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.clock()
+// stackCandidates is the number of leaves of a service up to which Choose does not allocate
+// memory.
+const stackCandidates = 8
+
+// Choose returns the best leaf of list, according to policy.Choose, for a request that usually
+// takes the given time. It skips leaves that are in tried or draining, and returns nil if no
+// leaf remains.
+func (t *Board) Choose(list []*discovery.Leaf, tried []*discovery.Leaf, usual time.Duration) *discovery.Leaf {
+	var leafBuf [stackCandidates]*discovery.Leaf
+	var candidateBuf [stackCandidates]policy.Candidate
+	eligible, candidates := leafBuf[:0], candidateBuf[:0]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock()
 	for _, l := range list {
-		if l.Draining || contains(tried, l) {
+		if l.Draining || containsLeaf(tried, l) {
 			continue
 		}
-		c := policy.Candidate{Near: l.Domain == b.domain, Cold: l.Cold(now), Slots: l.Slots}
-		if s := b.leaves[l.Life()]; s != nil {
+		c := policy.Candidate{Near: l.Domain == t.domain, Cold: l.Cold(now), Slots: l.Slots}
+		if s := t.leaves[l.Life()]; s != nil {
 			c.Standing = &s.Standing
 		}
-		from, of = append(from, l), append(of, c)
+		eligible, candidates = append(eligible, l), append(candidates, c)
 	}
-	if i := policy.Choose(of, now, usual, b.rng); i >= 0 {
-		return from[i]
+	if i := policy.Choose(candidates, now, usual, t.rng); i >= 0 {
+		return eligible[i]
 	}
 	return nil
 }
 
-func contains(list []*discovery.Leaf, l *discovery.Leaf) bool {
+func containsLeaf(list []*discovery.Leaf, l *discovery.Leaf) bool {
 	for _, x := range list {
 		if x.Life() == l.Life() {
 			return true
--- a/internal/forward/conn.go
+++ b/internal/forward/conn.go
@@ -13,32 +13,32 @@
 	"pearmoor/internal/decision"
 )
 
-// arrivedWait is how long a read of bytes that arrived already may take.
-const arrivedWait = time.Millisecond
+// bufferedReadTimeout bounds a read of bytes that are already in the receive buffer.
+const bufferedReadTimeout = time.Millisecond
 
 var (
-	unanswered  = metrics.GetOrRegisterCounter("forward.closed_unanswered", metrics.DefaultRegistry)
-	undelivered = metrics.GetOrRegisterCounter("forward.undelivered", metrics.DefaultRegistry)
+	closedUnanswered   = metrics.GetOrRegisterCounter("forward.closed_unanswered", metrics.DefaultRegistry)
+	undeliveredAnswers = metrics.GetOrRegisterCounter("forward.undelivered", metrics.DefaultRegistry)
 )
 
-// callerConn is a caller's connection that knows which request is under way on it and
-// why it ended, so that a connection closed without an answer leaves a trace.
+// callerConn is a connection from a caller. It records the current request and the first
+// I/O error, so that a connection closed without an answer can be logged with its cause.
 type callerConn struct {
 	*net.TCPConn
 	log *decision.Log
 
-	mu      sync.Mutex
-	id      string // of the request under way; empty: none
-	began   time.Time
-	written int   // bytes of its answer
-	failure error // first of the connection
-	closed  bool
+	mu           sync.Mutex
+	requestID    string // id of the current request; empty if there is none
+	requestStart time.Time
+	written      int   // bytes of the answer to the current request
+	firstErr     error // first I/O error on the connection
+	closed       bool
 
-	idleSince time.Time // zero: a request is under way, or none was yet
-	expired   bool      // idle for too long: the next read that finds nothing ends it
+	idleSince time.Time // zero while a request is in progress and before the first one
+	expired   bool      // idle for too long; the next read ends the connection unless data has arrived
 }
 
-// callerListener wraps the connections that it accepts.
+// callerListener wraps accepted TCP connections in callerConn.
 type callerListener struct {
 	net.Listener
 	log *decision.Log
@@ -57,37 +57,38 @@
 	return &callerConn{TCPConn: tcp, log: l.log}, nil
 }
 
-type connKey struct{}
+type callerConnKey struct{}
 
 func withCallerConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+	return context.WithValue(ctx, callerConnKey{}, c)
 }
 
-// connOf returns the connection of a request's context, nil where it is not wrapped.
-func connOf(ctx context.Context) *callerConn {
-	c, _ := ctx.Value(connKey{}).(*callerConn)
+// callerConnFrom returns the caller connection from the context of a request, nil if it is
+// not a callerConn.
+func callerConnFrom(ctx context.Context) *callerConn {
+	c, _ := ctx.Value(callerConnKey{}).(*callerConn)
 	return c
 }
 
 // Read implements net.Conn.
 func (c *callerConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if c.takeExpired() {
+	if c.clearExpired() {
 		switch {
 		case n > 0 && err == nil:
-			err = c.TCPConn.SetReadDeadline(time.Time{}) // expired just behind it
+			err = c.TCPConn.SetReadDeadline(time.Time{}) // the deadline passed just after the data arrived
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			n, err = c.readArrived(p)
+			n, err = c.readBuffered(p)
 		}
 	}
-	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // net/http ends its own reads so
-		c.failed("read", err)
+	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) { // net/http uses deadlines to interrupt its own reads
+		c.recordFailure("read", err)
 	}
 	return n, err
 }
 
-// takeExpired reports whether the connection was idle for too long when a read returned.
-func (c *callerConn) takeExpired() bool {
+// clearExpired clears the idle state and reports whether the connection had expired.
+func (c *callerConn) clearExpired() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	expired := c.expired
@@ -95,11 +96,11 @@
 	return expired
 }
 
-// readArrived reads what arrived before the connection expired, or fails with
-// os.ErrDeadlineExceeded. A process that was without processor finds the expiry and the
-// request at the same moment.
-func (c *callerConn) readArrived(p []byte) (int, error) {
-	if err := c.TCPConn.SetReadDeadline(time.Now().Add(arrivedWait)); err != nil {
+// readBuffered reads data that arrived before the connection expired. It returns
+// os.ErrDeadlineExceeded if there is none. After a CPU stall, a process can find that the
+// connection has expired although a request is already in the receive buffer.
+func (c *callerConn) readBuffered(p []byte) (int, error) {
+	if err := c.TCPConn.SetReadDeadline(time.Now().Add(bufferedReadTimeout)); err != nil {
 		return 0, err
 	}
 	n, err := c.TCPConn.Read(p)
@@ -109,7 +110,7 @@
 	return n, c.TCPConn.SetReadDeadline(time.Time{})
 }
 
-// setIdle notes that no request is under way, or that one is.
+// setIdle records whether the connection is idle, that is, has no request in progress.
 func (c *callerConn) setIdle(idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,9 +120,10 @@
 	}
 }
 
-// expire ends the wait for a next request if the connection has been idle for longer
-// than limit. The goroutine that reads the connection closes it, and only if no byte of
-// a request is there: closed from here, it could hold a request that was read already.
+// expire ends the wait for the next request if the connection has been idle for longer
+// than limit. It only sets the read deadline. The reading goroutine closes the connection,
+// and only if no byte of a request has arrived: a close from here could lose a request that
+// has already been read.
 func (c *callerConn) expire(now time.Time, limit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +131,7 @@
 		return
 	}
 	c.expired = true
-	_ = c.TCPConn.SetReadDeadline(now) // fails on a closed connection only
+	_ = c.TCPConn.SetReadDeadline(now) // fails only if the connection is closed
 }
 
 // Write implements net.Conn.
@@ -137,10 +139,10 @@
 	n, err := c.TCPConn.Write(p)
 	c.mu.Lock()
 	c.written += n
-	id, written := c.id, c.written
+	id, written := c.requestID, c.written
 	c.mu.Unlock()
-	if err != nil && c.failed("write", err) {
-		undelivered.Inc(1)
+	if err != nil && c.recordFailure("write", err) {
+		undeliveredAnswers.Inc(1)
 		c.log.Line("caller", "answer not delivered").Str("id", id).Str("from", c.RemoteAddr().String()).
 			Int("written", int64(written)).Err(err).End()
 	}
@@ -149,53 +151,54 @@
 
 // Close implements net.Conn.
 func (c *callerConn) Close() error {
-	c.closing()
+	c.logUnanswered()
 	return c.TCPConn.Close()
 }
 
-// failed notes the first failure and reports whether this is it.
-func (c *callerConn) failed(op string, err error) bool {
+// recordFailure stores the first I/O error and reports whether err is the first one.
+func (c *callerConn) recordFailure(op string, err error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	first := c.failure == nil
+	first := c.firstErr == nil
 	if first {
-		c.failure = errors.Wrap(err, op)
+		c.firstErr = errors.Wrap(err, op)
 	}
 	return first
 }
 
-// begin notes that a request is under way.
-func (c *callerConn) begin(id string, at time.Time) {
+// beginRequest records the start of a request.
+func (c *callerConn) beginRequest(id string, start time.Time) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.id, c.began, c.written = id, at, 0
+	c.requestID, c.requestStart, c.written = id, start, 0
 }
 
-// cause returns why the connection has ended, nil while nothing failed on it.
+// cause returns the first I/O error on the connection, nil if there was none.
 func (c *callerConn) cause() error {
 	if c == nil {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.failure
+	return c.firstErr
 }
 
-// closing logs a connection that is closed before any byte of an answer.
-func (c *callerConn) closing() {
+// logUnanswered logs a connection that is closed during a request before any byte of the
+// answer was written.
+func (c *callerConn) logUnanswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
 	c.closed = true
-	if c.id == "" || c.written > 0 {
+	if c.requestID == "" || c.written > 0 {
 		return
 	}
-	unanswered.Inc(1)
-	c.log.Line("caller", "closed without an answer").Str("id", c.id).Str("from", c.RemoteAddr().String()).
-		Ms("took", time.Since(c.began)).Err(c.failure).End()
+	closedUnanswered.Inc(1)
+	c.log.Line("caller", "closed without an answer").Str("id", c.requestID).Str("from", c.RemoteAddr().String()).
+		Ms("took", time.Since(c.requestStart)).Err(c.firstErr).End()
 }
--- a/internal/forward/engine.go
+++ b/internal/forward/engine.go
@@ -21,7 +21,7 @@
 	"pearmoor/internal/work"
 )
 
-// Config is what an Engine needs.
+// Config holds the dependencies of an Engine.
 type Config struct {
 	Clock   vm.Clock
 	Dialect *target.Dialect
@@ -29,157 +29,161 @@
 	Board   *Board
 	Budgets *policy.Budgets
 	Log     *decision.Log
-	// Senders returns among how many daemons what is shared by those that send to leaves
-	// is divided, 0 while that is not known.
+	// DaemonCount returns the number of daemons that share the connection limits of the
+	// leaves, 0 while it is unknown.
 	Senders func() int
-	// Near finds daemons near leaves; nil: every part is asked for directly.
+	// Peers gives access to other daemons; nil if all sends are made directly.
 	Near Near
-	// Quarantine knows the requests that crash leaves; nil: none.
+	// Quarantine records the requests that crash leaves; nil if there is no quarantine.
 	Quarantine *quarantine.Registry
 }
 
-// Engine forwards requests by the newest table. It is safe for concurrent use.
+// Engine forwards requests according to the installed routing table. It is safe for
+// concurrent use.
 type Engine struct {
-	cfg    Config
-	active atomic.Pointer[active]
-	ending chan struct{} // closed by EndAll
-	ended  sync.Once
-	sends  *work.Pool[send]
+	cfg        Config
+	active     atomic.Pointer[activeTable]
+	finishing  chan struct{} // closed by FinishAll
+	finishOnce sync.Once
+	sendPool   *work.Pool[sendTask]
 }
 
-// active is a table in use, with what has been learned of its routes.
-type active struct {
-	senders func() int
-	table   *route.Table
-	version uint64 // of the settings tree
-	learned map[*route.Entry]*learned
+// activeTable is the routing table in use with the statistics of its routes.
+type activeTable struct {
+	daemonCount func() int
+	table       *route.Table
+	version     uint64 // of the settings tree that the table was made from
+	stats       map[*route.Entry]*routeStats
 }
 
-// learned is what is known of a route over all tables that held it.
-type learned struct {
-	pace  policy.Pace
-	waits policy.Waits
+// routeStats holds the statistics of a route. They are kept when a new table with the same
+// route is installed.
+type routeStats struct {
+	pace        policy.Pace
+	callerWaits policy.Waits
 }
 
-// New returns an engine that refuses every request until Install.
+// New returns an engine that refuses every request until Install is called.
 func New(cfg Config) *Engine {
-	e := &Engine{cfg: cfg, ending: make(chan struct{})}
-	e.sends = work.NewPool(e.perform)
+	e := &Engine{cfg: cfg, finishing: make(chan struct{})}
+	e.sendPool = work.NewPool(e.perform)
 	return e
 }
 
-// EndAll gives every request under way its final answer now, and every later one: the
-// process is about to end. A connection that breaks off tells its caller less than an
-// answer that says whether the request may have run.
-func (e *Engine) EndAll() { e.ended.Do(func() { close(e.ending) }) }
+// FinishAll makes every request in progress, and every later one, return its final answer
+// immediately. It is called before the process exits: an answer tells the caller whether the
+// request may have run, a broken connection does not.
+func (e *Engine) EndAll() { e.finishOnce.Do(func() { close(e.finishing) }) }
 
-// Install puts a table in use for the requests that arrive from now on; version is
-// that of the settings tree it was made from. An older one is left out.
+// Install makes t the table for requests that arrive from now on; version is the version of
+// the settings tree that t was made from. A table that is not newer than the installed one is
+// ignored.
 func (e *Engine) Install(t *route.Table, version uint64) {
 	old := e.active.Load()
 	if old != nil && old.version >= version {
 		return
 	}
-	known := make(map[string]*learned)
+	previous := make(map[string]*routeStats)
 	if old != nil {
-		for entry, l := range old.learned {
-			known[entry.Host+entry.Prefix] = l
+		for entry, stats := range old.stats {
+			previous[entry.Host+entry.Prefix] = stats
 		}
 	}
-	next := &active{senders: e.cfg.Senders, table: t, version: version, learned: make(map[*route.Entry]*learned)}
-	var pace work.Pacer
+	next := &activeTable{daemonCount: e.cfg.Senders, table: t, version: version, stats: make(map[*route.Entry]*routeStats)}
+	var pacer work.Pacer
 	for _, entry := range t.Entries() {
-		pace.Step()
-		l := known[entry.Host+entry.Prefix]
-		if l == nil {
-			l = &learned{}
+		pacer.Step()
+		stats := previous[entry.Host+entry.Prefix]
+		if stats == nil {
+			stats = &routeStats{}
 		}
-		next.learned[entry] = l
+		next.stats[entry] = stats
 	}
 	e.active.Store(next)
 }
 
-// Table returns the table in use, nil when there is none.
+// Table returns the table in use, nil if none has been installed.
 func (e *Engine) Table() *route.Table {
-	if a := e.active.Load(); a != nil {
-		return a.table
+	if active := e.active.Load(); active != nil {
+		return active.table
 	}
 	return nil
 }
 
-// Request is a caller's request as it arrived.
+// Request is a request from a caller.
 type Request struct {
 	ID      string
 	Method  string
-	URI     string // path and query, as the caller sent them
+	URI     string // path and query, unchanged
 	Path    string
 	Host    string
-	Caller  string      // its address, without the port
-	Header  http.Header // less those that concern one connection only
+	Caller  string      // the caller's address without the port
+	Header  http.Header // without hop-by-hop headers
 	Body    []byte
-	Stream  *target.Stream // the rest of a long body; nil when Body is whole
+	Stream  *target.Stream // the rest of a long body; nil if Body is complete
 	Arrived time.Time
-	Wait    time.Duration // how long the caller waits from its arrival; 0: not stated
-	Handed  bool          // another daemon handed it over
-	Head    []byte        // as it goes to leaves; nil: to be made of the above
+	Wait    time.Duration // how long the caller waits, from Arrived; 0 if not stated
+	Handed  bool          // the request was handed over by another daemon
+	Head    []byte        // request head as sent to leaves; nil if it is to be rendered from the fields above
 }
 
-// Answer is what a caller is told. A nil Answer means that the caller has left.
+// Answer is the answer to a caller. A nil Answer means that the caller has left.
 type Answer struct {
 	Status     int
-	Header     http.Header // of the leaf, when the answer is a leaf's reply
+	Header     http.Header // from the leaf, if the answer is a leaf's reply
 	Body       []byte
 	Rest       *target.Rest
-	Parts      []string // signatures of the parts, when the answer is made of parts
+	Parts      []string // signatures of the parts, if the answer is merged
 	Missing    int
 	Merged     bool
-	Handed     bool // by another daemon
+	Handed     bool // the gather was handed over to another daemon
 	RetryAfter time.Duration
 	Verdict    contract.Verdict
 	Reason     contract.Reason
 	Cause      error
 }
 
-// firstRetryAfter is told to a caller who came before this daemon had learned the
-// configuration: longer than a daemon takes to learn it after a restart of everything.
-const firstRetryAfter = 500 * time.Millisecond
+// unconfiguredRetryAfter is the Retry-After of requests that arrive before this daemon has
+// its configuration. It is longer than a daemon needs to get the configuration after a
+// restart of the whole system.
+const unconfiguredRetryAfter = 500 * time.Millisecond
 
-// Forward answers one request. It returns when the answer is ready, the request
-// has been given up, or ctx ends because the caller has left.
+// Forward answers one request. It returns when the answer is ready, the request has failed,
+// or ctx is cancelled because the caller has left.
 func (e *Engine) Forward(ctx context.Context, req *Request) *Answer {
-	a := e.active.Load()
-	if a == nil {
-		return &Answer{Status: http.StatusServiceUnavailable, RetryAfter: firstRetryAfter,
+	active := e.active.Load()
+	if active == nil {
+		return &Answer{Status: http.StatusServiceUnavailable, RetryAfter: unconfiguredRetryAfter,
 			Verdict: contract.NotRun, Reason: contract.ReasonUnconfirmed}
 	}
-	entry, ok := a.table.Find(req.Host, req.Path)
+	entry, ok := active.table.Find(req.Host, req.Path)
 	if !ok {
 		e.cfg.Log.Line("route", "none").Str("id", req.ID).Str("host", req.Host).Str("path", req.Path).
-			Int("release", int64(a.table.Number)).End()
+			Int("release", int64(active.table.Number)).End()
 		return &Answer{Status: http.StatusNotFound, Verdict: contract.NotRun, Reason: contract.ReasonUnknownPath}
 	}
-	r := e.newRun(a, entry, req)
+	r := e.newRun(active, entry, req)
 	if answer, handed := r.handOver(ctx); handed {
 		return answer
 	}
-	return r.enterAndDo(ctx)
+	return r.checkAndExecute(ctx)
 }
 
-// enterAndDo answers a request here, unless it must not reach a leaf.
-func (r *run) enterAndDo(ctx context.Context) *Answer {
-	if refused := r.enter(ctx); refused != nil {
-		r.log(refused)
+// checkAndExecute executes the request on this daemon, unless the quarantine refuses it.
+func (r *run) checkAndExecute(ctx context.Context) *Answer {
+	if refused := r.checkQuarantine(ctx); refused != nil {
+		r.logAnswer(refused)
 		return refused
 	}
-	return r.do(ctx)
+	return r.execute(ctx)
 }
 
-// guard answers a request whose handling panics with an error: its caller would see a
-// connection that breaks off, which says nothing of what became of the request.
-func (e *Engine) guard(id string, handle func() *Answer) (a *Answer) {
+// recoverPanic calls handle and turns a panic into an internal error answer. Without it the
+// caller would see a broken connection, which does not tell whether the request may have run.
+func (e *Engine) recoverPanic(id string, handle func() *Answer) (a *Answer) {
 	defer func() {
 		if p := recover(); p != nil {
-			panics.Inc(1)
+			handlerPanics.Inc(1)
 			klog.Errorf("caller: handling id=%s panicked: %v %s", id, p, debug.Stack())
 			a = &Answer{Status: http.StatusInternalServerError, Verdict: contract.MayHaveRun, Reason: contract.ReasonInternal}
 		}
@@ -187,25 +191,27 @@
 	return handle()
 }
 
-// limit returns how many connections this daemon may have open to a leaf. The leaf's own
-// limit is for all daemons together.
-func (a *active) limit(l *discovery.Leaf) int {
-	most := 0
+// connectionLimit returns how many connections this daemon may open to a leaf. It is this
+// daemon's share of the leaf's limit, which applies to all daemons together.
+func (a *activeTable) connectionLimit(l *discovery.Leaf) int {
+	total := 0
 	if s, ok := a.table.Service(l.Service); ok {
-		most = s.Connections
+		total = s.Connections
 	}
-	return policy.Connections(most, a.senders())
+	return policy.Connections(total, a.daemonCount())
 }
 
-// Tend adjusts links to the newest leaves and membership until ctx ends.
+// MaintainLinks periodically adapts the links to the current leaves and number of daemons
+// until ctx is cancelled.
 func (e *Engine) Tend(ctx context.Context) {
-	for vm.Sleep(ctx, tendEvery) {
+	for vm.Sleep(ctx, linkMaintenanceInterval) {
 		snap := e.cfg.Book.Snapshot()
 		e.cfg.Board.Keep(snap)
-		if a := e.active.Load(); a != nil {
-			e.cfg.Board.SetLimits(snap, a.limit)
+		if active := e.active.Load(); active != nil {
+			e.cfg.Board.SetLimits(snap, active.connectionLimit)
 		}
 	}
 }
 
-const tendEvery = 500 * time.Millisecond
+// linkMaintenanceInterval is the time between two runs of the maintenance of links.
+const linkMaintenanceInterval = 500 * time.Millisecond
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -20,34 +20,34 @@
 )
 
 const (
-	// wholeBody is the longest body that is read before it is sent on; only such a
-	// request can be sent to a second leaf.
-	wholeBody = 64 << 10
-	// defaultBodyLimit and defaultHeaderLimit hold until a configuration is known.
+	// bufferedBodyBytes is the longest body that is read completely before it is forwarded.
+	// Only a request with such a body can be sent to a second leaf.
+	bufferedBodyBytes = 64 << 10
+	// defaultBodyLimit and defaultHeaderLimit apply until a configuration is installed.
 	defaultBodyLimit   = 1 << 20
 	defaultHeaderLimit = 64 << 10
-	longestID          = 256
-	longestWait        = time.Hour
+	maxIDBytes         = 256
+	maxWait            = time.Hour
 )
 
 var (
-	answered = metrics.GetOrRegisterCounter("forward.answered", metrics.DefaultRegistry)
-	gaveUp   = metrics.GetOrRegisterCounter("forward.gave_up", metrics.DefaultRegistry)
-	refused  = metrics.GetOrRegisterCounter("forward.refused", metrics.DefaultRegistry)
-	panics   = metrics.GetOrRegisterCounter("forward.panics", metrics.DefaultRegistry)
-	left     = metrics.GetOrRegisterCounter("forward.callers_left", metrics.DefaultRegistry)
-	badCalls = metrics.GetOrRegisterCounter("forward.bad_requests", metrics.DefaultRegistry)
-	latency  = metrics.GetOrRegisterHistogram("forward.latency_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
+	answeredRequests = metrics.GetOrRegisterCounter("forward.answered", metrics.DefaultRegistry)
+	failedRequests   = metrics.GetOrRegisterCounter("forward.gave_up", metrics.DefaultRegistry)
+	refusedRequests  = metrics.GetOrRegisterCounter("forward.refused", metrics.DefaultRegistry)
+	handlerPanics    = metrics.GetOrRegisterCounter("forward.panics", metrics.DefaultRegistry)
+	callersLeft      = metrics.GetOrRegisterCounter("forward.callers_left", metrics.DefaultRegistry)
+	badRequests      = metrics.GetOrRegisterCounter("forward.bad_requests", metrics.DefaultRegistry)
+	latency          = metrics.GetOrRegisterHistogram("forward.latency_us", metrics.DefaultRegistry, metrics.NewExpDecaySample(512, 0.015))
 )
 
-// Handler serves callers over net/http. It never resends and never rewrites a
-// path: the request line goes on as the caller wrote it.
+// Handler serves requests of callers over net/http. It does not retry, and it does not
+// rewrite paths: the request line is forwarded as the caller sent it.
 type Handler struct {
 	Engine  *Engine
 	Dialect *target.Dialect
 	Log     *decision.Log
-	// Draining reports whether callers should go elsewhere: each answer then ends
-	// its connection.
+	// Draining reports whether callers should move to other daemons. If it returns true,
+	// each answer closes its connection.
 	Draining func() bool
 }
 
@@ -57,54 +57,55 @@
 	if h.Draining() {
 		w.Header().Set("Connection", "close")
 	}
-	req, bad := h.read(r, arrived)
-	if bad != nil {
-		badCalls.Inc(1)
+	req, fault := h.parseRequest(r, arrived)
+	if fault != nil {
+		badRequests.Inc(1)
 		h.Log.Line("caller", "bad request").Str("id", r.Header.Get(h.Dialect.RequestID)).
-			Str("from", r.RemoteAddr).Int("status", int64(bad.status)).Str("field", bad.Field).Str("why", bad.Why).End()
-		http.Error(w, bad.String(), bad.status)
+			Str("from", r.RemoteAddr).Int("status", int64(fault.status)).Str("field", fault.Field).Str("why", fault.Why).End()
+		http.Error(w, fault.String(), fault.status)
 		return
 	}
-	conn := connOf(r.Context())
-	conn.begin(req.ID, arrived)
-	a := h.Engine.guard(req.ID, func() *Answer { return h.Engine.Forward(r.Context(), req) })
+	conn := callerConnFrom(r.Context())
+	conn.beginRequest(req.ID, arrived)
+	a := h.Engine.recoverPanic(req.ID, func() *Answer { return h.Engine.Forward(r.Context(), req) })
 	if a == nil {
-		left.Inc(1)
+		callersLeft.Inc(1)
 		panic(http.ErrAbortHandler)
 	}
-	h.write(w, a)
+	h.writeAnswer(w, a)
 	latency.Update(time.Since(arrived).Microseconds())
 }
 
-// badRequest is a fault of the request itself with its status.
+// badRequest describes an invalid request and the HTTP status of the answer.
 type badRequest struct {
 	contract.Fault
 	status int
 }
 
-func bad(status int, field, value, why, fix string) *badRequest {
+func newBadRequest(status int, field, value, why, fix string) *badRequest {
 	return &badRequest{contract.Fault{Field: field, Value: value, Why: why, Fix: fix}, status}
 }
 
-func (h *Handler) read(r *http.Request, arrived time.Time) (*Request, *badRequest) {
+// parseRequest validates an HTTP request and converts it to a Request.
+func (h *Handler) parseRequest(r *http.Request, arrived time.Time) (*Request, *badRequest) {
 	limits := h.limits()
 	if n := headerBytes(r); n > limits.HeaderBytes {
-		return nil, bad(http.StatusRequestHeaderFieldsTooLarge, "header", strconv.Itoa(n), "it is longer than "+strconv.Itoa(limits.HeaderBytes)+" bytes", "send less")
+		return nil, newBadRequest(http.StatusRequestHeaderFieldsTooLarge, "header", strconv.Itoa(n), "it is longer than "+strconv.Itoa(limits.HeaderBytes)+" bytes", "send less")
 	}
 	if !strings.HasPrefix(r.RequestURI, "/") {
-		return nil, bad(http.StatusBadRequest, "path", r.RequestURI, "it does not begin with a slash", "send the path only")
+		return nil, newBadRequest(http.StatusBadRequest, "path", r.RequestURI, "it does not begin with a slash", "send the path only")
 	}
 	id := r.Header.Get(h.Dialect.RequestID)
-	if id == "" || len(id) > longestID || len(r.Header.Values(h.Dialect.RequestID)) > 1 {
-		return nil, bad(http.StatusBadRequest, h.Dialect.RequestID, id, "a request needs one id of at most 256 bytes", "name each attempt")
+	if id == "" || len(id) > maxIDBytes || len(r.Header.Values(h.Dialect.RequestID)) > 1 {
+		return nil, newBadRequest(http.StatusBadRequest, h.Dialect.RequestID, id, "a request needs one id of at most 256 bytes", "name each attempt")
 	}
-	wait, fault := h.wait(r)
+	wait, fault := h.parseWait(r)
 	if fault != nil {
 		return nil, fault
 	}
 	req := &Request{
 		ID: id, Method: r.Method, URI: r.RequestURI, Path: pathOf(r.RequestURI), Host: r.Host,
-		Caller: callerOf(r), Header: r.Header, Arrived: arrived, Wait: wait,
+		Caller: callerAddr(r), Header: r.Header, Arrived: arrived, Wait: wait,
 	}
 	if fault := readBody(r, req, limits.BodyBytes); fault != nil {
 		return nil, fault
@@ -115,14 +116,14 @@
 	return req, nil
 }
 
-// pathOf returns the path of a request line's target, as the caller wrote it.
+// pathOf returns the path of a request URI, unchanged.
 func pathOf(uri string) string {
 	path, _, _ := strings.Cut(uri, "?")
 	return path
 }
 
-// callerOf returns the address of a request's caller, whatever its connection.
-func callerOf(r *http.Request) string {
+// callerAddr returns the address of the caller without the port.
+func callerAddr(r *http.Request) string {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		return r.RemoteAddr
@@ -130,6 +131,7 @@
 	return host
 }
 
+// limits returns the request limits of the installed configuration, or the defaults.
 func (h *Handler) limits() route.Limits {
 	out := route.Limits{HeaderBytes: defaultHeaderLimit, BodyBytes: defaultBodyLimit}
 	if t := h.Engine.Table(); t != nil {
@@ -143,6 +145,7 @@
 	return out
 }
 
+// headerBytes returns the size of the request line and the headers in HTTP/1.1.
 func headerBytes(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI) + len(r.Host) + len("  HTTP/1.1\r\nHost: \r\n\r\n")
 	for k, vs := range r.Header {
@@ -153,129 +156,133 @@
 	return n
 }
 
-func (h *Handler) wait(r *http.Request) (time.Duration, *badRequest) {
-	v := r.Header.Get(h.Dialect.Deadline)
-	if v == "" {
+// parseWait returns the wait that the caller has stated, zero if it has stated none.
+func (h *Handler) parseWait(r *http.Request) (time.Duration, *badRequest) {
+	value := r.Header.Get(h.Dialect.Deadline)
+	if value == "" {
 		return 0, nil
 	}
-	ms, err := strconv.ParseFloat(v, 64)
+	ms, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(ms >= 0) {
-		return 0, bad(http.StatusBadRequest, h.Dialect.Deadline, v, "it is no number of milliseconds", "state how long you wait")
+		return 0, newBadRequest(http.StatusBadRequest, h.Dialect.Deadline, value, "it is no number of milliseconds", "state how long you wait")
 	}
-	if ms >= float64(longestWait.Milliseconds()) {
-		return longestWait, nil
+	if ms >= float64(maxWait.Milliseconds()) {
+		return maxWait, nil
 	}
 	return max(time.Duration(ms*float64(time.Millisecond)), time.Microsecond), nil
 }
 
-// readBody reads a short body whole, and the beginning of a longer one.
+// readBody reads a short body completely. Of a longer body it reads the beginning and sets
+// req.Stream for the rest.
 func readBody(r *http.Request, req *Request, limit int64) *badRequest {
 	if r.ContentLength > limit {
-		return tooLong(limit)
+		return bodyTooLong(limit)
 	}
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return nil
 	}
 	var buf bytes.Buffer
 	if n := r.ContentLength; n > 0 {
-		buf.Grow(int(min(n, wholeBody)) + bytes.MinRead)
+		buf.Grow(int(min(n, bufferedBodyBytes)) + bytes.MinRead)
 	}
-	n, err := io.Copy(&buf, io.LimitReader(r.Body, wholeBody+1))
+	n, err := io.Copy(&buf, io.LimitReader(r.Body, bufferedBodyBytes+1))
 	if err != nil {
-		return bad(http.StatusBadRequest, "body", "", "it broke off: "+err.Error(), "send it whole")
+		return newBadRequest(http.StatusBadRequest, "body", "", "it broke off: "+err.Error(), "send it whole")
 	}
 	req.Body = buf.Bytes()
-	if n <= wholeBody && len(r.Trailer) == 0 {
+	if n <= bufferedBodyBytes && len(r.Trailer) == 0 {
 		if n > limit {
-			return tooLong(limit)
+			return bodyTooLong(limit)
 		}
 		return nil
 	}
 	req.Stream = &target.Stream{
-		Reader: &bounded{from: r.Body, left: limit - n}, Length: r.ContentLength,
+		Reader: &limitedReader{source: r.Body, remaining: limit - n}, Length: r.ContentLength,
 		Trailer: func() http.Header { return r.Trailer },
 	}
 	return nil
 }
 
-func tooLong(limit int64) *badRequest {
-	return bad(http.StatusRequestEntityTooLarge, "body", "", "it is longer than "+strconv.FormatInt(limit, 10)+" bytes", "send less")
+func bodyTooLong(limit int64) *badRequest {
+	return newBadRequest(http.StatusRequestEntityTooLarge, "body", "", "it is longer than "+strconv.FormatInt(limit, 10)+" bytes", "send less")
 }
 
 var errBodyTooLong = errors.New("forward: the body is longer than the limit")
 
-// bounded fails once more than left bytes were read. A leaf then sees the body
-// break off, and no whole request of a size that is not allowed.
-type bounded struct {
-	from io.Reader
-	left int64
+// limitedReader fails once more than remaining bytes have been read. The leaf then receives a
+// truncated body instead of a complete request that exceeds the limit.
+type limitedReader struct {
+	source    io.Reader
+	remaining int64
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	n, err := b.from.Read(p)
-	if b.left -= int64(n); b.left < 0 {
+func (r *limitedReader) Read(p []byte) (int, error) {
+	n, err := r.source.Read(p)
+	if r.remaining -= int64(n); r.remaining < 0 {
 		return 0, errBodyTooLong
 	}
 	return n, err
 }
 
-// write sends an answer to the caller.
+// writeAnswer writes an answer to the caller.
 //
-// The connection ends where another daemon answered, so that callers keep connections to
-// daemons that answer themselves.
-func (h *Handler) write(w http.ResponseWriter, a *Answer) {
+// If the request was handed over, it closes the connection, so that callers keep connections
+// to daemons that answer requests themselves.
+func (h *Handler) writeAnswer(w http.ResponseWriter, a *Answer) {
 	if a.Handed {
 		w.Header().Set("Connection", "close")
 	}
 	switch {
 	case a.Merged:
-		answered.Inc(1)
+		answeredRequests.Inc(1)
 		h.writeMerged(w, a)
 	case a.Header != nil:
-		answered.Inc(1)
-		h.writeReply(w, a)
+		answeredRequests.Inc(1)
+		h.writeLeafReply(w, a)
 	default:
-		h.writeOwn(w, a)
+		h.writeError(w, a)
 	}
 }
 
+// writeMerged writes an answer that is merged from parts.
 func (h *Handler) writeMerged(w http.ResponseWriter, a *Answer) {
-	hd := w.Header()
-	hd.Set("Content-Type", "application/octet-stream")
-	hd.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	hd.Set(h.Dialect.Parts, strings.Join(a.Parts, ", "))
-	hd.Set(h.Dialect.Missing, strconv.Itoa(a.Missing))
+	header := w.Header()
+	header.Set("Content-Type", "application/octet-stream")
+	header.Set("Content-Length", strconv.Itoa(len(a.Body)))
+	header.Set(h.Dialect.Parts, strings.Join(a.Parts, ", "))
+	header.Set(h.Dialect.Missing, strconv.Itoa(a.Missing))
 	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body) // the connection logs a failure
+	_, _ = w.Write(a.Body) // callerConn logs a write error
 }
 
-// promises are the statuses that tell a caller its request did not run.
-var promises = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
+// notRunStatuses are the HTTP statuses that tell a caller that its request did not run.
+var notRunStatuses = []int{http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
-func (h *Handler) writeReply(w http.ResponseWriter, a *Answer) {
-	hd := w.Header()
-	closing := hd.Get("Connection")
+// writeLeafReply writes the reply of a leaf as the answer.
+func (h *Handler) writeLeafReply(w http.ResponseWriter, a *Answer) {
+	header := w.Header()
+	connection := header.Get("Connection")
 	StripHop(a.Header)
 	for k, vs := range a.Header {
-		hd[k] = vs
+		header[k] = vs
 	}
-	if closing != "" {
-		hd.Set("Connection", closing)
+	if connection != "" {
+		header.Set("Connection", connection)
 	}
 	if a.Header["Content-Type"] == nil {
-		hd["Content-Type"] = nil // or one would be guessed from the body
+		header["Content-Type"] = nil // prevents net/http from detecting a type from the body
 	}
 	status := a.Status
-	if slices.Contains(promises, status) && a.Verdict != contract.NotRun {
-		// The leaf did not say that it did not run the request, and to a caller this
-		// status would.
+	if slices.Contains(notRunStatuses, status) && a.Verdict != contract.NotRun {
+		// The caller would take this status to mean that the request did not run, which
+		// the leaf has not stated.
 		status = http.StatusBadGateway
-		hd.Del(h.Dialect.Stamp)
+		header.Del(h.Dialect.Stamp)
 	}
 	if a.Rest == nil {
-		hd.Set("Content-Length", strconv.Itoa(len(a.Body)))
+		header.Set("Content-Length", strconv.Itoa(len(a.Body)))
 		w.WriteHeader(status)
-		_, _ = w.Write(a.Body) // the connection logs a failure
+		_, _ = w.Write(a.Body) // callerConn logs a write error
 		return
 	}
 	defer a.Rest.Close()
@@ -284,16 +291,17 @@
 		return
 	}
 	if _, err := io.Copy(w, a.Rest); err != nil {
-		// An answer that ends early must not look complete.
+		// A truncated answer must not look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (h *Handler) writeOwn(w http.ResponseWriter, a *Answer) {
+// writeError writes an answer that has no reply of a leaf: a refusal or a failure.
+func (h *Handler) writeError(w http.ResponseWriter, a *Answer) {
 	if a.Verdict == contract.NotRun {
-		refused.Inc(1)
+		refusedRequests.Inc(1)
 	} else {
-		gaveUp.Inc(1)
+		failedRequests.Inc(1)
 	}
 	if a.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
--- a/internal/forward/idle.go
+++ b/internal/forward/idle.go
@@ -9,16 +9,16 @@
 	"pearmoor/internal/vm"
 )
 
-// idleConns ends callers' connections that have been idle for longer than the
-// configuration allows. A server's own limit is fixed when it starts, before the
+// idleConns closes caller connections that exceed the configured idle timeout.
+// http.Server.IdleTimeout cannot be used, since it is fixed when the server starts, before the
 // configuration is known.
 type idleConns struct {
 	mu    sync.Mutex
 	conns map[*callerConn]struct{}
 }
 
-// note keeps the idle connections.
-func (c *idleConns) note(conn net.Conn, idle bool) {
+// update adds conn to the idle connections or removes it.
+func (c *idleConns) update(conn net.Conn, idle bool) {
 	cc, ok := conn.(*callerConn)
 	if !ok {
 		return
@@ -33,7 +33,8 @@
 	}
 }
 
-func (c *idleConns) closeOld(limit time.Duration) {
+// expireIdle expires the connections that have been idle for longer than limit.
+func (c *idleConns) expireIdle(limit time.Duration) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,11 +43,12 @@
 	}
 }
 
-// run closes idle connections until ctx ends.
+// run periodically closes connections that have been idle for longer than limit until ctx is
+// cancelled.
 func (c *idleConns) run(ctx context.Context, limit func() time.Duration) {
-	for vm.Sleep(ctx, idleLookEvery) {
-		c.closeOld(limit())
+	for vm.Sleep(ctx, idleCheckInterval) {
+		c.expireIdle(limit())
 	}
 }
 
-const idleLookEvery = time.Second
+const idleCheckInterval = time.Second
