--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -51,7 +51,7 @@
 func newTestGates() *testGates {
 	w := &testGates{now: vm.Instant(time.Hour)}
 	w.Gates = newGates(func() vm.Instant { return w.now }, w.startFakeTimer)
-	w.Fence(farFuture)
+	w.SetLeaseEnd(farFuture)
 	return w
 }
 
@@ -84,11 +84,11 @@
 
 // request requests a permit for leafA with a deadline in d.
 func (w *testGates) request(d time.Duration, priority settings.Priority) (*Permit, *waiter, error) {
-	return w.requestAny(d, Ask{Priority: priority}, leafA)
+	return w.requestAny(d, PermitRequest{Priority: priority}, leafA)
 }
 
 // requestAny returns the immediate result: a permit, a refusal, or a queued waiter.
-func (w *testGates) requestAny(d time.Duration, req Ask, leaves ...string) (*Permit, *waiter, error) {
+func (w *testGates) requestAny(d time.Duration, req PermitRequest, leaves ...string) (*Permit, *waiter, error) {
 	p, x, refusal := w.Gates.startOrEnqueue(w.now, w.now.Add(d), w.gatesOf(nil, leaves), req)
 	if refusal != nil {
 		return nil, nil, refusal
--- a/internal/admit/any_test.go
+++ b/internal/admit/any_test.go
@@ -20,12 +20,12 @@
 	Convey("With both leaves in use", t, func() {
 		w := newTestGates()
 		for _, leaf := range testLeaves {
-			w.Configure(leaf, Limits{Slots: 1, Queue: 8})
+			w.Configure(leaf, Limits{Slots: 1, MaxQueue: 8})
 		}
 		a, _ := w.TryAcquire(testLeaves[0])
 		b, _ := w.TryAcquire(testLeaves[1])
-		_, x, _ := w.requestAny(time.Second, Ask{}, testLeaves...)
-		_, y, _ := w.requestAny(time.Second, Ask{}, testLeaves...)
+		_, x, _ := w.requestAny(time.Second, PermitRequest{}, testLeaves...)
+		_, y, _ := w.requestAny(time.Second, PermitRequest{}, testLeaves...)
 		Convey("the first permit released goes to the first waiter", func() {
 			b.Done(Answered, 0)
 			r, ok := x.outcome()
@@ -40,16 +40,16 @@
 			So(w.Load(testLeaves[0]).Waiting+w.Load(testLeaves[1]).Waiting, ShouldBeLessThanOrEqualTo, 1)
 		})
 		Convey("a draining leaf does not end the wait for the other leaf", func() {
-			w.Drain(testLeaves[0], true)
+			w.SetDraining(testLeaves[0], true)
 			_, ok := x.outcome()
 			So(ok, ShouldBeFalse)
-			w.Drain(testLeaves[1], true)
+			w.SetDraining(testLeaves[1], true)
 			r, ok := x.outcome()
 			So(ok, ShouldBeTrue)
 			So(requireRefusal(t, r.err).RetryAfter, ShouldBeGreaterThan, 0)
 		})
 		Convey("a hedge is granted before first attempts that arrived earlier", func() {
-			_, h, _ := w.requestAny(time.Minute, Ask{Hedge: true}, testLeaves[0])
+			_, h, _ := w.requestAny(time.Minute, PermitRequest{Hedge: true}, testLeaves[0])
 			a.Done(Answered, 0)
 			_, ok := h.outcome()
 			So(ok, ShouldBeTrue)
@@ -65,7 +65,7 @@
 func TestExpectedWaitCountsSharedWaitersOnce(t *testing.T) {
 	w := newTestGates()
 	for _, leaf := range testLeaves {
-		w.Configure(leaf, Limits{Slots: 1, Queue: 64})
+		w.Configure(leaf, Limits{Slots: 1, MaxQueue: 64})
 		p, _ := w.TryAcquire(leaf)
 		w.advance(10 * ms)
 		p.Done(Answered, 0)
@@ -73,7 +73,7 @@
 	}
 	for i := range 10 {
 		// Two slots with a service time of 10 ms: the last of ten starts after about 50 ms.
-		_, x, _ := w.requestAny(70*ms, Ask{}, testLeaves...)
+		_, x, _ := w.requestAny(70*ms, PermitRequest{}, testLeaves...)
 		if r, ended := x.outcome(); ended {
 			t.Fatalf("request %d, which meets its deadline, ended with %v", i, r.err)
 		}
@@ -84,10 +84,10 @@
 // granted twice, and no waiter may stay in a queue.
 func TestAcquireAnyUnderContention(t *testing.T) {
 	g := NewGates(vm.Now)
-	g.Fence(vm.Now().Add(time.Hour))
+	g.SetLeaseEnd(vm.Now().Add(time.Hour))
 	var inFlight [2]atomic.Int64
 	for _, leaf := range testLeaves {
-		g.Configure(leaf, Limits{Slots: 2, Queue: 1 << 10})
+		g.Configure(leaf, Limits{Slots: 2, MaxQueue: 1 << 10})
 	}
 	var wg sync.WaitGroup
 	for i := range 16 {
@@ -97,7 +97,7 @@
 				if (i+j)%7 == 0 {
 					go cancel()
 				}
-				p, index, err := g.AcquireAny(ctx, testLeaves, Ask{Priority: settings.Priority(j % 2), Hedge: j%5 == 0, Order: uint64(j)})
+				p, index, err := g.AcquireAny(ctx, testLeaves, PermitRequest{Priority: settings.Priority(j % 2), Hedge: j%5 == 0, ShedRank: uint64(j)})
 				if err == nil {
 					if n := inFlight[index].Add(1); n > 2 {
 						t.Errorf("%d in flight at %s", n, testLeaves[index])
--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -11,8 +11,8 @@
 
 func newBenchGates(slots int) *Gates {
 	g := NewGates(vm.Now)
-	g.Fence(vm.Now().Add(time.Hour))
-	g.Configure(leafA, Limits{Slots: slots, Queue: 1 << 16})
+	g.SetLeaseEnd(vm.Now().Add(time.Hour))
+	g.Configure(leafA, Limits{Slots: slots, MaxQueue: 1 << 16})
 	return g
 }
 
@@ -51,7 +51,7 @@
 
 func BenchmarkRefusal(b *testing.B) {
 	g := newBenchGates(1)
-	g.Configure(leafA, Limits{Slots: 1, Queue: 0})
+	g.Configure(leafA, Limits{Slots: 1, MaxQueue: 0})
 	g.TryAcquire(leafA)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/admit/errors.go
+++ b/internal/admit/errors.go
@@ -11,11 +11,11 @@
 
 // Causes of refusals. Each is the cause of a *contract.Error with verdict NotRun.
 var (
-	ErrNoShare     = errors.New("this daemon holds no share of the leaf's slots")
-	ErrQueueFull   = errors.New("the queue for the leaf is full")
-	ErrNoFit       = errors.New("the expected wait for a slot does not fit the deadline")
-	ErrDraining    = errors.New("the leaf is leaving and takes no new work")
-	ErrUnconfirmed = errors.New("the daemon's lease has run out")
+	ErrNoShare          = errors.New("this daemon holds no share of the leaf's slots")
+	ErrQueueFull        = errors.New("the queue for the leaf is full")
+	ErrDeadlineTooShort = errors.New("the expected wait for a slot does not fit the deadline")
+	ErrDraining         = errors.New("the leaf is leaving and takes no new work")
+	ErrLeaseExpired     = errors.New("the daemon's lease has run out")
 )
 
 // retryJitter is the maximum fraction added to a retry delay, so that callers
@@ -36,7 +36,7 @@
 }
 
 func errLeaseExpired() *contract.Error {
-	return newRefusal(contract.ReasonUnconfirmed, leaseExpiredRetryAfter, ErrUnconfirmed)
+	return newRefusal(contract.ReasonUnconfirmed, leaseExpiredRetryAfter, ErrLeaseExpired)
 }
 
 func errOverload(retryAfter time.Duration, cause error) *contract.Error {
--- a/internal/admit/gate_test.go
+++ b/internal/admit/gate_test.go
@@ -19,7 +19,7 @@
 // until its deadline.
 func TestRefusesImmediatelyWhenDeadlineCannotBeMet(t *testing.T) {
 	w := newTestGates()
-	w.Configure(leafA, Limits{Slots: 1, Queue: 64})
+	w.Configure(leafA, Limits{Slots: 1, MaxQueue: 64})
 	w.learnServiceTime(t, 10*ms)
 	if _, ok := w.TryAcquire(leafA); !ok {
 		t.Fatal("first permit was not granted")
@@ -48,7 +48,7 @@
 		}
 	}
 	// A query with a higher ShedRank stays: all home daemons shed the lowest rank.
-	_, x, _ = w.requestAny(118*ms, Ask{Order: 1}, leafA)
+	_, x, _ = w.requestAny(118*ms, PermitRequest{ShedRank: 1}, leafA)
 	if _, ok := x.outcome(); ok {
 		t.Fatal("a query was shed before one of lower rank")
 	}
@@ -63,7 +63,7 @@
 // caller still has time to go elsewhere.
 func TestRefusesWaitersOfHungLeafBeforeDeadline(t *testing.T) {
 	w := newTestGates()
-	w.Configure(leafA, Limits{Slots: 1, Queue: 64})
+	w.Configure(leafA, Limits{Slots: 1, MaxQueue: 64})
 	w.learnServiceTime(t, 10*ms)
 	w.TryAcquire(leafA)
 	_, x, _ := w.request(200*ms, settings.Ordinary)
@@ -81,15 +81,15 @@
 func TestSmallerShareWithholdsPermits(t *testing.T) {
 	Convey("With two in flight, the share goes from 2 to 1", t, func() {
 		w := newTestGates()
-		w.Configure(leafA, Limits{Slots: 2, Queue: 4})
+		w.Configure(leafA, Limits{Slots: 2, MaxQueue: 4})
 		a, _ := w.TryAcquire(leafA)
 		b, _ := w.TryAcquire(leafA)
-		w.Configure(leafA, Limits{Slots: 1, Queue: 4})
-		So(w.Respected(), ShouldBeFalse)
+		w.Configure(leafA, Limits{Slots: 1, MaxQueue: 4})
+		So(w.WithinLimits(), ShouldBeFalse)
 		So(a.Check(), ShouldBeNil)
 		_, x, _ := w.request(time.Second, settings.Urgent)
 		a.Done(Answered, 0)
-		So(w.Respected(), ShouldBeTrue)
+		So(w.WithinLimits(), ShouldBeTrue)
 		_, granted := x.outcome()
 		So(granted, ShouldBeFalse)
 		b.Done(Answered, 0)
@@ -105,7 +105,7 @@
 			So(w.gateOf(leafA), ShouldNotBeNil)
 			r.permit.Release()
 			So(w.gateOf(leafA), ShouldBeNil)
-			So(w.Respected(), ShouldBeTrue)
+			So(w.WithinLimits(), ShouldBeTrue)
 		})
 	})
 }
@@ -116,21 +116,21 @@
 func TestPermitStaysInvalidAfterLeaseLapse(t *testing.T) {
 	Convey("A permit granted before the lease expired stays invalid", t, func() {
 		w := newTestGates()
-		w.Fence(w.now.Add(6 * time.Second))
-		w.Configure(leafA, Limits{Slots: 2, Queue: 4})
+		w.SetLeaseEnd(w.now.Add(6 * time.Second))
+		w.Configure(leafA, Limits{Slots: 2, MaxQueue: 4})
 		p, ok := w.TryAcquire(leafA)
 		So(ok, ShouldBeTrue)
 		w.now = w.now.Add(30 * time.Second)
 		So(contract.VerdictOf(p.Check()), ShouldEqual, contract.NotRun)
 		_, ok = w.TryAcquire(leafA)
 		So(ok, ShouldBeFalse)
-		w.Fence(w.now.Add(6 * time.Second))
-		So(errors.Is(p.Check(), ErrUnconfirmed), ShouldBeTrue)
+		w.SetLeaseEnd(w.now.Add(6 * time.Second))
+		So(errors.Is(p.Check(), ErrLeaseExpired), ShouldBeTrue)
 		Convey("while a permit granted under the new lease stays valid across renewals in time", func() {
 			q, ok := w.TryAcquire(leafA)
 			So(ok, ShouldBeTrue)
 			w.advance(5 * time.Second)
-			w.Fence(w.now.Add(6 * time.Second))
+			w.SetLeaseEnd(w.now.Add(6 * time.Second))
 			w.advance(5 * time.Second)
 			So(q.Check(), ShouldBeNil)
 		})
@@ -140,13 +140,13 @@
 // Waiters must be refused when the lease expires, not at their own deadlines.
 func TestWaitersRefusedWhenLeaseExpires(t *testing.T) {
 	w := newTestGates()
-	w.Fence(w.now.Add(time.Second))
-	w.Configure(leafA, Limits{Slots: 1, Queue: 4})
+	w.SetLeaseEnd(w.now.Add(time.Second))
+	w.Configure(leafA, Limits{Slots: 1, MaxQueue: 4})
 	w.TryAcquire(leafA)
 	_, x, _ := w.request(time.Minute, settings.Ordinary)
 	w.advance(time.Second)
 	r, ok := x.outcome()
-	if !ok || !errors.Is(r.err, ErrUnconfirmed) {
+	if !ok || !errors.Is(r.err, ErrLeaseExpired) {
 		t.Fatalf("ended: %v, error %v", ok, r.err)
 	}
 }
@@ -156,10 +156,10 @@
 func TestDrainingLeafStartsNoRequests(t *testing.T) {
 	Convey("A draining leaf", t, func() {
 		w := newTestGates()
-		w.Configure(leafA, Limits{Slots: 1, Queue: 4})
+		w.Configure(leafA, Limits{Slots: 1, MaxQueue: 4})
 		p, _ := w.TryAcquire(leafA)
 		_, x, _ := w.request(time.Second, settings.Urgent)
-		w.Drain(leafA, true)
+		w.SetDraining(leafA, true)
 		r, ok := x.outcome()
 		So(ok, ShouldBeTrue)
 		So(errors.Is(r.err, ErrDraining), ShouldBeTrue)
@@ -169,10 +169,10 @@
 		So(ok, ShouldBeFalse)
 		Convey("stays closed when its share is removed and restored", func() {
 			w.Configure(leafA, Limits{})
-			w.Configure(leafA, Limits{Slots: 1, Queue: 4})
+			w.Configure(leafA, Limits{Slots: 1, MaxQueue: 4})
 			_, ok = w.TryAcquire(leafA)
 			So(ok, ShouldBeFalse)
-			w.Drain(leafA, false)
+			w.SetDraining(leafA, false)
 			_, ok = w.TryAcquire(leafA)
 			So(ok, ShouldBeTrue)
 		})
@@ -183,7 +183,7 @@
 // the latest deadline, which is refused immediately.
 func TestUrgentDisplacesOrdinaryInFullQueue(t *testing.T) {
 	w := newTestGates()
-	w.Configure(leafA, Limits{Slots: 1, Queue: 2})
+	w.Configure(leafA, Limits{Slots: 1, MaxQueue: 2})
 	p, _ := w.TryAcquire(leafA)
 	w.request(time.Second, settings.Ordinary)
 	_, last, _ := w.request(time.Minute, settings.Ordinary)
@@ -208,8 +208,8 @@
 // next waiter, or this daemon loses the slot permanently.
 func TestCancelledWaitLosesNoPermit(t *testing.T) {
 	g := NewGates(vm.Now)
-	g.Fence(vm.Now().Add(time.Hour))
-	g.Configure(leafA, Limits{Slots: 1, Queue: 8})
+	g.SetLeaseEnd(vm.Now().Add(time.Hour))
+	g.Configure(leafA, Limits{Slots: 1, MaxQueue: 8})
 	for range 2000 {
 		p, err := g.Acquire(context.Background(), leafA, settings.Urgent)
 		if err != nil {
@@ -238,7 +238,7 @@
 func TestOverloadedQueueRequiresDeadlineMargin(t *testing.T) {
 	Convey("Fourteen requests are queued for a slot with a service time of 10 ms, and one arrives with a deadline of 305 ms", t, func() {
 		w := newTestGates()
-		w.Configure(leafA, Limits{Slots: 1, Queue: 64})
+		w.Configure(leafA, Limits{Slots: 1, MaxQueue: 64})
 		w.learnServiceTime(t, 10*ms)
 		w.TryAcquire(leafA)
 		for range 14 {
--- a/internal/admit/gates.go
+++ b/internal/admit/gates.go
@@ -14,9 +14,9 @@
 
 // Limits configures a leaf's gate.
 type Limits struct {
-	Slots int           // this daemon's share of the leaf's slots; 0 admits nothing
-	Queue int           // maximum number of waiting requests
-	Ramp  time.Duration // duration of the slow start after Gates.StartRamp or a recovery; 0 disables it
+	Slots    int           // this daemon's share of the leaf's slots; 0 admits nothing
+	MaxQueue int           // maximum number of waiting requests
+	Ramp     time.Duration // duration of the slow start after Gates.StartRamp or a recovery; 0 disables it
 }
 
 // Gates holds one gate per leaf. A leaf is identified by its address
@@ -87,7 +87,7 @@
 
 // Acquire waits for a permit for one leaf; see AcquireAny.
 func (g *Gates) Acquire(ctx context.Context, leaf string, priority settings.Priority) (*Permit, error) {
-	p, _, err := g.AcquireAny(ctx, []string{leaf}, Ask{Priority: priority})
+	p, _, err := g.AcquireAny(ctx, []string{leaf}, PermitRequest{Priority: priority})
 	return p, err
 }
 
@@ -97,7 +97,7 @@
 // *contract.Error of verdict NotRun when all leaves refuse: immediately if the
 // queue is full or the expected wait exceeds ctx's deadline, and later if either
 // becomes true while the request waits.
-func (g *Gates) AcquireAny(ctx context.Context, leaves []string, req Ask) (p *Permit, index int, err error) {
+func (g *Gates) AcquireAny(ctx context.Context, leaves []string, req PermitRequest) (p *Permit, index int, err error) {
 	if err := ctx.Err(); err != nil {
 		return nil, 0, contract.Refuse(contract.ReasonDeadline, err)
 	}
@@ -127,7 +127,7 @@
 }
 
 // startOrEnqueue returns a permit, a refusal, or the waiter that will receive one of them.
-func (g *Gates) startOrEnqueue(now, deadline vm.Instant, gates []*gate, req Ask) (*Permit, *waiter, *contract.Error) {
+func (g *Gates) startOrEnqueue(now, deadline vm.Instant, gates []*gate, req PermitRequest) (*Permit, *waiter, *contract.Error) {
 	candidates := 0
 	for _, gt := range gates {
 		if gt == nil {
@@ -171,11 +171,11 @@
 
 // WithinLimits reports whether no gate has more requests in flight than its share.
 // A smaller share may be acknowledged only then.
-func (g *Gates) Respected() bool { return g.gatesOverLimit.Load() == 0 }
+func (g *Gates) WithinLimits() bool { return g.gatesOverLimit.Load() == 0 }
 
 // StartRamp begins a slow start for a leaf that is new, reports that it is starting,
 // or has recovered.
-func (g *Gates) Ramp(leaf string) {
+func (g *Gates) StartRamp(leaf string) {
 	if gt := g.gateOf(leaf); gt != nil {
 		gt.startRamp()
 	}
@@ -183,7 +183,7 @@
 
 // SetDraining closes a leaf's gate while draining is set. Requests in flight
 // continue; waiting requests are refused.
-func (g *Gates) Drain(leaf string, draining bool) {
+func (g *Gates) SetDraining(leaf string, draining bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if draining {
@@ -198,7 +198,7 @@
 
 // SinceLastReply returns the time since the leaf last replied to a request, and
 // false if it has not replied yet.
-func (g *Gates) Answered(leaf string) (time.Duration, bool) {
+func (g *Gates) SinceLastReply(leaf string) (time.Duration, bool) {
 	gt := g.gateOf(leaf)
 	if gt == nil {
 		return 0, false
@@ -209,7 +209,7 @@
 // ReportLoad records the load that a leaf reported. The report may be late or wrong,
 // so it affects only Load.ExpectedWait, by at most loadReportWeight of a service
 // time, and its effect decreases with its age.
-func (g *Gates) Hint(leaf string, inFlight, slots int) {
+func (g *Gates) ReportLoad(leaf string, inFlight, slots int) {
 	if gt := g.gateOf(leaf); gt != nil {
 		gt.setLoadReport(inFlight, slots)
 	}
@@ -219,6 +219,6 @@
 // granted or passes Check. To apply a new view, call Configure for every leaf first
 // and SetLeaseEnd last. Permits granted before the lease expired stay invalid after
 // a renewal, because another daemon may hold their slots by then.
-func (g *Gates) Fence(until vm.Instant) {
+func (g *Gates) SetLeaseEnd(until vm.Instant) {
 	g.lease.renew(until, g.clock())
 }
--- a/internal/admit/health_test.go
+++ b/internal/admit/health_test.go
@@ -14,7 +14,7 @@
 func TestRefusalPausesLeaf(t *testing.T) {
 	Convey("After a refusal", t, func() {
 		w := newTestGates()
-		w.Configure(leafA, Limits{Slots: 2, Queue: 4})
+		w.Configure(leafA, Limits{Slots: 2, MaxQueue: 4})
 		refuse := func(after time.Duration) {
 			p, ok := w.TryAcquire(leafA)
 			So(ok, ShouldBeTrue)
@@ -68,7 +68,7 @@
 func TestFailingLeafIsProbedByOneRequest(t *testing.T) {
 	Convey("A leaf that keeps failing", t, func() {
 		w := newTestGates()
-		w.Configure(leafA, Limits{Slots: 4, Queue: 8, Ramp: 10 * time.Second})
+		w.Configure(leafA, Limits{Slots: 4, MaxQueue: 8, Ramp: 10 * time.Second})
 		w.learnServiceTime(t, 10*ms)
 		for range failThreshold {
 			p, ok := w.TryAcquire(leafA)
@@ -109,9 +109,9 @@
 // over the whole ramp, and the full rate afterwards.
 func TestSlowStartWithOneSlot(t *testing.T) {
 	w := newTestGates()
-	w.Configure(leafA, Limits{Slots: 1, Queue: 8, Ramp: 10 * time.Second})
+	w.Configure(leafA, Limits{Slots: 1, MaxQueue: 8, Ramp: 10 * time.Second})
 	w.learnServiceTime(t, 10*ms)
-	w.Ramp(leafA)
+	w.StartRamp(leafA)
 	starts := func(d time.Duration) (n int) {
 		for end := w.now.Add(d); w.now < end; {
 			p, ok := w.TryAcquire(leafA)
@@ -144,14 +144,14 @@
 func TestLoadReportsHaveBoundedEffect(t *testing.T) {
 	Convey("A report of a very high load has a bounded effect", t, func() {
 		w := newTestGates()
-		w.Configure(leafA, Limits{Slots: 1, Queue: 8})
+		w.Configure(leafA, Limits{Slots: 1, MaxQueue: 8})
 		w.learnServiceTime(t, 10*ms)
-		w.Hint(leafA, 1<<30, 1)
-		So(w.Load(leafA).Wait, ShouldEqual, 5*ms)
+		w.ReportLoad(leafA, 1<<30, 1)
+		So(w.Load(leafA).ExpectedWait, ShouldEqual, 5*ms)
 		_, ok := w.TryAcquire(leafA)
 		So(ok, ShouldBeTrue)
 		w.advance(loadReportTTL)
-		So(w.Load(leafA).Wait, ShouldBeGreaterThanOrEqualTo, 0)
+		So(w.Load(leafA).ExpectedWait, ShouldBeGreaterThanOrEqualTo, 0)
 		Convey("and is ignored once it has expired", func() {
 			So(w.gateOf(leafA).loadReport.waitPenalty(w.now, 10*ms), ShouldEqual, 0)
 		})
--- a/internal/admit/load.go
+++ b/internal/admit/load.go
@@ -13,13 +13,13 @@
 
 // Load is the state of a leaf's gate.
 type Load struct {
-	Slots    int           // this daemon's share
-	InFlight int           // permits granted and not yet released
-	Waiting  int           // queued requests
-	Service  time.Duration // estimated time that a request holds its slot; 0: not known yet
-	Wait     time.Duration // expected wait of a request that arrives now
-	Standing time.Duration // how long the queue has not been empty
-	Failing  bool          // in backoff after consecutive failures
+	Slots        int           // this daemon's share
+	InFlight     int           // permits granted and not yet released
+	Waiting      int           // queued requests
+	ServiceTime  time.Duration // estimated time that a request holds its slot; 0: not known yet
+	ExpectedWait time.Duration // expected wait of a request that arrives now
+	NonEmptyFor  time.Duration // how long the queue has not been empty
+	Failing      bool          // in backoff after consecutive failures
 }
 
 // loadReport is a load that the leaf reported.
@@ -54,15 +54,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := Load{
-		Slots:    g.limits.Slots,
-		InFlight: len(g.inFlight),
-		Waiting:  g.queue.len(),
-		Service:  g.serviceTime.mean,
-		Failing:  g.health.failing(),
-		Standing: g.nonEmptyFor(now),
+		Slots:       g.limits.Slots,
+		InFlight:    len(g.inFlight),
+		Waiting:     g.queue.len(),
+		ServiceTime: g.serviceTime.mean,
+		Failing:     g.health.failing(),
+		NonEmptyFor: g.nonEmptyFor(now),
 	}
 	if l.Slots > 0 {
-		l.Wait = g.expectedWait(now, g.queue.ahead()) + g.loadReport.waitPenalty(now, l.Service)
+		l.ExpectedWait = g.expectedWait(now, g.queue.ahead()) + g.loadReport.waitPenalty(now, l.ServiceTime)
 	}
 	return l
 }
--- a/internal/admit/permit.go
+++ b/internal/admit/permit.go
@@ -46,7 +46,7 @@
 }
 
 // LeaseEnd returns the end of the lease. No attempt may have a later deadline.
-func (p *Permit) Until() vm.Instant { return p.gate.gates.lease.end() }
+func (p *Permit) LeaseEnd() vm.Instant { return p.gate.gates.lease.end() }
 
 // Done releases the permit and records the outcome. retryAfter is the retry time
 // that the leaf sent with Refused, or 0. Only the first call has an effect.
--- a/internal/admit/policy_bench_test.go
+++ b/internal/admit/policy_bench_test.go
@@ -52,7 +52,7 @@
 // simulateGate runs the jobs through a gate.
 func simulateGate(jobs []*simJob) {
 	w := newTestGates()
-	w.Configure(leafA, Limits{Slots: 1, Queue: 64})
+	w.Configure(leafA, Limits{Slots: 1, MaxQueue: 64})
 	var waiting []*simJob
 	var running *simJob
 	var permit *Permit
--- a/internal/admit/property_test.go
+++ b/internal/admit/property_test.go
@@ -59,8 +59,8 @@
 		m.checkGate(t, leaf)
 		withinLimits = withinLimits && len(m.inFlight[leaf]) <= m.slots[leaf]
 	}
-	if m.gates.Respected() != withinLimits {
-		t.Fatalf("WithinLimits returns %v", m.gates.Respected())
+	if m.gates.WithinLimits() != withinLimits {
+		t.Fatalf("WithinLimits returns %v", m.gates.WithinLimits())
 	}
 	for _, x := range m.waiting {
 		if m.deadline[x] < m.gates.now {
@@ -102,7 +102,7 @@
 		"configure": func(t *rapid.T) {
 			leaf := leafGen.Draw(t, "leaf")
 			m.slots[leaf] = rapid.IntRange(0, 4).Draw(t, "slots")
-			m.gates.Configure(leaf, Limits{Slots: m.slots[leaf], Queue: rapid.IntRange(0, 6).Draw(t, "queue"), Ramp: time.Second})
+			m.gates.Configure(leaf, Limits{Slots: m.slots[leaf], MaxQueue: rapid.IntRange(0, 6).Draw(t, "queue"), Ramp: time.Second})
 		},
 		"ask":  m.request,
 		"done": m.done,
@@ -110,10 +110,10 @@
 			m.gates.advance(time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * ms)
 		},
 		"renew": func(t *rapid.T) {
-			m.gates.Fence(m.gates.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms))
+			m.gates.SetLeaseEnd(m.gates.now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * ms))
 		},
-		"drain": func(t *rapid.T) { m.gates.Drain(leafGen.Draw(t, "leaf"), rapid.Bool().Draw(t, "on")) },
-		"ramp":  func(t *rapid.T) { m.gates.Ramp(leafGen.Draw(t, "leaf")) },
+		"drain": func(t *rapid.T) { m.gates.SetDraining(leafGen.Draw(t, "leaf"), rapid.Bool().Draw(t, "on")) },
+		"ramp":  func(t *rapid.T) { m.gates.StartRamp(leafGen.Draw(t, "leaf")) },
 		"leave": func(t *rapid.T) {
 			if len(m.waiting) == 0 {
 				t.Skip("no request is waiting")
@@ -146,10 +146,10 @@
 	if len(candidates) == 0 {
 		t.Skip("no leaf drawn")
 	}
-	req := Ask{
+	req := PermitRequest{
 		Priority: settings.Priority(rapid.IntRange(0, 1).Draw(t, "priority")),
 		Hedge:    rapid.Bool().Draw(t, "hedge"),
-		Order:    rapid.Uint64Range(0, 3).Draw(t, "order"),
+		ShedRank: rapid.Uint64Range(0, 3).Draw(t, "order"),
 	}
 	d := time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * ms
 	before := map[string]int{}
@@ -205,7 +205,7 @@
 		urgentRun := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
-				req := Ask{
+				req := PermitRequest{
 					Priority: settings.Priority(rapid.IntRange(0, 1).Draw(t, "priority")),
 					Hedge:    rapid.Bool().Draw(t, "hedge"),
 				}
@@ -253,23 +253,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 30).Draw(t, "queries")
 		limit := rapid.IntRange(1, 20).Draw(t, "queue")
-		requests := make([]Ask, n)
+		requests := make([]PermitRequest, n)
 		for i := range requests {
-			requests[i] = Ask{
+			requests[i] = PermitRequest{
 				Priority: settings.Priority(rapid.IntRange(0, 1).Draw(t, "priority")),
 				Hedge:    rapid.Bool().Draw(t, "hedge"),
-				Order:    uint64(i),
+				ShedRank: uint64(i),
 			}
 		}
-		survivors := func(arrivals []Ask) []uint64 {
+		survivors := func(arrivals []PermitRequest) []uint64 {
 			w := newTestGates()
-			w.Configure(leafA, Limits{Slots: 1, Queue: limit})
+			w.Configure(leafA, Limits{Slots: 1, MaxQueue: limit})
 			w.TryAcquire(leafA)
 			var ranks []uint64
 			waits := map[*waiter]uint64{}
 			for _, a := range arrivals {
 				_, x, _ := w.requestAny(time.Hour, a, leafA)
-				waits[x] = a.Order
+				waits[x] = a.ShedRank
 			}
 			for x, order := range waits {
 				if _, ended := x.outcome(); !ended {
--- a/internal/admit/shed.go
+++ b/internal/admit/shed.go
@@ -12,7 +12,7 @@
 // could fill the queue and keep urgent ones out, and each home daemon would drop
 // different queries.
 func (g *gate) makeRoom(now vm.Instant, w *waiter) bool {
-	if g.queue.len() < g.limits.Queue {
+	if g.queue.len() < g.limits.MaxQueue {
 		return true
 	}
 	candidate := g.queue.shedCandidate()
@@ -92,6 +92,6 @@
 	}
 	g.queue.remove(victim)
 	refusedDeadline.Inc(1)
-	victim.refuse(errOverload(retryAfter, ErrNoFit))
+	victim.refuse(errOverload(retryAfter, ErrDeadlineTooShort))
 	return true
 }
--- a/internal/admit/stalls_test.go
+++ b/internal/admit/stalls_test.go
@@ -18,7 +18,7 @@
 func TestStallNotCountedAsServiceTime(t *testing.T) {
 	for _, tickBeforeReply := range []bool{false, true} {
 		w := newTestGates()
-		w.Configure(leafA, Limits{Slots: 1, Queue: 10})
+		w.Configure(leafA, Limits{Slots: 1, MaxQueue: 10})
 		w.advanceRunning(100 * time.Millisecond)
 		p, _, err := w.request(time.Second, 0)
 		if p == nil {
@@ -30,7 +30,7 @@
 			w.stalls.tick(w.now)
 		}
 		p.Done(Answered, 0)
-		if got := w.Load(leafA).Service; got > 80*time.Millisecond {
+		if got := w.Load(leafA).ServiceTime; got > 80*time.Millisecond {
 			t.Errorf("tick before the reply: %v: a reply after 20 ms gives service time %v", tickBeforeReply, got)
 		}
 	}
--- a/internal/admit/waiter.go
+++ b/internal/admit/waiter.go
@@ -11,16 +11,16 @@
 )
 
 // PermitRequest describes a request for a permit.
-type Ask struct {
+type PermitRequest struct {
 	Priority settings.Priority
 	Hedge    bool   // a second attempt; granted before all first attempts of its class
-	Order    uint64 // rank of the query, the same on every home daemon; the lowest is shed first
+	ShedRank uint64 // rank of the query, the same on every home daemon; the lowest is shed first
 }
 
 // waiter is a request that is queued at one or more gates. The first gate to claim it
 // grants the permit; the other gates remove it.
 type waiter struct {
-	Ask
+	PermitRequest
 	deadline     vm.Instant
 	result       chan grant   // buffered; receives exactly one grant unless the caller left
 	claimed      atomic.Bool  // a permit was granted, all gates refused, or the caller left
@@ -36,8 +36,8 @@
 	err    error
 }
 
-func newWaiter(req Ask, deadline vm.Instant, numGates int) *waiter {
-	w := &waiter{Ask: req, deadline: deadline, result: make(chan grant, 1)}
+func newWaiter(req PermitRequest, deadline vm.Instant, numGates int) *waiter {
+	w := &waiter{PermitRequest: req, deadline: deadline, result: make(chan grant, 1)}
 	w.Priority = min(req.Priority, settings.Urgent)
 	w.pendingGates.Store(int32(numGates))
 	waitingCount.Inc(1)
@@ -77,7 +77,7 @@
 	case w.Hedge != other.Hedge:
 		return other.Hedge
 	}
-	return w.Order < other.Order
+	return w.ShedRank < other.ShedRank
 }
 
 // grantedBefore reports whether w is granted before other of the same class.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,7 +47,7 @@
 	prober     *leaf.Prober
 	homes      *homes
 	gates      *admit.Gates
-	horizon    directory.Horizon
+	horizon    directory.ListExpiry
 }
 
 // New binds the daemon's ports and puts its parts together; nothing runs yet.
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -31,7 +31,7 @@
 	klog.Infof("daemon: %s drains: leaving the address lists", d.self.Name)
 	d.client.SetPhase(vm.Draining)
 	waitFor(hurry, agreeLimit, func() bool { return hasLeft(d.client.Current(), d.self) })
-	lifetime := d.horizon.Wait(vm.Now())
+	lifetime := d.horizon.Remaining(vm.Now())
 	klog.Infof("daemon: %s drains: callers keep its address for %s; %d requests in flight", d.self.Name, lifetime, d.engine.InFlight())
 	waitFor(hurry, lifetime, func() bool { return false })
 	endCallers()
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -46,7 +46,7 @@
 	sender  *leaf.Sender
 	prober  *leaf.Prober
 	ack     func(config, epoch uint64)
-	horizon *directory.Horizon
+	horizon *directory.ListExpiry
 
 	applied stateKey
 	mu      sync.Mutex // guards held against services
@@ -102,7 +102,7 @@
 		h.configure(v)
 		h.applied = key
 	}
-	h.gates.Fence(v.Lease)
+	h.gates.SetLeaseEnd(v.Lease)
 }
 
 // configure gives every leaf of every service its share; a leaf that is no longer
@@ -141,7 +141,7 @@
 		}
 		own = append(own, l)
 		now.leaves[l.Addr] = l
-		h.gates.Configure(l.Addr, admit.Limits{Slots: slots, Queue: e.QueueLimit, Ramp: e.Ramp})
+		h.gates.Configure(l.Addr, admit.Limits{Slots: slots, MaxQueue: e.QueueLimit, Ramp: e.Ramp})
 		h.sender.Limit(l, leaf.Link{Conns: conns, TLS: e.LeafTLS, ConnectCost: e.ConnectCost})
 	}
 	if len(own) == 0 {
@@ -161,7 +161,7 @@
 	if h.acked == h.applied {
 		return true
 	}
-	if !h.gates.Respected() || !h.sender.Respected() {
+	if !h.gates.WithinLimits() || !h.sender.Respected() {
 		return false
 	}
 	h.acked = h.applied
--- a/internal/directory/horizon.go
+++ b/internal/directory/horizon.go
@@ -12,14 +12,14 @@
 // shuts down continues to serve until every list that names it has expired. The
 // current lifetime alone is too short after an operator lowers it: lists handed out
 // earlier, or by a daemon that applies the change later, keep their longer lifetime.
-type Horizon struct {
+type ListExpiry struct {
 	mu               sync.Mutex
 	maxLifetime      time.Duration // of the lists that any daemon may hand out now
 	formerListsUntil vm.Instant    // when lists with former, longer lifetimes have expired
 }
 
 // Observe updates the lifetimes from a view. It must be called for every view, in order.
-func (e *Horizon) Observe(v *relay.View, now vm.Instant) {
+func (e *ListExpiry) Observe(v *relay.View, now vm.Instant) {
 	if v == nil || v.Tree == nil {
 		return
 	}
@@ -36,7 +36,7 @@
 }
 
 // Remaining returns how long a list handed out up to now may still be in use.
-func (e *Horizon) Wait(now vm.Instant) time.Duration {
+func (e *ListExpiry) Remaining(now vm.Instant) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return max(e.maxLifetime, e.formerListsUntil.Sub(now))
--- a/internal/directory/horizon_test.go
+++ b/internal/directory/horizon_test.go
@@ -26,19 +26,19 @@
 	Convey("A daemon that shuts down waits for lists with former lifetimes", t, func() {
 		const second = vm.Instant(time.Second)
 		long, short := newLifetimeTree(t, "30s"), newLifetimeTree(t, "2s")
-		var h Horizon
+		var h ListExpiry
 		h.Observe(&relay.View{ConfigVersion: 1, InForce: 1, Tree: long}, 0)
-		So(h.Wait(0), ShouldEqual, 30*time.Second)
+		So(h.Remaining(0), ShouldEqual, 30*time.Second)
 
 		// Other daemons still hand out lists with the lifetime of version 1.
 		older := []relay.Version{{Number: 1, Tree: long}}
 		h.Observe(&relay.View{ConfigVersion: 2, InForce: 1, Tree: short, Older: older}, 10*second)
-		So(h.Wait(11*second), ShouldEqual, 30*time.Second)
+		So(h.Remaining(11*second), ShouldEqual, 30*time.Second)
 
 		// From 12 s on no daemon does; the last such list is in use until 42 s.
 		h.Observe(&relay.View{ConfigVersion: 2, InForce: 2, Tree: short}, 12*second)
-		So(h.Wait(13*second), ShouldEqual, 29*time.Second)
-		So(h.Wait(41*second), ShouldEqual, 2*time.Second)
-		So(h.Wait(60*second), ShouldEqual, 2*time.Second)
+		So(h.Remaining(13*second), ShouldEqual, 29*time.Second)
+		So(h.Remaining(41*second), ShouldEqual, 2*time.Second)
+		So(h.Remaining(60*second), ShouldEqual, 2*time.Second)
 	})
 }
--- a/internal/discovery/book.go
+++ b/internal/discovery/book.go
@@ -28,7 +28,7 @@
 
 // LeafCache holds the newest snapshot of the leaf list, its age, and the most recent
 // changes. It is safe for concurrent use.
-type Book struct {
+type LeafCache struct {
 	clock vm.Clock
 
 	mu           sync.Mutex
@@ -54,36 +54,36 @@
 }
 
 // NewLeafCache returns an empty cache. A nil clock means vm.Now.
-func NewBook(clock vm.Clock) *Book {
+func NewLeafCache(clock vm.Clock) *LeafCache {
 	if clock == nil {
 		clock = vm.Now
 	}
 	empty := newSnapshot(nil)
-	return &Book{clock: clock, reported: empty, current: empty, runs: make(latestRuns), changed: make(chan struct{})}
+	return &LeafCache{clock: clock, reported: empty, current: empty, runs: make(latestRuns), changed: make(chan struct{})}
 }
 
 // Snapshot returns the newest snapshot; it is never nil.
-func (c *Book) Snapshot() *Snapshot {
+func (c *LeafCache) Snapshot() *Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current
 }
 
 // HasList reports whether a list has been read or received.
-func (c *Book) Known() bool {
+func (c *LeafCache) HasList() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.hasList
 }
 
 // Age returns the time since the newest reading began.
-func (c *Book) Age() time.Duration {
+func (c *LeafCache) Age() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ageLocked()
 }
 
-func (c *Book) ageLocked() time.Duration {
+func (c *LeafCache) ageLocked() time.Duration {
 	if !c.hasList {
 		return unknownAge
 	}
@@ -99,7 +99,7 @@
 
 // Changed returns a channel that is closed when the leaves or the unresponsive
 // daemons change.
-func (c *Book) Changed() <-chan struct{} {
+func (c *LeafCache) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
@@ -107,7 +107,7 @@
 
 // ApplyReading installs a list that this daemon read from the Source. startedAt is
 // the instant before the first call to the Source.
-func (c *Book) Take(list []Listed, startedAt vm.Instant) {
+func (c *LeafCache) ApplyReading(list []ListedLeaf, startedAt vm.Instant) {
 	list = dedupeByID(list)
 	leaves := make([]*Leaf, 0, len(list))
 	c.mu.Lock()
@@ -115,7 +115,7 @@
 	now := c.clock()
 	for _, entry := range list {
 		l := &Leaf{
-			ID: entry.ID, Born: entry.Born, Service: entry.Service, Addr: entry.Addr, Domain: entry.Domain,
+			ID: entry.ID, StartMs: entry.StartMs, Service: entry.Service, Addr: entry.Addr, Domain: entry.Domain,
 			Slots: entry.Slots, Draining: entry.Draining, WarmAt: now.Add(entry.WarmIn),
 		}
 		leaves = append(leaves, c.reuseUnchanged(l))
@@ -137,13 +137,13 @@
 
 // SetUnresponsive sets the sorted names of the daemons that the reader has not heard
 // from recently.
-func (c *Book) SetQuiet(names []string) {
+func (c *LeafCache) SetUnresponsive(names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.setUnresponsiveLocked(names)
 }
 
-func (c *Book) setUnresponsiveLocked(names []string) {
+func (c *LeafCache) setUnresponsiveLocked(names []string) {
 	if slices.Equal(c.unresponsive, names) {
 		return
 	}
@@ -154,7 +154,7 @@
 }
 
 // Unresponsive returns the daemons that the reader has not heard from recently.
-func (c *Book) Quiet() map[string]bool {
+func (c *LeafCache) Unresponsive() map[string]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make(map[string]bool, len(c.unresponsive))
@@ -174,7 +174,7 @@
 }
 
 // installLocked replaces the current snapshot and notifies watchers; b.mu must be held.
-func (c *Book) installLocked(next *Snapshot, source string) {
+func (c *LeafCache) installLocked(next *Snapshot, source string) {
 	added, removed := 0, 0
 	for _, l := range next.leaves {
 		if _, ok := c.current.byID[l.ID]; !ok {
@@ -228,7 +228,7 @@
 	return out
 }
 
-func (c *Book) appendChange(ch change) {
+func (c *LeafCache) appendChange(ch change) {
 	c.changes = append(c.changes, ch)
 	if len(c.changes) > maxChanges {
 		c.changes = c.changes[1:]
@@ -236,7 +236,7 @@
 }
 
 // newRequest returns a request for the changes since the cached list.
-func (c *Book) newRequest(wait time.Duration) *wire.LeavesRequest {
+func (c *LeafCache) newRequest(wait time.Duration) *wire.LeavesRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return &wire.LeavesRequest{
@@ -246,7 +246,7 @@
 }
 
 // newReply returns the reply to a watcher's request.
-func (c *Book) newReply(req *wire.LeavesRequest) *wire.LeavesReply {
+func (c *LeafCache) newReply(req *wire.LeavesRequest) *wire.LeavesReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := &wire.LeavesReply{Run: c.readerRun, Version: c.version, AgeMs: uint32(c.ageLocked().Milliseconds()), Quiet: c.unresponsive}
@@ -275,7 +275,7 @@
 
 // changedSince returns the ids changed after the version in req, and false if that
 // version is no longer known.
-func (c *Book) changedSince(req *wire.LeavesRequest) (map[string]bool, bool) {
+func (c *LeafCache) changedSince(req *wire.LeavesRequest) (map[string]bool, bool) {
 	if req.Run != c.readerRun || req.Version > c.version || len(c.changes) == 0 || req.Version < c.changes[0].fromVersion {
 		return nil, false
 	}
@@ -291,7 +291,7 @@
 }
 
 // applyReply merges a reply into the cache, unless its reading is older than the cached one.
-func (c *Book) applyReply(r *wire.LeavesReply) {
+func (c *LeafCache) applyReply(r *wire.LeavesReply) {
 	if r.Run == 0 {
 		return
 	}
@@ -329,7 +329,7 @@
 	c.hasList = true
 }
 
-func (c *Book) decodeEntries(entries []*wire.LeafEntry, now vm.Instant) []*Leaf {
+func (c *LeafCache) decodeEntries(entries []*wire.LeafEntry, now vm.Instant) []*Leaf {
 	out := make([]*Leaf, 0, len(entries))
 	for _, e := range entries {
 		out = append(out, c.reuseUnchanged(fromWire(e, now)))
@@ -338,14 +338,14 @@
 }
 
 // reuseUnchanged returns the cached leaf if it equals l, otherwise l.
-func (c *Book) reuseUnchanged(l *Leaf) *Leaf {
+func (c *LeafCache) reuseUnchanged(l *Leaf) *Leaf {
 	if old, ok := c.reported.byID[l.ID]; ok && old.equalState(l) {
 		return old
 	}
 	return l
 }
 
-func (c *Book) applyDelta(r *wire.LeavesReply, now vm.Instant) []*Leaf {
+func (c *LeafCache) applyDelta(r *wire.LeavesReply, now vm.Instant) []*Leaf {
 	replaced := replyIDs(r)
 	out := c.decodeEntries(r.Entries, now)
 	for _, l := range c.reported.leaves {
@@ -357,4 +357,4 @@
 }
 
 // readByThisDaemon reports whether this daemon read the newest list itself.
-func (c *Book) readByThisDaemon() bool { return c.ownRun != 0 && c.readerRun == c.ownRun }
+func (c *LeafCache) readByThisDaemon() bool { return c.ownRun != 0 && c.readerRun == c.ownRun }
--- a/internal/discovery/book_test.go
+++ b/internal/discovery/book_test.go
@@ -32,12 +32,12 @@
 	os.Exit(m.Run())
 }
 
-func newListed(n int, draining bool) Listed {
-	return Listed{ID: fmt.Sprintf("i-%d", n), Service: fmt.Sprintf("s%d", n%3), Addr: fmt.Sprintf("10.0.0.%d:80", n%4), Slots: 2, Draining: draining}
+func newListed(n int, draining bool) ListedLeaf {
+	return ListedLeaf{ID: fmt.Sprintf("i-%d", n), Service: fmt.Sprintf("s%d", n%3), Addr: fmt.Sprintf("10.0.0.%d:80", n%4), Slots: 2, Draining: draining}
 }
 
-func drawList(t *rapid.T) []Listed {
-	var out []Listed
+func drawList(t *rapid.T) []ListedLeaf {
+	var out []ListedLeaf
 	for n := range 8 {
 		switch rapid.IntRange(0, 2).Draw(t, "leaf") {
 		case 1:
@@ -64,16 +64,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(time.Hour)
 		clock := func() vm.Instant { return now }
-		readers := []*Book{NewBook(clock), NewBook(clock)}
-		watcher := NewBook(clock)
+		readers := []*LeafCache{NewLeafCache(clock), NewLeafCache(clock)}
+		watcher := NewLeafCache(clock)
 		from := readers[0]
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now = now.Add(50 * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				from.Take(drawList(t), now)
+				from.ApplyReading(drawList(t), now)
 			case 1:
-				from.SetQuiet([]string{fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "quiet"))})
+				from.SetUnresponsive([]string{fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "quiet"))})
 			case 2:
 				watcher.applyReply(from.newReply(watcher.newRequest(0)))
 			case 3:
@@ -87,13 +87,13 @@
 			}
 		}
 		now = now.Add(50 * time.Millisecond)
-		from.Take(drawList(t), now)
+		from.ApplyReading(drawList(t), now)
 		watcher.applyReply(from.newReply(watcher.newRequest(0)))
 		if got, want := leafStates(watcher.Snapshot()), leafStates(from.Snapshot()); !reflect.DeepEqual(got, want) {
 			t.Fatalf("the watcher has %v, the reader %v", got, want)
 		}
-		if !reflect.DeepEqual(watcher.Quiet(), from.Quiet()) {
-			t.Fatalf("unresponsive daemons: watcher has %v, reader has %v", watcher.Quiet(), from.Quiet())
+		if !reflect.DeepEqual(watcher.Unresponsive(), from.Unresponsive()) {
+			t.Fatalf("unresponsive daemons: watcher has %v, reader has %v", watcher.Unresponsive(), from.Unresponsive())
 		}
 	})
 }
@@ -103,10 +103,10 @@
 func TestOlderReadingIgnored(t *testing.T) {
 	now := vm.Instant(time.Hour)
 	clock := func() vm.Instant { return now }
-	stale, fresh, watcher := NewBook(clock), NewBook(clock), NewBook(clock)
-	stale.Take([]Listed{newListed(1, false)}, now)
+	stale, fresh, watcher := NewLeafCache(clock), NewLeafCache(clock), NewLeafCache(clock)
+	stale.ApplyReading([]ListedLeaf{newListed(1, false)}, now)
 	now = now.Add(3 * time.Second)
-	fresh.Take([]Listed{newListed(1, true)}, now)
+	fresh.ApplyReading([]ListedLeaf{newListed(1, true)}, now)
 	watcher.applyReply(fresh.newReply(watcher.newRequest(0)))
 	watcher.applyReply(stale.newReply(&wire.LeavesRequest{}))
 	if l, _ := watcher.Snapshot().Find("i-1"); l == nil || !l.Draining {
@@ -117,18 +117,18 @@
 // An unchanged leaf must stay the same object, so that state kept per leaf is not lost.
 // A target restarted at the same address under another id is another leaf.
 func TestUnchangedLeafKeepsIdentity(t *testing.T) {
-	cache := NewBook(nil)
-	cache.Take([]Listed{newListed(1, false)}, vm.Now())
+	cache := NewLeafCache(nil)
+	cache.ApplyReading([]ListedLeaf{newListed(1, false)}, vm.Now())
 	first, _ := cache.Snapshot().Find("i-1")
 	again := newListed(1, false)
 	again.WarmIn = time.Second
-	cache.Take([]Listed{again}, vm.Now())
+	cache.ApplyReading([]ListedLeaf{again}, vm.Now())
 	if second, _ := cache.Snapshot().Find("i-1"); second != first {
 		t.Error("an unchanged leaf was replaced by another object")
 	}
 	restarted := newListed(1, false)
 	restarted.ID = "i-9"
-	cache.Take([]Listed{restarted}, vm.Now())
+	cache.ApplyReading([]ListedLeaf{restarted}, vm.Now())
 	if _, ok := cache.Snapshot().Find("i-1"); ok {
 		t.Error("the leaf of the earlier run is still cached")
 	}
@@ -141,15 +141,15 @@
 	if s.calls > 1 {
 		return Listing{}, errors.New("page 2 is not available")
 	}
-	return Listing{Leaves: []Listed{newListed(1, false)}}, nil
+	return Listing{Leaves: []ListedLeaf{newListed(1, false)}}, nil
 }
 
 // If the list can't be read completely, the cached list must stay and its age must grow.
 func TestFailedReadingKeepsList(t *testing.T) {
-	cache := NewBook(nil)
+	cache := NewLeafCache(nil)
 	src := &failingSource{}
-	f := NewFinder(Config{Source: src, Every: time.Millisecond, Reads: func() bool { return true }, Quiet: func() []string { return nil },
-		Upstreams: func() []string { return nil }, Wanted: func() bool { return true }, Spread: func() time.Duration { return 0 }}, cache)
+	f := NewSyncer(Config{Source: src, ReadInterval: time.Millisecond, IsReader: func() bool { return true }, Unresponsive: func() []string { return nil },
+		Upstreams: func() []string { return nil }, ListNeeded: func() bool { return true }, ReadJitter: func() time.Duration { return 0 }}, cache)
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	f.Run(ctx)
@@ -164,9 +164,9 @@
 func TestStartingDaemonsDoNotAllRead(t *testing.T) {
 	src := &failingSource{}
 	wanted := false
-	f := NewFinder(Config{Source: src, Every: time.Millisecond, Alone: 150 * time.Millisecond, Reads: func() bool { return false },
-		Quiet: func() []string { return nil }, Upstreams: func() []string { return nil },
-		Wanted: func() bool { return wanted }, Spread: func() time.Duration { return 0 }}, NewBook(nil))
+	f := NewSyncer(Config{Source: src, ReadInterval: time.Millisecond, FallbackAge: 150 * time.Millisecond, IsReader: func() bool { return false },
+		Unresponsive: func() []string { return nil }, Upstreams: func() []string { return nil },
+		ListNeeded: func() bool { return wanted }, ReadJitter: func() time.Duration { return 0 }}, NewLeafCache(nil))
 	run := func(d time.Duration) {
 		ctx, cancel := context.WithTimeout(context.Background(), d)
 		defer cancel()
@@ -187,7 +187,7 @@
 // must come immediately so that it can ask the reader next. If it were held for a second,
 // the daemon would refuse its callers for that time although it has the configuration.
 func TestDaemonWithoutListRepliesImmediately(t *testing.T) {
-	f := NewFinder(Config{Every: time.Second}, NewBook(nil))
+	f := NewSyncer(Config{ReadInterval: time.Second}, NewLeafCache(nil))
 	began := time.Now()
 	reply, err := f.Server().Watch(context.Background(), &wire.LeavesRequest{WaitMs: 1000, Quiet: namesDigest(nil)})
 	if err != nil || reply.Run != 0 {
@@ -203,9 +203,9 @@
 // the election, every caller would wait that much longer.
 func TestReaderCandidateReadsAtStart(t *testing.T) {
 	src := &failingSource{}
-	f := NewFinder(Config{Source: src, Every: time.Millisecond, Alone: time.Hour, Early: true, Reads: func() bool { return false },
-		Quiet: func() []string { return nil }, Upstreams: func() []string { return nil },
-		Wanted: func() bool { return false }, Spread: func() time.Duration { return 0 }}, NewBook(nil))
+	f := NewSyncer(Config{Source: src, ReadInterval: time.Millisecond, FallbackAge: time.Hour, ReadAtStart: true, IsReader: func() bool { return false },
+		Unresponsive: func() []string { return nil }, Upstreams: func() []string { return nil },
+		ListNeeded: func() bool { return false }, ReadJitter: func() time.Duration { return 0 }}, NewLeafCache(nil))
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	f.Run(ctx)
--- a/internal/discovery/first_test.go
+++ b/internal/discovery/first_test.go
@@ -20,14 +20,14 @@
 // attempt to fetch it.
 func TestFirstListOfManyLeavesArrives(t *testing.T) {
 	const manyLeaves, rate, timeout = 23_000, 500_000, 12 * time.Second // leaves, bytes per second
-	var list []Listed
+	var list []ListedLeaf
 	for n := range manyLeaves {
-		list = append(list, Listed{ID: fmt.Sprintf("i-%010d", n), Service: fmt.Sprintf("service-%d", n/3), Addr: fmt.Sprintf("10.%d.%d.9:8569", n>>8, n&255), Domain: "lalitpur-hall", Slots: 2})
+		list = append(list, ListedLeaf{ID: fmt.Sprintf("i-%010d", n), Service: fmt.Sprintf("service-%d", n/3), Addr: fmt.Sprintf("10.%d.%d.9:8569", n>>8, n&255), Domain: "lalitpur-hall", Slots: 2})
 	}
-	reader := NewBook(vm.Monotonic)
-	reader.Take(list, vm.Monotonic())
+	reader := NewLeafCache(vm.Monotonic)
+	reader.ApplyReading(list, vm.Monotonic())
 	mux := drpcmux.New()
-	if err := wire.DRPCRegisterLeaves(mux, NewFinder(Config{Every: time.Hour}, reader).Server()); err != nil {
+	if err := wire.DRPCRegisterLeaves(mux, NewSyncer(Config{ReadInterval: time.Hour}, reader).Server()); err != nil {
 		t.Fatal(err)
 	}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,15 +47,15 @@
 		upstreams = append(upstreams, link.Addr())
 	}
 	pool := peer.NewTrustedPool()
-	cache := NewBook(vm.Monotonic)
-	f := NewFinder(Config{
-		Conns: pool, Every: time.Hour, Alone: time.Hour, Reads: func() bool { return false }, Quiet: func() []string { return nil },
-		Wanted: func() bool { return false }, Upstreams: func() []string { return upstreams }, Spread: func() time.Duration { return 0 },
+	cache := NewLeafCache(vm.Monotonic)
+	f := NewSyncer(Config{
+		Conns: pool, ReadInterval: time.Hour, FallbackAge: time.Hour, IsReader: func() bool { return false }, Unresponsive: func() []string { return nil },
+		ListNeeded: func() bool { return false }, Upstreams: func() []string { return upstreams }, ReadJitter: func() time.Duration { return 0 },
 	}, cache)
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
 	began := time.Now()
-	for !cache.Known() && time.Since(began) < timeout {
+	for !cache.HasList() && time.Since(began) < timeout {
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := len(cache.Snapshot().All()); n != manyLeaves {
--- a/internal/discovery/leaf.go
+++ b/internal/discovery/leaf.go
@@ -16,7 +16,7 @@
 // Leaf is one run of a target, from its start to its end. It is immutable.
 type Leaf struct {
 	ID       string
-	Born     int64 // start time in ms since 1970 by the clock of its VM; 0: not stated
+	StartMs  int64 // start time in ms since 1970 by the clock of its VM; 0: not stated
 	Service  string
 	Addr     string // host:port
 	Domain   string // failure domain
@@ -27,20 +27,20 @@
 
 // RunID identifies one run of a leaf. A leaf that restarts keeps its id but is another
 // run, and nothing learned about the earlier run applies to it.
-type Life struct {
-	ID   string
-	Born int64
+type RunID struct {
+	ID      string
+	StartMs int64
 }
 
 // RunID returns the identity of the leaf's run.
-func (l *Leaf) Life() Life { return Life{l.ID, l.Born} }
+func (l *Leaf) RunID() RunID { return RunID{l.ID, l.StartMs} }
 
 // Fingerprint returns a hash of the leaf's run and service. Messages between daemons
 // that refer to many leaves use it as a short identifier.
-func (l *Leaf) Mark() uint64 {
+func (l *Leaf) Fingerprint() uint64 {
 	h := xxhash.New()
 	var buf [8]byte
-	binary.LittleEndian.PutUint64(buf[:], uint64(l.Born))
+	binary.LittleEndian.PutUint64(buf[:], uint64(l.StartMs))
 	_, _ = h.Write(buf[:])
 	_, _ = h.WriteString(l.ID)
 	_, _ = h.Write([]byte{0})
@@ -49,18 +49,18 @@
 }
 
 // WarmingUp reports whether the leaf is still slow after its start.
-func (l *Leaf) Cold(now vm.Instant) bool { return now < l.WarmAt }
+func (l *Leaf) WarmingUp(now vm.Instant) bool { return now < l.WarmAt }
 
 // equalState reports whether l and other are equal except for the remaining warm-up time.
 func (l *Leaf) equalState(other *Leaf) bool {
-	return l.Life() == other.Life() && l.Service == other.Service && l.Addr == other.Addr &&
+	return l.RunID() == other.RunID() && l.Service == other.Service && l.Addr == other.Addr &&
 		l.Domain == other.Domain && l.Slots == other.Slots && l.Draining == other.Draining
 }
 
 // ListedLeaf is a leaf as a Source lists it.
-type Listed struct {
+type ListedLeaf struct {
 	ID       string
-	Born     int64 // ms since 1970; 0: not stated
+	StartMs  int64 // ms since 1970; 0: not stated
 	Service  string
 	Addr     string
 	Domain   string
@@ -70,15 +70,15 @@
 }
 
 // UnreadableEntry is a list entry that does not describe a valid leaf.
-type Unreadable struct {
-	ID    string // may be empty if it can't be read either
-	Fault error
+type UnreadableEntry struct {
+	ID  string // may be empty if it can't be read either
+	Err error
 }
 
 // Listing is the result of one reading of a Source.
 type Listing struct {
-	Leaves     []Listed
-	Unreadable []Unreadable
+	Leaves     []ListedLeaf
+	Unreadable []UnreadableEntry
 }
 
 // Source lists all leaves.
@@ -109,13 +109,13 @@
 	var buf [8]byte
 	for _, l := range leaves {
 		s.byID[l.ID] = l
-		s.byFingerprint[l.Mark()] = l
+		s.byFingerprint[l.Fingerprint()] = l
 		s.byService[l.Service] = append(s.byService[l.Service], l)
 		for _, t := range [...]string{l.ID, l.Service, l.Addr, l.Domain} {
 			_, _ = h.WriteString(t)
 			_, _ = h.Write([]byte{0})
 		}
-		binary.LittleEndian.PutUint64(buf[:], uint64(l.Born))
+		binary.LittleEndian.PutUint64(buf[:], uint64(l.StartMs))
 		_, _ = h.Write(buf[:])
 		_, _ = h.Write([]byte{byte(l.Slots), byte(l.Slots >> 8), boolByte(l.Draining)})
 	}
@@ -132,7 +132,7 @@
 
 // ForService returns the leaves of a service, including draining ones. The caller must
 // not modify the slice.
-func (s *Snapshot) Of(service string) []*Leaf { return s.byService[service] }
+func (s *Snapshot) ForService(service string) []*Leaf { return s.byService[service] }
 
 // Find returns the leaf with the given id.
 func (s *Snapshot) Find(id string) (*Leaf, bool) {
@@ -141,7 +141,7 @@
 }
 
 // FindByFingerprint returns the leaf with the given fingerprint.
-func (s *Snapshot) FindMark(mark uint64) (*Leaf, bool) {
+func (s *Snapshot) FindByFingerprint(mark uint64) (*Leaf, bool) {
 	l, ok := s.byFingerprint[mark]
 	return l, ok
 }
@@ -152,7 +152,7 @@
 func toWire(l *Leaf, now vm.Instant) *wire.LeafEntry {
 	return &wire.LeafEntry{
 		Id: l.ID, Service: l.Service, Addr: l.Addr, Domain: l.Domain,
-		Slots: uint32(l.Slots), Draining: l.Draining, Born: l.Born,
+		Slots: uint32(l.Slots), Draining: l.Draining, Born: l.StartMs,
 		ColdMs: uint32(max(0, l.WarmAt.Sub(now)).Milliseconds()),
 	}
 }
@@ -160,7 +160,7 @@
 func fromWire(e *wire.LeafEntry, now vm.Instant) *Leaf {
 	return &Leaf{
 		ID: e.Id, Service: e.Service, Addr: e.Addr, Domain: e.Domain,
-		Slots: int(e.Slots), Draining: e.Draining, Born: e.Born,
+		Slots: int(e.Slots), Draining: e.Draining, StartMs: e.Born,
 		WarmAt: now.Add(time.Duration(e.ColdMs) * time.Millisecond),
 	}
 }
--- a/internal/discovery/lives.go
+++ b/internal/discovery/lives.go
@@ -51,24 +51,24 @@
 	last, known := l[leaf.ID]
 	known = known && now.Sub(last.listedAt) <= runRetention
 	switch {
-	case leaf.Born == 0 && !known:
+	case leaf.StartMs == 0 && !known:
 		return leaf
-	case leaf.Born == 0:
+	case leaf.StartMs == 0:
 		// The entry states no start time: assume the known run.
 		l[leaf.ID] = latestRun{last.startMs, now}
 		withStart := *leaf
-		withStart.Born = last.startMs
+		withStart.StartMs = last.startMs
 		if old, ok := current.byID[leaf.ID]; ok && old.equalState(&withStart) {
 			return old
 		}
 		return &withStart
-	case !known || leaf.Born >= last.startMs:
-		l[leaf.ID] = latestRun{leaf.Born, now}
+	case !known || leaf.StartMs >= last.startMs:
+		l[leaf.ID] = latestRun{leaf.StartMs, now}
 		return leaf
 	}
 	// An earlier run: keep the later one if it is still in use. Otherwise return no
 	// leaf, because runs of a leaf do not overlap and this one has ended.
-	if old, ok := current.byID[leaf.ID]; ok && old.Born == last.startMs {
+	if old, ok := current.byID[leaf.ID]; ok && old.StartMs == last.startMs {
 		return old
 	}
 	return nil
@@ -77,16 +77,16 @@
 // dedupeByID returns one entry for each id: the one of the latest run, because earlier
 // runs have ended. Among entries of the same run, or without a start time, the last one
 // is used, because it was read last.
-func dedupeByID(list []Listed) []Listed {
+func dedupeByID(list []ListedLeaf) []ListedLeaf {
 	index := make(map[string]int, len(list))
-	out := make([]Listed, 0, len(list))
+	out := make([]ListedLeaf, 0, len(list))
 	for _, entry := range list {
 		i, ok := index[entry.ID]
 		switch {
 		case !ok:
 			index[entry.ID] = len(out)
 			out = append(out, entry)
-		case entry.Born >= out[i].Born:
+		case entry.StartMs >= out[i].StartMs:
 			out[i] = entry
 		}
 	}
--- a/internal/discovery/lives_test.go
+++ b/internal/discovery/lives_test.go
@@ -11,18 +11,18 @@
 	"pearmoor/internal/vm"
 )
 
-func newListedRun(n int, startMs int64) Listed {
+func newListedRun(n int, startMs int64) ListedLeaf {
 	l := newListed(n, false)
-	l.Born = startMs
+	l.StartMs = startMs
 	return l
 }
 
-func cachedStart(cache *Book, id string) int64 {
+func cachedStart(cache *LeafCache, id string) int64 {
 	l, ok := cache.Snapshot().Find(id)
 	if !ok {
 		return -1
 	}
-	return l.Born
+	return l.StartMs
 }
 
 // A leaf restarts, and an outdated page still lists its earlier run. Requests would be
@@ -30,15 +30,15 @@
 // lost. The later run must stay, and the earlier one must not replace it after it ends.
 func TestEarlierRunNotRestored(t *testing.T) {
 	now := vm.Instant(time.Hour)
-	cache := NewBook(func() vm.Instant { return now })
-	read := func(list ...Listed) {
+	cache := NewLeafCache(func() vm.Instant { return now })
+	read := func(list ...ListedLeaf) {
 		now = now.Add(time.Second)
-		cache.Take(list, now)
+		cache.ApplyReading(list, now)
 	}
 	read(newListedRun(1, 100))
 	first, _ := cache.Snapshot().Find("i-1")
 	read(newListedRun(1, 200))
-	if second, _ := cache.Snapshot().Find("i-1"); second == first || second.Born != 200 {
+	if second, _ := cache.Snapshot().Find("i-1"); second == first || second.StartMs != 200 {
 		t.Fatalf("restarted leaf is %+v", second)
 	}
 	read(newListedRun(1, 100))
@@ -55,19 +55,19 @@
 // An entry without a start time must be accepted, also if it alternates with pages that
 // state one. If each switch changed the run, what was learned about the leaf would be lost.
 func TestEntryWithoutStartTime(t *testing.T) {
-	cache := NewBook(nil)
-	cache.Take([]Listed{newListed(1, false)}, vm.Now())
+	cache := NewLeafCache(nil)
+	cache.ApplyReading([]ListedLeaf{newListed(1, false)}, vm.Now())
 	if got := cachedStart(cache, "i-1"); got != 0 {
 		t.Fatalf("start time %d, want 0", got)
 	}
-	cache.Take([]Listed{newListedRun(1, 100)}, vm.Now())
+	cache.ApplyReading([]ListedLeaf{newListedRun(1, 100)}, vm.Now())
 	first, _ := cache.Snapshot().Find("i-1")
-	cache.Take([]Listed{newListed(1, false)}, vm.Now())
+	cache.ApplyReading([]ListedLeaf{newListed(1, false)}, vm.Now())
 	if second, _ := cache.Snapshot().Find("i-1"); second != first {
 		t.Errorf("leaf was replaced by %+v", second)
 	}
-	cache.Take([]Listed{newListed(1, true)}, vm.Now())
-	if l, _ := cache.Snapshot().Find("i-1"); !l.Draining || l.Born != 100 {
+	cache.ApplyReading([]ListedLeaf{newListed(1, true)}, vm.Now())
+	if l, _ := cache.Snapshot().Find("i-1"); !l.Draining || l.StartMs != 100 {
 		t.Errorf("draining leaf is %+v", l)
 	}
 }
@@ -76,11 +76,11 @@
 // start. The run must not be left out permanently.
 func TestRunAcceptedAfterClockSetBack(t *testing.T) {
 	now := vm.Instant(time.Hour)
-	cache := NewBook(func() vm.Instant { return now })
-	cache.Take([]Listed{newListedRun(1, 12_000)}, now)
+	cache := NewLeafCache(func() vm.Instant { return now })
+	cache.ApplyReading([]ListedLeaf{newListedRun(1, 12_000)}, now)
 	for range 12 {
 		now = now.Add(time.Second)
-		cache.Take([]Listed{newListedRun(1, 1_000)}, now)
+		cache.ApplyReading([]ListedLeaf{newListedRun(1, 1_000)}, now)
 	}
 	if got := cachedStart(cache, "i-1"); got != 1_000 {
 		t.Errorf("run is %d after 12 s of lists with only run 1000", got)
@@ -90,15 +90,15 @@
 // Two entries of one reading have the same id. The later run must be used in either
 // order, and of the same run the last entry.
 func TestDuplicateIDKeepsLatestRun(t *testing.T) {
-	for _, list := range [][]Listed{{newListedRun(1, 100), newListedRun(1, 200)}, {newListedRun(1, 200), newListedRun(1, 100)}} {
-		cache := NewBook(nil)
-		cache.Take(list, vm.Now())
+	for _, list := range [][]ListedLeaf{{newListedRun(1, 100), newListedRun(1, 200)}, {newListedRun(1, 200), newListedRun(1, 100)}} {
+		cache := NewLeafCache(nil)
+		cache.ApplyReading(list, vm.Now())
 		if got := cachedStart(cache, "i-1"); got != 200 || len(cache.Snapshot().All()) != 1 {
 			t.Errorf("run %d, %d leaves", got, len(cache.Snapshot().All()))
 		}
 	}
-	cache := NewBook(nil)
-	cache.Take([]Listed{newListed(1, false), newListed(1, true)}, vm.Now())
+	cache := NewLeafCache(nil)
+	cache.ApplyReading([]ListedLeaf{newListed(1, false), newListed(1, true)}, vm.Now())
 	if l, _ := cache.Snapshot().Find("i-1"); !l.Draining {
 		t.Error("the entry of the earlier page was used")
 	}
@@ -110,10 +110,10 @@
 func TestConflictingRunsConverge(t *testing.T) {
 	now := vm.Instant(time.Hour)
 	clock := func() vm.Instant { return now }
-	outdated, watcher := NewBook(clock), NewBook(clock)
-	watcher.Take([]Listed{newListedRun(1, 200), newListedRun(2, 50)}, now)
+	outdated, watcher := NewLeafCache(clock), NewLeafCache(clock)
+	watcher.ApplyReading([]ListedLeaf{newListedRun(1, 200), newListedRun(2, 50)}, now)
 	now = now.Add(time.Second)
-	outdated.Take([]Listed{newListedRun(1, 100), newListedRun(2, 50)}, now)
+	outdated.ApplyReading([]ListedLeaf{newListedRun(1, 100), newListedRun(2, 50)}, now)
 	watcher.applyReply(outdated.newReply(watcher.newRequest(0)))
 	if got := cachedStart(watcher, "i-1"); got != 200 {
 		t.Errorf("watcher has run %d, want 200", got)
@@ -122,7 +122,7 @@
 		t.Errorf("a second reply repeats the difference: %v", r)
 	}
 	now = now.Add(time.Second)
-	outdated.Take([]Listed{newListedRun(1, 200), newListedRun(2, 50)}, now)
+	outdated.ApplyReading([]ListedLeaf{newListedRun(1, 200), newListedRun(2, 50)}, now)
 	watcher.applyReply(outdated.newReply(watcher.newRequest(0)))
 	if a, b := cachedStart(watcher, "i-1"), cachedStart(outdated, "i-1"); a != 200 || b != 200 {
 		t.Errorf("runs %d and %d, want 200 in both", a, b)
@@ -135,17 +135,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(time.Hour)
 		clock := func() vm.Instant { return now }
-		caches := []*Book{NewBook(clock), NewBook(clock)}
+		caches := []*LeafCache{NewLeafCache(clock), NewLeafCache(clock)}
 		var latest [2]int64
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(50 * time.Millisecond)
 			i := rapid.IntRange(0, 1).Draw(t, "book")
 			if rapid.Bool().Draw(t, "reads") {
-				var list []Listed
+				var list []ListedLeaf
 				for range rapid.IntRange(0, 3).Draw(t, "entries") {
 					list = append(list, newListedRun(1, int64(rapid.IntRange(0, 5).Draw(t, "born"))))
 				}
-				caches[i].Take(list, now)
+				caches[i].ApplyReading(list, now)
 			} else {
 				caches[i].applyReply(caches[1-i].newReply(caches[i].newRequest(0)))
 			}
@@ -166,10 +166,10 @@
 // Entries written by other systems may stay in the list permanently. Each must be counted
 // and logged once, and the valid leaves must be used.
 func TestUnreadableEntriesLoggedOnce(t *testing.T) {
-	f := NewFinder(Config{Source: staticSource{Listing{
-		Leaves:     []Listed{newListed(1, false)},
-		Unreadable: []Unreadable{{ID: "x", Fault: errors.New("invalid state")}, {Fault: errors.New("not an object")}},
-	}}, Every: time.Second}, NewBook(nil))
+	f := NewSyncer(Config{Source: staticSource{Listing{
+		Leaves:     []ListedLeaf{newListed(1, false)},
+		Unreadable: []UnreadableEntry{{ID: "x", Err: errors.New("invalid state")}, {Err: errors.New("not an object")}},
+	}}, ReadInterval: time.Second}, NewLeafCache(nil))
 	before := unreadableEntriesCounter.Count()
 	for range 3 {
 		f.readOnce(context.Background(), vm.Now())
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -23,28 +23,28 @@
 	Conns  relay.Conns
 	Clock  vm.Clock // nil means vm.Now
 	// IsReader reports whether this daemon reads the list from the Source.
-	Reads func() bool
+	IsReader func() bool
 	// Unresponsive returns the sorted names of the daemons that the reader has not
 	// heard from recently.
-	Quiet func() []string
+	Unresponsive func() []string
 	// Upstreams returns the peer addresses of the daemons to watch, best first.
 	Upstreams func() []string
 	// ReadInterval is the time between two readings. It must be short enough that
 	// every daemon learns of a draining leaf before the leaf stops serving.
-	Every time.Duration
+	ReadInterval time.Duration
 	// FallbackAge is the age of the list at which a daemon that is not the reader
 	// reads it itself.
-	Alone time.Duration
+	FallbackAge time.Duration
 	// ListNeeded reports whether this daemon can use the list yet. After a power loss
 	// every daemon starts without a list. Without a configuration it has no use for
 	// one, and once it has a configuration it also knows the daemons that read the list.
-	Wanted func() bool
+	ListNeeded func() bool
 	// ReadAtStart is set on the few daemons that may become the reader: they read at
 	// their start, so that the list is available when they become the reader.
-	Early bool
+	ReadAtStart bool
 	// ReadJitter spreads the readings of daemons that lost the reader together: each
 	// waits a random part of it before every reading.
-	Spread func() time.Duration
+	ReadJitter func() time.Duration
 }
 
 const (
@@ -61,9 +61,9 @@
 )
 
 // Syncer keeps a LeafCache up to date.
-type Finder struct {
+type Syncer struct {
 	cfg   Config
-	cache *Book
+	cache *LeafCache
 	// Used only by the goroutine of readLoop.
 	sourceFailing bool                // the last call to the Source failed
 	unreadable    map[string]struct{} // unreadable entries of the last reading
@@ -72,15 +72,15 @@
 }
 
 // NewSyncer returns a syncer that does nothing until Run is called.
-func NewFinder(cfg Config, cache *Book) *Finder {
+func NewSyncer(cfg Config, cache *LeafCache) *Syncer {
 	if cfg.Clock == nil {
 		cfg.Clock = vm.Now
 	}
-	return &Finder{cfg: cfg, cache: cache, startedAt: cfg.Clock()}
+	return &Syncer{cfg: cfg, cache: cache, startedAt: cfg.Clock()}
 }
 
 // Run reads or watches the list until ctx ends.
-func (s *Finder) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -91,18 +91,18 @@
 }
 
 // readLoop reads the list while this daemon is the reader or has no recent list.
-func (s *Finder) readLoop(ctx context.Context) {
+func (s *Syncer) readLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		startedAt := s.cfg.Clock()
-		if s.cfg.Reads() {
-			s.cache.SetQuiet(s.cfg.Quiet())
+		if s.cfg.IsReader() {
+			s.cache.SetUnresponsive(s.cfg.Unresponsive())
 		}
 		if !s.readDue() {
 			vm.Sleep(ctx, watchRetryDelay)
 			continue
 		}
-		if !s.cfg.Reads() {
-			if !vm.Sleep(ctx, rand.N(s.cfg.Spread()+1)) || !s.readDue() {
+		if !s.cfg.IsReader() {
+			if !vm.Sleep(ctx, rand.N(s.cfg.ReadJitter()+1)) || !s.readDue() {
 				continue
 			}
 			startedAt = s.cfg.Clock()
@@ -111,18 +111,18 @@
 	}
 }
 
-func (s *Finder) readDue() bool {
+func (s *Syncer) readDue() bool {
 	age := s.cache.Age()
-	if s.cfg.Reads() {
-		return age >= s.cfg.Every
+	if s.cfg.IsReader() {
+		return age >= s.cfg.ReadInterval
 	}
-	if s.cfg.Early && !s.cache.Known() {
+	if s.cfg.ReadAtStart && !s.cache.HasList() {
 		return true
 	}
-	return age >= s.cfg.Alone && s.cfg.Wanted() && s.cfg.Clock().Sub(s.startedAt) >= s.cfg.Alone
+	return age >= s.cfg.FallbackAge && s.cfg.ListNeeded() && s.cfg.Clock().Sub(s.startedAt) >= s.cfg.FallbackAge
 }
 
-func (s *Finder) readOnce(ctx context.Context, startedAt vm.Instant) {
+func (s *Syncer) readOnce(ctx context.Context, startedAt vm.Instant) {
 	readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	listing, err := s.cfg.Source.List(readCtx)
@@ -132,7 +132,7 @@
 			klog.Warningf("discovery: list can't be read, age=%v: %v", s.cache.Age(), err)
 		}
 		s.sourceFailing = true
-		vm.Sleep(ctx, s.cfg.Every/2)
+		vm.Sleep(ctx, s.cfg.ReadInterval/2)
 		return
 	}
 	readingsCounter.Inc(1)
@@ -141,25 +141,25 @@
 	}
 	s.sourceFailing = false
 	s.logUnreadable(listing.Unreadable)
-	s.cache.Take(listing.Leaves, startedAt)
+	s.cache.ApplyReading(listing.Leaves, startedAt)
 }
 
 // maxUnreadableLogged bounds the log lines about unreadable entries of one reading.
 const maxUnreadableLogged = 20
 
 // logUnreadable logs each unreadable entry once while it is listed.
-func (s *Finder) logUnreadable(list []Unreadable) {
+func (s *Syncer) logUnreadable(list []UnreadableEntry) {
 	current := make(map[string]struct{}, len(list))
 	logged := 0
 	for _, u := range list {
-		key := u.ID + " " + u.Fault.Error()
+		key := u.ID + " " + u.Err.Error()
 		current[key] = struct{}{}
 		if _, known := s.unreadable[key]; known {
 			continue
 		}
 		unreadableEntriesCounter.Inc(1)
 		if logged++; logged <= maxUnreadableLogged {
-			klog.Warningf("discovery: skipped unreadable list entry id=%q: %v", u.ID, u.Fault)
+			klog.Warningf("discovery: skipped unreadable list entry id=%q: %v", u.ID, u.Err)
 		}
 	}
 	if logged > maxUnreadableLogged {
@@ -171,10 +171,10 @@
 // fetchFirstList requests the initial list. Every watchRetryDelay/2 it asks one more
 // upstream until one has replied with a list, because some upstreams may not be running
 // yet and a call to a VM without power ends only by its time-out.
-func (s *Finder) fetchFirstList(ctx context.Context) {
+func (s *Syncer) fetchFirstList(ctx context.Context) {
 	var tasks work.Each
 	var fetching sync.Mutex
-	tasks.InTurn(ctx, watchRetryDelay/2, s.cfg.Upstreams, s.cache.Known, func(addr string) {
+	tasks.InTurn(ctx, watchRetryDelay/2, s.cfg.Upstreams, s.cache.HasList, func(addr string) {
 		// The watch loop that follows meets the same error and logs it.
 		leaves, err := s.leafCount(ctx, addr)
 		if err != nil || leaves < 0 || !fetching.TryLock() {
@@ -188,7 +188,7 @@
 // leafCount asks the daemon at addr how many leaves it knows; -1 means it has no list. The
 // whole list is then fetched from one daemon at a time, because parallel transfers would
 // slow each other down.
-func (s *Finder) leafCount(ctx context.Context, addr string) (int, error) {
+func (s *Syncer) leafCount(ctx context.Context, addr string) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeoutMargin)
 	defer cancel()
 	conn, err := s.cfg.Conns.Conn(ctx, addr)
@@ -204,14 +204,14 @@
 }
 
 // watchLoop requests changes from another daemon while this one is not the reader.
-func (s *Finder) watchLoop(ctx context.Context) {
+func (s *Syncer) watchLoop(ctx context.Context) {
 	s.fetchFirstList(ctx)
 	pauses := make(upstreamPauses)
 	lastAddr := "" // the upstream that sent the newest list
 	for ctx.Err() == nil {
 		askedAt := s.cfg.Clock()
 		addr, ok := pauses.pick(s.cfg.Upstreams(), askedAt)
-		if s.cfg.Reads() || !ok {
+		if s.cfg.IsReader() || !ok {
 			vm.Sleep(ctx, watchRetryDelay)
 			continue
 		}
@@ -275,7 +275,7 @@
 
 // watchOnce sends one request to the daemon at addr and reports whether its reading is
 // recent. The time-out allows for a reply with maxLeaves leaves.
-func (s *Finder) watchOnce(ctx context.Context, addr string, maxLeaves int) (fresh bool, err error) {
+func (s *Syncer) watchOnce(ctx context.Context, addr string, maxLeaves int) (fresh bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, peer.TimeFor(watchWait+watchTimeoutMargin, maxLeaves*maxLeafBytes))
 	defer cancel()
 	conn, err := s.cfg.Conns.Conn(ctx, addr)
@@ -293,13 +293,13 @@
 }
 
 // Server returns the server for the daemons that watch this one.
-func (s *Finder) Server() wire.DRPCLeavesServer { return &server{s.cache, s.maxFreshAge()} }
+func (s *Syncer) Server() wire.DRPCLeavesServer { return &server{s.cache, s.maxFreshAge()} }
 
 // maxFreshAge is the maximum age of an upstream's list at which watching it is worthwhile.
-func (s *Finder) maxFreshAge() time.Duration { return 2*s.cfg.Every + watchWait }
+func (s *Syncer) maxFreshAge() time.Duration { return 2*s.cfg.ReadInterval + watchWait }
 
 type server struct {
-	cache       *Book
+	cache       *LeafCache
 	maxFreshAge time.Duration
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -18,9 +18,9 @@
 // one call may be lost to it.
 func TestLostUpstreamDelaysOneCall(t *testing.T) {
 	const readInterval, testDuration, staleAfter, maxStaleTime = 100 * time.Millisecond, 8 * time.Second, time.Second, time.Second
-	reader := NewBook(vm.Monotonic)
+	reader := NewLeafCache(vm.Monotonic)
 	mux := drpcmux.New()
-	if err := wire.DRPCRegisterLeaves(mux, NewFinder(Config{Every: time.Hour}, reader).Server()); err != nil {
+	if err := wire.DRPCRegisterLeaves(mux, NewSyncer(Config{ReadInterval: time.Hour}, reader).Server()); err != nil {
 		t.Fatal(err)
 	}
 	lost, good := listen(t), listen(t)
@@ -28,17 +28,17 @@
 	served := make(chan struct{})
 	go func() { defer close(served); _ = peer.ServeTrusted(ctx, good, mux) }()
 	pool := peer.NewTrustedPool()
-	cache := NewBook(vm.Monotonic)
-	f := NewFinder(Config{
-		Conns: pool, Every: time.Hour, Alone: time.Hour, Reads: func() bool { return false }, Quiet: func() []string { return nil },
-		Wanted: func() bool { return false }, Spread: func() time.Duration { return 0 },
+	cache := NewLeafCache(vm.Monotonic)
+	f := NewSyncer(Config{
+		Conns: pool, ReadInterval: time.Hour, FallbackAge: time.Hour, IsReader: func() bool { return false }, Unresponsive: func() []string { return nil },
+		ListNeeded: func() bool { return false }, ReadJitter: func() time.Duration { return 0 },
 		Upstreams: func() []string { return []string{lost.Addr().String(), good.Addr().String()} },
 	}, cache)
 	done := make(chan struct{})
 	go func() { defer close(done); f.Run(ctx) }()
 	staleTime := time.Duration(0)
 	for n := 0; n < int(testDuration/readInterval); n++ {
-		reader.Take([]Listed{{ID: fmt.Sprint(n), Service: "s", Addr: "127.0.0.1:1", Slots: 2}}, vm.Monotonic())
+		reader.ApplyReading([]ListedLeaf{{ID: fmt.Sprint(n), Service: "s", Addr: "127.0.0.1:1", Slots: 2}}, vm.Monotonic())
 		time.Sleep(readInterval)
 		if known := newestLeafNumber(cache); n-known >= int(staleAfter/readInterval) {
 			staleTime += readInterval
@@ -54,7 +54,7 @@
 }
 
 // newestLeafNumber returns the number of the only cached leaf, -1 if there is none.
-func newestLeafNumber(cache *Book) int {
+func newestLeafNumber(cache *LeafCache) int {
 	n := -1
 	for _, l := range cache.Snapshot().All() {
 		_, _ = fmt.Sscan(l.ID, &n)
--- a/internal/entryvm/fleet_test.go
+++ b/internal/entryvm/fleet_test.go
@@ -160,7 +160,7 @@
 	for _, l := range f.leaves {
 		l.mu.Lock()
 		if l.id != "" {
-			out.Leaves = append(out.Leaves, discovery.Listed{ID: l.id, Service: l.service, Addr: l.addr, Domain: l.domain, Slots: 2})
+			out.Leaves = append(out.Leaves, discovery.ListedLeaf{ID: l.id, Service: l.service, Addr: l.addr, Domain: l.domain, Slots: 2})
 		}
 		l.mu.Unlock()
 	}
--- a/internal/entryvm/steer.go
+++ b/internal/entryvm/steer.go
@@ -92,7 +92,7 @@
 
 // serving returns the daemons that serve and are not silent.
 func (v *VM) serving(ms *vm.Membership) []*vm.Member {
-	quiet := v.book.Quiet()
+	quiet := v.book.Unresponsive()
 	var all []*vm.Member
 	for i := range ms.Members {
 		m := &ms.Members[i]
--- a/internal/entryvm/steer_test.go
+++ b/internal/entryvm/steer_test.go
@@ -53,7 +53,7 @@
 		}}
 		ms.Members[2].Phase = vm.Draining
 		ms.Members[3].CallerAddr = ""
-		v.book.SetQuiet([]string{"self", "silent"})
+		v.book.SetUnresponsive([]string{"self", "silent"})
 		So(names(v.eligible(ms)), ShouldResemble, []string{"self", "well"})
 		v.draining.Store(true)
 		So(names(v.eligible(ms)), ShouldResemble, []string{"well"})
--- a/internal/entryvm/vm.go
+++ b/internal/entryvm/vm.go
@@ -37,8 +37,8 @@
 	partConns    *peer.Pool // parts of gathers
 	seat         *control.Seat
 	client       *relay.Client
-	book         *discovery.Book
-	finder       *discovery.Finder
+	book         *discovery.LeafCache
+	finder       *discovery.Syncer
 	quarantine   *quarantine.Registry
 	engine       *forward.Engine
 	server       *forward.Server
@@ -67,12 +67,12 @@
 		Interval: heartbeatEvery,
 	})
 	v.prober = newProber(v)
-	v.book = discovery.NewBook(vm.Monotonic)
-	v.finder = discovery.NewFinder(discovery.Config{
+	v.book = discovery.NewLeafCache(vm.Monotonic)
+	v.finder = discovery.NewSyncer(discovery.Config{
 		Source: conf.Source, Conns: v.otherConns, Clock: vm.Monotonic,
-		Reads: v.leads, Quiet: v.quietDaemons, Wanted: func() bool { return v.engine.Table() != nil }, Early: conf.DataDir != "", Upstreams: v.others, Spread: v.readingSpread,
-		Every: time.Duration(listEvery * float64(conf.DrainWithin)),
-		Alone: time.Duration(aloneAfter * float64(conf.DrainWithin)),
+		IsReader: v.leads, Unresponsive: v.quietDaemons, ListNeeded: func() bool { return v.engine.Table() != nil }, ReadAtStart: conf.DataDir != "", Upstreams: v.others, ReadJitter: v.readingSpread,
+		ReadInterval: time.Duration(listEvery * float64(conf.DrainWithin)),
+		FallbackAge:  time.Duration(aloneAfter * float64(conf.DrainWithin)),
 	}, v.book)
 	v.quarantine = quarantine.NewRegistry(vm.Monotonic, &quarantine.Remote{Conns: v.otherConns, Contacts: v.controlContacts})
 	v.engine = forward.New(forward.Config{
--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -53,7 +53,7 @@
 // newBenchEngine returns an engine with a gather route over leaves that reply immediately.
 func newBenchEngine(b *testing.B, shards int) *Engine {
 	b.Helper()
-	var list []discovery.Listed
+	var list []discovery.ListedLeaf
 	rel := &route.Release{Number: 1, Routes: []route.Route{{
 		Name: "r", Host: "h", Prefix: "/", Repeatable: true, Timeout: time.Second, Attempts: 2, Top: 10, LeastCoverage: 0.9,
 	}}}
@@ -73,12 +73,12 @@
 			}
 		}()
 		name := fmt.Sprintf("s%d", i)
-		list = append(list, discovery.Listed{ID: "i-" + name, Service: name, Addr: l.Addr().String(), Slots: 2})
+		list = append(list, discovery.ListedLeaf{ID: "i-" + name, Service: name, Addr: l.Addr().String(), Slots: 2})
 		rel.Services = append(rel.Services, route.Service{Name: name})
 		rel.Routes[0].Shards = append(rel.Routes[0].Shards, name)
 	}
-	book := discovery.NewBook(vm.Monotonic)
-	book.Take(list, vm.Monotonic())
+	book := discovery.NewLeafCache(vm.Monotonic)
+	book.ApplyReading(list, vm.Monotonic())
 	one := func() int { return 1 }
 	e := New(Config{
 		Clock: vm.Monotonic, Dialect: testDialect, Book: book, Board: NewBoard(vm.Monotonic, ""), Senders: one,
--- a/internal/forward/board.go
+++ b/internal/forward/board.go
@@ -19,12 +19,12 @@
 
 	mu     sync.Mutex
 	rng    *rand.Rand
-	leaves map[discovery.Life]*leafState
+	leaves map[discovery.RunID]*leafState
 }
 
 // NewLeafTracker returns an empty tracker for a daemon in the given failure domain.
 func NewBoard(clock vm.Clock, domain string) *Board {
-	return &Board{clock: clock, domain: domain, leaves: make(map[discovery.Life]*leafState), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+	return &Board{clock: clock, domain: domain, leaves: make(map[discovery.RunID]*leafState), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
 // leafState is the observed health of one leaf and the link to it.
@@ -38,7 +38,7 @@
 func (t *Board) Link(l *discovery.Leaf, limit func(*discovery.Leaf) int) *target.Link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.state(l.Life())
+	s := t.state(l.RunID())
 	if s.link == nil {
 		s.link = target.NewLink(l.ID, l.Addr, limit(l))
 	}
@@ -46,7 +46,7 @@
 }
 
 // state returns the state of a leaf and creates it if needed. The caller holds t.mu.
-func (t *Board) state(life discovery.Life) *leafState {
+func (t *Board) state(life discovery.RunID) *leafState {
 	s := t.leaves[life]
 	if s == nil {
 		s = &leafState{}
@@ -64,7 +64,7 @@
 	t.mu.Lock()
 	for life, s := range t.leaves {
 		leaf, ok := snap.Find(life.ID)
-		if ok && leaf.Life() == life {
+		if ok && leaf.RunID() == life {
 			if s.link != nil {
 				current = append(current, s.link)
 			}
@@ -104,7 +104,7 @@
 }
 
 // Begin counts a request as in flight and returns its start time.
-func (t *Board) Begin(life discovery.Life) vm.Instant {
+func (t *Board) Begin(life discovery.RunID) vm.Instant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
@@ -114,7 +114,7 @@
 
 // End removes a request that started at began from the requests in flight and updates the
 // health of the leaf from its outcome.
-func (t *Board) End(life discovery.Life, began vm.Instant, e policy.Ended) {
+func (t *Board) End(life discovery.RunID, began vm.Instant, e policy.Ended) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.leaves[life]; s != nil { // otherwise the leaf was removed or has restarted
@@ -123,14 +123,14 @@
 }
 
 // MarkUnreachable records that a connection to the leaf could not be established.
-func (t *Board) Unreachable(life discovery.Life) {
+func (t *Board) Unreachable(life discovery.RunID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(life).Unreachable(t.clock(), t.rng)
 }
 
 // MarkMisplaced records that another leaf answers at the leaf's address.
-func (t *Board) Misplaced(life discovery.Life) {
+func (t *Board) Misplaced(life discovery.RunID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(life).Misplaced(t.clock())
@@ -154,8 +154,8 @@
 		if l.Draining || containsLeaf(tried, l) {
 			continue
 		}
-		c := policy.Candidate{Near: l.Domain == t.domain, Cold: l.Cold(now), Slots: l.Slots}
-		if s := t.leaves[l.Life()]; s != nil {
+		c := policy.Candidate{Near: l.Domain == t.domain, Cold: l.WarmingUp(now), Slots: l.Slots}
+		if s := t.leaves[l.RunID()]; s != nil {
 			c.Standing = &s.Standing
 		}
 		eligible, candidates = append(eligible, l), append(candidates, c)
@@ -168,7 +168,7 @@
 
 func containsLeaf(list []*discovery.Leaf, l *discovery.Leaf) bool {
 	for _, x := range list {
-		if x.Life() == l.Life() {
+		if x.RunID() == l.RunID() {
 			return true
 		}
 	}
--- a/internal/forward/board_test.go
+++ b/internal/forward/board_test.go
@@ -37,9 +37,9 @@
 }
 
 func (r *leafTrackerFixture) exchange(l *discovery.Leaf, took time.Duration, out policy.Outcome) {
-	began := r.tracker.Begin(l.Life())
+	began := r.tracker.Begin(l.RunID())
 	r.now = r.now.Add(took)
-	r.tracker.End(l.Life(), began, policy.Ended{Outcome: out, Took: took, Usual: usualTime, Heard: out == policy.Replied})
+	r.tracker.End(l.RunID(), began, policy.Ended{Outcome: out, Took: took, Usual: usualTime, Heard: out == policy.Replied})
 }
 
 func TestChooseSkipsDrainingLeaf(t *testing.T) {
@@ -61,10 +61,10 @@
 		r.exchange(r.a, 6*usualTime, policy.Failed)
 		r.exchange(r.b, usualTime, policy.Replied)
 	}
-	r.tracker.Misplaced(r.a.Life())
-	began := r.tracker.Begin(r.a.Life())
-	oldLife := r.a.Life()
-	r.a = &discovery.Leaf{ID: "a", Born: 7, Service: "s", Domain: "here", Slots: 2}
+	r.tracker.Misplaced(r.a.RunID())
+	began := r.tracker.Begin(r.a.RunID())
+	oldLife := r.a.RunID()
+	r.a = &discovery.Leaf{ID: "a", StartMs: 7, Service: "s", Domain: "here", Slots: 2}
 	if n := r.countChoicesOfA(); n < 20 {
 		t.Errorf("%d of 100 choices returned the restarted leaf", n)
 	}
--- a/internal/forward/delegate.go
+++ b/internal/forward/delegate.go
@@ -124,7 +124,7 @@
 	remote := make(map[string][]assignment)
 	var direct []assignment
 	for i := range r.shards {
-		leaf := tracker.Choose(snap.Of(r.shards[i].service), nil, usual)
+		leaf := tracker.Choose(snap.ForService(r.shards[i].service), nil, usual)
 		switch {
 		case leaf == nil:
 			r.launch(i, false)
@@ -160,9 +160,9 @@
 		Sends: make([]*wire.PartSend, len(assignments)), Caller: r.req.Caller,
 	}
 	for i, assigned := range assignments {
-		send := delegatedSend{shard: assigned.shard, leaf: assigned.leaf, call: &target.Call{}, began: r.e.cfg.Board.Begin(assigned.leaf.Life())}
+		send := delegatedSend{shard: assigned.shard, leaf: assigned.leaf, call: &target.Call{}, began: r.e.cfg.Board.Begin(assigned.leaf.RunID())}
 		b.sends[i] = send
-		req.Sends[i] = &wire.PartSend{Leaf: assigned.leaf.Mark()}
+		req.Sends[i] = &wire.PartSend{Leaf: assigned.leaf.Fingerprint()}
 		r.recordStart(assigned.shard, pendingSend{call: send.call, leaf: assigned.leaf, batch: b})
 	}
 	r.batches = append(r.batches, b)
--- a/internal/forward/delegate_test.go
+++ b/internal/forward/delegate_test.go
@@ -86,11 +86,11 @@
 	t.Helper()
 	f := newFixture(t, rt, leaves)
 	book := f.engine.cfg.Book
-	var list []discovery.Listed
+	var list []discovery.ListedLeaf
 	for _, l := range book.Snapshot().All() {
-		list = append(list, discovery.Listed{ID: l.ID, Service: l.Service, Addr: l.Addr, Domain: "there", Slots: l.Slots})
+		list = append(list, discovery.ListedLeaf{ID: l.ID, Service: l.Service, Addr: l.Addr, Domain: "there", Slots: l.Slots})
 	}
-	book.Take(list, vm.Monotonic())
+	book.ApplyReading(list, vm.Monotonic())
 	cfg := f.engine.cfg
 	cfg.Board = NewBoard(vm.Monotonic, "there")
 	remote := New(cfg)
@@ -411,9 +411,9 @@
 	}
 	defer stream.Close()
 	req := &wire.ScatterRequest{Id: "id", Method: "GET", Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n"), LeftUs: 1e6, Top: 3, Sends: []*wire.PartSend{
-		{Leaf: (&discovery.Leaf{ID: "nobody", Service: "s0"}).Mark()},
-		{Leaf: (&discovery.Leaf{ID: "i-s1-0", Service: "s1", Born: 7}).Mark()},
-		{Leaf: (&discovery.Leaf{ID: "i-s1-0", Service: "s2"}).Mark()},
+		{Leaf: (&discovery.Leaf{ID: "nobody", Service: "s0"}).Fingerprint()},
+		{Leaf: (&discovery.Leaf{ID: "i-s1-0", Service: "s1", StartMs: 7}).Fingerprint()},
+		{Leaf: (&discovery.Leaf{ID: "i-s1-0", Service: "s2"}).Fingerprint()},
 	}}
 	if err := stream.Send(req); err != nil {
 		t.Fatal(err)
--- a/internal/forward/engine.go
+++ b/internal/forward/engine.go
@@ -25,7 +25,7 @@
 type Config struct {
 	Clock   vm.Clock
 	Dialect *target.Dialect
-	Book    *discovery.Book
+	Book    *discovery.LeafCache
 	Board   *Board
 	Budgets *policy.Budgets
 	Log     *decision.Log
--- a/internal/forward/leaf_test.go
+++ b/internal/forward/leaf_test.go
@@ -161,18 +161,18 @@
 	if rt.Timeout == 0 {
 		rel.Routes[0].Timeout = 2 * time.Second
 	}
-	var list []discovery.Listed
+	var list []discovery.ListedLeaf
 	for _, name := range rt.Targets() {
 		rel.Services = append(rel.Services, route.Service{Name: name})
 		for i, l := range leaves[name] {
-			list = append(list, discovery.Listed{ID: fmt.Sprintf("i-%s-%d", name, i), Service: name, Addr: l.addr, Slots: 2})
+			list = append(list, discovery.ListedLeaf{ID: fmt.Sprintf("i-%s-%d", name, i), Service: name, Addr: l.addr, Slots: 2})
 		}
 	}
 	if err := rel.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	book := discovery.NewBook(vm.Monotonic)
-	book.Take(list, vm.Monotonic())
+	book := discovery.NewLeafCache(vm.Monotonic)
+	book.ApplyReading(list, vm.Monotonic())
 	one := func() int { return 1 }
 	tracker := NewBoard(vm.Monotonic, "")
 	e := New(Config{
--- a/internal/forward/life_test.go
+++ b/internal/forward/life_test.go
@@ -24,7 +24,7 @@
 		}
 		newLeaf := startLeaf(t, replyWith("from the new life"))
 		book := f.engine.cfg.Book
-		book.Take([]discovery.Listed{{ID: "i-s-0", Born: 5, Service: "s", Addr: newLeaf.addr, Slots: 2}}, vm.Monotonic())
+		book.ApplyReading([]discovery.ListedLeaf{{ID: "i-s-0", StartMs: 5, Service: "s", Addr: newLeaf.addr, Slots: 2}}, vm.Monotonic())
 		f.tracker.Keep(book.Snapshot())
 	}()
 	began := time.Now()
--- a/internal/forward/scatter.go
+++ b/internal/forward/scatter.go
@@ -75,7 +75,7 @@
 	for i, part := range sc.req.Sends {
 		call := &target.Call{}
 		sc.calls[i] = call
-		leaf, ok := snap.FindMark(part.Leaf)
+		leaf, ok := snap.FindByFingerprint(part.Leaf)
 		switch {
 		case quarantined:
 			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonQuarantined, errQuarantined)}
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -24,7 +24,7 @@
 		}
 		return
 	}
-	leaves := r.e.cfg.Book.Snapshot().Of(s.service)
+	leaves := r.e.cfg.Book.Snapshot().ForService(s.service)
 	leaf := r.e.cfg.Board.Choose(leaves, s.tried, r.stats.pace.Usual())
 	if leaf == nil {
 		if hedge {
@@ -119,7 +119,7 @@
 
 // perform makes a send, records its outcome and delivers the result to the owner.
 func (e *Engine) perform(s sendTask) {
-	began := e.cfg.Board.Begin(s.leaf.Life())
+	began := e.cfg.Board.Begin(s.leaf.RunID())
 	reply, err := s.link.Do(s.call, s.request)
 	took := e.cfg.Clock().Sub(began)
 	outcome := outcomeOfError(err)
@@ -155,7 +155,7 @@
 
 // recordSend updates the health of the leaf and the statistics of the route.
 func (e *Engine) recordSend(o sendOutcome) {
-	tracker, life := e.cfg.Board, o.leaf.Life()
+	tracker, life := e.cfg.Board, o.leaf.RunID()
 	if o.pace != nil {
 		o.usual = o.pace.Usual()
 	}
--- a/internal/link/leaf/leaf_test.go
+++ b/internal/link/leaf/leaf_test.go
@@ -160,8 +160,8 @@
 
 func newFixture(t testing.TB, leaf settings.Leaf, slots int, config Link) *fixture {
 	r := &fixture{sender: NewSender(Config{}), gates: admit.NewGates(vm.Now), leaf: leaf}
-	r.gates.Configure(leaf.Addr, admit.Limits{Slots: slots, Queue: 16})
-	r.gates.Fence(vm.Now().Add(time.Hour))
+	r.gates.Configure(leaf.Addr, admit.Limits{Slots: slots, MaxQueue: 16})
+	r.gates.SetLeaseEnd(vm.Now().Add(time.Hour))
 	r.sender.Limit(leaf, config)
 	t.Cleanup(r.sender.Close)
 	return r
--- a/internal/link/leaf/prober.go
+++ b/internal/link/leaf/prober.go
@@ -126,7 +126,7 @@
 	}
 	for addr := range old {
 		if p.targets[addr] == nil {
-			p.gates.Drain(addr, false)
+			p.gates.SetDraining(addr, false)
 		}
 	}
 	for _, t := range p.targets {
@@ -165,13 +165,13 @@
 		return
 	}
 	t.draining = draining
-	p.gates.Drain(t.leaf.Addr, draining)
+	p.gates.SetDraining(t.leaf.Addr, draining)
 	if draining {
 		klog.Infof("leaf: %s is draining", t.leaf.Name)
 		return
 	}
 	klog.Infof("leaf: %s no longer drains, accepting new requests", t.leaf.Name)
-	p.gates.Ramp(t.leaf.Addr)
+	p.gates.StartRamp(t.leaf.Addr)
 }
 
 // isLive reports whether a leaf may receive new requests. A recent answer to a request counts
@@ -185,7 +185,7 @@
 	if p.clock().Sub(t.statusAt) <= maxAge {
 		return true
 	}
-	age, ok := p.gates.Answered(t.leaf.Addr)
+	age, ok := p.gates.SinceLastReply(t.leaf.Addr)
 	return ok && age <= maxAge
 }
 
@@ -346,9 +346,9 @@
 	starting := st.State == contract.LeafStarting && (!t.hasStatus || t.status.State != contract.LeafStarting)
 	t.hasStatus, t.status, t.statusAt = true, st, p.clock()
 	p.updateDraining(t)
-	p.gates.Hint(t.leaf.Addr, st.InFlight, st.Slots)
+	p.gates.ReportLoad(t.leaf.Addr, st.InFlight, st.Slots)
 	if starting {
-		p.gates.Ramp(t.leaf.Addr)
+		p.gates.StartRamp(t.leaf.Addr)
 	}
 	return changed
 }
--- a/internal/link/leaf/sender.go
+++ b/internal/link/leaf/sender.go
@@ -168,7 +168,7 @@
 // requestDeadline returns the earlier of ctx's deadline and the end of the permit's lease. The
 // cap prevents an overflow when durations are added to it.
 func (s *Sender) requestDeadline(ctx context.Context, permit *admit.Permit) vm.Instant {
-	end := permit.Until()
+	end := permit.LeaseEnd()
 	if d, ok := ctx.Deadline(); ok {
 		end = min(end, s.clock().Add(time.Until(d)))
 	}
--- a/internal/link/leaf/stress_test.go
+++ b/internal/link/leaf/stress_test.go
@@ -125,7 +125,7 @@
 	wg.Wait()
 	close(stop)
 	background.Wait()
-	eventually(t, "all permits are returned", func() bool { return r.gates.Respected() && r.inFlight() == 0 })
+	eventually(t, "all permits are returned", func() bool { return r.gates.WithinLimits() && r.inFlight() == 0 })
 	if m.maxInFlight.Load() > slots {
 		t.Errorf("%d requests in flight on the leaf; the share is %d", m.maxInFlight.Load(), slots)
 	}
@@ -276,4 +276,4 @@
 	return 1 + rnd.IntN(limit)
 }
 
-func gateLimits(slots int) admit.Limits { return admit.Limits{Slots: slots, Queue: 16} }
+func gateLimits(slots int) admit.Limits { return admit.Limits{Slots: slots, MaxQueue: 16} }
--- a/internal/link/leaf/verdict_test.go
+++ b/internal/link/leaf/verdict_test.go
@@ -123,8 +123,8 @@
 		So(err, ShouldBeNil)
 		p, ok := r.gates.TryAcquire(r.leaf.Addr)
 		So(ok, ShouldBeTrue)
-		r.gates.Fence(vm.Now())
-		r.gates.Fence(vm.Now().Add(time.Hour))
+		r.gates.SetLeaseEnd(vm.Now())
+		r.gates.SetLeaseEnd(vm.Now().Add(time.Hour))
 		_, err = r.sender.Send(contextWithTimeout(t, testTimeout), r.leaf, request("1"), p)
 		var e *contract.Error
 		So(errors.As(err, &e), ShouldBeTrue)
@@ -143,7 +143,7 @@
 // check of the exchange but before the first byte. The first write must check both again.
 func TestFirstWriteChecksLeaseAndCaller(t *testing.T) {
 	for reason, stop := range map[contract.Reason]func(*fixture, *exchange){
-		contract.ReasonUnconfirmed: func(r *fixture, _ *exchange) { r.gates.Fence(vm.Now()) },
+		contract.ReasonUnconfirmed: func(r *fixture, _ *exchange) { r.gates.SetLeaseEnd(vm.Now()) },
 		contract.ReasonDeadline:    func(_ *fixture, x *exchange) { x.callerDone() },
 	} {
 		Convey("Stopped with a connection acquired: "+string(reason), t, func() {
@@ -176,7 +176,7 @@
 		writeReply(w, r, q)
 	}
 	r := newFixture(t, f.leaf(), 1, Link{Conns: 1})
-	r.gates.Fence(vm.Now().Add(5 * time.Second))
+	r.gates.SetLeaseEnd(vm.Now().Add(5 * time.Second))
 	if _, err := r.send(contextWithTimeout(t, time.Hour), t, "1"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/query/burst_test.go
+++ b/internal/query/burst_test.go
@@ -19,9 +19,9 @@
 	var now atomic.Int64
 	now.Store(int64(time.Hour))
 	gates := admit.NewGates(func() vm.Instant { return vm.Instant(now.Load()) })
-	gates.Fence(vm.Instant(2 * time.Hour))
+	gates.SetLeaseEnd(vm.Instant(2 * time.Hour))
 	leaf := settings.Leaf{Addr: "leaf"}
-	gates.Configure(leaf.Addr, admit.Limits{Slots: 1, Queue: 2 * waiting})
+	gates.Configure(leaf.Addr, admit.Limits{Slots: 1, MaxQueue: 2 * waiting})
 	p, ok := gates.TryAcquire(leaf.Addr)
 	if !ok {
 		t.Fatal("no permit for the only slot")
--- a/internal/query/overload.go
+++ b/internal/query/overload.go
@@ -59,9 +59,9 @@
 			continue
 		}
 		q.maxWaiting = max(q.maxWaiting, load.Waiting)
-		q.maxServiceTime = max(q.maxServiceTime, load.Service)
+		q.maxServiceTime = max(q.maxServiceTime, load.ServiceTime)
 		q.totalSlots += load.Slots
-		q.longestBacklog = max(q.longestBacklog, load.Standing)
+		q.longestBacklog = max(q.longestBacklog, load.NonEmptyFor)
 	}
 	return q
 }
--- a/internal/query/scatter/acquire.go
+++ b/internal/query/scatter/acquire.go
@@ -21,7 +21,7 @@
 // Waiting in a single queue would tie the attempt to the replica that was cheapest on
 // arrival. If a straggler later occupies a slot there, the attempt would wait for it while
 // another replica is idle.
-func (s *shardRun) acquire(ctx context.Context, ranked []candidate, ask admit.Ask) (reservation, *contract.Error) {
+func (s *shardRun) acquire(ctx context.Context, ranked []candidate, ask admit.PermitRequest) (reservation, *contract.Error) {
 	if a, ok := s.tryAcquire(ranked); ok {
 		return a, nil
 	}
--- a/internal/query/scatter/bench_test.go
+++ b/internal/query/scatter/bench_test.go
@@ -28,9 +28,9 @@
 	var leaves []settings.Leaf
 	for i := range 80 {
 		leaves = append(leaves, settings.Leaf{Name: "l" + strconv.Itoa(i), Addr: strconv.Itoa(i)})
-		gates.Configure(strconv.Itoa(i), admit.Limits{Slots: 2, Queue: 64})
+		gates.Configure(strconv.Itoa(i), admit.Limits{Slots: 2, MaxQueue: 64})
 	}
-	gates.Fence(vm.Now().Add(time.Hour))
+	gates.SetLeaseEnd(vm.Now().Add(time.Hour))
 	budget := func() Budget { return admit.NewBudget(func() float64 { return 0.02 }, 1, vm.Now) }
 	g := NewGroup(gates, noopSender{}, vm.Now, budget(), budget())
 	job := &Job{ID: "q", Service: "/s", Version: 1, Repeatable: true, HedgeShare: 0.02}
--- a/internal/query/scatter/fake_test.go
+++ b/internal/query/scatter/fake_test.go
@@ -152,9 +152,9 @@
 func newFixture(behave func(string, *contract.LeafRequest) behavior, names []string) *fixture {
 	r := &fixture{leaves: newFakeLeaves(behave), gates: admit.NewGates(bubbleClock)}
 	for _, n := range names {
-		r.gates.Configure(addrOf(n), admit.Limits{Slots: testSlots, Queue: 64})
+		r.gates.Configure(addrOf(n), admit.Limits{Slots: testSlots, MaxQueue: 64})
 	}
-	r.gates.Fence(bubbleClock().Add(time.Hour))
+	r.gates.SetLeaseEnd(bubbleClock().Add(time.Hour))
 	budget := func() Budget {
 		return admit.NewBudget(func() float64 { return 0.5 }, 10, bubbleClock)
 	}
--- a/internal/query/scatter/hedge.go
+++ b/internal/query/scatter/hedge.go
@@ -76,7 +76,7 @@
 // acquireHedge delivers a permit for a hedge, or a reservation without permit if it is
 // refused. It returns the permit if the shard has been answered meanwhile.
 func (s *shardRun) acquireHedge(ranked []candidate, granted chan<- reservation) {
-	a, err := s.acquire(s.ctx, ranked, admit.Ask{Priority: s.job.Priority, Order: s.job.Order, Hedge: true})
+	a, err := s.acquire(s.ctx, ranked, admit.PermitRequest{Priority: s.job.Priority, ShedRank: s.job.Order, Hedge: true})
 	if err != nil {
 		a = reservation{}
 		s.g.hedges.Refund()
--- a/internal/query/scatter/replica.go
+++ b/internal/query/scatter/replica.go
@@ -19,7 +19,7 @@
 	load  admit.Load
 }
 
-func (c *candidate) cost() time.Duration { return c.load.Wait + c.load.Service }
+func (c *candidate) cost() time.Duration { return c.load.ExpectedWait + c.load.ServiceTime }
 
 // rank appends the replicas that are not in tried to buf and sorts them: those that this
 // daemon has slots at first, then by expected cost. offset rotates replicas of equal cost.
--- a/internal/query/scatter/shard.go
+++ b/internal/query/scatter/shard.go
@@ -179,7 +179,7 @@
 // so another home is asked again after each hedge delay. Queues are ordered by deadline, so
 // leaving one and joining it again loses no position.
 func (s *shardRun) queueAndSend(ranked []candidate) *contract.Error {
-	ask := admit.Ask{Priority: s.job.Priority, Order: s.job.Order}
+	ask := admit.PermitRequest{Priority: s.job.Priority, ShedRank: s.job.Order}
 	for {
 		ctx, cancel := s.queueContext()
 		a, err := s.acquire(ctx, ranked, ask)
@@ -281,7 +281,7 @@
 func (s *shardRun) roundPause() time.Duration {
 	shortest := maxRoundPause
 	for _, leaf := range s.replicas {
-		shortest = min(shortest, s.g.gates.Load(leaf.Addr).Wait)
+		shortest = min(shortest, s.g.gates.Load(leaf.Addr).ExpectedWait)
 	}
 	return max(shortest, minRoundPause)
 }
--- a/internal/query/scatter/straggler_test.go
+++ b/internal/query/scatter/straggler_test.go
@@ -68,9 +68,9 @@
 	for h := range groups {
 		gates := admit.NewGates(bubbleClock)
 		for _, l := range d.leaves(service) {
-			gates.Configure(l.Addr, admit.Limits{Slots: slotsPerLeaf / d.homes, Queue: 1000})
+			gates.Configure(l.Addr, admit.Limits{Slots: slotsPerLeaf / d.homes, MaxQueue: 1000})
 		}
-		gates.Fence(bubbleClock().Add(time.Hour))
+		gates.SetLeaseEnd(bubbleClock().Add(time.Hour))
 		budget := func(share float64) Budget {
 			return admit.NewBudget(func() float64 { return share }, 1, bubbleClock)
 		}
--- a/internal/query/world_test.go
+++ b/internal/query/world_test.go
@@ -148,10 +148,10 @@
 		eff, _ := tier.view.Load().Tree.Effective(path)
 		for i, l := range eff.Leaves {
 			slots, _ := tier.view.Load().Share(path, eff, i, id)
-			d.gates.Configure(l.Addr, admit.Limits{Slots: slots, Queue: eff.QueueLimit})
+			d.gates.Configure(l.Addr, admit.Limits{Slots: slots, MaxQueue: eff.QueueLimit})
 		}
 	}
-	d.gates.Fence(tier.view.Load().Lease)
+	d.gates.SetLeaseEnd(tier.view.Load().Lease)
 	tier.mu.Lock()
 	tier.daemons[id.Name] = d
 	tier.mu.Unlock()
@@ -303,7 +303,7 @@
 	d.mu.Lock()
 	d.crashed = true
 	d.mu.Unlock()
-	d.gates.Fence(0)
+	d.gates.SetLeaseEnd(0)
 }
 
 // restart adds the next incarnation to the membership and starts it, after the lease of the
