--- a/bench/policy/sim/daemon.go
+++ b/bench/policy/sim/daemon.go
@@ -14,20 +14,20 @@
 	w       *world
 	domain  int
 	links   map[*leaf]*link
-	paces   []policy.Pace // by route
+	paces   []policy.LatencyEstimator // by route
 	budgets *policy.Budgets
 }
 
 // link is what a daemon has of a leaf: what it has learned and its connections.
 type link struct {
-	policy.Standing
+	policy.LeafStats
 	used  int
 	waits []*send
 }
 
 func newDaemon(w *world, domain int) *daemon {
 	return &daemon{
-		w: w, domain: domain, links: make(map[*leaf]*link), paces: make([]policy.Pace, len(w.cfg.Routes)),
+		w: w, domain: domain, links: make(map[*leaf]*link), paces: make([]policy.LatencyEstimator, len(w.cfg.Routes)),
 		budgets: policy.NewBudgets(w.cfg.Budget, func() vm.Instant { return w.now }, func() int { return w.cfg.Daemons }),
 	}
 }
@@ -45,10 +45,10 @@
 type gather struct {
 	d           *daemon
 	route       *Route
-	pace        *policy.Pace
+	pace        *policy.LatencyEstimator
 	routeNumber int
 	arrived     vm.Instant
-	times       policy.Times
+	times       policy.Schedule
 	shards      []shard
 	need        int
 	have        int
@@ -96,18 +96,18 @@
 func (d *daemon) gather(route int) {
 	r := &d.w.cfg.Routes[route]
 	pace := &d.paces[route]
-	terms := policy.Terms{Timeout: r.Timeout, Aim: r.Aim, Margin: r.Margin}
+	terms := policy.TimeLimits{Timeout: r.Timeout, TargetLatency: r.Aim, AnswerMargin: r.Margin}
 	g := &gather{
-		d: d, route: r, routeNumber: route, pace: pace, arrived: d.w.now, times: policy.TimesOf(terms, r.Timeout, 0, pace),
+		d: d, route: r, routeNumber: route, pace: pace, arrived: d.w.now, times: policy.NewSchedule(terms, r.Timeout, 0, pace),
 		shards: make([]shard, d.w.cfg.Shards), need: int(math.Ceil(r.Need*float64(d.w.cfg.Shards) - 1e-9)), unsent: true,
 	}
 	for i := range g.shards {
-		d.budgets.Request(d.service(i))
+		d.budgets.RecordRequest(d.service(i))
 		g.launch(i, false)
 	}
-	d.w.after(g.times.Late, g.hedge)
-	d.w.after(g.times.AnswerBy, g.decide)
-	d.w.after(g.times.End, g.decide)
+	d.w.after(g.times.HedgeAfter, g.hedge)
+	d.w.after(g.times.PartialAfter, g.decide)
+	d.w.after(g.times.AnswerDeadline, g.decide)
 }
 
 func (d *daemon) service(shard int) string { return d.w.result.services[shard] }
@@ -153,13 +153,13 @@
 		if slices.Contains(g.shards[i].tried, l) {
 			continue
 		}
-		c := policy.Candidate{Near: l.domain == g.d.domain, Slots: g.d.w.cfg.Slots}
+		c := policy.Candidate{SameDomain: l.domain == g.d.domain, Slots: g.d.w.cfg.Slots}
 		if !g.d.w.cfg.Without.Learning {
-			c.Standing = &g.d.link(l).Standing
+			c.Stats = &g.d.link(l).LeafStats
 		}
 		from, of = append(from, l), append(of, c)
 	}
-	if k := policy.Choose(of, g.d.w.now, g.pace.Usual(), g.d.w.rng); k >= 0 {
+	if k := policy.Choose(of, g.d.w.now, g.pace.Median(), g.d.w.rng); k >= 0 {
 		return from[k]
 	}
 	return nil
@@ -169,7 +169,7 @@
 func (g *gather) roundOver(i int) {
 	s := &g.shards[i]
 	s.stuck = true
-	if s.tries >= policy.MostSends {
+	if s.tries >= policy.MaxSends {
 		s.ended = true
 		return
 	}
@@ -189,12 +189,12 @@
 func (d *daemon) connect(x *send) {
 	k := d.link(x.leaf)
 	k.Begin(x.began)
-	if k.used < policy.Connections(d.w.cfg.Connections, d.w.cfg.Daemons) {
+	if k.used < policy.ConnectionsPerDaemon(d.w.cfg.Connections, d.w.cfg.Daemons) {
 		k.used++
 		d.transmit(x)
 		return
 	}
-	wait := policy.ConnWait(x.g.pace.Usual())
+	wait := policy.ConnWait(x.g.pace.Median())
 	if d.w.cfg.Without.Waits {
 		wait = 0
 	}
@@ -202,7 +202,7 @@
 	d.w.after(wait, func() {
 		if x.state == waiting && !x.gone {
 			d.unwait(x)
-			d.result(x, policy.Ended{Outcome: policy.Unlearned}, false)
+			d.result(x, policy.RequestResult{Outcome: policy.Inconclusive}, false)
 		}
 	})
 }
@@ -236,7 +236,7 @@
 		return
 	}
 	d.free(x.leaf)
-	e := policy.Ended{Outcome: policy.Replied, Heard: true, Load: load}
+	e := policy.RequestResult{Outcome: policy.Replied, ReplyReceived: true, Load: load}
 	if refused {
 		e.Outcome = policy.Rejected
 	}
@@ -244,14 +244,14 @@
 }
 
 // result ends a send.
-func (d *daemon) result(x *send, e policy.Ended, part bool) {
+func (d *daemon) result(x *send, e policy.RequestResult, part bool) {
 	g := x.g
 	s := &g.shards[x.shard]
 	x.gone = true
-	e.Took, e.Usual = d.w.now.Sub(x.began), g.pace.Usual()
+	e.Elapsed, e.MedianLatency = d.w.now.Sub(x.began), g.pace.Median()
 	d.link(x.leaf).End(d.w.now, x.began, e, d.w.rng)
 	if e.Outcome == policy.Replied {
-		g.pace.Observe(e.Took)
+		g.pace.Observe(e.Elapsed)
 	}
 	s.sends = slices.DeleteFunc(s.sends, func(y *send) bool { return y == x })
 	switch {
@@ -262,7 +262,7 @@
 		for _, y := range slices.Clone(s.sends) {
 			d.abandon(y)
 		}
-	case len(s.sends) == 0 && s.tries < policy.MostSends:
+	case len(s.sends) == 0 && s.tries < policy.MaxSends:
 		g.launch(x.shard, false)
 	case len(s.sends) == 0:
 		s.stuck, s.ended = true, true
@@ -278,12 +278,12 @@
 	x.gone = true
 	s := &x.g.shards[x.shard]
 	s.sends = slices.DeleteFunc(s.sends, func(y *send) bool { return y == x })
-	e := policy.Ended{Outcome: policy.Overdue, Took: d.w.now.Sub(x.began), Usual: x.g.pace.Usual()}
+	e := policy.RequestResult{Outcome: policy.Overdue, Elapsed: d.w.now.Sub(x.began), MedianLatency: x.g.pace.Median()}
 	if x.state == waiting {
-		e.Outcome = policy.Unlearned
+		e.Outcome = policy.Inconclusive
 		d.unwait(x)
 	} else {
-		x.g.pace.Observe(e.Took)
+		x.g.pace.Observe(e.Elapsed)
 		d.free(x.leaf)
 		d.w.after(x.hop, func() { x.leaf.leave(x) })
 	}
@@ -295,8 +295,8 @@
 	if g.over || g.d.w.cfg.Without.Hedges {
 		return
 	}
-	if policy.HoldHedges(len(g.shards)-g.have, len(g.shards)) {
-		g.d.w.after(policy.HedgeAgain, g.hedge)
+	if policy.SuppressHedges(len(g.shards)-g.have, len(g.shards)) {
+		g.d.w.after(policy.HedgeRecheckInterval, g.hedge)
 		return
 	}
 	for i := range g.shards {
@@ -312,22 +312,22 @@
 		return
 	}
 	p := policy.Progress{
-		Shards: len(g.shards), Need: g.need, Have: g.have, Unsent: g.unsent, Passed: g.d.w.now.Sub(g.arrived),
+		Shards: len(g.shards), Required: g.need, Received: g.have, NotRun: g.unsent, Elapsed: g.d.w.now.Sub(g.arrived),
 	}
 	for i := range g.shards {
 		switch s := &g.shards[i]; {
 		case s.done:
 		case s.stuck && len(s.sends) == 0:
-			p.Stuck++
+			p.Blocked++
 			if s.ended {
-				p.Ended++
+				p.Abandoned++
 			}
 		default:
-			p.Open++
+			p.Pending++
 		}
 	}
 	step := p.Decide(g.times)
-	if step == policy.GoOn {
+	if step == policy.Continue {
 		return
 	}
 	g.over = true
--- a/bench/policy/sim/scenario.go
+++ b/bench/policy/sim/scenario.go
@@ -39,7 +39,7 @@
 		Seed: seed, Length: 12 * time.Second, Daemons: 11, Domains: 3, Shards: 20, Copies: 2,
 		Slots: 2, Queue: 12, Connections: 28, PauseEvery: 3600 * time.Millisecond, PauseFor: 150 * time.Millisecond,
 		Near: 200 * time.Microsecond, Far: 1100 * time.Microsecond, ToCaller: 3 * time.Millisecond,
-		Budget: policy.BudgetTerms{Ratio: 0.2, Burst: 62, Window: 10 * time.Second},
+		Budget: policy.BudgetLimits{Ratio: 0.2, Burst: 62, Window: 10 * time.Second},
 		Routes: []Route{
 			{Name: "wide", PerSecond: 67.5, Work: 15 * time.Millisecond, Aim: 120 * time.Millisecond, Timeout: 1200 * time.Millisecond,
 				Margin: 14 * time.Millisecond, Need: 0.89, Worth: 2, LateWorth: 0.1},
--- a/bench/policy/sim/world.go
+++ b/bench/policy/sim/world.go
@@ -60,7 +60,7 @@
 	ToCaller    time.Duration // one way
 
 	Routes  []Route
-	Budget  policy.BudgetTerms
+	Budget  policy.BudgetLimits
 	Spells  []Spell
 	Bursts  []Burst
 	Without Without
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -193,7 +193,7 @@
 	in := &wire.CrashReport{LeafEnds: 3}
 	in.Fingerprints = names.ToWire()
 	for w := range names {
-		in.Requests = append(in.Requests, req.Describe(quarantine.Width(w)))
+		in.Requests = append(in.Requests, req.Describe(quarantine.Scope(w)))
 	}
 	for range attempts {
 		if _, err := wire.NewDRPCQuarantineClient(conn).Report(c.t.Context(), &wire.CrashReports{Reports: []*wire.CrashReport{in}}); err != nil {
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -49,7 +49,7 @@
 	c.Action(func(*kingpin.ParseContext) error {
 		var edits []settings.Edit
 		for _, name := range names {
-			if _, err := quarantine.Parse(name); err != nil {
+			if _, err := quarantine.ParseFingerprint(name); err != nil {
 				return failWith(ExitInvalid, "%v", err)
 			}
 			edits = append(edits, settings.Edit{Path: settings.QuarantinePath + settings.Root + name, Op: settings.Remove})
@@ -63,11 +63,11 @@
 	if err != nil {
 		return err
 	}
-	cases := quarantine.FromTree(tree)
+	cases := quarantine.CasesFromTree(tree)
 	out := &quarantineList{Version: version, Requests: []quarantined{}}
 	for f, c := range cases {
 		out.Requests = append(out.Requests, quarantined{
-			Fingerprint: f.String(), Blocked: c.Blocked, LeafEnds: c.Ends, Crashes: c.Crashes, Attempts: c.Attempts, Seen: c.Seen, Request: c.Request,
+			Fingerprint: f.String(), Blocked: c.Blocked, LeafEnds: c.LeafExits, Crashes: c.CrashedAttempts, Attempts: c.UnansweredAttempts, Seen: c.LastReport, Request: c.Description,
 		})
 	}
 	slices.SortFunc(out.Requests, func(x, y quarantined) int {
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -29,7 +29,7 @@
 
 // crashReports gathers the reports of several daemons into one change.
 type crashReports struct {
-	ledger *quarantine.Ledger
+	ledger *quarantine.Coordinator
 	token  chan struct{} // held while a change is made
 
 	mu      sync.Mutex
@@ -42,7 +42,7 @@
 }
 
 func newCrashReports(clock vm.Clock) *crashReports {
-	return &crashReports{ledger: quarantine.NewLedger(clock), token: make(chan struct{}, 1)}
+	return &crashReports{ledger: quarantine.NewCoordinator(clock), token: make(chan struct{}, 1)}
 }
 
 func (c *crashReports) add(r crashReport) {
@@ -74,10 +74,10 @@
 	done := make(chan error, len(req.Reports))
 	for _, in := range req.Reports[:min(len(req.Reports), maxCrashReports)] {
 		r := &quarantine.Report{
-			Ends: int(min(in.LeafEnds, settings.MaxLeaves)), Survived: in.Survived,
-			Began: time.Duration(in.BeganMs) * time.Millisecond,
+			LeafExits: int(min(in.LeafEnds, settings.MaxLeaves)), Answered: in.Survived,
+			Age: time.Duration(in.BeganMs) * time.Millisecond,
 		}
-		if err := r.Name(in.Fingerprints, in.Requests); err != nil {
+		if err := r.SetRequest(in.Fingerprints, in.Requests); err != nil {
 			return nil, peer.Permanent(err)
 		}
 		s.crashes.add(crashReport{done: done, Report: r})
@@ -124,7 +124,7 @@
 		if err != nil {
 			return err
 		}
-		_, changes := s.crashes.ledger.Apply(quarantine.FromTree(tree), reports, time.Now())
+		_, changes := s.crashes.ledger.Apply(quarantine.CasesFromTree(tree), reports, time.Now())
 		if len(changes) == 0 {
 			return nil
 		}
@@ -151,13 +151,13 @@
 	for _, c := range changes {
 		switch {
 		case c.Cleared:
-			klog.Infof("quarantine: request=%s cleared, a leaf answered it, leaf_ends=%d", c.Request, c.Before.Ends)
-		case c.Dropped:
-			klog.Warningf("quarantine: request=%s dropped to make room, blocked=%v seen=%v", c.Request, c.Before.Blocked, c.Before.Seen)
+			klog.Infof("quarantine: request=%s cleared, a leaf answered it, leaf_ends=%d", c.Fingerprint, c.Before.LeafExits)
+		case c.Evicted:
+			klog.Warningf("quarantine: request=%s dropped to make room, blocked=%v seen=%v", c.Fingerprint, c.Before.Blocked, c.Before.LastReport)
 		case c.After.Blocked && !c.Before.Blocked:
-			klog.Warningf("quarantine: request=%s blocked leaf_ends=%d crashes=%d attempts=%d what=%q", c.Request, c.After.Ends, c.After.Crashes, c.After.Attempts, c.After.Request)
+			klog.Warningf("quarantine: request=%s blocked leaf_ends=%d crashes=%d attempts=%d what=%q", c.Fingerprint, c.After.LeafExits, c.After.CrashedAttempts, c.After.UnansweredAttempts, c.After.Description)
 		default:
-			klog.Infof("quarantine: request=%s suspected leaf_ends=%d crashes=%d attempts=%d what=%q", c.Request, c.After.Ends, c.After.Crashes, c.After.Attempts, c.After.Request)
+			klog.Infof("quarantine: request=%s suspected leaf_ends=%d crashes=%d attempts=%d what=%q", c.Fingerprint, c.After.LeafExits, c.After.CrashedAttempts, c.After.UnansweredAttempts, c.After.Description)
 		}
 	}
 }
@@ -168,7 +168,7 @@
 	if err != nil || redirect != "" {
 		return &wire.TrialReply{Redirect: redirect}, err
 	}
-	f, ok := quarantine.FromBytes(req.Fingerprint)
+	f, ok := quarantine.FingerprintFromBytes(req.Fingerprint)
 	if !ok {
 		return nil, errBadFingerprint
 	}
@@ -183,5 +183,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &wire.TrialReply{Grant: uint32(s.crashes.ledger.Try(quarantine.FromTree(tree), f))}, nil
+	return &wire.TrialReply{Grant: uint32(s.crashes.ledger.Try(quarantine.CasesFromTree(tree), f))}, nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -170,9 +170,9 @@
 		self: d.self, source: d.client, gates: d.gates, sender: d.sender, prober: d.prober, ack: d.client.Ack,
 		horizon: &d.horizon,
 	}
-	d.quarantine = quarantine.NewRegistry(vm.Now, &quarantine.Remote{
-		Conns:    d.queryConns,
-		Contacts: func() []string { return append(d.client.ControlVMs(), d.controlAddrs()...) },
+	d.quarantine = quarantine.NewRegistry(vm.Now, &quarantine.RemoteLeader{
+		Conns:        d.queryConns,
+		ControlAddrs: func() []string { return append(d.client.ControlVMs(), d.controlAddrs()...) },
 	})
 	d.engine = query.New(query.Config{
 		Self: d.self, Source: d.client, Gates: d.gates, Sender: d.sender,
--- a/internal/entryvm/config.go
+++ b/internal/entryvm/config.go
@@ -27,7 +27,7 @@
 	DiskBytes  uint64 // of the whole disk
 	Tolerated  int    // disks that may be lost at once
 
-	Budget      policy.BudgetTerms
+	Budget      policy.BudgetLimits
 	DrainWithin time.Duration // a leaf that leaves goes on serving for so long
 	Grace       time.Duration // between the request to stop and the kill
 	CatchUp     time.Duration // a control VM that is back may take so long to catch up
--- a/internal/entryvm/quarantine_test.go
+++ b/internal/entryvm/quarantine_test.go
@@ -100,7 +100,7 @@
 		Name: name, Domain: fmt.Sprintf("hall-%d", place%2), Region: "valley", Millicores: 500,
 		PeerAddr: peers.Addr().String(), CallerAddr: callers.Addr().String(),
 		Seeds: c.seeds, FirstStart: dataDir != "", DataDir: dataDir, DiskBytes: 64 << 20, Tolerated: 1,
-		Budget:      policy.BudgetTerms{Ratio: 0.2, Burst: 600, Window: 10 * time.Second},
+		Budget:      policy.BudgetLimits{Ratio: 0.2, Burst: 600, Window: 10 * time.Second},
 		DrainWithin: time.Second, Grace: 300 * time.Millisecond, CatchUp: time.Second, Lifetime: time.Second, ListRate: 1000,
 		Source: c.fleet, Dialect: crashDialect, Log: decision.New(io.Discard),
 	})
@@ -305,7 +305,7 @@
 // blocked reports whether the group has agreed to block a request: one that is only suspected
 // is refused as well while another daemon tries it.
 func (tier *crashTier) blocked() bool {
-	for _, c := range quarantine.FromTree(tier.vms[0].client.Current().Tree) {
+	for _, c := range quarantine.CasesFromTree(tier.vms[0].client.Current().Tree) {
 		if c.Blocked {
 			return true
 		}
@@ -359,7 +359,7 @@
 	}
 	cancel()
 	suspected, blocked := 0, 0
-	for _, c := range quarantine.FromTree(tier.vms[0].client.Current().Tree) {
+	for _, c := range quarantine.CasesFromTree(tier.vms[0].client.Current().Tree) {
 		suspected++
 		if c.Blocked {
 			blocked++
--- a/internal/entryvm/reach.go
+++ b/internal/entryvm/reach.go
@@ -137,10 +137,10 @@
 		return
 	}
 	candidates = candidates[:min(len(candidates), mostProbed)]
-	seen := make(chan []policy.Witness, 1)
+	seen := make(chan []policy.PeerReport, 1)
 	go func() { seen <- p.witnesses(candidates, others) }()
 	unanswered := append(p.probe(candidates[len(sample):]), sample...)
-	lost := policy.Lost(unanswered, <-seen)
+	lost := policy.LostDaemons(unanswered, <-seen)
 	p.note(lost)
 	klog.Warningf("entry: daemons that accept client traffic do not answer unanswered=%v lost=%v took=%v", unanswered, lost, time.Since(began))
 	p.end(over, false)
@@ -195,7 +195,7 @@
 }
 
 // witnesses asks other daemons which of the addresses they can't reach either.
-func (p *prober) witnesses(addrs, others []string) []policy.Witness {
+func (p *prober) witnesses(addrs, others []string) []policy.PeerReport {
 	others = others[:min(len(others), witnesses)]
 	replies := make(chan *wire.ReachReply, len(others))
 	for _, other := range others {
@@ -207,10 +207,10 @@
 			replies <- reply
 		}()
 	}
-	var out []policy.Witness
+	var out []policy.PeerReport
 	for range others {
 		if reply := <-replies; reply != nil {
-			out = append(out, policy.Witness{Unanswered: reply.Unanswered})
+			out = append(out, policy.PeerReport{Unanswered: reply.Unanswered})
 		}
 	}
 	return out
--- a/internal/entryvm/size_test.go
+++ b/internal/entryvm/size_test.go
@@ -39,7 +39,7 @@
 	v, err := New(Config{
 		Name: name, Domain: "hall-1", Region: "valley", PeerAddr: peerAddr, CallerAddr: name + ":80",
 		Seeds: seeds, FirstStart: true, DataDir: dataDir, DiskBytes: 64 << 20,
-		Budget:      policy.BudgetTerms{Ratio: 0.2, Burst: 60, Window: 10 * time.Second},
+		Budget:      policy.BudgetLimits{Ratio: 0.2, Burst: 60, Window: 10 * time.Second},
 		DrainWithin: time.Second, Grace: time.Second, CatchUp: time.Second, Lifetime: time.Second, ListRate: 10,
 		Source: noLeaves{}, Log: decision.New(io.Discard),
 	})
--- a/internal/entryvm/steer.go
+++ b/internal/entryvm/steer.go
@@ -53,7 +53,7 @@
 }
 
 func choiceOf(serving []*vm.Member, need uint32) choice {
-	fit := policy.Fit(serving, need)
+	fit := policy.SufficientCPU(serving, need)
 	return choice{serving: serving, fit: fit, others: policy.Without(serving, fit), eligible: policy.Eligible(serving, need)}
 }
 
@@ -110,7 +110,7 @@
 	need := uint32(0)
 	if t != nil {
 		for _, e := range t.Entries() {
-			need = max(need, policy.Millicores(len(e.Shards), e.TargetLatency))
+			need = max(need, policy.RequiredMillicores(len(e.Shards), e.TargetLatency))
 		}
 	}
 	return need
--- a/internal/entryvm/steer_test.go
+++ b/internal/entryvm/steer_test.go
@@ -18,7 +18,7 @@
 	v, err := New(Config{
 		Name: name, Domain: "hall-1", Region: "valley", PeerAddr: peerAddr, CallerAddr: name + ":80",
 		Seeds: seeds, FirstStart: true, DataDir: dataDir, Tolerated: 1, ListRate: 10,
-		Budget: policy.BudgetTerms{Ratio: 0.2, Burst: 60, Window: 10 * time.Second},
+		Budget: policy.BudgetLimits{Ratio: 0.2, Burst: 60, Window: 10 * time.Second},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 			all = append(all, &small)
 		}
 	}
-	eligible := policy.Eligible(all, policy.Millicores(87, 60*time.Millisecond))
+	eligible := policy.Eligible(all, policy.RequiredMillicores(87, 60*time.Millisecond))
 	lost := 0
 	for range asks {
 		list := named(eligible, "valley", "hall-0")
--- a/internal/entryvm/vm.go
+++ b/internal/entryvm/vm.go
@@ -74,7 +74,7 @@
 		ReadInterval: time.Duration(listEvery * float64(conf.DrainWithin)),
 		FallbackAge:  time.Duration(aloneAfter * float64(conf.DrainWithin)),
 	}, v.book)
-	v.quarantine = quarantine.NewRegistry(vm.Monotonic, &quarantine.Remote{Conns: v.otherConns, Contacts: v.controlContacts})
+	v.quarantine = quarantine.NewRegistry(vm.Monotonic, &quarantine.RemoteLeader{Conns: v.otherConns, ControlAddrs: v.controlContacts})
 	v.engine = forward.New(forward.Config{
 		Clock: vm.Monotonic, Dialect: conf.Dialect, Book: v.book, Board: forward.NewBoard(vm.Monotonic, conf.Domain), Log: conf.Log, Senders: v.senders,
 		Near: newNearDaemons(v), Quarantine: v.quarantine,
@@ -275,7 +275,7 @@
 		view := v.client.Current()
 		if view.Tree != nil && view.ConfigVersion > version {
 			version = view.ConfigVersion
-			v.quarantine.Observe(view.ConfigVersion, view.Tree)
+			v.quarantine.Update(view.ConfigVersion, view.Tree)
 			if before == nil || !view.Tree.SameBut(before, settings.QuarantinePath) {
 				v.use(view)
 			}
--- a/internal/forward/board.go
+++ b/internal/forward/board.go
@@ -29,7 +29,7 @@
 
 // leafState is the observed health of one leaf and the link to it.
 type leafState struct {
-	policy.Standing
+	policy.LeafStats
 	link *target.Link
 }
 
@@ -114,7 +114,7 @@
 
 // End removes a request that started at began from the requests in flight and updates the
 // health of the leaf from its outcome.
-func (t *Board) End(life discovery.RunID, began vm.Instant, e policy.Ended) {
+func (t *Board) End(life discovery.RunID, began vm.Instant, e policy.RequestResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.leaves[life]; s != nil { // otherwise the leaf was removed or has restarted
@@ -154,9 +154,9 @@
 		if l.Draining || containsLeaf(tried, l) {
 			continue
 		}
-		c := policy.Candidate{Near: l.Domain == t.domain, Cold: l.WarmingUp(now), Slots: l.Slots}
+		c := policy.Candidate{SameDomain: l.Domain == t.domain, WarmingUp: l.WarmingUp(now), Slots: l.Slots}
 		if s := t.leaves[l.RunID()]; s != nil {
-			c.Standing = &s.Standing
+			c.Stats = &s.LeafStats
 		}
 		eligible, candidates = append(eligible, l), append(candidates, c)
 	}
--- a/internal/forward/board_test.go
+++ b/internal/forward/board_test.go
@@ -39,7 +39,7 @@
 func (r *leafTrackerFixture) exchange(l *discovery.Leaf, took time.Duration, out policy.Outcome) {
 	began := r.tracker.Begin(l.RunID())
 	r.now = r.now.Add(took)
-	r.tracker.End(l.RunID(), began, policy.Ended{Outcome: out, Took: took, Usual: usualTime, Heard: out == policy.Replied})
+	r.tracker.End(l.RunID(), began, policy.RequestResult{Outcome: out, Elapsed: took, MedianLatency: usualTime, ReplyReceived: out == policy.Replied})
 }
 
 func TestChooseSkipsDrainingLeaf(t *testing.T) {
@@ -68,7 +68,7 @@
 	if n := r.countChoicesOfA(); n < 20 {
 		t.Errorf("%d of 100 choices returned the restarted leaf", n)
 	}
-	r.tracker.End(oldLife, began, policy.Ended{Outcome: policy.Failed, Took: usualTime, Usual: usualTime}) // a request to the previous process
+	r.tracker.End(oldLife, began, policy.RequestResult{Outcome: policy.Failed, Elapsed: usualTime, MedianLatency: usualTime}) // a request to the previous process
 	if n := r.countChoicesOfA(); n < 20 {
 		t.Errorf("%d of 100 choices returned the restarted leaf after a failure of its previous process", n)
 	}
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -22,7 +22,7 @@
 	switch r.progress(now).Decide(r.times) {
 	case policy.AnswerNow:
 		return r.successAnswer()
-	case policy.GiveUpLate:
+	case policy.GiveUpDeadline:
 		return r.giveUp(contract.ReasonDeadline)
 	case policy.GiveUpFailed:
 		if r.quarantined {
@@ -40,8 +40,8 @@
 // progress summarizes the states of the shards for policy.Progress.Decide.
 func (r *run) progress(now time.Time) policy.Progress {
 	p := policy.Progress{
-		Shards: len(r.shards), Need: r.requiredParts, Have: r.receivedParts,
-		Unsent: r.verdict == contract.NotRun, Passed: now.Sub(r.req.Arrived),
+		Shards: len(r.shards), Required: r.requiredParts, Received: r.receivedParts,
+		NotRun: r.verdict == contract.NotRun, Elapsed: now.Sub(r.req.Arrived),
 	}
 	for i := range r.shards {
 		s := &r.shards[i]
@@ -49,18 +49,18 @@
 			continue
 		}
 		if !s.hasLeaves {
-			p.Unlisted++
+			p.NoLeaf++
 		}
 		switch {
 		case !s.unsendable || len(s.pending) > 0:
-			p.Open++
+			p.Pending++
 			continue
 		case s.retryAt.IsZero():
-			p.Ended++
+			p.Abandoned++
 		case s.unreachable:
-			p.Gone++
+			p.Unreachable++
 		}
-		p.Stuck++
+		p.Blocked++
 	}
 	return p
 }
@@ -148,9 +148,9 @@
 // retryAfter returns the Retry-After of a request that did not run.
 func (r *run) retryAfter() time.Duration {
 	if r.lastReply == nil {
-		return policy.ComeBack(0)
+		return policy.RetryAfter(0)
 	}
-	return policy.ComeBack(r.lastReply.RetryAfter)
+	return policy.RetryAfter(r.lastReply.RetryAfter)
 }
 
 // abandonSends cancels the sends in flight.
@@ -185,7 +185,7 @@
 	}
 	l := r.e.cfg.Log.Line(r.logComponent(), event).Str("id", r.req.ID).Str("route", r.entry.Name).
 		Int("status", int64(a.Status)).Ms("took", time.Since(r.req.Arrived)).
-		Ms("wait", r.req.Wait).Ms("answer_by", r.times.AnswerBy).Int("release", int64(r.active.table.Number)).Int("sends", int64(r.sendCount)).Int("hedges", int64(r.hedgeCount)).
+		Ms("wait", r.req.Wait).Ms("answer_by", r.times.PartialAfter).Int("release", int64(r.active.table.Number)).Int("sends", int64(r.sendCount)).Int("hedges", int64(r.hedgeCount)).
 		Int("attempts", int64(r.maxAttempts())).Bool("repeatable", r.entry.Repeatable).Int("denied", int64(r.budgetDenials))
 	if r.entry.Gathers() {
 		l = l.Int("parts", int64(r.receivedParts)).Int("of", int64(len(r.shards))).Int("need", int64(r.requiredParts)).Int("delegated", int64(r.delegatedSends))
--- a/internal/forward/delegate.go
+++ b/internal/forward/delegate.go
@@ -120,7 +120,7 @@
 	}
 	tracker := r.e.cfg.Board
 	snap := r.e.cfg.Book.Snapshot()
-	usual := r.stats.pace.Usual()
+	usual := r.stats.pace.Median()
 	remote := make(map[string][]assignment)
 	var direct []assignment
 	for i := range r.shards {
@@ -155,8 +155,8 @@
 	b := &delegatedBatch{run: r, addr: addr, sends: make([]delegatedSend, len(assignments))}
 	req := &wire.ScatterRequest{
 		Id: r.req.ID, Method: r.leafRequest.Method, Head: r.leafRequest.Head, Body: r.leafRequest.Body,
-		LeftUs: toMicros(r.leafRequest.Deadline.Sub(now)), FirstUs: toMicros(r.afterArrival(r.times.Late - interDomainDelay).Sub(now)),
-		UsualUs: toMicros(r.stats.pace.Usual()), Top: uint32(r.entry.Top),
+		LeftUs: toMicros(r.leafRequest.Deadline.Sub(now)), FirstUs: toMicros(r.afterArrival(r.times.HedgeAfter - interDomainDelay).Sub(now)),
+		UsualUs: toMicros(r.stats.pace.Median()), Top: uint32(r.entry.Top),
 		Sends: make([]*wire.PartSend, len(assignments)), Caller: r.req.Caller,
 	}
 	for i, assigned := range assignments {
@@ -168,7 +168,7 @@
 	r.batches = append(r.batches, b)
 	r.delegatedSends += len(assignments)
 	delegatedParts.Inc(int64(len(assignments)))
-	ctx, cancel := context.WithDeadline(context.Background(), r.afterArrival(r.times.End+streamGracePeriod))
+	ctx, cancel := context.WithDeadline(context.Background(), r.afterArrival(r.times.AnswerDeadline+streamGracePeriod))
 	b.cancel = cancel
 	go b.runCall(ctx, req)
 	return true
@@ -209,7 +209,7 @@
 	fault := callFault(err)
 	var ends []result
 	for i := range b.sends {
-		ends = b.endSend(ends, i, result{err: fault}, policy.Unlearned)
+		ends = b.endSend(ends, i, result{err: fault}, policy.Inconclusive)
 	}
 	b.deliver(ends)
 }
@@ -324,7 +324,7 @@
 	}
 	reply := &target.Reply{Status: int(e.Status), Stamp: e.Stamp, Refused: e.Refused, HasLoad: e.HasLoad}
 	if e.HasLoad {
-		reply.Load = policy.Load{Running: int(e.Running), Waiting: int(e.Waiting), Slots: int(e.Slots), Pace: float64(e.Pace)}
+		reply.Load = policy.Load{Running: int(e.Running), Waiting: int(e.Waiting), Slots: int(e.Slots), Slowdown: float64(e.Pace)}
 	}
 	return outcomeOfReply(reply), reply, nil
 }
--- a/internal/forward/engine.go
+++ b/internal/forward/engine.go
@@ -59,8 +59,8 @@
 // routeStats holds the statistics of a route. They are kept when a new table with the same
 // route is installed.
 type routeStats struct {
-	pace        policy.Pace
-	callerWaits policy.Waits
+	pace        policy.LatencyEstimator
+	callerWaits policy.CallerTimeouts
 }
 
 // New returns an engine that refuses every request until Install is called.
@@ -198,7 +198,7 @@
 	if s, ok := a.table.Service(l.Service); ok {
 		total = s.Connections
 	}
-	return policy.Connections(total, a.daemonCount())
+	return policy.ConnectionsPerDaemon(total, a.daemonCount())
 }
 
 // MaintainLinks periodically adapts the links to the current leaves and number of daemons
--- a/internal/forward/handover.go
+++ b/internal/forward/handover.go
@@ -76,7 +76,7 @@
 	}
 	defer close(h.done)
 	if h.acceptedOffer = h.awaitAcceptance(ctx); h.acceptedOffer == nil {
-		r.hedgeAt = time.Now().Add(r.times.Late)
+		r.hedgeAt = time.Now().Add(r.times.HedgeAfter)
 		return nil, ctx.Err() != nil
 	}
 	handoverAcceptLatency.Update(time.Since(r.req.Arrived).Microseconds())
@@ -104,7 +104,7 @@
 			WaitUs: toMicros(r.req.Wait), SpentUs: toMicros(time.Since(r.req.Arrived) + interDomainDelay), Release: r.active.table.Number,
 		}
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), r.afterArrival(r.times.End+streamGracePeriod))
+	ctx, cancel := context.WithDeadline(context.Background(), r.afterArrival(r.times.AnswerDeadline+streamGracePeriod))
 	o := &offer{handover: h, addr: addr, begin: make(chan struct{}, 1), cancel: cancel}
 	h.offers = append(h.offers, o)
 	h.pendingOffers++
@@ -149,7 +149,7 @@
 func (h *handover) awaitAnswer(ctx context.Context) *Answer {
 	r := h.run
 	h.acceptedOffer.begin <- struct{}{}
-	silenceTimer := time.NewTimer(max(time.Until(r.afterArrival(r.times.AnswerBy)), 0) + handoverSilenceTimeout)
+	silenceTimer := time.NewTimer(max(time.Until(r.afterArrival(r.times.PartialAfter)), 0) + handoverSilenceTimeout)
 	defer silenceTimer.Stop()
 	for {
 		select {
@@ -163,7 +163,7 @@
 				h.logEvent("handed over", h.acceptedOffer, nil)
 				return ev.answer
 			default:
-				silenceTimer.Reset(time.Until(r.afterArrival(r.times.End + streamGracePeriod)))
+				silenceTimer.Reset(time.Until(r.afterArrival(r.times.AnswerDeadline + streamGracePeriod)))
 			}
 		case <-silenceTimer.C:
 			r.e.cfg.Near.Suspect(h.acceptedOffer.addr)
@@ -191,7 +191,7 @@
 func (h *handover) logEvent(event string, o *offer, err error) {
 	r := h.run
 	l := r.e.cfg.Log.Line("gather", event).Str("id", r.req.ID).Str("route", r.entry.Name).Int("asked", int64(len(h.offers))).
-		Ms("after", time.Since(r.req.Arrived)).Ms("answer_by", r.times.AnswerBy).Int("release", int64(r.active.table.Number))
+		Ms("after", time.Since(r.req.Arrived)).Ms("answer_by", r.times.PartialAfter).Int("release", int64(r.active.table.Number))
 	if o != nil {
 		l = l.Str("daemon", o.addr)
 	}
@@ -330,7 +330,7 @@
 	}()
 	answer := make(chan *Answer, 1)
 	go func() { answer <- s.e.recoverPanic(r.req.ID, func() *Answer { return r.checkAndExecute(ctx) }) }()
-	late := time.NewTimer(time.Until(r.afterArrival(r.times.AnswerBy)))
+	late := time.NewTimer(time.Until(r.afterArrival(r.times.PartialAfter)))
 	defer late.Stop()
 	for {
 		select {
--- a/internal/forward/handover_test.go
+++ b/internal/forward/handover_test.go
@@ -233,7 +233,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := &run{
 			e: New(Config{Near: &fakePeers{}}), active: &activeTable{table: &route.Table{}}, entry: &route.Entry{},
-			req: &Request{Arrived: time.Now()}, times: policy.Times{End: time.Second},
+			req: &Request{Arrived: time.Now()}, times: policy.Schedule{AnswerDeadline: time.Second},
 		}
 		h := &handover{run: r, events: make(chan offerEvent, maxOffers), done: make(chan struct{})}
 		h.acceptedOffer = &offer{handover: h, begin: make(chan struct{}, 1)}
--- a/internal/forward/leaf_test.go
+++ b/internal/forward/leaf_test.go
@@ -177,7 +177,7 @@
 	tracker := NewBoard(vm.Monotonic, "")
 	e := New(Config{
 		Clock: vm.Monotonic, Dialect: testDialect, Book: book, Board: tracker, Senders: one,
-		Budgets: policy.NewBudgets(policy.BudgetTerms{Ratio: 100, Burst: 100, Window: 10 * time.Second}, vm.Monotonic, one),
+		Budgets: policy.NewBudgets(policy.BudgetLimits{Ratio: 100, Burst: 100, Window: 10 * time.Second}, vm.Monotonic, one),
 	})
 	e.Install(route.NewTable(rel), 1)
 	srv := httptest.NewServer(&Handler{Engine: e, Dialect: testDialect, Draining: func() bool { return false }})
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -35,7 +35,7 @@
 	delegatedSends     int // first sends delegated to other daemons
 	results            chan result
 	finished           chan struct{} // closed when execute returns
-	times              policy.Times
+	times              policy.Schedule
 	hedgeAt            time.Time // next check for late shards; zero if there is none
 	hedgeCount         int
 	sendCount          int
@@ -106,9 +106,9 @@
 		r.requiredParts = 1
 	}
 	r.results = make(chan result, len(r.shards))
-	terms := policy.Terms{Timeout: entry.Timeout, Aim: entry.TargetLatency, Margin: entry.AnswerMargin}
-	r.times = policy.TimesOf(terms, req.Wait, r.stats.callerWaits.Passed(req.Wait), &r.stats.pace)
-	r.hedgeAt = r.afterArrival(r.times.Late)
+	terms := policy.TimeLimits{Timeout: entry.Timeout, TargetLatency: entry.TargetLatency, AnswerMargin: entry.AnswerMargin}
+	r.times = policy.NewSchedule(terms, req.Wait, r.stats.callerWaits.Elapsed(req.Wait), &r.stats.pace)
+	r.hedgeAt = r.afterArrival(r.times.HedgeAfter)
 	r.prepareLeafRequest()
 	return r
 }
@@ -130,8 +130,8 @@
 	r.leafRequest = target.Request{
 		Dialect: r.e.cfg.Dialect, Method: r.req.Method, ID: r.req.ID,
 		Head: r.req.Head, Body: r.req.Body, Stream: r.req.Stream,
-		Deadline: r.afterArrival(r.times.Deadline), Repeatable: r.entry.Repeatable,
-		BodyLimit: bufferedReplyBytes, ConnWait: policy.ConnWait(r.stats.pace.Usual()),
+		Deadline: r.afterArrival(r.times.LeafDeadline), Repeatable: r.entry.Repeatable,
+		BodyLimit: bufferedReplyBytes, ConnWait: policy.ConnWait(r.stats.pace.Median()),
 	}
 	if r.leafRequest.Head == nil {
 		r.leafRequest.Head = renderHead(r.req)
@@ -147,7 +147,7 @@
 	defer r.abandonSends()
 	defer r.reportAttempt()
 	for i := range r.shards {
-		r.e.cfg.Budgets.Request(r.shards[i].service)
+		r.e.cfg.Budgets.RecordRequest(r.shards[i].service)
 	}
 	r.launchAll()
 	timer := time.NewTimer(0)
@@ -181,8 +181,8 @@
 
 // nextTimer returns the next time at which something is due even if no result arrives.
 func (r *run) nextTimer(now time.Time) time.Time {
-	at := r.afterArrival(r.times.End)
-	if by := r.afterArrival(r.times.AnswerBy); by.After(now) {
+	at := r.afterArrival(r.times.AnswerDeadline)
+	if by := r.afterArrival(r.times.PartialAfter); by.After(now) {
 		at = by // AnswerBy is never after End
 	}
 	if !r.hedgeAt.IsZero() && r.hedgeAt.Before(at) {
@@ -219,8 +219,8 @@
 		return
 	}
 	missing := len(r.shards) - r.receivedParts - r.bypassSilentDaemons(now)
-	if policy.HoldHedges(missing, len(r.shards)) {
-		if next := now.Add(policy.HedgeAgain); next.Before(r.afterArrival(r.times.End)) {
+	if policy.SuppressHedges(missing, len(r.shards)) {
+		if next := now.Add(policy.HedgeRecheckInterval); next.Before(r.afterArrival(r.times.AnswerDeadline)) {
 			r.hedgeAt = next
 			return
 		}
@@ -231,7 +231,7 @@
 			continue
 		}
 		if s.awaitsFirstReply() {
-			r.hedgeAt = now.Add(policy.HedgeAgain)
+			r.hedgeAt = now.Add(policy.HedgeRecheckInterval)
 			continue
 		}
 		r.launch(i, true)
@@ -244,7 +244,7 @@
 func (r *run) bypassSilentDaemons(now time.Time) int {
 	missing := 0
 	for _, b := range r.batches {
-		first := !b.bypassed && b.isSilent(now, r.afterArrival(r.times.Late))
+		first := !b.bypassed && b.isSilent(now, r.afterArrival(r.times.HedgeAfter))
 		if first {
 			b.bypassed = true
 			r.e.cfg.Near.Suspect(b.addr)
--- a/internal/forward/scatter.go
+++ b/internal/forward/scatter.go
@@ -101,7 +101,7 @@
 }
 
 // paceStats implements sendOwner with the usual reply time stated by the calling daemon.
-func (sc *scatterCall) paceStats() (time.Duration, *policy.Pace) { return sc.usual, nil }
+func (sc *scatterCall) paceStats() (time.Duration, *policy.LatencyEstimator) { return sc.usual, nil }
 
 // abandonSends cancels the sends in flight.
 func (sc *scatterCall) abandonSends() {
@@ -174,7 +174,7 @@
 			e.Status, e.Refused = uint32(res.reply.Status), res.reply.Refused
 			if res.reply.HasLoad {
 				l := res.reply.Load
-				e.HasLoad, e.Running, e.Waiting, e.Slots, e.Pace = true, uint32(l.Running), uint32(l.Waiting), uint32(l.Slots), float32(l.Pace)
+				e.HasLoad, e.Running, e.Waiting, e.Slots, e.Pace = true, uint32(l.Running), uint32(l.Waiting), uint32(l.Slots), float32(l.Slowdown)
 			}
 			if isPart(res.reply) {
 				e.Stamp = res.reply.Stamp
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -25,7 +25,7 @@
 		return
 	}
 	leaves := r.e.cfg.Book.Snapshot().ForService(s.service)
-	leaf := r.e.cfg.Board.Choose(leaves, s.tried, r.stats.pace.Usual())
+	leaf := r.e.cfg.Board.Choose(leaves, s.tried, r.stats.pace.Median())
 	if leaf == nil {
 		if hedge {
 			return
@@ -62,7 +62,7 @@
 func (r *run) recordStart(i int, send pendingSend) {
 	s := &r.shards[i]
 	s.held = false
-	r.suspicion.Sent()
+	r.suspicion.RecordSend()
 	s.pending = append(s.pending, send)
 	s.tried = append(s.tried, send.leaf)
 	s.totalSends++
@@ -75,7 +75,7 @@
 // tried. The wait increases with each round.
 func (r *run) scheduleRetry(s *shard) {
 	s.unsendable = true
-	if s.totalSends >= policy.MostSends {
+	if s.totalSends >= policy.MaxSends {
 		return
 	}
 	s.backoff = policy.RoundPause(s.backoff)
@@ -87,7 +87,7 @@
 }
 
 // stopSending prevents any further send for the shard.
-func (s *shard) stopSending() { s.unsendable, s.totalSends = true, policy.MostSends }
+func (s *shard) stopSending() { s.unsendable, s.totalSends = true, policy.MaxSends }
 
 // handleBudgetDenied handles a retry that the budget does not allow. It schedules a later
 // retry, unless a single request already has a failure reply, which is then the answer.
@@ -104,7 +104,7 @@
 	deliver(result)
 	// paceStats returns the usual reply time and the statistics to add the reply time to,
 	// nil if there are none.
-	paceStats() (usual time.Duration, pace *policy.Pace)
+	paceStats() (usual time.Duration, pace *policy.LatencyEstimator)
 }
 
 // sendTask is one send of a request to a leaf.
@@ -140,13 +140,13 @@
 	usual     time.Duration // usual reply time; set by recordSend if pace is not nil
 	reply     *target.Reply
 	fault     *contract.Error
-	pace      *policy.Pace // reply time statistics of the route; nil if this daemon has none
-	delegated bool         // the send was made by another daemon
+	pace      *policy.LatencyEstimator // reply time statistics of the route; nil if this daemon has none
+	delegated bool                     // the send was made by another daemon
 }
 
 // policyEnded converts the outcome for LeafTracker.End.
-func (o *sendOutcome) policyEnded() policy.Ended {
-	ended := policy.Ended{Outcome: o.outcome, Took: o.took, Usual: o.usual, Heard: o.reply != nil}
+func (o *sendOutcome) policyEnded() policy.RequestResult {
+	ended := policy.RequestResult{Outcome: o.outcome, Elapsed: o.took, MedianLatency: o.usual, ReplyReceived: o.reply != nil}
 	if o.reply != nil && o.reply.HasLoad {
 		ended.Load = &o.reply.Load
 	}
@@ -157,7 +157,7 @@
 func (e *Engine) recordSend(o sendOutcome) {
 	tracker, life := e.cfg.Board, o.leaf.RunID()
 	if o.pace != nil {
-		o.usual = o.pace.Usual()
+		o.usual = o.pace.Median()
 	}
 	tracker.End(life, o.began, o.policyEnded())
 	switch {
@@ -165,7 +165,7 @@
 		if o.pace != nil {
 			o.pace.Observe(o.took)
 		}
-	case o.outcome == policy.Unlearned && o.fault != nil && o.fault.Reason == contract.ReasonTargetFailed && (!o.delegated || o.fault.Verdict == contract.NotRun):
+	case o.outcome == policy.Inconclusive && o.fault != nil && o.fault.Reason == contract.ReasonTargetFailed && (!o.delegated || o.fault.Verdict == contract.NotRun):
 		tracker.Unreachable(life)
 	case o.fault.LeafEnded():
 		tracker.Unreachable(life)
@@ -186,7 +186,7 @@
 }
 
 // paceStats implements sendOwner.
-func (r *run) paceStats() (time.Duration, *policy.Pace) { return 0, &r.stats.pace }
+func (r *run) paceStats() (time.Duration, *policy.LatencyEstimator) { return 0, &r.stats.pace }
 
 // outcomeOfReply returns the outcome of a send that got a reply.
 func outcomeOfReply(reply *target.Reply) policy.Outcome {
@@ -203,13 +203,13 @@
 func outcomeOfError(err *contract.Error) policy.Outcome {
 	switch {
 	case err == nil, err.Verdict == contract.NotRun:
-		return policy.Unlearned
+		return policy.Inconclusive
 	case err.Reason == contract.ReasonDeadline:
 		return policy.Overdue
 	case isStaleConn(err) && !err.LeafEnded():
-		return policy.Unlearned
+		return policy.Inconclusive
 	}
-	return policy.Misbehaved
+	return policy.InvalidReply
 }
 
 // handleResult handles the result of one send.
@@ -366,7 +366,7 @@
 // resend sends once more for a shard without a pending send, if that is allowed.
 func (r *run) resend(i int) {
 	s := &r.shards[i]
-	if s.possibleRuns > 0 && !r.mayRepeat(s) || s.totalSends >= policy.MostSends {
+	if s.possibleRuns > 0 && !r.mayRepeat(s) || s.totalSends >= policy.MaxSends {
 		s.stopSending()
 		return
 	}
--- a/internal/forward/suspicion.go
+++ b/internal/forward/suspicion.go
@@ -51,10 +51,10 @@
 		return nil
 	}
 	fingerprints := r.fingerprints()
-	ruling := registry.Rule(fingerprints)
+	ruling := registry.Check(fingerprints)
 	grant := quarantine.Denied
 	switch ruling {
-	case quarantine.Free:
+	case quarantine.Unrestricted:
 		return nil
 	case quarantine.Canary:
 		grant = quarantine.Granted
@@ -68,7 +68,7 @@
 		Str("ruling", ruling.String()).Str("trial", grant.String()).End()
 	if grant == quarantine.Granted {
 		quarantineTrials.Inc(1)
-		r.isTrial, r.suspicion.Suspect = true, true
+		r.isTrial, r.suspicion.Suspected = true, true
 		return nil
 	}
 	quarantineRefusals.Inc(1)
@@ -86,7 +86,7 @@
 		return false
 	case !r.suspicion.Guarded():
 		return true
-	case r.suspicion.Ends > 0 && r.e.cfg.Quarantine != nil && r.e.cfg.Quarantine.Rule(r.fingerprints()) == quarantine.Blocked:
+	case r.suspicion.LeafExits > 0 && r.e.cfg.Quarantine != nil && r.e.cfg.Quarantine.Check(r.fingerprints()) == quarantine.Blocked:
 		r.quarantined = true
 		return false
 	}
@@ -100,15 +100,15 @@
 	case res.err != nil && res.err.Reason == contract.ReasonQuarantined:
 		r.quarantined = true
 	case res.err == nil && res.reply.Refused, res.err != nil && res.err.Verdict == contract.NotRun:
-		r.suspicion.Unsent()
+		r.suspicion.RecordNotRun()
 	case res.err == nil && res.reply.Status < http.StatusInternalServerError:
-		r.suspicion.Survived = true // a leaf that returns an error may not have reached the code that crashes it
+		r.suspicion.Answered = true // a leaf that returns an error may not have reached the code that crashes it
 	case res.err.LeafEnded():
-		r.suspicion.Ends++
+		r.suspicion.LeafExits++
 		leafCrashes.Inc(1)
 		r.e.cfg.Log.Line(r.logComponent(), "leaf ended").Str("id", r.req.ID).Str("request", r.fingerprints()[quarantine.Exact].String()).
 			Str("service", s.service).Str("leaf", res.leaf.ID).Ms("after", time.Since(r.req.Arrived)).Ms("took", res.took).
-			Int("ends", int64(r.suspicion.Ends)).Bool("survived", r.suspicion.Survived).Int("in_flight", int64(r.inFlight())).
+			Int("ends", int64(r.suspicion.LeafExits)).Bool("survived", r.suspicion.Answered).Int("in_flight", int64(r.inFlight())).
 			Bool("delegated", res.set != nil).End()
 	}
 }
@@ -120,7 +120,7 @@
 		return
 	}
 	r.hasHeldShards = false
-	if r.quarantined || r.suspicion.Spent(r.inFlight()) {
+	if r.quarantined || r.suspicion.Exhausted(r.inFlight()) {
 		for i := range r.shards {
 			if s := &r.shards[i]; !s.done && len(s.pending) == 0 {
 				s.stopSending()
@@ -144,22 +144,22 @@
 // crashed and whether one survived the request.
 func (r *run) reportAttempt() {
 	registry, s := r.e.cfg.Quarantine, &r.suspicion
-	if registry == nil || !r.isTrial && (s.Ends == 0 || s.Survived) {
+	if registry == nil || !r.isTrial && (s.LeafExits == 0 || s.Answered) {
 		return
 	}
 	fingerprints := r.fingerprints()
-	if r.isTrial && !s.Survived && s.Ends == 0 && r.verdict == contract.NotRun && r.inFlight() == 0 {
+	if r.isTrial && !s.Answered && s.LeafExits == 0 && r.verdict == contract.NotRun && r.inFlight() == 0 {
 		if r.trialGranted {
 			registry.Release(fingerprints[quarantine.Exact])
 		}
 		return
 	}
-	r.e.cfg.Log.Line("quarantine", "attempt reported").Str("id", r.req.ID).Str("request", fingerprints[quarantine.Exact].String()).Int("ends", int64(s.Ends)).
-		Bool("survived", s.Survived).Bool("tried", r.isTrial).End()
-	report := &quarantine.Report{Request: fingerprints, Ends: s.Ends, Survived: s.Survived, Began: time.Since(r.req.Arrived)}
+	r.e.cfg.Log.Line("quarantine", "attempt reported").Str("id", r.req.ID).Str("request", fingerprints[quarantine.Exact].String()).Int("ends", int64(s.LeafExits)).
+		Bool("survived", s.Answered).Bool("tried", r.isTrial).End()
+	report := &quarantine.Report{Fingerprints: fingerprints, LeafExits: s.LeafExits, Answered: s.Answered, Age: time.Since(r.req.Arrived)}
 	content := r.req.quarantineRequest()
-	for w := range report.Describe {
-		report.Describe[w] = content.Describe(quarantine.Width(w))
+	for w := range report.Descriptions {
+		report.Descriptions[w] = content.Describe(quarantine.Scope(w))
 	}
 	registry.Report(report)
 }
@@ -182,5 +182,5 @@
 	}
 	q := &quarantine.Request{Method: sc.req.Method, Caller: sc.req.Caller, Body: sc.req.Body, Length: int64(len(sc.req.Body))}
 	q.URI, q.Host = parseHead(sc.req.Head)
-	return registry.Rule(q.Fingerprints()) != quarantine.Free
+	return registry.Check(q.Fingerprints()) != quarantine.Unrestricted
 }
--- a/internal/forward/suspicion_test.go
+++ b/internal/forward/suspicion_test.go
@@ -133,15 +133,15 @@
 	f := newFixture(t, rt, leaves)
 	registry := f.enableQuarantine()
 	req := &Request{Method: http.MethodGet, Host: f.url[len("http://"):], URI: "/a", Caller: "127.0.0.1"}
-	registry.Report(&quarantine.Report{Request: req.quarantineRequest().Fingerprints(), Ends: 4})
-	if registry.Rule(req.quarantineRequest().Fingerprints()) != quarantine.Suspect {
+	registry.Report(&quarantine.Report{Fingerprints: req.quarantineRequest().Fingerprints(), LeafExits: 4})
+	if registry.Check(req.quarantineRequest().Fingerprints()) != quarantine.Suspect {
 		t.Fatal("the request is not suspected")
 	}
 	resp, _ := f.do(t, http.MethodGet, "/a", "")
 	if resp.StatusCode != http.StatusOK || resp.Header.Get("Missing") != "0" {
 		t.Errorf("status %d, %s parts missing", resp.StatusCode, resp.Header.Get("Missing"))
 	}
-	if got := registry.Rule(req.quarantineRequest().Fingerprints()); got != quarantine.Free {
+	if got := registry.Check(req.quarantineRequest().Fingerprints()); got != quarantine.Unrestricted {
 		t.Errorf("the ruling is %v after an answer, want free", got)
 	}
 }
--- a/internal/policy/budget.go
+++ b/internal/policy/budget.go
@@ -11,7 +11,7 @@
 
 // BudgetLimits bounds the extra sends (hedges and retries) of all daemons together to one
 // service. In any Window they may send Ratio times the number of requests, plus Burst.
-type BudgetTerms struct {
+type BudgetLimits struct {
 	Ratio  float64
 	Burst  float64
 	Window time.Duration
@@ -43,7 +43,7 @@
 
 // Budgets holds one budget for each service. It is safe for concurrent use.
 type Budgets struct {
-	limits  BudgetTerms
+	limits  BudgetLimits
 	clock   vm.Clock
 	started vm.Instant
 	daemons func() int
@@ -55,7 +55,7 @@
 }
 
 // NewBudgets returns budgets that share limits among daemons() daemons.
-func NewBudgets(limits BudgetTerms, clock vm.Clock, daemons func() int) *Budgets {
+func NewBudgets(limits BudgetLimits, clock vm.Clock, daemons func() int) *Budgets {
 	return &Budgets{limits: limits, clock: clock, started: clock(), daemons: daemons, services: make(map[string]*serviceCounts)}
 }
 
@@ -90,7 +90,7 @@
 }
 
 // RecordRequest counts a request for the service.
-func (b *Budgets) Request(service string) {
+func (b *Budgets) RecordRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	counts := b.forService(service)
--- a/internal/policy/budget_test.go
+++ b/internal/policy/budget_test.go
@@ -32,7 +32,7 @@
 // see fewer daemons to share with; they must not receive what the lost daemons have already
 // spent.
 func TestExtraSendsOfAllDaemonsStayWithinLimits(t *testing.T) {
-	limits := BudgetTerms{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
+	limits := BudgetLimits{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "daemons")
 		now := vm.Instant(1)
@@ -58,7 +58,7 @@
 				}
 			case 1, 2, 3, 4, 5, 6, 7, 8, 9, 10:
 				if daemons[i] != nil {
-					daemons[i].Request("s")
+					daemons[i].RecordRequest("s")
 					events = append(events, budgetEvent{now, false})
 				}
 			default:
@@ -74,7 +74,7 @@
 // checkLimits checks each window that ends at an extra send against the limits. The number
 // of requests is the largest of three windows: the one that ends at the send, the one half a
 // window earlier and the one a whole window earlier.
-func checkLimits(t *rapid.T, limits BudgetTerms, events []budgetEvent) {
+func checkLimits(t *rapid.T, limits BudgetLimits, events []budgetEvent) {
 	count := func(from, to vm.Instant, extra bool) float64 {
 		n := 0.0
 		for _, a := range events {
@@ -100,9 +100,9 @@
 // Hedges must leave a part of the allowance to retries of requests whose leaf has failed.
 func TestHedgesLeaveAllowanceForRetries(t *testing.T) {
 	now := vm.Instant(1)
-	b := NewBudgets(BudgetTerms{Ratio: 0.2, Burst: 0, Window: 10 * time.Second}, func() vm.Instant { return now }, func() int { return 1 })
+	b := NewBudgets(BudgetLimits{Ratio: 0.2, Burst: 0, Window: 10 * time.Second}, func() vm.Instant { return now }, func() int { return 1 })
 	for range 1000 {
-		b.Request("s")
+		b.RecordRequest("s")
 	}
 	hedges, retries := 0, 0
 	for b.Spend("s", true) {
@@ -121,7 +121,7 @@
 // what the lost daemons have spent: an overloaded service would get more extra sends than
 // the limits allow.
 func TestSpentShareOfLostDaemonsIsNotReassigned(t *testing.T) {
-	limits := BudgetTerms{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
+	limits := BudgetLimits{Ratio: 0.2, Burst: 62, Window: 10 * time.Second}
 	now, alive := vm.Instant(1), 11
 	var daemons []*Budgets
 	for range alive {
@@ -131,7 +131,7 @@
 	requests, extra := 0, 0
 	for _, d := range daemons {
 		for range 60 {
-			d.Request("s")
+			d.RecordRequest("s")
 			requests++
 		}
 	}
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -20,7 +20,7 @@
 // fewer requests in time than two for each (mean score 0.758 against 0.762 over three days
 // with slow shards): further sends to a shard whose nearby leaf is slow go to the other
 // domain.
-func Connections(limit, daemons int) int {
+func ConnectionsPerDaemon(limit, daemons int) int {
 	if limit <= 0 {
 		return defaultConnections
 	}
--- a/internal/policy/connections_test.go
+++ b/internal/policy/connections_test.go
@@ -13,7 +13,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 2000).Draw(t, "most")
 		daemons := rapid.IntRange(1, 300).Draw(t, "daemons")
-		perDaemon := Connections(limit, daemons)
+		perDaemon := ConnectionsPerDaemon(limit, daemons)
 		if perDaemon < minConnections {
 			t.Fatalf("%d connections per daemon", perDaemon)
 		}
@@ -21,7 +21,7 @@
 			t.Fatalf("%d connections for each of %d daemons: %d in all, limit %d", perDaemon, daemons, sum, limit)
 		}
 	})
-	if got := Connections(0, 11); got != defaultConnections {
+	if got := ConnectionsPerDaemon(0, 11); got != defaultConnections {
 		t.Errorf("%d connections to a leaf that states no limit", got)
 	}
 }
--- a/internal/policy/eligible.go
+++ b/internal/policy/eligible.go
@@ -36,7 +36,7 @@
 // A gather over 90 shards takes 14 ms on a full core and 70 ms on a fifth of a core. The
 // latter exceeds the time that some callers wait for the whole answer, even if the VM is
 // otherwise idle.
-func Millicores(shards int, targetLatency time.Duration) uint32 {
+func RequiredMillicores(shards int, targetLatency time.Duration) uint32 {
 	if targetLatency <= 0 {
 		return 0
 	}
@@ -46,7 +46,7 @@
 // SufficientCPU returns the daemons with the CPU that the widest gathers need. If there are
 // too few, it returns those within a tenth of the largest; if these are too few as well, it
 // returns all. Daemons of unknown CPU count as sufficient.
-func Fit(all []*vm.Member, required uint32) []*vm.Member {
+func SufficientCPU(all []*vm.Member, required uint32) []*vm.Member {
 	largest := uint32(0)
 	for _, m := range all {
 		largest = max(largest, m.Millicores)
@@ -69,7 +69,7 @@
 // where these are scarce, some others that hand gathers over to them. A caller that knows
 // only the scarce daemons could reach none while they are down together.
 func Eligible(all []*vm.Member, required uint32) []*vm.Member {
-	sufficient := Fit(all, required)
+	sufficient := SufficientCPU(all, required)
 	if len(sufficient)*scarcityDivisor >= len(all) {
 		return sufficient
 	}
--- a/internal/policy/eligible_test.go
+++ b/internal/policy/eligible_test.go
@@ -25,14 +25,14 @@
 func TestEligibleVMsHaveCPUForWidestGather(t *testing.T) {
 	Convey("Given six larger VMs among twenty small ones", t, func() {
 		all := append(membersOf(6, "hall-1", 512), membersOf(20, "hall-1", 192)...)
-		need := Millicores(90, 60*time.Millisecond)
+		need := RequiredMillicores(90, 60*time.Millisecond)
 		So(need, ShouldEqual, 450)
 
 		Convey("the larger ones take callers", func() {
 			So(len(Eligible(all, need)), ShouldEqual, 6)
 		})
 		Convey("narrow gathers go to all", func() {
-			So(len(Eligible(all, Millicores(20, 60*time.Millisecond))), ShouldEqual, 26)
+			So(len(Eligible(all, RequiredMillicores(20, 60*time.Millisecond))), ShouldEqual, 26)
 		})
 		Convey("where none is fit those that come closest take callers", func() {
 			So(len(Eligible(all, 2000)), ShouldEqual, 6)
@@ -46,7 +46,7 @@
 // Guards against address lists whose daemons can all be lost together, and against lists
 // whose other daemons change whenever one member is lost.
 func TestEligibleAddsOthersWhenSufficientCPUIsScarce(t *testing.T) {
-	need := Millicores(87, 60*time.Millisecond)
+	need := RequiredMillicores(87, 60*time.Millisecond)
 	for _, c := range []struct{ domains, fitEach, othersEach int }{{5, 1, 39}, {3, 2, 27}, {5, 1, 12}} {
 		var all []*vm.Member
 		for d := range c.domains {
--- a/internal/policy/lost.go
+++ b/internal/policy/lost.go
@@ -1,14 +1,14 @@
 package policy
 
 // PeerReport is the result of another daemon's probe of the daemons that do not answer here.
-type Witness struct {
+type PeerReport struct {
 	Unanswered []string // addresses that did not answer that daemon either
 }
 
 // LostDaemons returns the daemons of unanswered that are lost: those that answer none of the
 // reporting peers. Without any report none counts as lost, since this daemon itself may be
 // the one that is cut off.
-func Lost(unanswered []string, reports []Witness) []string {
+func LostDaemons(unanswered []string, reports []PeerReport) []string {
 	if len(reports) == 0 {
 		return nil
 	}
--- a/internal/policy/lost_test.go
+++ b/internal/policy/lost_test.go
@@ -11,13 +11,13 @@
 	Convey("A daemon that does not answer", t, func() {
 		unanswered := []string{"a", "b"}
 		Convey("is not lost without a report of a peer", func() {
-			So(Lost(unanswered, nil), ShouldBeEmpty)
+			So(LostDaemons(unanswered, nil), ShouldBeEmpty)
 		})
 		Convey("is lost when it answers none of the peers", func() {
-			So(Lost(unanswered, []Witness{{[]string{"b", "a"}}, {[]string{"a"}}}), ShouldResemble, []string{"a"})
+			So(LostDaemons(unanswered, []PeerReport{{[]string{"b", "a"}}, {[]string{"a"}}}), ShouldResemble, []string{"a"})
 		})
 		Convey("is not lost when it answers the peers", func() {
-			So(Lost(unanswered, []Witness{{}}), ShouldBeEmpty)
+			So(LostDaemons(unanswered, []PeerReport{{}}), ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/policy/pace.go
+++ b/internal/policy/pace.go
@@ -17,7 +17,7 @@
 
 // LatencyEstimator estimates the median and the late threshold of the reply times of one
 // route's leaves. It is safe for concurrent use.
-type Pace struct {
+type LatencyEstimator struct {
 	mu      sync.Mutex
 	samples int
 	median  float64 // in nanoseconds
@@ -36,7 +36,7 @@
 )
 
 // Observe adds a reply time.
-func (p *Pace) Observe(d time.Duration) {
+func (p *LatencyEstimator) Observe(d time.Duration) {
 	x := float64(max(d, minEstimate))
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +64,7 @@
 }
 
 // Median returns the median reply time, or 0 while there are too few samples.
-func (p *Pace) Usual() time.Duration {
+func (p *LatencyEstimator) Median() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.samples < minSamples/2 {
@@ -75,7 +75,7 @@
 
 // LateThreshold returns the time after which a reply counts as late. It returns false while
 // there are too few samples.
-func (p *Pace) Late() (time.Duration, bool) {
+func (p *LatencyEstimator) LateThreshold() (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Duration(p.late), p.samples >= minSamples
--- a/internal/policy/progress.go
+++ b/internal/policy/progress.go
@@ -9,10 +9,10 @@
 	minHedges    = 2
 	// HedgeRecheckInterval is the time until hedges are reconsidered after they were
 	// suppressed because too many shards were late.
-	HedgeAgain = 4 * time.Millisecond
+	HedgeRecheckInterval = 4 * time.Millisecond
 
 	// MaxSends bounds the sends of one request to one service, for whatever reason.
-	MostSends = 8
+	MaxSends = 8
 	// minRoundPause and maxRoundPause bound the pause after all leaves of a service were
 	// tried.
 	minRoundPause = 25 * time.Millisecond
@@ -25,31 +25,31 @@
 
 // Progress is the state of a request. A request that is not a gather counts as one shard.
 type Progress struct {
-	Shards int // shards that are queried
-	Need   int // parts that an answer needs
-	Have   int // parts received
+	Shards   int // shards that are queried
+	Required int // parts that an answer needs
+	Received int // parts received
 
-	Open     int // shards without a part that may still deliver one
-	Stuck    int // shards that cannot be sent to any leaf at present
-	Gone     int // subset of Blocked: no leaf accepts connections
-	Ended    int // subset of Blocked: no further sends will be made
-	Unlisted int // shards without a part for which no leaf is listed
+	Pending     int // shards without a part that may still deliver one
+	Blocked     int // shards that cannot be sent to any leaf at present
+	Unreachable int // subset of Blocked: no leaf accepts connections
+	Abandoned   int // subset of Blocked: no further sends will be made
+	NoLeaf      int // shards without a part for which no leaf is listed
 
-	Unsent bool          // no part of the request can have run
-	Passed time.Duration // time since the request arrived
+	NotRun  bool          // no part of the request can have run
+	Elapsed time.Duration // time since the request arrived
 }
 
 // Action is what to do with a request.
-type Step uint8
+type Action uint8
 
 // The actions.
 const (
-	GoOn         Step = iota // wait for further replies
-	AnswerNow                // answer with the parts received
-	GiveUpLate               // the time of the request is over
-	GiveUpFailed             // more shards have failed than may be missing
-	GiveUpNoLeaf             // more shards have no leaf than may be missing
-	GiveUpUnsent             // it could not be sent, and waiting longer would not help
+	Continue       Action = iota // wait for further replies
+	AnswerNow                    // answer with the parts received
+	GiveUpDeadline               // the time of the request is over
+	GiveUpFailed                 // more shards have failed than may be missing
+	GiveUpNoLeaf                 // more shards have no leaf than may be missing
+	GiveUpUnsent                 // it could not be sent, and waiting longer would not help
 )
 
 // Decide returns what to do with a request now.
@@ -57,29 +57,29 @@
 // Before PartialAfter, answering without some of the parts has no advantage. After it, an
 // answer with enough parts is sent at once, because waiting for the rest would exceed the
 // target latency.
-func (p Progress) Decide(schedule Times) Step {
-	mayMiss := p.Shards - p.Need
-	partialAllowed := p.Passed >= schedule.AnswerBy
+func (p Progress) Decide(schedule Schedule) Action {
+	mayMiss := p.Shards - p.Required
+	partialAllowed := p.Elapsed >= schedule.PartialAfter
 	switch {
-	case p.Open+p.Stuck == 0:
+	case p.Pending+p.Blocked == 0:
 		return AnswerNow
-	case p.Have >= p.Need && (partialAllowed || p.Open == 0 && p.Gone+p.Ended == p.Stuck):
+	case p.Received >= p.Required && (partialAllowed || p.Pending == 0 && p.Unreachable+p.Abandoned == p.Blocked):
 		return AnswerNow
-	case p.Passed >= schedule.End:
-		return GiveUpLate
-	case p.Ended > mayMiss:
+	case p.Elapsed >= schedule.AnswerDeadline:
+		return GiveUpDeadline
+	case p.Abandoned > mayMiss:
 		return GiveUpFailed
-	case p.Open == 0 && p.Unlisted > mayMiss:
+	case p.Pending == 0 && p.NoLeaf > mayMiss:
 		return GiveUpNoLeaf
-	case p.Open == 0 && p.Have == 0 && p.Unsent && p.Passed > schedule.Patience:
+	case p.Pending == 0 && p.Received == 0 && p.NotRun && p.Elapsed > schedule.UnsentTimeout:
 		return GiveUpUnsent
 	}
-	return GoOn
+	return Continue
 }
 
 // SuppressHedges reports whether so many shards are late that the cause is probably this
 // daemon or all of the leaves. Hedging them all would slow down both further.
-func HoldHedges(late, shards int) bool { return late > minHedges && late > shards/hedgeDivisor }
+func SuppressHedges(late, shards int) bool { return late > minHedges && late > shards/hedgeDivisor }
 
 // RoundPause returns the pause before the leaves of a service are tried again after all of
 // them were tried. It doubles from one round to the next; previous is the last pause.
@@ -89,7 +89,7 @@
 
 // RetryAfter returns the wait to tell a caller whose request did not run. stated is the wait
 // that a refusing leaf has asked for, or 0 if none has.
-func ComeBack(stated time.Duration) time.Duration {
+func RetryAfter(stated time.Duration) time.Duration {
 	if stated > 0 {
 		return min(stated, maxRetryAfter)
 	}
--- a/internal/policy/standing.go
+++ b/internal/policy/standing.go
@@ -42,7 +42,7 @@
 )
 
 // LeafStats is what a daemon has observed of one leaf. Its zero value has no observations.
-type Standing struct {
+type LeafStats struct {
 	inFlight            int
 	startTimes          []vm.Instant // start times of the requests in flight, oldest first
 	lastReply           vm.Instant   // time of the last reply of any kind
@@ -60,35 +60,35 @@
 
 // The outcomes.
 const (
-	Replied    Outcome = iota // success
-	Rejected                  // the leaf did not run the request because it is full or shutting down
-	Failed                    // the leaf failed, or no reply came
-	Unlearned                 // tells nothing about the leaf
-	Overdue                   // given up after at least a median reply time
-	Misbehaved                // a reply to another request, or a truncated one
+	Replied      Outcome = iota // success
+	Rejected                    // the leaf did not run the request because it is full or shutting down
+	Failed                      // the leaf failed, or no reply came
+	Inconclusive                // tells nothing about the leaf
+	Overdue                     // given up after at least a median reply time
+	InvalidReply                // a reply to another request, or a truncated one
 )
 
 // RequestResult describes the end of a request to a leaf.
-type Ended struct {
-	Outcome Outcome
-	Took    time.Duration // time at the leaf
-	Usual   time.Duration // median reply time of the service; 0: unknown
-	Heard   bool          // a reply of any kind was received
-	Load    *Load         // load stated in the reply; nil: none
+type RequestResult struct {
+	Outcome       Outcome
+	Elapsed       time.Duration // time at the leaf
+	MedianLatency time.Duration // median reply time of the service; 0: unknown
+	ReplyReceived bool          // a reply of any kind was received
+	Load          *Load         // load stated in the reply; nil: none
 }
 
 // InFlight returns the number of requests in flight to the leaf.
-func (s *Standing) InFlight() int { return s.inFlight }
+func (s *LeafStats) InFlight() int { return s.inFlight }
 
 // Begin counts a request as in flight.
-func (s *Standing) Begin(now vm.Instant) {
+func (s *LeafStats) Begin(now vm.Instant) {
 	s.inFlight++
 	s.startTimes = append(s.startTimes, now)
 }
 
 // End removes the request that began at began from those in flight and updates the
 // statistics with its result.
-func (s *Standing) End(now, began vm.Instant, result Ended, rng *rand.Rand) {
+func (s *LeafStats) End(now, began vm.Instant, result RequestResult, rng *rand.Rand) {
 	s.inFlight--
 	for i, at := range s.startTimes {
 		if at == began {
@@ -96,7 +96,7 @@
 			break
 		}
 	}
-	if result.Heard {
+	if result.ReplyReceived {
 		s.lastReply = now
 	}
 	if result.Load != nil {
@@ -105,14 +105,14 @@
 	s.recordResult(now, result, rng)
 }
 
-func (s *Standing) recordResult(now vm.Instant, result Ended, rng *rand.Rand) {
+func (s *LeafStats) recordResult(now vm.Instant, result RequestResult, rng *rand.Rand) {
 	switch result.Outcome {
 	case Replied:
 		s.consecutiveFailures = 0
 		s.failureRate -= s.failureRate * failureWeight
-		s.recordDuration(result.Took, result.Usual)
+		s.recordDuration(result.Elapsed, result.MedianLatency)
 	case Overdue:
-		s.recordDuration(result.Took, result.Usual)
+		s.recordDuration(result.Elapsed, result.MedianLatency)
 		s.recordFailure(now, rng)
 	case Rejected:
 		// Most rejections come from a leaf that is full, which its load shows. A leaf that
@@ -122,12 +122,12 @@
 			s.load.Waiting = max(s.load.Waiting, s.load.Slots)
 			s.loadAt = now
 		}
-	case Failed, Misbehaved:
+	case Failed, InvalidReply:
 		s.recordFailure(now, rng)
 	}
 }
 
-func (s *Standing) recordFailure(now vm.Instant, rng *rand.Rand) {
+func (s *LeafStats) recordFailure(now vm.Instant, rng *rand.Rand) {
 	s.failureRate += (1 - s.failureRate) * failureWeight
 	s.consecutiveFailures++
 	if s.consecutiveFailures >= backoffAfterFailures {
@@ -137,7 +137,7 @@
 
 // backOff avoids the leaf for a while, longer with each consecutive failure. The time is
 // randomized.
-func (s *Standing) backOff(now vm.Instant, rng *rand.Rand) {
+func (s *LeafStats) backOff(now vm.Instant, rng *rand.Rand) {
 	d := min(minBackoff<<min(s.consecutiveFailures-backoffAfterFailures, 8), maxBackoff)
 	s.backoffUntil = now.Add(d/2 + time.Duration(rng.Int64N(int64(d/2)+1)))
 }
@@ -146,7 +146,7 @@
 // for many requests.
 const maxSlowdownSample = 6
 
-func (s *Standing) recordDuration(elapsed, medianLatency time.Duration) {
+func (s *LeafStats) recordDuration(elapsed, medianLatency time.Duration) {
 	if medianLatency <= 0 {
 		return
 	}
@@ -159,20 +159,20 @@
 
 // Unreachable records that no connection to the leaf could be opened. Nothing was sent, so a
 // single failure is enough to back off.
-func (s *Standing) Unreachable(now vm.Instant, rng *rand.Rand) {
+func (s *LeafStats) Unreachable(now vm.Instant, rng *rand.Rand) {
 	s.consecutiveFailures = max(s.consecutiveFailures+1, backoffAfterFailures)
 	s.backOff(now, rng)
 }
 
 // Misplaced records that another leaf answers at the leaf's address.
-func (s *Standing) Misplaced(now vm.Instant) { s.misplacedUntil = now.Add(misplacedPeriod) }
+func (s *LeafStats) Misplaced(now vm.Instant) { s.misplacedUntil = now.Add(misplacedPeriod) }
 
 // Candidate is a leaf that a request may be sent to.
 type Candidate struct {
-	Standing *Standing // nil: nothing is known about it
-	Near     bool      // in the daemon's own failure domain
-	Cold     bool      // still slow after its start
-	Slots    int       // requests it processes at once; 0: unknown
+	Stats      *LeafStats // nil: nothing is known about it
+	SameDomain bool       // in the daemon's own failure domain
+	WarmingUp  bool       // still slow after its start
+	Slots      int        // requests it processes at once; 0: unknown
 }
 
 // Choose returns the index of the candidate of least cost, or -1 if there is none. Leaves
@@ -184,7 +184,7 @@
 	var backoffEnds vm.Instant
 	for i := range candidates {
 		c := &candidates[i]
-		if s := c.Standing; s != nil {
+		if s := c.Stats; s != nil {
 			if now < s.misplacedUntil {
 				continue
 			}
@@ -208,13 +208,13 @@
 
 func (c *Candidate) cost(now vm.Instant, medianLatency time.Duration) float64 {
 	cost := 1.0
-	if !c.Near {
+	if !c.SameDomain {
 		cost *= remoteCost
 	}
-	if c.Cold {
+	if c.WarmingUp {
 		cost *= coldCost
 	}
-	s := c.Standing
+	s := c.Stats
 	if s == nil {
 		return cost
 	}
@@ -226,8 +226,8 @@
 	busy := float64(s.inFlight)
 	if now.Sub(s.loadAt) < loadMaxAge {
 		busy = max(busy, float64(s.load.Running+s.load.Waiting))
-		if s.load.Pace > 0 {
-			cost *= s.load.Pace
+		if s.load.Slowdown > 0 {
+			cost *= s.load.Slowdown
 		}
 	}
 	cost *= 1 + loadCost*busy/slots
@@ -239,7 +239,7 @@
 
 // unresponsive reports whether a request to the leaf is overdue and no reply of any kind has
 // come since it was sent.
-func (s *Standing) unresponsive(now vm.Instant, medianLatency time.Duration) bool {
+func (s *LeafStats) unresponsive(now vm.Instant, medianLatency time.Duration) bool {
 	if len(s.startTimes) == 0 || medianLatency <= 0 {
 		return false
 	}
--- a/internal/policy/standing_test.go
+++ b/internal/policy/standing_test.go
@@ -18,8 +18,8 @@
 func newChoiceFixture() *choiceFixture {
 	return &choiceFixture{
 		now: 1, rng: rand.New(rand.NewPCG(1, 1)),
-		a: Candidate{Standing: &Standing{}, Near: true, Slots: 2},
-		b: Candidate{Standing: &Standing{}, Near: true, Slots: 2},
+		a: Candidate{Stats: &LeafStats{}, SameDomain: true, Slots: 2},
+		b: Candidate{Stats: &LeafStats{}, SameDomain: true, Slots: 2},
 	}
 }
 
@@ -43,9 +43,9 @@
 
 func (r *choiceFixture) completeRequest(c Candidate, elapsed time.Duration, outcome Outcome, load *Load) {
 	began := r.now
-	c.Standing.Begin(began)
+	c.Stats.Begin(began)
 	r.now = r.now.Add(elapsed)
-	c.Standing.End(r.now, began, Ended{Outcome: outcome, Took: elapsed, Usual: medianLatency, Heard: true, Load: load}, r.rng)
+	c.Stats.End(r.now, began, RequestResult{Outcome: outcome, Elapsed: elapsed, MedianLatency: medianLatency, ReplyReceived: true, Load: load}, r.rng)
 }
 
 func TestChooseAlternatesBetweenEqualLeaves(t *testing.T) {
@@ -56,7 +56,7 @@
 
 func TestChoosePrefersOwnDomain(t *testing.T) {
 	r := newChoiceFixture()
-	r.b.Near = false
+	r.b.SameDomain = false
 	if n := r.countA(); n != 100 {
 		t.Errorf("%d of 100 choices select the leaf in the daemon's own domain", n)
 	}
@@ -66,7 +66,7 @@
 // it is the only one in the daemon's own failure domain.
 func TestChooseAvoidsSlowLeaf(t *testing.T) {
 	r := newChoiceFixture()
-	r.b.Near = false
+	r.b.SameDomain = false
 	for range 20 {
 		r.completeRequest(r.a, 3*medianLatency, Replied, nil)
 		r.completeRequest(r.b, medianLatency, Replied, nil)
@@ -81,12 +81,12 @@
 func TestChooseAvoidsUnresponsiveLeaf(t *testing.T) {
 	r := newChoiceFixture()
 	began := r.now
-	r.a.Standing.Begin(began)
+	r.a.Stats.Begin(began)
 	r.now = r.now.Add(3 * medianLatency)
 	if n := r.countA(); n != 0 {
 		t.Errorf("%d of 100 choices select the unresponsive leaf", n)
 	}
-	r.a.Standing.End(r.now, began, Ended{Outcome: Replied, Took: 3 * medianLatency, Usual: medianLatency, Heard: true}, r.rng)
+	r.a.Stats.End(r.now, began, RequestResult{Outcome: Replied, Elapsed: 3 * medianLatency, MedianLatency: medianLatency, ReplyReceived: true}, r.rng)
 	r.now = r.now.Add(time.Second)
 	for range 30 {
 		r.completeRequest(r.a, medianLatency, Replied, nil)
@@ -118,7 +118,7 @@
 // is the only one, because it may be reachable again.
 func TestChooseBacksOffFromUnreachableLeaf(t *testing.T) {
 	r := newChoiceFixture()
-	r.a.Standing.Unreachable(r.now, r.rng)
+	r.a.Stats.Unreachable(r.now, r.rng)
 	if n := r.countA(); n != 0 {
 		t.Errorf("%d of 100 choices select the unreachable leaf", n)
 	}
@@ -126,7 +126,7 @@
 		t.Errorf("the only leaf is not chosen")
 	}
 	for range 12 {
-		r.a.Standing.Unreachable(r.now, r.rng)
+		r.a.Stats.Unreachable(r.now, r.rng)
 	}
 	r.now = r.now.Add(maxBackoff)
 	if n := r.countA(); n == 0 {
@@ -137,7 +137,7 @@
 // The estimates must converge to the reply times: the late threshold is the time that one in
 // ten replies exceeds.
 func TestLatencyEstimatorConverges(t *testing.T) {
-	var p Pace
+	var p LatencyEstimator
 	for i := range 2000 {
 		d := 10 * time.Millisecond
 		if i%10 == 0 {
@@ -148,8 +148,8 @@
 		}
 		p.Observe(d + time.Duration(i%7)*time.Millisecond)
 	}
-	late, ok := p.Late()
-	if median := p.Usual(); median < 10*time.Millisecond || median > 16*time.Millisecond {
+	late, ok := p.LateThreshold()
+	if median := p.Median(); median < 10*time.Millisecond || median > 16*time.Millisecond {
 		t.Errorf("median %v", median)
 	}
 	if !ok || late < 13*time.Millisecond || late > 60*time.Millisecond {
@@ -161,21 +161,21 @@
 // left on a retry. A few requests with a longer timeout must not make all others look like
 // retries.
 func TestCallerTimeoutsDetectRetries(t *testing.T) {
-	var w Waits
+	var w CallerTimeouts
 	for range 5 {
-		w.Passed(time.Second)
+		w.Elapsed(time.Second)
 	}
-	w.Passed(5 * time.Second)
-	if got := w.Passed(time.Second); got != 0 {
+	w.Elapsed(5 * time.Second)
+	if got := w.Elapsed(time.Second); got != 0 {
 		t.Errorf("%v elapsed before a first attempt", got)
 	}
-	if got := w.Passed(700 * time.Millisecond); got != 300*time.Millisecond {
+	if got := w.Elapsed(700 * time.Millisecond); got != 300*time.Millisecond {
 		t.Errorf("%v elapsed before a second attempt", got)
 	}
 	for range 300 {
-		w.Passed(4 * time.Second)
+		w.Elapsed(4 * time.Second)
 	}
-	if got := w.Passed(3 * time.Second); got != time.Second {
+	if got := w.Elapsed(3 * time.Second); got != time.Second {
 		t.Errorf("%v elapsed after the route's usual timeout has grown", got)
 	}
 }
@@ -186,7 +186,7 @@
 // of one.
 func TestChooseSkipsMisplacedLeaf(t *testing.T) {
 	r := newChoiceFixture()
-	r.a.Standing.Misplaced(r.now)
+	r.a.Stats.Misplaced(r.now)
 	if n := r.countA(); n != 0 {
 		t.Errorf("%d of 100 choices select the leaf whose address was taken over", n)
 	}
--- a/internal/policy/suspicion.go
+++ b/internal/policy/suspicion.go
@@ -21,14 +21,14 @@
 // Without this check one attempt could crash two leaves of each shard. The zero value is not
 // suspicious.
 type Suspicion struct {
-	Suspect  bool // suspected because of earlier attempts
-	Ends     int  // leaves that exited during this attempt
-	Survived bool // a leaf ran the request and answered
-	probes   int  // sends made one at a time
+	Suspected bool // suspected because of earlier attempts
+	LeafExits int  // leaves that exited during this attempt
+	Answered  bool // a leaf ran the request and answered
+	probes    int  // sends made one at a time
 }
 
 // Guarded reports whether sends must be made one at a time.
-func (s *Suspicion) Guarded() bool { return !s.Survived && (s.Suspect || s.Ends > 0) }
+func (s *Suspicion) Guarded() bool { return !s.Answered && (s.Suspected || s.LeafExits > 0) }
 
 // MaySend reports whether another send is allowed while inFlight sends are in flight.
 func (s *Suspicion) MaySend(inFlight int) bool {
@@ -36,16 +36,16 @@
 }
 
 // RecordSend counts a send.
-func (s *Suspicion) Sent() {
+func (s *Suspicion) RecordSend() {
 	if s.Guarded() {
 		s.probes++
 	}
 }
 
 // RecordNotRun removes a send that no leaf began to run from the count.
-func (s *Suspicion) Unsent() { s.probes = max(0, s.probes-1) }
+func (s *Suspicion) RecordNotRun() { s.probes = max(0, s.probes-1) }
 
 // Exhausted reports whether the attempt is over: no send is in flight, and none is allowed.
-func (s *Suspicion) Spent(inFlight int) bool {
+func (s *Suspicion) Exhausted(inFlight int) bool {
 	return s.Guarded() && inFlight == 0 && s.probes >= maxProbes
 }
--- a/internal/policy/times.go
+++ b/internal/policy/times.go
@@ -22,52 +22,52 @@
 )
 
 // TimeLimits are the time limits configured for a route.
-type Terms struct {
-	Timeout time.Duration // the longest time that a caller may be kept waiting
-	Aim     time.Duration // 0: none
-	Margin  time.Duration // part of TargetLatency reserved for delivering the answer to the caller
+type TimeLimits struct {
+	Timeout       time.Duration // the longest time that a caller may be kept waiting
+	TargetLatency time.Duration // 0: none
+	AnswerMargin  time.Duration // part of TargetLatency reserved for delivering the answer to the caller
 }
 
 // Schedule holds the due times of a request, relative to its arrival.
-type Times struct {
-	End      time.Duration // the final answer is due
-	Deadline time.Duration // the deadline passed to leaves
-	AnswerBy time.Duration // an answer with missing parts may be sent from here on
-	Late     time.Duration // a shard without a reply is hedged
-	Patience time.Duration // a request that could not be sent is refused
+type Schedule struct {
+	AnswerDeadline time.Duration // the final answer is due
+	LeafDeadline   time.Duration // the deadline passed to leaves
+	PartialAfter   time.Duration // an answer with missing parts may be sent from here on
+	HedgeAfter     time.Duration // a shard without a reply is hedged
+	UnsentTimeout  time.Duration // a request that could not be sent is refused
 }
 
 // NewSchedule returns the schedule of a request whose caller waits for timeout (0: not
 // stated) and sent its first attempt elapsed before this one.
-func TimesOf(limits Terms, timeout, elapsed time.Duration, latency *Pace) Times {
+func NewSchedule(limits TimeLimits, timeout, elapsed time.Duration, latency *LatencyEstimator) Schedule {
 	limit := limits.Timeout
 	if timeout > 0 && timeout < limit {
 		limit = timeout
 	}
-	out := Times{End: limit - answerMargin, Deadline: limit, Late: limits.hedgeAfter(latency), Patience: defaultHedgeDelay}
-	out.AnswerBy = out.End
-	if limits.Aim > 0 {
-		out.AnswerBy = min(max(0, limits.Aim-limits.Margin-elapsed), out.End)
-		out.Patience = time.Duration(unsentTimeoutShare * float64(limits.Aim))
+	out := Schedule{AnswerDeadline: limit - answerMargin, LeafDeadline: limit, HedgeAfter: limits.hedgeAfter(latency), UnsentTimeout: defaultHedgeDelay}
+	out.PartialAfter = out.AnswerDeadline
+	if limits.TargetLatency > 0 {
+		out.PartialAfter = min(max(0, limits.TargetLatency-limits.AnswerMargin-elapsed), out.AnswerDeadline)
+		out.UnsentTimeout = time.Duration(unsentTimeoutShare * float64(limits.TargetLatency))
 	}
 	return out
 }
 
 // hedgeAfter returns the time after which a reply is late enough for a hedge.
-func (t Terms) hedgeAfter(latency *Pace) time.Duration {
-	late, ok := latency.Late()
+func (t TimeLimits) hedgeAfter(latency *LatencyEstimator) time.Duration {
+	late, ok := latency.LateThreshold()
 	if !ok {
-		if t.Aim > 0 {
-			return time.Duration(defaultLateShare * float64(t.Aim))
+		if t.TargetLatency > 0 {
+			return time.Duration(defaultLateShare * float64(t.TargetLatency))
 		}
 		return defaultHedgeDelay
 	}
-	median := latency.Usual()
+	median := latency.Median()
 	late = max(late, time.Duration(hedgeMedians*float64(median)), minHedgeDelay)
 	// A hedge that cannot return in time is of little use, so the latest time at which it
 	// still can takes precedence over the learned one.
-	if t.Aim > 0 {
-		late = min(late, max(t.Aim-t.Margin-2*median, median))
+	if t.TargetLatency > 0 {
+		late = min(late, max(t.TargetLatency-t.AnswerMargin-2*median, median))
 	}
 	return late
 }
--- a/internal/policy/waits.go
+++ b/internal/policy/waits.go
@@ -8,7 +8,7 @@
 // CallerTimeouts learns the timeout that the callers of a route state on their first
 // attempt. All callers of a route state the same one; on a retry they state the time that is
 // left, which differs each time. It is safe for concurrent use.
-type Waits struct {
+type CallerTimeouts struct {
 	mu     sync.Mutex
 	values [4]timeoutCount
 }
@@ -28,7 +28,7 @@
 
 // Elapsed returns how much of the caller's time had passed before this request, as far as
 // can be derived from the timeout that it states.
-func (w *Waits) Passed(timeout time.Duration) time.Duration {
+func (w *CallerTimeouts) Elapsed(timeout time.Duration) time.Duration {
 	if timeout <= 0 {
 		return 0
 	}
@@ -42,7 +42,7 @@
 }
 
 // record counts a timeout and returns the one that is stated most often.
-func (w *Waits) record(timeout time.Duration) timeoutCount {
+func (w *CallerTimeouts) record(timeout time.Duration) timeoutCount {
 	least, most, found := 0, 0, false
 	for i := range w.values {
 		v := &w.values[i]
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -9,11 +9,11 @@
 // BenchmarkLookUp measures the cost that a quarantined request adds to every other request.
 func BenchmarkLookUp(b *testing.B) {
 	g := NewRegistry(vm.Monotonic, nil)
-	g.Install(Cases{fingerprintsOf(1)[Exact]: {Blocked: true}})
+	g.SetCases(Cases{fingerprintsOf(1)[Exact]: {Blocked: true}})
 	r := &Request{Method: "GET", Host: "shop.example", URI: "/search/2f41?page=3", Caller: "100.64.0.17"}
 	b.ReportAllocs()
 	for b.Loop() {
-		if g.Rule(r.Fingerprints()) != Free {
+		if g.Check(r.Fingerprints()) != Unrestricted {
 			b.Fatal("refused")
 		}
 	}
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -27,19 +27,19 @@
 // the crash, so a request whose query or caller address changes each time never has the same
 // exact fingerprint twice. A wider scope is blocked only if several narrower ones were
 // reported.
-type Width int
+type Scope int
 
 // The scopes.
 const (
-	Exact     Width = iota // only the same request from the same caller
-	AnyQuery               // any query from the same caller
-	AnyCaller              // the same request from any caller
-	AnyBoth                // any query from any caller
+	Exact             Scope = iota // only the same request from the same caller
+	AnyQuery                       // any query from the same caller
+	AnyCaller                      // the same request from any caller
+	AnyQueryAnyCaller              // any query from any caller
 	numScopes
 )
 
 // narrowerScopes lists the next narrower scopes of each scope.
-var narrowerScopes = [numScopes][]Width{AnyQuery: {Exact}, AnyCaller: {Exact}, AnyBoth: {AnyQuery, AnyCaller}}
+var narrowerScopes = [numScopes][]Scope{AnyQuery: {Exact}, AnyCaller: {Exact}, AnyQueryAnyCaller: {AnyQuery, AnyCaller}}
 
 // Fingerprints are the fingerprints of one request, by scope.
 type Fingerprints [numScopes]Fingerprint
@@ -48,16 +48,16 @@
 func (r *Request) Fingerprints() Fingerprints {
 	path, _, _ := strings.Cut(r.URI, "?")
 	return Fingerprints{
-		Exact:     r.hash(Exact, r.URI, r.Caller),
-		AnyQuery:  r.hash(AnyQuery, path, r.Caller),
-		AnyCaller: r.hash(AnyCaller, r.URI, ""),
-		AnyBoth:   r.hash(AnyBoth, path, ""),
+		Exact:             r.hash(Exact, r.URI, r.Caller),
+		AnyQuery:          r.hash(AnyQuery, path, r.Caller),
+		AnyCaller:         r.hash(AnyCaller, r.URI, ""),
+		AnyQueryAnyCaller: r.hash(AnyQueryAnyCaller, path, ""),
 	}
 }
 
 // Describe returns a description, for operators, of the requests that the fingerprint of a
 // scope covers.
-func (r *Request) Describe(scope Width) string {
+func (r *Request) Describe(scope Scope) string {
 	path, _, _ := strings.Cut(r.URI, "?")
 	switch scope {
 	case Exact:
@@ -70,7 +70,7 @@
 	return r.Method + " " + r.Host + path + " with any query from anybody"
 }
 
-func (r *Request) hash(scope Width, uri, caller string) Fingerprint {
+func (r *Request) hash(scope Scope, uri, caller string) Fingerprint {
 	h := sha256.New()
 	var number [8]byte
 	add := func(n int64) {
@@ -107,7 +107,7 @@
 		return fs, false
 	}
 	for w, b := range in {
-		if fs[w], ok = FromBytes(b); !ok {
+		if fs[w], ok = FingerprintFromBytes(b); !ok {
 			return fs, false
 		}
 	}
@@ -116,7 +116,7 @@
 
 // FingerprintFromBytes decodes a fingerprint of a message. It returns false if the length is
 // wrong.
-func FromBytes(b []byte) (f Fingerprint, ok bool) {
+func FingerprintFromBytes(b []byte) (f Fingerprint, ok bool) {
 	if len(b) != len(f) {
 		return f, false
 	}
@@ -124,7 +124,7 @@
 }
 
 // ParseFingerprint parses the output of String.
-func Parse(text string) (Fingerprint, error) {
+func ParseFingerprint(text string) (Fingerprint, error) {
 	var f Fingerprint
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != len(f) {
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -20,7 +20,7 @@
 // Coordinator is the state that the leader of the control group keeps in memory besides the
 // cases: the trials in progress and the times of the last reports. It is safe for concurrent
 // use.
-type Ledger struct {
+type Coordinator struct {
 	clock vm.Clock
 
 	mu         sync.Mutex
@@ -29,8 +29,8 @@
 }
 
 // NewCoordinator returns a Coordinator without trials.
-func NewLedger(clock vm.Clock) *Ledger {
-	return &Ledger{clock: clock, trials: make(map[Fingerprint]vm.Instant), lastReport: make(map[Fingerprint]vm.Instant)}
+func NewCoordinator(clock vm.Clock) *Coordinator {
+	return &Coordinator{clock: clock, trials: make(map[Fingerprint]vm.Instant), lastReport: make(map[Fingerprint]vm.Instant)}
 }
 
 // Grant is the answer to a daemon that asks to try a suspected request.
@@ -49,7 +49,7 @@
 func (g Grant) String() string { return grantNames[g] }
 
 // Try answers a daemon that asks to try a request.
-func (l *Ledger) Try(cases Cases, f Fingerprint) Grant {
+func (l *Coordinator) Try(cases Cases, f Fingerprint) Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c, known := cases[f]
@@ -70,16 +70,16 @@
 
 // Change is the effect of a report on a case.
 type Change struct {
-	Request Fingerprint
-	Before  Case
-	After   Case
-	Cleared bool
-	Dropped bool // evicted because there were too many cases
+	Fingerprint Fingerprint
+	Before      Case
+	After       Case
+	Cleared     bool
+	Evicted     bool // evicted because there were too many cases
 }
 
 // Apply merges reports into the cases and returns the resulting cases and the changes. The
 // argument is not modified.
-func (l *Ledger) Apply(cases Cases, reports []*Report, wallTime time.Time) (Cases, []Change) {
+func (l *Coordinator) Apply(cases Cases, reports []*Report, wallTime time.Time) (Cases, []Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock()
@@ -89,35 +89,35 @@
 	}
 	var changes []Change
 	for _, r := range reports {
-		delete(l.trials, r.Request[Exact])
+		delete(l.trials, r.Fingerprints[Exact])
 		var wasKnown [numScopes]bool // known before this report
-		for scope, f := range r.Request {
+		for scope, f := range r.Fingerprints {
 			_, wasKnown[scope] = updated[f]
 		}
-		for scope, f := range r.Request {
+		for scope, f := range r.Fingerprints {
 			before, known := updated[f], wasKnown[scope]
-			narrowerKnown := slices.ContainsFunc(narrowerScopes[scope], func(narrower Width) bool { return wasKnown[narrower] })
-			if !r.Survived && (r.Ends == 0 && (!known || Width(scope) != Exact) || !known && narrowerKnown) {
+			narrowerKnown := slices.ContainsFunc(narrowerScopes[scope], func(narrower Scope) bool { return wasKnown[narrower] })
+			if !r.Answered && (r.LeafExits == 0 && (!known || Scope(scope) != Exact) || !known && narrowerKnown) {
 				// A report without leaf exits raises no new suspicion. A request that is
 				// already known by a narrower fingerprint raises none against the other
 				// requests of a wider scope.
 				continue
 			}
 			last, seen := l.lastReport[f]
-			follows := !seen || now.Add(-r.Began) > last
-			if !narrowerKnown && (Width(scope) != Exact || !known) {
+			follows := !seen || now.Add(-r.Age) > last
+			if !narrowerKnown && (Scope(scope) != Exact || !known) {
 				before.Variants++
 			}
-			next, suspected := before.withReport(r, Width(scope), follows, wallTime.UTC().Truncate(time.Second))
+			next, suspected := before.withReport(r, Scope(scope), follows, wallTime.UTC().Truncate(time.Second))
 			switch {
 			case suspected:
 				l.lastReport[f] = now
 				updated[f] = next
-				changes = append(changes, Change{Request: f, Before: before, After: next})
+				changes = append(changes, Change{Fingerprint: f, Before: before, After: next})
 			case known:
 				delete(l.lastReport, f)
 				delete(updated, f)
-				changes = append(changes, Change{Request: f, Before: before, Cleared: true})
+				changes = append(changes, Change{Fingerprint: f, Before: before, Cleared: true})
 			}
 		}
 	}
@@ -125,7 +125,7 @@
 }
 
 // Release ends a trial that did not reach a leaf.
-func (l *Ledger) Release(f Fingerprint) {
+func (l *Coordinator) Release(f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.trials, f)
@@ -133,7 +133,7 @@
 
 // evict removes the cases beyond maxCases: suspected ones before blocked ones, and within
 // each kind those with the oldest last report.
-func (l *Ledger) evict(cases Cases) []Change {
+func (l *Coordinator) evict(cases Cases) []Change {
 	if len(cases) <= maxCases {
 		return nil
 	}
@@ -145,11 +145,11 @@
 			}
 			return 1
 		}
-		return cmp.Or(x.Seen.Compare(y.Seen), slices.Compare(a[:], b[:]))
+		return cmp.Or(x.LastReport.Compare(y.LastReport), slices.Compare(a[:], b[:]))
 	})
 	var changes []Change
 	for _, f := range oldest[:len(oldest)-maxCases] {
-		changes = append(changes, Change{Request: f, Before: cases[f], Dropped: true})
+		changes = append(changes, Change{Fingerprint: f, Before: cases[f], Evicted: true})
 		delete(cases, f)
 		delete(l.lastReport, f)
 	}
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -16,7 +16,7 @@
 type coordinatorFixture struct {
 	t           *testing.T
 	now         vm.Instant
-	coordinator *Ledger
+	coordinator *Coordinator
 	tree        *settings.Tree
 }
 
@@ -29,10 +29,10 @@
 // changeLeader replaces the Coordinator by a new one, as when another control VM becomes the
 // leader. Only the cases in the tree are kept.
 func (tr *coordinatorFixture) changeLeader() {
-	tr.coordinator = NewLedger(func() vm.Instant { return tr.now })
+	tr.coordinator = NewCoordinator(func() vm.Instant { return tr.now })
 }
 
-func (tr *coordinatorFixture) cases() Cases { return FromTree(tr.tree) }
+func (tr *coordinatorFixture) cases() Cases { return CasesFromTree(tr.tree) }
 
 func (tr *coordinatorFixture) report(rs ...*Report) {
 	tr.t.Helper()
@@ -52,7 +52,7 @@
 
 // crashReport is the report of an attempt that took 100 ms.
 func crashReport(f Fingerprints, ends int) *Report {
-	return &Report{Request: f, Describe: [numScopes]string{"GET shop/ from 10.0.0.1", "b", "c", "d"}, Ends: ends, Began: 100 * time.Millisecond}
+	return &Report{Fingerprints: f, Descriptions: [numScopes]string{"GET shop/ from 10.0.0.1", "b", "c", "d"}, LeafExits: ends, Age: 100 * time.Millisecond}
 }
 
 // A request that crashes leaves in every attempt must be blocked even if hours and a change
@@ -113,15 +113,15 @@
 				tr.advance(time.Second)
 			}
 			g := NewRegistry(vm.Monotonic, nil)
-			g.Install(tr.cases())
-			So(g.Rule(c.nth(4).Fingerprints()), ShouldEqual, Blocked)
-			So(g.Rule(fingerprintsOf(9)), ShouldEqual, Free)
+			g.SetCases(tr.cases())
+			So(g.Check(c.nth(4).Fingerprints()), ShouldEqual, Blocked)
+			So(g.Check(fingerprintsOf(9)), ShouldEqual, Unrestricted)
 		})
 	}
 	rule := func(tr *coordinatorFixture, r *Request) Ruling {
 		g := NewRegistry(vm.Monotonic, nil)
-		g.Install(tr.cases())
-		return g.Rule(r.Fingerprints())
+		g.SetCases(tr.cases())
+		return g.Check(r.Fingerprints())
 	}
 	fatal, other := &Request{URI: "/a?q=1", Caller: "10.0.0.1"}, &Request{URI: "/a?q=2", Caller: "10.0.0.1"}
 	Convey("A request that does not vary is blocked alone, even if no request to its path is answered", t, func() {
@@ -137,9 +137,9 @@
 			tr.advance(time.Second)
 		}
 		So(rule(tr, other), ShouldEqual, Canary)
-		tr.report(&Report{Request: other.Fingerprints(), Survived: true})
+		tr.report(&Report{Fingerprints: other.Fingerprints(), Answered: true})
 		So(rule(tr, fatal), ShouldEqual, Blocked)
-		So(rule(tr, other), ShouldEqual, Free)
+		So(rule(tr, other), ShouldEqual, Unrestricted)
 	})
 }
 
@@ -153,15 +153,15 @@
 			tr.advance(20 * time.Millisecond)
 		}
 		So(tr.cases()[fingerprintsOf(1)[Exact]].Blocked, ShouldBeFalse)
-		So(tr.cases()[fingerprintsOf(1)[Exact]].Crashes, ShouldEqual, 1)
+		So(tr.cases()[fingerprintsOf(1)[Exact]].CrashedAttempts, ShouldEqual, 1)
 		So(tr.coordinator.Try(tr.cases(), fingerprintsOf(1)[Exact]), ShouldEqual, Granted)
-		tr.report(&Report{Request: fingerprintsOf(1), Survived: true})
+		tr.report(&Report{Fingerprints: fingerprintsOf(1), Answered: true})
 		So(tr.cases(), ShouldNotContainKey, fingerprintsOf(1)[Exact])
 		So(tr.cases(), ShouldContainKey, fingerprintsOf(2)[Exact])
 	})
 	Convey("An attempt without leaf exits raises no suspicion", t, func() {
 		tr := newCoordinatorFixture(t)
-		tr.report(crashReport(fingerprintsOf(1), 0), &Report{Request: fingerprintsOf(2), Survived: true})
+		tr.report(crashReport(fingerprintsOf(1), 0), &Report{Fingerprints: fingerprintsOf(2), Answered: true})
 		So(tr.cases(), ShouldBeEmpty)
 	})
 }
@@ -188,9 +188,9 @@
 	Convey("Descriptions with text from a caller are a single printable line", t, func() {
 		tr := newCoordinatorFixture(t)
 		r := crashReport(fingerprintsOf(1), 1)
-		r.Describe[Exact] = "GET shop/\x00\n\xff from 10.0.0.1" + string(make([]byte, 2*maxDescriptionLen))
+		r.Descriptions[Exact] = "GET shop/\x00\n\xff from 10.0.0.1" + string(make([]byte, 2*maxDescriptionLen))
 		tr.report(r)
-		So(tr.cases()[fingerprintsOf(1)[Exact]].Request, ShouldStartWith, "GET shop/??")
-		So(len(tr.cases()[fingerprintsOf(1)[Exact]].Request), ShouldBeLessThanOrEqualTo, maxDescriptionLen)
+		So(tr.cases()[fingerprintsOf(1)[Exact]].Description, ShouldStartWith, "GET shop/??")
+		So(len(tr.cases()[fingerprintsOf(1)[Exact]].Description), ShouldBeLessThanOrEqualTo, maxDescriptionLen)
 	})
 }
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -32,13 +32,13 @@
 
 // The rulings.
 const (
-	Free    Ruling = iota // no restriction
-	Canary                // matches a wider scope of a suspected request: sent to one leaf first
-	Suspect               // as Canary, and tried by one daemon at a time
-	Blocked               // not sent to any leaf
+	Unrestricted Ruling = iota // no restriction
+	Canary                     // matches a wider scope of a suspected request: sent to one leaf first
+	Suspect                    // as Canary, and tried by one daemon at a time
+	Blocked                    // not sent to any leaf
 )
 
-var rulingNames = [...]string{Free: "free", Canary: "canary", Suspect: "suspect", Blocked: "blocked"}
+var rulingNames = [...]string{Unrestricted: "free", Canary: "canary", Suspect: "suspect", Blocked: "blocked"}
 
 // String returns the ruling as one word.
 func (r Ruling) String() string { return rulingNames[r] }
@@ -86,11 +86,11 @@
 
 // Update reads the cases from a version of the settings tree, unless a version at least as
 // new has been read.
-func (g *Registry) Observe(version uint64, t *settings.Tree) {
+func (g *Registry) Update(version uint64, t *settings.Tree) {
 	if g == nil || t == nil || g.version.Load() >= version {
 		return
 	}
-	cases := FromTree(t)
+	cases := CasesFromTree(t)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.version.Load() < version {
@@ -100,7 +100,7 @@
 }
 
 // SetCases replaces the cases agreed by the control group.
-func (g *Registry) Install(cases Cases) {
+func (g *Registry) SetCases(cases Cases) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.setCases(cases)
@@ -113,7 +113,7 @@
 			blocked++
 		}
 		if before, known := g.cases[f]; !known || before.Blocked != c.Blocked {
-			klog.Infof("quarantine: request=%s blocked=%v leaf_ends=%d crashes=%d attempts=%d what=%q", f, c.Blocked, c.Ends, c.Crashes, c.Attempts, c.Request)
+			klog.Infof("quarantine: request=%s blocked=%v leaf_ends=%d crashes=%d attempts=%d what=%q", f, c.Blocked, c.LeafExits, c.CrashedAttempts, c.UnansweredAttempts, c.Description)
 		}
 	}
 	for f := range g.cases {
@@ -131,13 +131,13 @@
 func (g *Registry) updateNonEmpty() { g.nonEmpty.Store(len(g.cases)+len(g.observations) > 0) }
 
 // Check returns how a request with the fingerprints may be handled.
-func (g *Registry) Rule(fs Fingerprints) Ruling {
+func (g *Registry) Check(fs Fingerprints) Ruling {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ruling := Free
+	ruling := Unrestricted
 	for scope, f := range fs {
 		suspect := Canary
-		if Width(scope) == Exact {
+		if Scope(scope) == Exact {
 			suspect = Suspect
 		}
 		switch c, known := g.cases[f]; {
--- a/internal/quarantine/remote.go
+++ b/internal/quarantine/remote.go
@@ -16,21 +16,21 @@
 
 // RemoteLeader reaches the leader of the control group over the network. It implements
 // Leader.
-type Remote struct {
+type RemoteLeader struct {
 	Conns interface {
 		Conn(ctx context.Context, addr string) (drpc.Conn, error)
 	}
 	// ControlAddrs returns the addresses of the control VMs to ask, best first.
-	Contacts func() []string
+	ControlAddrs func() []string
 }
 
 // Report implements Leader.
-func (l *Remote) Report(ctx context.Context, reports []*Report) error {
+func (l *RemoteLeader) Report(ctx context.Context, reports []*Report) error {
 	req := &wire.CrashReports{Reports: make([]*wire.CrashReport, len(reports))}
 	for i, r := range reports {
 		req.Reports[i] = &wire.CrashReport{
-			Fingerprints: r.Request.ToWire(), Requests: r.Describe[:], LeafEnds: uint32(r.Ends), Survived: r.Survived,
-			BeganMs: uint32(r.Began.Milliseconds()),
+			Fingerprints: r.Fingerprints.ToWire(), Requests: r.Descriptions[:], LeafEnds: uint32(r.LeafExits), Survived: r.Answered,
+			BeganMs: uint32(r.Age.Milliseconds()),
 		}
 	}
 	return l.callLeader(ctx, func(ctx context.Context, c wire.DRPCQuarantineClient) (string, error) {
@@ -40,7 +40,7 @@
 }
 
 // Try implements Leader.
-func (l *Remote) Try(ctx context.Context, f Fingerprint) (Grant, error) {
+func (l *RemoteLeader) Try(ctx context.Context, f Fingerprint) (Grant, error) {
 	grant := Denied
 	err := l.callLeader(ctx, func(ctx context.Context, c wire.DRPCQuarantineClient) (string, error) {
 		out, err := c.Trial(ctx, &wire.TrialRequest{Fingerprint: f[:]})
@@ -51,7 +51,7 @@
 }
 
 // Release implements Leader.
-func (l *Remote) Release(ctx context.Context, f Fingerprint) error {
+func (l *RemoteLeader) Release(ctx context.Context, f Fingerprint) error {
 	return l.callLeader(ctx, func(ctx context.Context, c wire.DRPCQuarantineClient) (string, error) {
 		out, err := c.Trial(ctx, &wire.TrialRequest{Fingerprint: f[:], Release: true})
 		return out.GetRedirect(), err
@@ -59,9 +59,9 @@
 }
 
 // callLeader calls the control VMs in turn until the leader has answered.
-func (l *Remote) callLeader(ctx context.Context, call func(context.Context, wire.DRPCQuarantineClient) (redirect string, err error)) error {
+func (l *RemoteLeader) callLeader(ctx context.Context, call func(context.Context, wire.DRPCQuarantineClient) (redirect string, err error)) error {
 	lastErr := errors.New("quarantine: no control VM is known")
-	answered := peer.Walk(ctx, l.Contacts(), func(addr string) (string, bool) {
+	answered := peer.Walk(ctx, l.ControlAddrs(), func(addr string) (string, bool) {
 		redirect, err := l.callOne(ctx, addr, call)
 		if err != nil {
 			lastErr = err
@@ -74,7 +74,7 @@
 	return errors.CombineErrors(lastErr, ctx.Err())
 }
 
-func (l *Remote) callOne(ctx context.Context, addr string, call func(context.Context, wire.DRPCQuarantineClient) (string, error)) (string, error) {
+func (l *RemoteLeader) callOne(ctx context.Context, addr string, call func(context.Context, wire.DRPCQuarantineClient) (string, error)) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	conn, err := l.Conns.Conn(ctx, addr)
--- a/internal/quarantine/reports.go
+++ b/internal/quarantine/reports.go
@@ -33,12 +33,12 @@
 func (g *Registry) Report(r *Report) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, f := range r.Request {
-		g.refresh(f).cleared = r.Survived
+	for _, f := range r.Fingerprints {
+		g.refresh(f).cleared = r.Answered
 	}
 	if len(g.queue) >= maxQueuedReports {
 		reportsLost.Inc(1)
-		klog.Errorf("quarantine: report of request=%s leaf_ends=%d is lost, %d wait for the leader", r.Request[Exact], r.Ends, len(g.queue))
+		klog.Errorf("quarantine: report of request=%s leaf_ends=%d is lost, %d wait for the leader", r.Fingerprints[Exact], r.LeafExits, len(g.queue))
 		return
 	}
 	g.queue = append(g.queue, queuedReport{r, g.clock()})
@@ -77,7 +77,7 @@
 	reports := make([]*Report, 0, len(waiting))
 	for _, w := range waiting {
 		r := *w.Report
-		r.Began += now.Sub(w.queuedAt)
+		r.Age += now.Sub(w.queuedAt)
 		reports = append(reports, &r)
 	}
 	err := g.leader.Report(ctx, reports)
@@ -85,7 +85,7 @@
 	defer g.mu.Unlock()
 	if err == nil {
 		for _, w := range waiting {
-			for _, f := range w.Request {
+			for _, f := range w.Fingerprints {
 				if s := g.observations[f]; s != nil {
 					s.expires = g.clock().Add(settlePeriod)
 				}
@@ -100,7 +100,7 @@
 			continue
 		}
 		reportsLost.Inc(1)
-		klog.Errorf("quarantine: report of request=%s leaf_ends=%d is lost: %v", w.Request[Exact], w.Ends, err)
+		klog.Errorf("quarantine: report of request=%s leaf_ends=%d is lost: %v", w.Fingerprints[Exact], w.LeafExits, err)
 	}
 	g.queue = append(kept, g.queue...)
 	return len(g.queue) > 0
--- a/internal/quarantine/tree.go
+++ b/internal/quarantine/tree.go
@@ -18,11 +18,11 @@
 
 // CasesFromTree reads the cases stored in a settings tree. Invalid nodes are logged and
 // skipped.
-func FromTree(t *settings.Tree) Cases {
+func CasesFromTree(t *settings.Tree) Cases {
 	names := t.Children(settings.QuarantinePath)
 	out := make(Cases, len(names))
 	for _, name := range names {
-		f, err := Parse(name)
+		f, err := ParseFingerprint(name)
 		if err != nil {
 			klog.Warningf("quarantine: ignoring invalid node %s/%s: %v", settings.QuarantinePath, name, err)
 			continue
@@ -33,7 +33,7 @@
 		if err != nil && q.Seen != "" {
 			klog.Warningf("quarantine: %s has an invalid time of its last report and will be evicted first: %v", casePath(f), err)
 		}
-		out[f] = Case{Ends: q.Ends, Crashes: q.Crashes, Attempts: q.Attempts, Variants: q.Variants, Blocked: q.Blocked, Request: q.Request, Seen: lastReport}
+		out[f] = Case{LeafExits: q.Ends, CrashedAttempts: q.Crashes, UnansweredAttempts: q.Attempts, Variants: q.Variants, Blocked: q.Blocked, Description: q.Request, LastReport: lastReport}
 	}
 	return out
 }
@@ -46,8 +46,8 @@
 func Edits(changes []Change) []settings.Edit {
 	var out []settings.Edit
 	for _, c := range changes {
-		path := casePath(c.Request)
-		if c.Cleared || c.Dropped {
+		path := casePath(c.Fingerprint)
+		if c.Cleared || c.Evicted {
 			out = append(out, settings.Edit{Path: path, Op: settings.Remove})
 			continue
 		}
@@ -56,13 +56,13 @@
 				out = append(out, settings.Edit{Path: path, Name: name, Value: value, Op: settings.Set})
 			}
 		}
-		set(settings.NameQuarantineRequest, sanitizeDescription(c.After.Request))
-		set(settings.NameQuarantineEnds, strconv.Itoa(c.After.Ends))
-		set(settings.NameQuarantineCrashes, strconv.Itoa(c.After.Crashes))
-		set(settings.NameQuarantineAttempts, strconv.Itoa(c.After.Attempts))
+		set(settings.NameQuarantineRequest, sanitizeDescription(c.After.Description))
+		set(settings.NameQuarantineEnds, strconv.Itoa(c.After.LeafExits))
+		set(settings.NameQuarantineCrashes, strconv.Itoa(c.After.CrashedAttempts))
+		set(settings.NameQuarantineAttempts, strconv.Itoa(c.After.UnansweredAttempts))
 		set(settings.NameQuarantineVariants, strconv.Itoa(c.After.Variants))
 		set(settings.NameQuarantineBlocked, strconv.FormatBool(c.After.Blocked))
-		set(settings.NameQuarantineSeen, c.After.Seen.Format(time.RFC3339))
+		set(settings.NameQuarantineSeen, c.After.LastReport.Format(time.RFC3339))
 	}
 	return out
 }
--- a/internal/query/home.go
+++ b/internal/query/home.go
@@ -114,17 +114,17 @@
 func newJob(eff *settings.Effective, snap *leaf.Snapshot, q *subquery) *scatter.Job {
 	job := &scatter.Job{
 		ID: q.id, AttemptBase: q.attemptBase, Service: q.service,
-		Version: snap.Version, Holders: snap.Holders, Only: existingShards(q.shards, len(snap.Holders)),
+		Version: snap.Version, Replicas: snap.Holders, OnlyShards: existingShards(q.shards, len(snap.Holders)),
 		Body: q.body, Repeatable: q.repeatable,
 		Priority: eff.Priority, Goal: eff.Goal,
 		HedgeAfter: eff.HedgeAfter, HedgeShare: eff.HedgeBudget,
-		Order: requestOrder(q.id), Immediate: q.immediate, Avoid: q.avoid, Canary: q.canary,
+		ShedOrder: requestOrder(q.id), Immediate: q.immediate, AvoidAddrs: q.avoid, Canary: q.canary,
 	}
-	if q.canary && len(job.Only) == 0 && len(snap.Holders) > 0 {
-		job.Only = []uint32{firstLiveShard(snap)}
+	if q.canary && len(job.OnlyShards) == 0 && len(snap.Holders) > 0 {
+		job.OnlyShards = []uint32{firstLiveShard(snap)}
 	}
 	if q.minCoverage > 0 && eff.EarlyCoverage > 0 {
-		job.EarlyAt = max(q.minCoverage, eff.EarlyCoverage)
+		job.EarlyCoverage = max(q.minCoverage, eff.EarlyCoverage)
 	}
 	return job
 }
@@ -149,7 +149,7 @@
 // newPartialAnswer builds the answer of a home from the outcomes of its shards. The answer is
 // a refusal when shards are missing and no leaf ran anything.
 func newPartialAnswer(job *scatter.Job, r *scatter.Result, q *subquery) *partialAnswer {
-	p := &partialAnswer{leafExits: r.LeafEnds, version: job.Version, shards: uint32(len(r.Shards)), extraAttempts: r.Extra, early: r.Early, retryAfter: r.RetryAfter}
+	p := &partialAnswer{leafExits: r.LeafExits, version: job.Version, shards: uint32(len(r.Shards)), extraAttempts: r.ExtraSends, early: r.Early, retryAfter: r.RetryAfter}
 	noneRan := true
 	forEachShard(job, func(shard uint32) {
 		out := &r.Shards[shard]
@@ -174,13 +174,13 @@
 
 // forEachShard calls f for each shard that job requests.
 func forEachShard(job *scatter.Job, f func(shard uint32)) {
-	if len(job.Only) > 0 {
-		for _, s := range job.Only {
+	if len(job.OnlyShards) > 0 {
+		for _, s := range job.OnlyShards {
 			f(s)
 		}
 		return
 	}
-	for s := range job.Holders {
+	for s := range job.Replicas {
 		f(uint32(s))
 	}
 }
@@ -201,7 +201,7 @@
 // snapshots returns the index versions that the leaves of group g hold, newest first.
 func (e *Engine) snapshots(g leafGroup, eff *settings.Effective) []leaf.Snapshot {
 	snaps := e.Catalog.Snapshots(g.service)
-	if scatterGroup := e.homeStateFor(g.service, eff).scatterGroup; scatterGroup.Declined() {
+	if scatterGroup := e.homeStateFor(g.service, eff).scatterGroup; scatterGroup.AnyNotHeld() {
 		snaps = dropDeclined(snaps, scatterGroup)
 	}
 	if domain.GroupIndex(len(eff.Leaves), len(eff.Leaves)-1) == 0 {
--- a/internal/query/scatter/api.go
+++ b/internal/query/scatter/api.go
@@ -33,28 +33,28 @@
 
 // Job is one request to every shard of one service at one index version.
 type Job struct {
-	ID          string // request ID in the requests to leaves
-	AttemptBase uint32 // first attempt number; keeps attempts of different homes distinct
-	Service     string
-	Version     uint64
-	Holders     [][]settings.Leaf // live replicas by shard, for all shards of the partition map
-	Only        []uint32          // shards to query; empty: all
-	Body        json.RawMessage
-	Repeatable  bool
-	Priority    settings.Priority
-	Goal        settings.Goal
-	HedgeAfter  time.Duration // delay of a hedge; 0: learned
-	HedgeShare  float64       // hedge budget as a share of primary attempts; determines the learned hedge delay
-	Order       uint64        // shed order, equal at every home: under overload the lowest is shed first
-	Lender      Lender        // nil: there is no other home
-	Canary      bool          // neither hedge nor retry
-	Immediate   bool          // send only with permits that are free now; neither hedge nor retry
-	Avoid       []string      // addresses of replicas that must not be used
-	EarlyAt     float64       // coverage from which an early answer is allowed; 0: never
+	ID            string // request ID in the requests to leaves
+	AttemptBase   uint32 // first attempt number; keeps attempts of different homes distinct
+	Service       string
+	Version       uint64
+	Replicas      [][]settings.Leaf // live replicas by shard, for all shards of the partition map
+	OnlyShards    []uint32          // shards to query; empty: all
+	Body          json.RawMessage
+	Repeatable    bool
+	Priority      settings.Priority
+	Goal          settings.Goal
+	HedgeAfter    time.Duration // delay of a hedge; 0: learned
+	HedgeShare    float64       // hedge budget as a share of primary attempts; determines the learned hedge delay
+	ShedOrder     uint64        // shed order, equal at every home: under overload the lowest is shed first
+	Lender        Lender        // nil: there is no other home
+	Canary        bool          // neither hedge nor retry
+	Immediate     bool          // send only with permits that are free now; neither hedge nor retry
+	AvoidAddrs    []string      // addresses of replicas that must not be used
+	EarlyCoverage float64       // coverage from which an early answer is allowed; 0: never
 }
 
 // ShardResult is the outcome of one shard.
-type Shard struct {
+type ShardResult struct {
 	Answered bool
 	Hits     []contract.Hit
 	Reason   contract.Reason  // why the shard is missing; empty if answered
@@ -63,11 +63,11 @@
 
 // Result is the outcome of a Job. Shards is indexed by shard.
 type Result struct {
-	Shards     []Shard
-	Extra      int           // hedges and retries sent
+	Shards     []ShardResult
+	ExtraSends int           // hedges and retries sent
 	Early      bool          // answered before the deadline with shards missing
 	RetryAfter time.Duration // shortest Retry-After of the refusals; 0: none stated
-	LeafEnds   int           // leaves that exited during the job
+	LeafExits  int           // leaves that exited during the job
 }
 
 // Answered returns the number of shards that answered.
--- a/internal/query/scatter/bench_test.go
+++ b/internal/query/scatter/bench_test.go
@@ -35,7 +35,7 @@
 	g := NewGroup(gates, noopSender{}, vm.Now, budget(), budget())
 	job := &Job{ID: "q", Service: "/s", Version: 1, Repeatable: true, HedgeShare: 0.02}
 	for i := range shards {
-		job.Holders = append(job.Holders, leaves[2*i:2*i+2])
+		job.Replicas = append(job.Replicas, leaves[2*i:2*i+2])
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/query/scatter/borrow.go
+++ b/internal/query/scatter/borrow.go
@@ -92,14 +92,14 @@
 }
 
 // handleBorrowRefused continues at this home after another home had no free permit.
-func (s *shardRun) handleBorrowRefused(result attemptResult) (Shard, bool) {
+func (s *shardRun) handleBorrowRefused(result attemptResult) (ShardResult, bool) {
 	if result.hedge {
 		s.extraSends.Add(-1)
 		s.queueHedge()
 		return s.retryOrFinish()
 	}
 	if len(s.inFlight) > 0 || s.hedgePermits != nil {
-		return Shard{}, false
+		return ShardResult{}, false
 	}
 	if s.ctx.Err() != nil {
 		return s.missing(contract.ReasonDeadline), true
@@ -111,7 +111,7 @@
 	if err := s.queueAndSend(ranked); err != nil {
 		return s.missing(err.Reason), true
 	}
-	return Shard{}, false
+	return ShardResult{}, false
 }
 
 // errNoFreePermit is the cause of the refusal of an immediate job.
--- a/internal/query/scatter/declined.go
+++ b/internal/query/scatter/declined.go
@@ -47,7 +47,7 @@
 
 // AnyNotHeld reports whether leaves of the group have stated not to hold a shard that they
 // were expected to hold. Expired statements may be included.
-func (g *Group) Declined() bool { return g.notHeld.size.Load() > 0 }
+func (g *Group) AnyNotHeld() bool { return g.notHeld.size.Load() > 0 }
 
 // Holds reports whether the leaf at addr can be expected to hold the shard: it has not
 // denied this within notHeldTTL.
--- a/internal/query/scatter/fake_test.go
+++ b/internal/query/scatter/fake_test.go
@@ -189,7 +189,7 @@
 func testJob(shards int, replicas []settings.Leaf) *Job {
 	j := &Job{ID: "q", Service: "/s", Version: 7, Repeatable: true, HedgeShare: 0.5}
 	for range shards {
-		j.Holders = append(j.Holders, replicas)
+		j.Replicas = append(j.Replicas, replicas)
 	}
 	return j
 }
--- a/internal/query/scatter/group.go
+++ b/internal/query/scatter/group.go
@@ -61,13 +61,13 @@
 	if job.HedgeShare > 0 {
 		g.latency.SetShare(job.HedgeShare)
 	}
-	r := &jobRun{g: g, job: job, shardResults: make([]Shard, len(job.Holders)), began: g.clock()}
+	r := &jobRun{g: g, job: job, shardResults: make([]ShardResult, len(job.Replicas)), began: g.clock()}
 	r.ctx, r.stop = context.WithCancel(ctx)
 	defer r.stop()
 	r.gather()
 	return &Result{
-		Shards: r.shardResults, Extra: int(r.extraSends.Load()), Early: r.early, RetryAfter: time.Duration(r.retryAfter.Load()),
-		LeafEnds: r.guard.leafExits(),
+		Shards: r.shardResults, ExtraSends: int(r.extraSends.Load()), Early: r.early, RetryAfter: time.Duration(r.retryAfter.Load()),
+		LeafExits: r.guard.leafExits(),
 	}
 }
 
@@ -78,7 +78,7 @@
 	ctx          context.Context
 	stop         context.CancelFunc
 	began        vm.Instant
-	shardResults []Shard
+	shardResults []ShardResult
 	extraSends   atomic.Int32
 	retryAfter   atomic.Int64 // nanoseconds; 0: unknown
 	early        bool
@@ -88,15 +88,15 @@
 // finishedShard is the result of one shard, with its index.
 type finishedShard struct {
 	shard  uint32
-	result Shard
+	result ShardResult
 }
 
 // wantedShards returns the indexes of the shards to query.
 func (r *jobRun) wantedShards() []uint32 {
-	if len(r.job.Only) > 0 {
-		return r.job.Only
+	if len(r.job.OnlyShards) > 0 {
+		return r.job.OnlyShards
 	}
-	all := make([]uint32, len(r.job.Holders))
+	all := make([]uint32, len(r.job.Replicas))
 	for i := range all {
 		all[i] = uint32(i)
 	}
@@ -137,7 +137,7 @@
 // mayAnswerEarly reports whether the coverage suffices for an early answer and shards are
 // still missing.
 func (r *jobRun) mayAnswerEarly(answered, want int) bool {
-	return r.job.EarlyAt > 0 && answered < want && float64(answered) >= r.job.EarlyAt*float64(want)
+	return r.job.EarlyCoverage > 0 && answered < want && float64(answered) >= r.job.EarlyCoverage*float64(want)
 }
 
 // earlyDelay returns how long an early answer still waits for the missing shards: until they
--- a/internal/query/scatter/guard.go
+++ b/internal/query/scatter/guard.go
@@ -31,11 +31,11 @@
 	g.inFlight--
 	switch {
 	case result.err == nil:
-		g.suspicion.Survived = true
+		g.suspicion.Answered = true
 	case result.err.LeafEnded():
-		g.suspicion.Ends++
+		g.suspicion.LeafExits++
 	case result.err.Verdict == contract.NotRun:
-		g.suspicion.Unsent()
+		g.suspicion.RecordNotRun()
 	}
 	if g.changed != nil {
 		close(g.changed)
@@ -54,7 +54,7 @@
 func (g *crashGuard) leafExits() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.suspicion.Ends
+	return g.suspicion.LeafExits
 }
 
 // waitToSend waits until another send is allowed. It returns false if ctx ends or no further
@@ -64,10 +64,10 @@
 		g.mu.Lock()
 		switch {
 		case g.suspicion.MaySend(g.inFlight):
-			g.suspicion.Sent()
+			g.suspicion.RecordSend()
 			g.mu.Unlock()
 			return true
-		case g.suspicion.Spent(g.inFlight):
+		case g.suspicion.Exhausted(g.inFlight):
 			g.mu.Unlock()
 			return false
 		case g.changed == nil:
--- a/internal/query/scatter/hedge.go
+++ b/internal/query/scatter/hedge.go
@@ -76,7 +76,7 @@
 // acquireHedge delivers a permit for a hedge, or a reservation without permit if it is
 // refused. It returns the permit if the shard has been answered meanwhile.
 func (s *shardRun) acquireHedge(ranked []candidate, granted chan<- reservation) {
-	a, err := s.acquire(s.ctx, ranked, admit.PermitRequest{Priority: s.job.Priority, ShedRank: s.job.Order, Hedge: true})
+	a, err := s.acquire(s.ctx, ranked, admit.PermitRequest{Priority: s.job.Priority, ShedRank: s.job.ShedOrder, Hedge: true})
 	if err != nil {
 		a = reservation{}
 		s.g.hedges.Refund()
@@ -92,13 +92,13 @@
 }
 
 // handleHedgePermit sends the hedge that waited, if it got a permit.
-func (s *shardRun) handleHedgePermit(a reservation) (Shard, bool) {
+func (s *shardRun) handleHedgePermit(a reservation) (ShardResult, bool) {
 	s.hedgePermits = nil
 	if a.permit == nil {
 		return s.retryOrFinish()
 	}
 	s.sendHedge(a)
-	return Shard{}, false
+	return ShardResult{}, false
 }
 
 func (s *shardRun) sendHedge(a reservation) {
--- a/internal/query/scatter/property_test.go
+++ b/internal/query/scatter/property_test.go
@@ -27,7 +27,7 @@
 	s.job.Repeatable = rapid.Bool().Draw(t, "repeatable")
 	s.job.Goal = settings.Goal(rapid.IntRange(0, 1).Draw(t, "goal"))
 	s.job.HedgeAfter = time.Duration(rapid.IntRange(0, 20).Draw(t, "hedge")) * time.Millisecond
-	s.job.EarlyAt = rapid.SampledFrom([]float64{0, 0, 0.5, 0.9}).Draw(t, "early")
+	s.job.EarlyCoverage = rapid.SampledFrom([]float64{0, 0, 0.5, 0.9}).Draw(t, "early")
 	for range rapid.IntRange(1, 5).Draw(t, "shards") {
 		mask := rapid.IntRange(0, 1<<len(s.names)-1).Draw(t, "holders")
 		var held []string
@@ -36,7 +36,7 @@
 				held = append(held, n)
 			}
 		}
-		s.job.Holders = append(s.job.Holders, leavesOf(held...))
+		s.job.Replicas = append(s.job.Replicas, leavesOf(held...))
 	}
 	s.timeout = time.Duration(rapid.IntRange(5, 200).Draw(t, "timeout")) * time.Millisecond
 	s.queries = rapid.IntRange(1, 4).Draw(t, "queries")
--- a/internal/query/scatter/scatter_test.go
+++ b/internal/query/scatter/scatter_test.go
@@ -43,12 +43,12 @@
 			}, []string{"a", "b", "c", "d", "e", "f", "g", "h"})
 			job := testJob(4, leavesOf("a", "b"))
 			for i, pair := range [][]string{{"a", "b"}, {"c", "d"}, {"e", "f"}, {"g", "h"}} {
-				job.Holders[i] = leavesOf(pair...)
+				job.Replicas[i] = leavesOf(pair...)
 			}
 			res := r.run(job, time.Second)
 			r.waitIdle()
 			So(res.Answered(), ShouldEqual, 0)
-			So(res.LeafEnds, ShouldBeLessThanOrEqualTo, 5)
+			So(res.LeafExits, ShouldBeLessThanOrEqualTo, 5)
 		})
 	})
 }
@@ -65,7 +65,7 @@
 				return behavior{delay: 20 * time.Millisecond}
 			}, []string{"a", "b", "c", "d"})
 			job := testJob(2, leavesOf("c", "d"))
-			job.Holders[0] = leavesOf("a", "b")
+			job.Replicas[0] = leavesOf("a", "b")
 			res := r.run(job, time.Second)
 			r.waitIdle()
 			So(res.Answered(), ShouldEqual, 2)
@@ -182,7 +182,7 @@
 				return behavior{delay: time.Millisecond}
 			}, []string{"a", "b", "c", "d"})
 			job := testJob(4, leavesOf("a", "b", "c", "d"))
-			job.EarlyAt = 0.75
+			job.EarlyCoverage = 0.75
 			began := time.Now()
 			res := r.run(job, 8*time.Second)
 			So(time.Since(began), ShouldBeLessThan, 8*time.Second)
@@ -214,7 +214,7 @@
 			res := r.run(job, 5*time.Second)
 			r.waitIdle()
 			So(res.Answered(), ShouldEqual, 8)
-			So(res.Extra, ShouldEqual, 0)
+			So(res.ExtraSends, ShouldEqual, 0)
 			So(r.leaves.sent, ShouldEqual, 8)
 		})
 	})
--- a/internal/query/scatter/shard.go
+++ b/internal/query/scatter/shard.go
@@ -34,14 +34,14 @@
 }
 
 func newShardRun(r *jobRun, shard uint32) *shardRun {
-	replicas := r.job.Holders[shard]
+	replicas := r.job.Replicas[shard]
 	if len(replicas) > maxReplicas {
 		replicas = replicas[:maxReplicas]
 	}
 	s := &shardRun{jobRun: r, shard: shard, replicas: replicas, verdict: contract.NotRun}
 	s.ctx, s.cancel = context.WithCancel(r.ctx)
 	for i := range replicas {
-		if slices.Contains(r.job.Avoid, replicas[i].Addr) {
+		if slices.Contains(r.job.AvoidAddrs, replicas[i].Addr) {
 			s.tried |= 1 << i
 		}
 	}
@@ -53,7 +53,7 @@
 func (s *shardRun) maxAttempts() int { return 2 * len(s.replicas) }
 
 // execute runs the shard until it has a result. Attempts still in flight are cancelled.
-func (s *shardRun) execute() Shard {
+func (s *shardRun) execute() ShardResult {
 	defer s.cancel()
 	if len(s.replicas) == 0 {
 		return s.missing(contract.ReasonNoReplica)
@@ -67,7 +67,7 @@
 }
 
 // wait handles results until one succeeds or nothing more may be sent.
-func (s *shardRun) wait() Shard {
+func (s *shardRun) wait() ShardResult {
 	timer := time.NewTimer(s.hedgeDelay())
 	defer timer.Stop()
 	for {
@@ -92,7 +92,7 @@
 }
 
 // handleResult handles the end of one attempt and reports whether the shard is finished.
-func (s *shardRun) handleResult(result attemptResult) (Shard, bool) {
+func (s *shardRun) handleResult(result attemptResult) (ShardResult, bool) {
 	s.end(result.id)
 	s.guard.recordResult(&result)
 	if result.err == nil {
@@ -107,19 +107,19 @@
 
 // retryOrFinish retries if no attempt is in flight and no hedge waits, and finishes the
 // shard if no retry is possible.
-func (s *shardRun) retryOrFinish() (Shard, bool) {
+func (s *shardRun) retryOrFinish() (ShardResult, bool) {
 	if len(s.inFlight) > 0 || s.hedgePermits != nil {
-		return Shard{}, false
+		return ShardResult{}, false
 	}
 	if reason, ok := s.retry(); !ok {
 		return s.missing(reason), true
 	}
-	return Shard{}, false
+	return ShardResult{}, false
 }
 
 // finishExpired finishes the shard at its deadline. The attempts in flight end at once as
 // well. Their results show whether they had been sent, and one may still be a success.
-func (s *shardRun) finishExpired() Shard {
+func (s *shardRun) finishExpired() ShardResult {
 	for len(s.inFlight) > 0 {
 		result := <-s.results
 		s.end(result.id)
@@ -132,11 +132,11 @@
 	return s.missing(contract.ReasonDeadline)
 }
 
-func (s *shardRun) answered(result attemptResult) Shard {
+func (s *shardRun) answered(result attemptResult) ShardResult {
 	if result.hedge {
 		s.g.meter.hedgesWon.Inc(1)
 	}
-	return Shard{Answered: true, Hits: result.hits, Verdict: contract.Ran}
+	return ShardResult{Answered: true, Hits: result.hits, Verdict: contract.Ran}
 }
 
 func (s *shardRun) recordFailure(result attemptResult) {
@@ -147,12 +147,12 @@
 
 // missing returns the result of a shard that was not answered. An attempt still in flight
 // may have run.
-func (s *shardRun) missing(reason contract.Reason) Shard {
+func (s *shardRun) missing(reason contract.Reason) ShardResult {
 	v := s.verdict
 	if len(s.inFlight) > 0 {
 		v = v.Join(contract.MayHaveRun)
 	}
-	return Shard{Reason: reason, Verdict: v}
+	return ShardResult{Reason: reason, Verdict: v}
 }
 
 // start sends the first attempt, or a further one after all have failed: with a free permit
@@ -179,7 +179,7 @@
 // so another home is asked again after each hedge delay. Queues are ordered by deadline, so
 // leaving one and joining it again loses no position.
 func (s *shardRun) queueAndSend(ranked []candidate) *contract.Error {
-	ask := admit.PermitRequest{Priority: s.job.Priority, ShedRank: s.job.Order}
+	ask := admit.PermitRequest{Priority: s.job.Priority, ShedRank: s.job.ShedOrder}
 	for {
 		ctx, cancel := s.queueContext()
 		a, err := s.acquire(ctx, ranked, ask)
--- a/internal/query/scatter/straggler_test.go
+++ b/internal/query/scatter/straggler_test.go
@@ -116,7 +116,7 @@
 	d.mu.Unlock()
 	job := &Job{ID: "q", Service: "/s", Version: 1, Repeatable: true, Goal: settings.Tail, HedgeShare: d.hedgeShare}
 	for range shardsPerService {
-		job.Holders = append(job.Holders, d.leaves(service))
+		job.Replicas = append(job.Replicas, d.leaves(service))
 	}
 	if d.lending {
 		job.Lender = lender{d.groups[service][1-home]}
@@ -125,7 +125,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.primary += shardsPerService
-	d.extra += r.Extra
+	d.extra += r.ExtraSends
 	d.missing += shardsPerService - r.Answered()
 }
 
@@ -138,7 +138,7 @@
 	time.Sleep(oneWayDelay)
 	defer time.Sleep(oneWayDelay)
 	lent := *job
-	lent.Lender, lent.Immediate, lent.Avoid, lent.AttemptBase, lent.Only = nil, true, avoid, base, []uint32{shard}
+	lent.Lender, lent.Immediate, lent.AvoidAddrs, lent.AttemptBase, lent.OnlyShards = nil, true, avoid, base, []uint32{shard}
 	out := l.g.Run(ctx, &lent).Shards[shard]
 	if !out.Answered {
 		return nil, &contract.Error{Verdict: out.Verdict, Reason: out.Reason}
--- a/internal/query/suspect.go
+++ b/internal/query/suspect.go
@@ -24,7 +24,7 @@
 // blocked reports, at a home, whether the quarantine blocks q from being sent to leaves.
 func (e *Engine) blocked(q *subquery) bool {
 	e.updateQuarantine()
-	return !e.Quarantine.Empty() && e.Quarantine.Rule(q.fingerprints) == quarantine.Blocked
+	return !e.Quarantine.Empty() && e.Quarantine.Check(q.fingerprints) == quarantine.Blocked
 }
 
 // updateQuarantine updates the quarantine registry from the current view. It is called for
@@ -32,7 +32,7 @@
 // entries.
 func (e *Engine) updateQuarantine() {
 	if v := e.Source.Current(); v != nil {
-		e.Quarantine.Observe(v.ConfigVersion, v.Tree)
+		e.Quarantine.Update(v.ConfigVersion, v.Tree)
 	}
 }
 
@@ -41,11 +41,11 @@
 func (e *Engine) runWithQuarantine(ctx context.Context, st tierView, p *plan) (*contract.Answer, *contract.Error) {
 	start := time.Now()
 	e.updateQuarantine()
-	ruling := quarantine.Free
+	ruling := quarantine.Unrestricted
 	if !e.Quarantine.Empty() {
-		ruling = e.Quarantine.Rule(p.fingerprints)
+		ruling = e.Quarantine.Check(p.fingerprints)
 	}
-	if ruling != quarantine.Free {
+	if ruling != quarantine.Unrestricted {
 		if err := e.runCanary(ctx, st, p, ruling, start); err != nil {
 			return nil, err
 		}
@@ -107,10 +107,10 @@
 	if e.Quarantine == nil {
 		return
 	}
-	r := &quarantine.Report{Request: p.fingerprints, Ends: p.leafExits, Survived: p.leafAnswered, Began: time.Since(start)}
-	for w := range r.Describe {
-		r.Describe[w] = p.content.Describe(quarantine.Width(w))
+	r := &quarantine.Report{Fingerprints: p.fingerprints, LeafExits: p.leafExits, Answered: p.leafAnswered, Age: time.Since(start)}
+	for w := range r.Descriptions {
+		r.Descriptions[w] = p.content.Describe(quarantine.Scope(w))
 	}
-	klog.Infof("query: id=%s request=%s leaf_ends=%d survived=%v", p.id, p.fingerprints[quarantine.Exact], r.Ends, r.Survived)
+	klog.Infof("query: id=%s request=%s leaf_ends=%d survived=%v", p.id, p.fingerprints[quarantine.Exact], r.LeafExits, r.Answered)
 	e.Quarantine.Report(r)
 }
