--- a/internal/query/config.go
+++ b/internal/query/config.go
@@ -19,24 +19,24 @@
 // ProbeStatus is implemented by a Catalog that can report whether each leaf of a service
 // that this daemon probes has answered a probe, or was found unreachable, since probing of
 // it began.
-type Knower interface {
+type ProbeStatus interface {
 	Known(service string) bool
 }
 
 // Config holds the dependencies and limits of an Engine.
 type Config struct {
-	Self    vm.Identity
-	Source  relay.Source
-	Gates   *admit.Gates
-	Sender  scatter.Sender
-	Catalog Catalog
-	Conns   relay.Conns
-	Clock   vm.Clock
-	Keys    session.Limits // DefaultKeyLimits if zero
+	Self      vm.Identity
+	Source    relay.Source
+	Gates     *admit.Gates
+	Sender    scatter.Sender
+	Catalog   Catalog
+	Conns     relay.Conns
+	Clock     vm.Clock
+	KeyLimits session.Limits // DefaultKeyLimits if zero
 	// Quarantine lists the queries that crash leaves. If nil, no query is quarantined.
 	Quarantine *quarantine.Registry
 }
 
 // DefaultKeyLimits bounds the memory for the keys and stored answers of non-repeatable
 // requests to about 64 MB.
-var DefaultKeys = session.Limits{Keys: 100_000, AnswerBytes: 64 << 10, TotalBytes: 48 << 20}
+var DefaultKeyLimits = session.Limits{Keys: 100_000, AnswerBytes: 64 << 10, TotalBytes: 48 << 20}
--- a/internal/query/engine.go
+++ b/internal/query/engine.go
@@ -34,10 +34,10 @@
 
 // New returns an Engine. It starts no goroutine of its own.
 func New(c Config) *Engine {
-	if c.Keys == (session.Limits{}) {
-		c.Keys = DefaultKeys
+	if c.KeyLimits == (session.Limits{}) {
+		c.KeyLimits = DefaultKeyLimits
 	}
-	e := &Engine{Config: c, issuer: session.NewIssuer(c.Self), keyTable: session.NewTable(c.Keys)}
+	e := &Engine{Config: c, issuer: session.NewIssuer(c.Self), keyTable: session.NewTable(c.KeyLimits)}
 	e.currentView = func() tierView {
 		v := c.Source.Current()
 		if v == nil || v.Tree == nil {
--- a/internal/query/home.go
+++ b/internal/query/home.go
@@ -71,7 +71,7 @@
 	if !ok || len(eff.Leaves) == 0 {
 		return refusedAnswer(contract.ReasonUnknownPath, 0)
 	}
-	if k, ok := e.Catalog.(Knower); ok && !k.Known(q.service) {
+	if k, ok := e.Catalog.(ProbeStatus); ok && !k.Known(q.service) {
 		// A daemon that has just become a home would answer only from the leaves that it
 		// has probed so far. Another home knows all of them.
 		return refusedAnswer(contract.ReasonNoReplica, unknownLeavesRetryAfter)
--- a/internal/query/keyed.go
+++ b/internal/query/keyed.go
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	p.timeout = min(p.timeout, timeLeft)
-	if s, o := e.keyTable.Begin(key, fingerprint(r), token.KeepUntil(), now); s != session.New {
+	if s, o := e.keyTable.Begin(key, fingerprint(r), token.KeysKeptUntil(), now); s != session.New {
 		return knownOutcome(s, o, r)
 	}
 	// The run continues when the caller disconnects, so that a resend finds a definite
@@ -82,9 +82,9 @@
 // expired. Until the end of the resend window it is certain that the key has not run.
 func checkNotExpired(token *session.Token, now vm.Instant) *contract.Error {
 	switch {
-	case now >= token.KeepUntil():
+	case now >= token.KeysKeptUntil():
 		return keyInDoubt(errors.New("the session and its resend window have ended"))
-	case now >= token.Ends():
+	case now >= token.ExpiresAt():
 		return invalid(contract.ReasonInvalid, fault("session", "", "it has ended, and the key has not run under it",
 			"take a new session from GET /v1/addresses"))
 	}
--- a/internal/query/session/token.go
+++ b/internal/query/session/token.go
@@ -22,18 +22,18 @@
 
 // Token is a parsed session. It is not authenticated until Issuer.Verify accepts it.
 type Token struct {
-	Owner       string // name of the VM whose daemon issued the session
-	Incarnation uint64
-	Issued      vm.Instant // on the owner's clock
-	Lifetime    time.Duration
-	Window      time.Duration // time after the expiry in which a resend still finds the first outcome
-	Nonce       string
-	mac         []byte
+	Owner        string // name of the VM whose daemon issued the session
+	Incarnation  uint64
+	Issued       vm.Instant // on the owner's clock
+	Lifetime     time.Duration
+	ResendWindow time.Duration // time after the expiry in which a resend still finds the first outcome
+	Nonce        string
+	mac          []byte
 }
 
 // ExpiresAt returns the time from which on the session accepts no new keys, on the owner's
 // clock.
-func (t *Token) Ends() vm.Instant { return t.Issued.Add(t.Lifetime) }
+func (t *Token) ExpiresAt() vm.Instant { return t.Issued.Add(t.Lifetime) }
 
 // Parse parses the text form of a session. It doesn't check the MAC.
 func Parse(text string) (*Token, error) {
@@ -54,8 +54,8 @@
 	return &Token{
 		Owner: msg.Owner, Incarnation: msg.Incarnation,
 		Issued: vm.Instant(msg.IssuedNs), Lifetime: time.Duration(msg.LifetimeNs),
-		Window: time.Duration(msg.WindowNs),
-		Nonce:  string(msg.Nonce), mac: msg.Seal,
+		ResendWindow: time.Duration(msg.WindowNs),
+		Nonce:        string(msg.Nonce), mac: msg.Seal,
 	}, nil
 }
 
@@ -63,7 +63,7 @@
 // session is issued. If it were computed from the current setting, raising the setting would
 // extend the time of sessions whose keys were removed already, and a request that ran would
 // be answered with "not run".
-func (t *Token) KeepUntil() vm.Instant { return t.Ends().Add(t.Window) }
+func (t *Token) KeysKeptUntil() vm.Instant { return t.ExpiresAt().Add(t.ResendWindow) }
 
 // Issuer issues and verifies the sessions of one incarnation of a daemon.
 type Issuer struct {
@@ -106,7 +106,7 @@
 func (i *Issuer) Verify(t *Token) bool {
 	msg := &wire.SessionToken{
 		Owner: t.Owner, Incarnation: t.Incarnation,
-		IssuedNs: int64(t.Issued), LifetimeNs: int64(t.Lifetime), WindowNs: int64(t.Window), Nonce: []byte(t.Nonce),
+		IssuedNs: int64(t.Issued), LifetimeNs: int64(t.Lifetime), WindowNs: int64(t.ResendWindow), Nonce: []byte(t.Nonce),
 	}
 	return hmac.Equal(t.mac, i.computeMAC(msg))
 }
