--- a/bench/forward/callers.go
+++ b/bench/forward/callers.go
@@ -204,13 +204,13 @@
 // check returns the coverage of an answer and notes what is wrong with it.
 func (t *tally) check(id string, h http.Header, text string, shards []string) float64 {
 	if !t.kind.gathers {
-		if stamp := strings.Split(h.Get(dialect.Stamp), "/"); len(stamp) != 3 || stamp[1] != id {
-			t.wrong("%s got the answer %q", id, h.Get(dialect.Stamp))
+		if stamp := strings.Split(h.Get(dialect.Signature), "/"); len(stamp) != 3 || stamp[1] != id {
+			t.wrong("%s got the answer %q", id, h.Get(dialect.Signature))
 		}
 		return 1
 	}
 	var services []string
-	for _, stamp := range strings.Split(strings.Join(h.Values(dialect.Parts), ","), ",") {
+	for _, stamp := range strings.Split(strings.Join(h.Values(dialect.PartSignatures), ","), ",") {
 		f := strings.Split(strings.TrimSpace(stamp), "/")
 		if len(f) != 3 || f[1] != id || slices.Contains(services, f[0]) {
 			t.wrong("%s got the part %q", id, stamp)
@@ -218,9 +218,9 @@
 		}
 		services = append(services, f[0])
 	}
-	missing, err := strconv.Atoi(h.Get(dialect.Missing))
+	missing, err := strconv.Atoi(h.Get(dialect.MissingParts))
 	if err != nil || missing+len(services) != len(shards) {
-		t.wrong("%s: %d parts and %q missing of %d", id, len(services), h.Get(dialect.Missing), len(shards))
+		t.wrong("%s: %d parts and %q missing of %d", id, len(services), h.Get(dialect.MissingParts), len(shards))
 	}
 	if want := standin.Top(services, id, topRecords); text != want {
 		t.wrong("%s: other records than the greatest of its parts", id)
--- a/bench/forward/leaf.go
+++ b/bench/forward/leaf.go
@@ -204,10 +204,10 @@
 	case behave == loses && l.chance(0.1):
 		l.hijack(w, nil)
 	case behave == repeats && l.chance(0.1):
-		one := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", dialect.RequestID, id, dialect.Stamp, stamp, len(text), text)
+		one := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", dialect.RequestID, id, dialect.Signature, stamp, len(text), text)
 		l.hijack(w, []string{one, one})
 	default:
-		w.Header().Set(dialect.Stamp, stamp)
+		w.Header().Set(dialect.Signature, stamp)
 		w.Header().Set(dialect.Load, l.load())
 		_, _ = io.WriteString(w, text)
 	}
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -117,7 +117,7 @@
 	for addr, l := range h.held.leaves {
 		if _, kept := now.leaves[addr]; !kept {
 			h.gates.Configure(addr, admit.Limits{})
-			h.sender.Limit(l, leaf.Link{})
+			h.sender.Configure(l, leaf.ConnConfig{})
 		}
 	}
 	for service := range h.held.services {
@@ -142,7 +142,7 @@
 		own = append(own, l)
 		now.leaves[l.Addr] = l
 		h.gates.Configure(l.Addr, admit.Limits{Slots: slots, MaxQueue: e.QueueLimit, Ramp: e.Ramp})
-		h.sender.Limit(l, leaf.Link{Conns: conns, TLS: e.LeafTLS, ConnectCost: e.ConnectCost})
+		h.sender.Configure(l, leaf.ConnConfig{MaxConns: conns, TLS: e.LeafTLS, ConnectTime: e.ConnectCost})
 	}
 	if len(own) == 0 {
 		return
@@ -161,7 +161,7 @@
 	if h.acked == h.applied {
 		return true
 	}
-	if !h.gates.WithinLimits() || !h.sender.Respected() {
+	if !h.gates.WithinLimits() || !h.sender.WithinLimits() {
 		return false
 	}
 	h.acked = h.applied
--- a/internal/entryvm/fleet_test.go
+++ b/internal/entryvm/fleet_test.go
@@ -113,7 +113,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(2 * time.Millisecond)
-	w.Header().Set(crashDialect.Stamp, fmt.Sprintf("s%d", l.f.deals.Add(1)))
+	w.Header().Set(crashDialect.Signature, fmt.Sprintf("s%d", l.f.deals.Add(1)))
 	_, _ = fmt.Fprintf(w, "%016d", l.f.deals.Add(1))
 }
 
--- a/internal/entryvm/quarantine_test.go
+++ b/internal/entryvm/quarantine_test.go
@@ -35,8 +35,8 @@
 )
 
 var crashDialect = &target.Dialect{
-	RequestID: "Request-Id", Deadline: "Wait-Ms", LeafID: "Leaf-Id", Stamp: "Signature", Load: "Load", NotRun: "Not-Run",
-	Parts: "Parts", Missing: "Missing",
+	RequestID: "Request-Id", Deadline: "Wait-Ms", LeafID: "Leaf-Id", Signature: "Signature", Load: "Load", NotRun: "Not-Run",
+	PartSignatures: "Parts", MissingParts: "Missing",
 	ParseLoad: func(string) (policy.Load, bool) { return policy.Load{}, false },
 }
 
--- a/internal/forward/board.go
+++ b/internal/forward/board.go
@@ -88,7 +88,7 @@
 	}
 	now := time.Now()
 	for _, l := range current {
-		l.CloseIdle(now)
+		l.CloseExpired(now)
 	}
 }
 
@@ -98,7 +98,7 @@
 	defer t.mu.Unlock()
 	for life, s := range t.leaves {
 		if l, ok := snap.Find(life.ID); ok && s.link != nil {
-			s.link.SetLimit(limit(l))
+			s.link.SetMaxConns(limit(l))
 		}
 	}
 }
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -14,7 +14,7 @@
 
 // isStaleConn reports whether err is a failure on a connection that had been idle.
 func isStaleConn(err *contract.Error) bool {
-	return err != nil && err.Cause != nil && errors.Is(err.Cause, target.ErrStale)
+	return err != nil && err.Cause != nil && errors.Is(err.Cause, target.ErrStaleConn)
 }
 
 // decide returns the answer if the request is to be answered at now, otherwise nil.
--- a/internal/forward/delegate.go
+++ b/internal/forward/delegate.go
@@ -315,14 +315,14 @@
 	if e.Status == 0 {
 		fault := &contract.Error{Verdict: contract.Verdict(min(e.Verdict, uint32(contract.Ran))), Reason: contract.Reason(e.Reason), Cause: errors.New(e.Cause)}
 		if e.Stale {
-			fault.Cause = errors.Mark(fault.Cause, target.ErrStale)
+			fault.Cause = errors.Mark(fault.Cause, target.ErrStaleConn)
 		}
 		if e.Ended {
 			fault.Cause = errors.Mark(fault.Cause, contract.ErrLeafEnded)
 		}
 		return outcomeOfError(fault), nil, fault
 	}
-	reply := &target.Reply{Status: int(e.Status), Stamp: e.Stamp, Refused: e.Refused, HasLoad: e.HasLoad}
+	reply := &target.Reply{Status: int(e.Status), Signature: e.Stamp, Refused: e.Refused, HasLoad: e.HasLoad}
 	if e.HasLoad {
 		reply.Load = policy.Load{Running: int(e.Running), Waiting: int(e.Waiting), Slots: int(e.Slots), Slowdown: float64(e.Pace)}
 	}
--- a/internal/forward/delegate_test.go
+++ b/internal/forward/delegate_test.go
@@ -334,7 +334,7 @@
 	if r.shards[0].done || r.shards[1].done || !r.shards[2].done || r.receivedParts != 1 {
 		t.Errorf("done: %v, %v and %v; %d parts, want false, false and true; 1 part", r.shards[0].done, r.shards[1].done, r.shards[2].done, r.receivedParts)
 	}
-	res := result{reply: &target.Reply{Status: 200, Stamp: "new"}, set: &partSet{previous: later}}
+	res := result{reply: &target.Reply{Status: 200, Signature: "new"}, set: &partSet{previous: later}}
 	if r.acceptReply(&r.shards[1], &res) {
 		t.Error("a part that depends on discarded parts is accepted")
 	}
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -249,8 +249,8 @@
 	header := w.Header()
 	header.Set("Content-Type", "application/octet-stream")
 	header.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	header.Set(h.Dialect.Parts, strings.Join(a.Parts, ", "))
-	header.Set(h.Dialect.Missing, strconv.Itoa(a.Missing))
+	header.Set(h.Dialect.PartSignatures, strings.Join(a.Parts, ", "))
+	header.Set(h.Dialect.MissingParts, strconv.Itoa(a.Missing))
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body) // callerConn logs a write error
 }
@@ -277,7 +277,7 @@
 		// The caller would take this status to mean that the request did not run, which
 		// the leaf has not stated.
 		status = http.StatusBadGateway
-		header.Del(h.Dialect.Stamp)
+		header.Del(h.Dialect.Signature)
 	}
 	if a.Rest == nil {
 		header.Set("Content-Length", strconv.Itoa(len(a.Body)))
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -130,14 +130,14 @@
 	r.leafRequest = target.Request{
 		Dialect: r.e.cfg.Dialect, Method: r.req.Method, ID: r.req.ID,
 		Head: r.req.Head, Body: r.req.Body, Stream: r.req.Stream,
-		Deadline: r.afterArrival(r.times.LeafDeadline), Repeatable: r.entry.Repeatable,
+		Deadline: r.afterArrival(r.times.LeafDeadline), Idempotent: r.entry.Repeatable,
 		BodyLimit: bufferedReplyBytes, ConnWait: policy.ConnWait(r.stats.pace.Median()),
 	}
 	if r.leafRequest.Head == nil {
 		r.leafRequest.Head = renderHead(r.req)
 	}
 	if r.entry.Gathers() {
-		r.leafRequest.BodyLimit, r.leafRequest.WholeOnly = maxPartBytes, true
+		r.leafRequest.BodyLimit, r.leafRequest.FailOverLimit = maxPartBytes, true
 	}
 }
 
--- a/internal/forward/scatter.go
+++ b/internal/forward/scatter.go
@@ -54,7 +54,7 @@
 		leafRequest: target.Request{
 			Dialect: s.e.cfg.Dialect, Method: req.Method, ID: req.Id, Head: req.Head, Body: req.Body,
 			Deadline:   now.Add(time.Duration(req.LeftUs) * time.Microsecond),
-			Repeatable: true, BodyLimit: maxPartBytes, WholeOnly: true,
+			Idempotent: true, BodyLimit: maxPartBytes, FailOverLimit: true,
 			ConnWait: policy.ConnWait(time.Duration(req.UsualUs) * time.Microsecond),
 		},
 	}
@@ -177,7 +177,7 @@
 				e.HasLoad, e.Running, e.Waiting, e.Slots, e.Pace = true, uint32(l.Running), uint32(l.Waiting), uint32(l.Slots), float32(l.Slowdown)
 			}
 			if isPart(res.reply) {
-				e.Stamp = res.reply.Stamp
+				e.Stamp = res.reply.Signature
 				merged.add(res.reply.Body)
 			}
 		}
@@ -189,4 +189,4 @@
 }
 
 // isPart reports whether the reply of a leaf is valid as a part of a merged answer.
-func isPart(r *target.Reply) bool { return r.OK() && !r.Refused && r.Stamp != "" }
+func isPart(r *target.Reply) bool { return r.OK() && !r.Refused && r.Signature != "" }
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -250,11 +250,11 @@
 	case res.reply.Rest != nil:
 		res.reply.Rest.Close()
 	case res.set != nil && isPart(res.reply):
-		if res.set.unusable() || res.reply.Stamp != s.signature && r.hasSignature(res.reply.Stamp) {
+		if res.set.unusable() || res.reply.Signature != s.signature && r.hasSignature(res.reply.Signature) {
 			r.discardParts(res.set)
 			return
 		}
-		s.signature, s.body, s.set = res.reply.Stamp, nil, res.set
+		s.signature, s.body, s.set = res.reply.Signature, nil, res.set
 	}
 }
 
@@ -308,13 +308,13 @@
 	if !isPart(reply) {
 		return false
 	}
-	if duplicate := r.hasSignature(reply.Stamp); duplicate || res.set.unusable() {
+	if duplicate := r.hasSignature(reply.Signature); duplicate || res.set.unusable() {
 		if res.set != nil {
 			r.discardParts(res.set)
 		}
 		return false
 	}
-	s.signature, s.body, s.set = reply.Stamp, reply.Body, res.set
+	s.signature, s.body, s.set = reply.Signature, reply.Body, res.set
 	return true
 }
 
--- a/internal/forward/single_test.go
+++ b/internal/forward/single_test.go
@@ -307,7 +307,7 @@
 	f = newFixture(t, gather, map[string][]*fakeLeaf{"a": {replyingLeaf}, "b": {startLeaf(t, hang)}})
 	time.AfterFunc(200*time.Millisecond, f.engine.EndAll)
 	resp, _ = f.do(t, http.MethodGet, "/", "")
-	if resp.StatusCode != http.StatusOK || resp.Header.Get(testDialect.Missing) != "1" {
-		t.Errorf("gather: status %d, %q missing", resp.StatusCode, resp.Header.Get(testDialect.Missing))
+	if resp.StatusCode != http.StatusOK || resp.Header.Get(testDialect.MissingParts) != "1" {
+		t.Errorf("gather: status %d, %q missing", resp.StatusCode, resp.Header.Get(testDialect.MissingParts))
 	}
 }
--- a/internal/link/leaf/bench_test.go
+++ b/internal/link/leaf/bench_test.go
@@ -159,7 +159,7 @@
 	b.Cleanup(tr.CloseIdleConnections)
 	c := &http.Client{Transport: tr}
 	url := "http://" + leaf.Addr + contract.LeafQueryPath
-	r := newFixture(b, leaf, workers, Link{Conns: workers})
+	r := newFixture(b, leaf, workers, ConnConfig{MaxConns: workers})
 	plain = func() error { return plainExchange(c, url) }
 	send = func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
--- a/internal/link/leaf/cancel_bench_test.go
+++ b/internal/link/leaf/cancel_bench_test.go
@@ -34,9 +34,9 @@
 		for _, strategy := range []string{"close", "wait", "tell"} {
 			b.Run(fmt.Sprintf("%s/honours=%v", strategy, honours), func(b *testing.B) {
 				f := newStragglingLeaf(b, honours)
-				config := Link{Conns: 8, ConnectCost: 6 * time.Millisecond}
+				config := ConnConfig{MaxConns: 8, ConnectTime: 6 * time.Millisecond}
 				if strategy == "wait" {
-					config.ConnectCost = time.Hour
+					config.ConnectTime = time.Hour
 				}
 				r := newFixture(b, f.leaf(), 1, config)
 				send := func(ctx context.Context, p *admit.Permit) {
--- a/internal/link/leaf/cancel_test.go
+++ b/internal/link/leaf/cancel_test.go
@@ -39,7 +39,7 @@
 			}
 			writeReply(w, r, q)
 		}
-		r := newFixture(t, f.leaf(), 1, Link{Conns: 4})
+		r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 4})
 		ctx, cancel := context.WithCancel(contextWithTimeout(t, testTimeout))
 		done := r.sendAsync(ctx, t, "slow")
 		eventually(t, "the leaf runs the request", func() bool { return f.inFlight.Load() == 1 })
@@ -79,10 +79,10 @@
 					t.Error("the cancellation did not reach the leaf")
 				}
 			}
-			r := newFixture(t, f.leaf(), 1, Link{})
+			r := newFixture(t, f.leaf(), 1, ConnConfig{})
 			r.sender.Close()
 			r.sender = NewSender(conf)
-			r.sender.Limit(r.leaf, Link{Conns: 4, TLS: secure})
+			r.sender.Configure(r.leaf, ConnConfig{MaxConns: 4, TLS: secure})
 			defer r.sender.Close()
 			ctx, cancel := context.WithCancel(contextWithTimeout(t, testTimeout))
 			done := r.sendAsync(ctx, t, "slow")
@@ -92,7 +92,7 @@
 			_, err := r.send(contextWithTimeout(t, testTimeout), t, "next")
 			So(err, ShouldBeNil)
 			So(f.maxInFlight.Load(), ShouldEqual, 1)
-			eventually(t, "the cancelled connection is closed", func() bool { n, _ := r.sender.Conns(r.leaf.Addr); return n == 1 })
+			eventually(t, "the cancelled connection is closed", func() bool { n, _ := r.sender.ConnStats(r.leaf.Addr); return n == 1 })
 		})
 	}
 }
@@ -110,7 +110,7 @@
 			}
 			writeReply(w, r, q)
 		}
-		r := newFixture(t, f.leaf(), 1, Link{Conns: 4, ConnectCost: testTimeout})
+		r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 4, ConnectTime: testTimeout})
 		ctx, cancel := context.WithCancel(contextWithTimeout(t, testTimeout))
 		done := r.sendAsync(ctx, t, "late")
 		eventually(t, "the leaf runs the request", func() bool { return f.inFlight.Load() == 1 })
@@ -137,7 +137,7 @@
 			}
 			writeReply(w, r, q)
 		}
-		r := newFixture(t, f.leaf(), 1, Link{Conns: 4})
+		r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 4})
 		r.sender.pool(r.leaf.Addr).connectTime = time.Nanosecond
 		const attempts = 20
 		for range attempts {
@@ -173,7 +173,7 @@
 		release := make(chan struct{})
 		defer close(release)
 		f.handle = func(http.ResponseWriter, *http.Request, *contract.LeafRequest) { <-release }
-		r := newFixture(t, f.leaf(), 1, Link{Conns: 4})
+		r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 4})
 		r.sender.abandonTimeout = 50 * time.Millisecond
 		for range 3 {
 			_, err := r.send(contextWithTimeout(t, 20*time.Millisecond), t, "1")
@@ -182,7 +182,7 @@
 			eventually(t, "the slot is released", func() bool { return r.inFlight() == 0 })
 		}
 		So(r.gates.Load(r.leaf.Addr).Failing, ShouldBeTrue)
-		n, _ := r.sender.Conns(r.leaf.Addr)
+		n, _ := r.sender.ConnStats(r.leaf.Addr)
 		So(n, ShouldEqual, 0)
 	})
 }
@@ -201,7 +201,7 @@
 			}
 		}()
 		leaf := settings.Leaf{Name: "a", Addr: lis.Addr().String()}
-		r := newFixture(t, leaf, 1, Link{Conns: 1, TLS: true})
+		r := newFixture(t, leaf, 1, ConnConfig{MaxConns: 1, TLS: true})
 		ctx, cancel := context.WithCancel(contextWithTimeout(t, testTimeout))
 		done := r.sendAsync(ctx, t, "1")
 		c := <-accepted
--- a/internal/link/leaf/catalog.go
+++ b/internal/link/leaf/catalog.go
@@ -10,14 +10,14 @@
 
 // Snapshot is one index version of a query service and the leaves that serve its shards.
 type Snapshot struct {
-	Version uint64
-	Shards  uint32            // number of shards in the version's partition map
-	Holders [][]settings.Leaf // indexed by shard: the live leaves that hold it
+	Version       uint64
+	Shards        uint32            // number of shards in the version's partition map
+	LeavesByShard [][]settings.Leaf // indexed by shard: the live leaves that hold it
 }
 
 // Complete reports whether every shard is held by at least one live leaf.
 func (s *Snapshot) Complete() bool {
-	for _, h := range s.Holders {
+	for _, h := range s.LeavesByShard {
 		if len(h) == 0 {
 			return false
 		}
@@ -39,7 +39,7 @@
 	shards := majorityShardCounts(service, reports)
 	list := make([]Snapshot, 0, len(shards))
 	for version, n := range shards {
-		list = append(list, Snapshot{Version: version, Shards: n, Holders: make([][]settings.Leaf, n)})
+		list = append(list, Snapshot{Version: version, Shards: n, LeavesByShard: make([][]settings.Leaf, n)})
 	}
 	slices.SortFunc(list, func(a, b Snapshot) int { return cmp.Compare(b.Version, a.Version) })
 	for i := range reports {
@@ -62,8 +62,8 @@
 				continue
 			}
 			for _, shard := range ix.Held {
-				if !slices.Contains(s.Holders[shard], r.leaf) {
-					s.Holders[shard] = append(s.Holders[shard], r.leaf)
+				if !slices.Contains(s.LeavesByShard[shard], r.leaf) {
+					s.LeavesByShard[shard] = append(s.LeavesByShard[shard], r.leaf)
 				}
 			}
 		}
--- a/internal/link/leaf/catalog_test.go
+++ b/internal/link/leaf/catalog_test.go
@@ -55,10 +55,10 @@
 		So(list, ShouldHaveLength, 2)
 		So(list[0].Version, ShouldEqual, 8)
 		So(list[0].Complete(), ShouldBeTrue)
-		So(leafNames(list[0].Holders[0]), ShouldResemble, []string{"a"})
-		So(leafNames(list[0].Holders[3]), ShouldResemble, []string{"b"})
+		So(leafNames(list[0].LeavesByShard[0]), ShouldResemble, []string{"a"})
+		So(leafNames(list[0].LeavesByShard[3]), ShouldResemble, []string{"b"})
 		So(list[1].Shards, ShouldEqual, 2)
-		So(leafNames(list[1].Holders[0]), ShouldResemble, []string{"a", "c"})
+		So(leafNames(list[1].LeavesByShard[0]), ShouldResemble, []string{"a", "c"})
 	})
 	Convey("A version that only leaves that are not live hold is listed without leaves", t, func() {
 		list := snapshots("/s", []leafReport{newReport("d", false, newIndex(8, 2, 0, 1))})
@@ -87,10 +87,10 @@
 			if i > 0 && list[i-1].Version <= s.Version {
 				t.Fatal("snapshots are not sorted by version, newest first")
 			}
-			if len(s.Holders) != int(s.Shards) {
+			if len(s.LeavesByShard) != int(s.Shards) {
 				t.Fatal("the number of leaf lists differs from the shard count")
 			}
-			for shard, holders := range s.Holders {
+			for shard, holders := range s.LeavesByShard {
 				for j, l := range holders {
 					if slices.Contains(holders[:j], l) {
 						t.Fatal("a leaf is listed twice for a shard")
--- a/internal/link/leaf/fuzz_test.go
+++ b/internal/link/leaf/fuzz_test.go
@@ -36,8 +36,8 @@
 		}
 		r := leafReport{leaf: settings.Leaf{Name: "a"}, status: &st, live: true}
 		for _, s := range snapshots("/s", []leafReport{r, r}) {
-			if s.Shards == 0 || s.Shards > maxShards || len(s.Holders) != int(s.Shards) {
-				t.Fatalf("snapshot has %d shards and %d leaf lists", s.Shards, len(s.Holders))
+			if s.Shards == 0 || s.Shards > maxShards || len(s.LeavesByShard) != int(s.Shards) {
+				t.Fatalf("snapshot has %d shards and %d leaf lists", s.Shards, len(s.LeavesByShard))
 			}
 		}
 	})
--- a/internal/link/leaf/leaf_test.go
+++ b/internal/link/leaf/leaf_test.go
@@ -158,11 +158,11 @@
 	leaf   settings.Leaf
 }
 
-func newFixture(t testing.TB, leaf settings.Leaf, slots int, config Link) *fixture {
+func newFixture(t testing.TB, leaf settings.Leaf, slots int, config ConnConfig) *fixture {
 	r := &fixture{sender: NewSender(Config{}), gates: admit.NewGates(vm.Now), leaf: leaf}
 	r.gates.Configure(leaf.Addr, admit.Limits{Slots: slots, MaxQueue: 16})
 	r.gates.SetLeaseEnd(vm.Now().Add(time.Hour))
-	r.sender.Limit(leaf, config)
+	r.sender.Configure(leaf, config)
 	t.Cleanup(r.sender.Close)
 	return r
 }
--- a/internal/link/leaf/pool.go
+++ b/internal/link/leaf/pool.go
@@ -14,10 +14,10 @@
 )
 
 // ConnConfig is the configuration of the connections to a leaf.
-type Link struct {
-	Conns       int           // this daemon's share of the leaf's connections; 0: no connection may be open
+type ConnConfig struct {
+	MaxConns    int           // this daemon's share of the leaf's connections; 0: no connection may be open
 	TLS         bool          // use HTTPS with the sender's TLS configuration
-	ConnectCost time.Duration // configured time to open a connection: the lower bound of the estimate
+	ConnectTime time.Duration // configured time to open a connection: the lower bound of the estimate
 }
 
 // conn is an open connection to a leaf and its HTTP/1.1 client. It carries one exchange at a
@@ -36,7 +36,7 @@
 	addr   string
 
 	mu            sync.Mutex
-	config        Link
+	config        ConnConfig
 	tls           *tls.Config // used if config.TLS is set
 	open          int         // being dialled, idle, in use, or closing until the leaf has closed its side
 	overLimit     bool        // more connections are open than config.MaxConns
@@ -53,7 +53,7 @@
 
 // configure applies cfg and returns the idle connections that it no longer allows. The caller
 // must close them without holding a lock, because closing a connection calls connClosed.
-func (p *pool) configure(cfg Link, conf *tls.Config) []*conn {
+func (p *pool) configure(cfg ConnConfig, conf *tls.Config) []*conn {
 	p.mu.Lock()
 	if cfg.TLS != p.config.TLS {
 		p.connectTime = 0
@@ -70,7 +70,7 @@
 
 // updateOverLimit updates overLimit and the sender's count of pools over their limit.
 func (p *pool) updateOverLimit() {
-	over := p.open > p.config.Conns
+	over := p.open > p.config.MaxConns
 	if over == p.overLimit {
 		return
 	}
@@ -86,7 +86,7 @@
 func (p *pool) unused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.config.Conns <= 0 && p.open == 0
+	return p.config.MaxConns <= 0 && p.open == 0
 }
 
 func (p *pool) openConns() int {
@@ -99,7 +99,7 @@
 // above the limit, idle longest first, and those whose use of TLS differs from the
 // configuration.
 func (p *pool) removeSurplus() []*conn {
-	n := min(max(p.open-p.config.Conns, 0), len(p.idle))
+	n := min(max(p.open-p.config.MaxConns, 0), len(p.idle))
 	surplus := slices.Clone(p.idle[:n])
 	p.idle = slices.Delete(p.idle, 0, n)
 	p.idle = slices.DeleteFunc(p.idle, func(c *conn) bool {
@@ -172,7 +172,7 @@
 func (p *pool) takeOrReserve() (*conn, chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.config.Conns <= 0 {
+	if p.config.MaxConns <= 0 {
 		return nil, nil, errNoShare
 	}
 	for len(p.idle) > 0 {
@@ -184,7 +184,7 @@
 			return c, nil, nil
 		}
 	}
-	if p.open < p.config.Conns {
+	if p.open < p.config.MaxConns {
 		p.open++
 		return nil, nil, nil
 	}
@@ -216,7 +216,7 @@
 func (p *pool) put(c *conn) {
 	c.reused = true
 	p.mu.Lock()
-	if p.open > p.config.Conns || c.usesTLS != p.config.TLS || c.netConn.writeClosed.Load() || c.client.Err() != nil {
+	if p.open > p.config.MaxConns || c.usesTLS != p.config.TLS || c.netConn.writeClosed.Load() || c.client.Err() != nil {
 		p.mu.Unlock()
 		c.closeGraceful()
 		return
@@ -233,7 +233,7 @@
 	p.idle = slices.DeleteFunc(p.idle, func(c *conn) bool { return c.netConn == w })
 	p.updateOverLimit()
 	p.wakeNext()
-	empty := p.open == 0 && p.config.Conns <= 0
+	empty := p.open == 0 && p.config.MaxConns <= 0
 	p.mu.Unlock()
 	if empty {
 		p.sender.removePool(p)
@@ -244,7 +244,7 @@
 // that no process listens there. If the connection succeeds, it is kept in the pool.
 func (p *pool) connectionRefused() bool {
 	p.mu.Lock()
-	reserved := p.open < p.config.Conns
+	reserved := p.open < p.config.MaxConns
 	if reserved {
 		p.open++
 	}
@@ -324,5 +324,5 @@
 func (p *pool) expectedConnectTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.connectTime, p.config.ConnectCost)
+	return max(p.connectTime, p.config.ConnectTime)
 }
--- a/internal/link/leaf/prober_test.go
+++ b/internal/link/leaf/prober_test.go
@@ -20,7 +20,7 @@
 
 // newWatchingProber runs a prober for one leaf of service /s.
 func newWatchingProber(t *testing.T, f *fakeLeaf, platformURL string) (*fixture, *Prober, *settings.Effective) {
-	r := newFixture(t, f.leaf(), 1, Link{Conns: 2})
+	r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 2})
 	p := NewProber(ProberConfig{Sender: r.sender, Gates: r.gates, PlatformURL: platformURL})
 	if p.platform != nil {
 		p.platform.interval = 5 * time.Millisecond
@@ -41,7 +41,7 @@
 	if len(list) == 0 {
 		return 0
 	}
-	return len(list[0].Holders[0])
+	return len(list[0].LeavesByShard[0])
 }
 
 func setHeldIndex(f *fakeLeaf) {
@@ -203,7 +203,7 @@
 		So(p.Known("/s"), ShouldBeTrue)
 		So(p.Known("/other"), ShouldBeFalse)
 		down := settings.Leaf{Name: "b", Addr: "127.0.0.1:1"}
-		r.sender.Limit(down, Link{Conns: 1})
+		r.sender.Configure(down, ConnConfig{MaxConns: 1})
 		more := *e
 		more.Leaves = append(more.Leaves, down)
 		p.Watch("/s", &more)
@@ -212,7 +212,7 @@
 	})
 	Convey("A prober that has not probed any leaf yet", t, func() {
 		f := newFakeLeaf(t)
-		r := newFixture(t, f.leaf(), 1, Link{Conns: 1})
+		r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 1})
 		p := NewProber(ProberConfig{Sender: r.sender, Gates: r.gates})
 		p.Watch("/s", &settings.Effective{Path: "/s", Leaves: []settings.Leaf{r.leaf}})
 		So(p.Known("/s"), ShouldBeFalse)
--- a/internal/link/leaf/resend_test.go
+++ b/internal/link/leaf/resend_test.go
@@ -73,7 +73,7 @@
 	Convey("A leaf reads the second request of a connection and closes it", t, func() {
 		d := newClosingLeaf(t)
 		leaf := settings.Leaf{Name: "a", Addr: d.Addr().String()}
-		r := newFixture(t, leaf, 1, Link{Conns: 4})
+		r := newFixture(t, leaf, 1, ConnConfig{MaxConns: 4})
 		_, err := r.send(contextWithTimeout(t, testTimeout), t, "1")
 		So(err, ShouldBeNil)
 		_, err = r.send(contextWithTimeout(t, testTimeout), t, "2")
@@ -108,13 +108,13 @@
 func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	Convey("After the leaf has closed its idle connections", t, func() {
 		f := newFakeLeaf(t)
-		r := newFixture(t, f.leaf(), 1, Link{Conns: 1})
+		r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 1})
 		for range 20 {
 			_, err := r.send(contextWithTimeout(t, testTimeout), t, "1")
 			So(err, ShouldBeNil)
 			f.CloseClientConnections()
 			eventually(t, "both sides have closed the connection", func() bool {
-				n, _ := r.sender.Conns(r.leaf.Addr)
+				n, _ := r.sender.ConnStats(r.leaf.Addr)
 				return n == 0 && f.connsOpen.Load() == 0
 			})
 		}
--- a/internal/link/leaf/sender.go
+++ b/internal/link/leaf/sender.go
@@ -58,16 +58,16 @@
 
 // Configure sets the connection limit and the connection settings of a leaf. If the limit
 // is lowered, surplus idle connections are closed at once and others after their exchange.
-func (s *Sender) Limit(leaf settings.Leaf, config Link) {
+func (s *Sender) Configure(leaf settings.Leaf, config ConnConfig) {
 	closeAll(s.configure(leaf.Addr, config))
 }
 
-func (s *Sender) configure(addr string, config Link) (surplus []*conn) {
+func (s *Sender) configure(addr string, config ConnConfig) (surplus []*conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := s.pools[addr]
 	if p == nil {
-		if config.Conns <= 0 {
+		if config.MaxConns <= 0 {
 			return nil
 		}
 		p = &pool{sender: s, addr: addr}
@@ -93,7 +93,7 @@
 
 // WithinLimits reports whether no leaf has more connections open than its limit, so that a
 // lowered limit may be acknowledged.
-func (s *Sender) Respected() bool { return s.poolsOverLimit.Load() == 0 }
+func (s *Sender) WithinLimits() bool { return s.poolsOverLimit.Load() == 0 }
 
 func (s *Sender) pool(addr string) *pool {
 	s.mu.RLock()
@@ -103,7 +103,7 @@
 
 // ConnStats returns the number of connections to a leaf that are open or being opened, and
 // the expected time to open one.
-func (s *Sender) Conns(addr string) (open int, connectTime time.Duration) {
+func (s *Sender) ConnStats(addr string) (open int, connectTime time.Duration) {
 	p := s.pool(addr)
 	if p == nil {
 		return 0, 0
@@ -118,7 +118,7 @@
 	addrs := slices.Collect(maps.Keys(s.pools))
 	s.mu.RUnlock()
 	for _, addr := range addrs {
-		closeAll(s.configure(addr, Link{}))
+		closeAll(s.configure(addr, ConnConfig{}))
 	}
 }
 
--- a/internal/link/leaf/sender_test.go
+++ b/internal/link/leaf/sender_test.go
@@ -10,7 +10,7 @@
 func TestSendReusesConnection(t *testing.T) {
 	Convey("Matching replies are returned, all over one connection", t, func() {
 		f := newFakeLeaf(t)
-		r := newFixture(t, f.leaf(), 2, Link{Conns: 3})
+		r := newFixture(t, f.leaf(), 2, ConnConfig{MaxConns: 3})
 		for i := range 20 {
 			reply, err := r.send(contextWithTimeout(t, testTimeout), t, strconv.Itoa(i))
 			So(err, ShouldBeNil)
--- a/internal/link/leaf/stress_test.go
+++ b/internal/link/leaf/stress_test.go
@@ -84,7 +84,7 @@
 	m.Config.ErrorLog = discardLogger()
 	m.Start()
 	defer m.Close()
-	r := newFixture(t, m.leaf(), slots, Link{Conns: conns})
+	r := newFixture(t, m.leaf(), slots, ConnConfig{MaxConns: conns})
 	verdicts := sync.Map{}
 	var wg sync.WaitGroup
 	for i := range callers {
@@ -118,7 +118,7 @@
 			case <-time.After(2 * time.Millisecond):
 			}
 			r.sender.probe(r.leaf.Addr, time.Second)
-			r.sender.Limit(r.leaf, Link{Conns: randomShare(rnd, conns)})
+			r.sender.Configure(r.leaf, ConnConfig{MaxConns: randomShare(rnd, conns)})
 			r.gates.Configure(r.leaf.Addr, gateLimits(randomShare(rnd, slots)))
 		}
 	})
@@ -156,7 +156,7 @@
 	t.Logf("verdicts %v, %d connections opened", count, m.connsAccepted.Load())
 	r.sender.Close()
 	eventually(t, "the pool is removed", func() bool { return r.sender.pool(r.leaf.Addr) == nil })
-	if !r.sender.Respected() {
+	if !r.sender.WithinLimits() {
 		t.Error("a pool is counted as over its limit with no connections open")
 	}
 }
@@ -178,7 +178,7 @@
 	}
 	f.Start()
 	t.Cleanup(f.Close)
-	r := newFixture(t, f.leaf(), 4, Link{Conns: 2})
+	r := newFixture(t, f.leaf(), 4, ConnConfig{MaxConns: 2})
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
@@ -204,7 +204,7 @@
 	f.statusHandler = func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	f.Start()
 	t.Cleanup(f.Close)
-	r := newFixture(t, f.leaf(), 4, Link{Conns: 2})
+	r := newFixture(t, f.leaf(), 4, ConnConfig{MaxConns: 2})
 	for range 10 {
 		if _, err := r.sender.probe(r.leaf.Addr, 5*time.Millisecond); err == nil {
 			t.Error("a probe without a response returned a status")
@@ -219,7 +219,7 @@
 // connections than the share, including those being opened.
 func TestConnectionsStayWithinShare(t *testing.T) {
 	f := newFakeLeaf(t)
-	r := newFixture(t, f.leaf(), 16, Link{Conns: 3})
+	r := newFixture(t, f.leaf(), 16, ConnConfig{MaxConns: 3})
 	var wg sync.WaitGroup
 	for range 16 {
 		wg.Go(func() {
@@ -247,14 +247,14 @@
 		}
 		writeReply(w, r, q)
 	}
-	r := newFixture(t, f.leaf(), 2, Link{Conns: 1})
+	r := newFixture(t, f.leaf(), 2, ConnConfig{MaxConns: 1})
 	slow := r.sendAsync(contextWithTimeout(t, testTimeout), t, "slow")
 	eventually(t, "the leaf runs the request", func() bool { return f.inFlight.Load() == 1 })
-	r.sender.Limit(r.leaf, Link{})
-	if r.sender.Respected() {
+	r.sender.Configure(r.leaf, ConnConfig{})
+	if r.sender.WithinLimits() {
 		t.Error("WithinLimits is true with a connection open and a share of 0")
 	}
-	r.sender.Limit(r.leaf, Link{Conns: 1})
+	r.sender.Configure(r.leaf, ConnConfig{MaxConns: 1})
 	next := r.sendAsync(contextWithTimeout(t, testTimeout), t, "next")
 	close(release)
 	if err := <-slow; err != nil {
--- a/internal/link/leaf/verdict_test.go
+++ b/internal/link/leaf/verdict_test.go
@@ -77,7 +77,7 @@
 			f := newFakeLeaf(t)
 			f.Config.ErrorLog = discardLogger()
 			f.handle = c.handle
-			r := newFixture(t, f.leaf(), 1, Link{Conns: 2})
+			r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 2})
 			_, err := r.send(contextWithTimeout(t, testTimeout), t, "1")
 			var e *contract.Error
 			So(errors.As(err, &e), ShouldBeTrue)
@@ -101,14 +101,14 @@
 	}
 	lis.Close()
 	leaf := settings.Leaf{Name: "a", Addr: lis.Addr().String()}
-	r := newFixture(t, leaf, 1, Link{Conns: 2})
+	r := newFixture(t, leaf, 1, ConnConfig{MaxConns: 2})
 	for range 3 {
 		_, err = r.send(contextWithTimeout(t, testTimeout), t, "1")
 		if contract.VerdictOf(err) != contract.NotRun {
 			t.Fatalf("error for a refused connection: %v", err)
 		}
 	}
-	if n, _ := r.sender.Conns(leaf.Addr); n != 0 || !r.gates.Load(leaf.Addr).Failing {
+	if n, _ := r.sender.ConnStats(leaf.Addr); n != 0 || !r.gates.Load(leaf.Addr).Failing {
 		t.Fatalf("%d connections counted and Failing is %v; expected 0 and true", n, r.gates.Load(leaf.Addr).Failing)
 	}
 }
@@ -118,7 +118,7 @@
 func TestExpiredLeaseWritesNothing(t *testing.T) {
 	Convey("A permit whose lease expired before the write", t, func() {
 		f := newFakeLeaf(t)
-		r := newFixture(t, f.leaf(), 1, Link{Conns: 1})
+		r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 1})
 		_, err := r.send(contextWithTimeout(t, testTimeout), t, "warm")
 		So(err, ShouldBeNil)
 		p, ok := r.gates.TryAcquire(r.leaf.Addr)
@@ -148,7 +148,7 @@
 	} {
 		Convey("Stopped with a connection acquired: "+string(reason), t, func() {
 			f := newFakeLeaf(t)
-			r := newFixture(t, f.leaf(), 1, Link{Conns: 1})
+			r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 1})
 			p, _ := r.gates.TryAcquire(r.leaf.Addr)
 			pool := r.sender.pool(r.leaf.Addr)
 			c, err := pool.get(contextWithTimeout(t, testTimeout))
@@ -175,7 +175,7 @@
 		deadlines <- q.DeadlineMS
 		writeReply(w, r, q)
 	}
-	r := newFixture(t, f.leaf(), 1, Link{Conns: 1})
+	r := newFixture(t, f.leaf(), 1, ConnConfig{MaxConns: 1})
 	r.gates.SetLeaseEnd(vm.Now().Add(5 * time.Second))
 	if _, err := r.send(contextWithTimeout(t, time.Hour), t, "1"); err != nil {
 		t.Fatal(err)
--- a/internal/link/target/dialect.go
+++ b/internal/link/target/dialect.go
@@ -12,12 +12,12 @@
 	RequestID string // the caller's id of one of its attempts
 	Deadline  string // milliseconds that the sender waits for the reply
 	LeafID    string // the leaf that a request is addressed to; any other leaf rejects it
-	Stamp     string // the leaf's signature of its reply
+	Signature string // the leaf's signature of its reply
 	Load      string // the leaf's load
 	NotRun    string // present if the leaf did not run the request
 
-	Parts   string // signatures of the partial replies that an answer was merged from
-	Missing string // number of partial replies that are missing
+	PartSignatures string // signatures of the partial replies that an answer was merged from
+	MissingParts   string // number of partial replies that are missing
 
 	// ParseLoad parses the value of the Load header.
 	ParseLoad func(string) (policy.Load, bool)
@@ -29,7 +29,7 @@
 	Header     map[string][]string
 	Body       []byte // complete unless Rest is set
 	Rest       *Rest  // remainder of a body above BodyLimit; nil if Body is complete
-	Stamp      string
+	Signature  string
 	Load       policy.Load
 	HasLoad    bool
 	RetryAfter time.Duration // 0: not given
--- a/internal/link/target/end_test.go
+++ b/internal/link/target/end_test.go
@@ -93,7 +93,7 @@
 		call.Abandon()
 		<-done
 	}
-	if err := doRequest(l, &Call{}, 20*time.Millisecond); err == nil || !errors.Is(err.Cause, ErrBusy) {
+	if err := doRequest(l, &Call{}, 20*time.Millisecond); err == nil || !errors.Is(err.Cause, ErrConnLimit) {
 		t.Errorf("request not rejected while the leaf holds all connections of the share: %v", err)
 	}
 	close(leaf.resume)
--- a/internal/link/target/exchange.go
+++ b/internal/link/target/exchange.go
@@ -34,12 +34,12 @@
 	ConnWait time.Duration
 	// Idempotent requests may run more than once. They may be sent on a connection that has
 	// been idle for long, because they can be sent again if it turns out to be lost.
-	Repeatable bool
+	Idempotent bool
 	// BodyLimit is the maximum number of bytes of a reply that are read into its Body. The
 	// caller reads the remainder from the reply's Rest. With FailOverLimit, a longer reply
 	// is a failure instead.
-	BodyLimit int
-	WholeOnly bool
+	BodyLimit     int
+	FailOverLimit bool
 }
 
 // Stream is the remainder of a request body that is sent while it is being read.
@@ -60,7 +60,7 @@
 
 // ErrStaleConn marks a failure on a reused connection before any byte of a reply arrived: most
 // likely the leaf had closed the connection while it was idle.
-var ErrStale = errors.New("target: an idle connection was lost")
+var ErrStaleConn = errors.New("target: an idle connection was lost")
 
 // Call is the handle by which an exchange can be abandoned while it runs.
 type Call struct {
@@ -138,12 +138,12 @@
 // reply by which the leaf states that it did not run the request has Refused set.
 func (l *Link) Do(call *Call, req *Request) (*Reply, *contract.Error) {
 	maxIdle := time.Duration(0)
-	if !req.Repeatable {
+	if !req.Idempotent {
 		maxIdle = maxIdleNonIdempotent
 	}
 	c, err := l.acquire(call, req.Deadline, maxIdle, req.ConnWait)
 	switch {
-	case errors.Is(err, ErrBusy):
+	case errors.Is(err, ErrConnLimit):
 		return nil, notRun(contract.ReasonOverload, err)
 	case err != nil:
 		return nil, notRun(contract.ReasonTargetFailed, err)
@@ -244,7 +244,7 @@
 // markStaleIf marks err with ErrStaleConn if the connection was reused.
 func markStaleIf(reused bool, err error) error {
 	if reused {
-		return errors.Mark(err, ErrStale)
+		return errors.Mark(err, ErrStaleConn)
 	}
 	return err
 }
@@ -313,7 +313,7 @@
 	}
 	out := &Reply{
 		Status: resp.StatusCode, Header: resp.Header,
-		Stamp: resp.Header.Get(d.Stamp), RetryAfter: parseRetryAfter(resp.Header),
+		Signature: resp.Header.Get(d.Signature), RetryAfter: parseRetryAfter(resp.Header),
 		Refused: resp.StatusCode == http.StatusMisdirectedRequest || resp.Header.Get(d.NotRun) != "",
 	}
 	if v := resp.Header.Get(d.Load); v != "" {
@@ -340,7 +340,7 @@
 	case err == nil:
 		out.Body = body
 		release(true)
-	case errors.Is(err, errReplyTooLong) && !req.WholeOnly:
+	case errors.Is(err, errReplyTooLong) && !req.FailOverLimit:
 		out.Body = body
 		out.Rest = &Rest{body: resp.Body, release: release}
 	default:
--- a/internal/link/target/link.go
+++ b/internal/link/target/link.go
@@ -65,7 +65,7 @@
 }
 
 // ErrConnLimit is returned when all connections of this daemon's share of the leaf's are in use.
-var ErrBusy = errors.New("target: the daemon's share of the leaf's connections is in use")
+var ErrConnLimit = errors.New("target: the daemon's share of the leaf's connections is in use")
 
 // errClosed is returned after Close or Abort.
 var errClosed = errors.New("target: the leaf has left")
@@ -102,7 +102,7 @@
 
 // SetMaxConns changes how many connections may be open. Connections above the limit are closed
 // after their current exchange.
-func (l *Link) SetLimit(n int) {
+func (l *Link) SetMaxConns(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.maxConns = n
@@ -137,7 +137,7 @@
 }
 
 // CloseExpired closes the connections that have been idle for longer than their timeout.
-func (l *Link) CloseIdle(now time.Time) {
+func (l *Link) CloseExpired(now time.Time) {
 	l.mu.Lock()
 	var expired []*conn
 	l.idle = slices.DeleteFunc(l.idle, func(c *conn) bool {
@@ -180,7 +180,7 @@
 func (l *Link) acquire(call *Call, deadline time.Time, maxIdle, wait time.Duration) (*conn, error) {
 	for {
 		c, err := l.takeIdleOrReserve(maxIdle)
-		if errors.Is(err, ErrBusy) && wait > 0 {
+		if errors.Is(err, ErrConnLimit) && wait > 0 {
 			start := time.Now()
 			c, err = l.waitForConn(call, min(wait, time.Until(deadline)))
 			wait -= time.Since(start)
@@ -222,7 +222,7 @@
 	l.mu.Lock()
 	if l.closed || len(l.waiters) >= maxWaiters {
 		l.mu.Unlock()
-		return nil, ErrBusy
+		return nil, ErrConnLimit
 	}
 	l.waiters = append(l.waiters, w)
 	l.mu.Unlock()
@@ -251,7 +251,7 @@
 		return nil, errClosed
 	}
 	connsBusy.Inc(1)
-	return nil, ErrBusy
+	return nil, ErrConnLimit
 }
 
 // grantNext passes g to the first waiting call. It returns false if there is none, or if
@@ -308,7 +308,7 @@
 		}
 	}
 	if l.openConns >= l.maxConns {
-		return nil, ErrBusy
+		return nil, ErrConnLimit
 	}
 	l.openConns++
 	return nil, nil
--- a/internal/link/target/queue_test.go
+++ b/internal/link/target/queue_test.go
@@ -53,7 +53,7 @@
 func doRequest(l *Link, call *Call, connWait time.Duration) *contract.Error {
 	_, err := l.Do(call, &Request{
 		Dialect: testDialect, Method: "GET", ID: "id-1", Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n"),
-		Deadline: time.Now().Add(5 * time.Second), Repeatable: true, BodyLimit: 1 << 16, ConnWait: connWait,
+		Deadline: time.Now().Add(5 * time.Second), Idempotent: true, BodyLimit: 1 << 16, ConnWait: connWait,
 	})
 	return err
 }
@@ -94,7 +94,7 @@
 		open = l.openConns
 		l.mu.Unlock()
 	}
-	if err := doRequest(l, &Call{}, 5*time.Millisecond); err == nil || err.Verdict != contract.NotRun || !errors.Is(err.Cause, ErrBusy) {
+	if err := doRequest(l, &Call{}, 5*time.Millisecond); err == nil || err.Verdict != contract.NotRun || !errors.Is(err.Cause, ErrConnLimit) {
 		t.Errorf("call after its ConnWait: %v", err)
 	}
 	call := &Call{}
--- a/internal/link/target/reply_test.go
+++ b/internal/link/target/reply_test.go
@@ -10,7 +10,7 @@
 )
 
 var testDialect = &Dialect{
-	RequestID: "Request-Id", Deadline: "Wait-Ms", LeafID: "Leaf", Stamp: "Signature", Load: "Load", NotRun: "Not-Run",
+	RequestID: "Request-Id", Deadline: "Wait-Ms", LeafID: "Leaf", Signature: "Signature", Load: "Load", NotRun: "Not-Run",
 	ParseLoad: func(string) (policy.Load, bool) { return policy.Load{}, false },
 }
 
@@ -27,7 +27,7 @@
 	c := &conn{Conn: ours, reader: bufio.NewReaderSize(ours, readBufferSize), idleTimeout: maxIdleTime}
 	req := &Request{
 		Dialect: testDialect, Method: "GET", ID: "id-1", Head: []byte("GET / HTTP/1.1\r\nHost: h\r\n"),
-		Deadline: time.Now().Add(5 * time.Second), Repeatable: true, BodyLimit: 1 << 16, WholeOnly: true,
+		Deadline: time.Now().Add(5 * time.Second), Idempotent: true, BodyLimit: 1 << 16, FailOverLimit: true,
 	}
 	reply, err := l.exchange(&Call{}, c, req, time.Second)
 	return l, reply, err == nil
--- a/internal/query/home.go
+++ b/internal/query/home.go
@@ -100,7 +100,7 @@
 	if !q.immediate {
 		job.Lender = e.otherHomesOf(st, q.leafGroup, eff)
 	}
-	n := int64(len(snap.Holders))
+	n := int64(len(snap.LeavesByShard))
 	h.shardsInFlight.Add(n)
 	r := h.scatterGroup.Run(ctx, job)
 	h.shardsInFlight.Add(-n)
@@ -114,13 +114,13 @@
 func newJob(eff *settings.Effective, snap *leaf.Snapshot, q *subquery) *scatter.Job {
 	job := &scatter.Job{
 		ID: q.id, AttemptBase: q.attemptBase, Service: q.service,
-		Version: snap.Version, Replicas: snap.Holders, OnlyShards: existingShards(q.shards, len(snap.Holders)),
+		Version: snap.Version, Replicas: snap.LeavesByShard, OnlyShards: existingShards(q.shards, len(snap.LeavesByShard)),
 		Body: q.body, Repeatable: q.repeatable,
 		Priority: eff.Priority, Goal: eff.Goal,
 		HedgeAfter: eff.HedgeAfter, HedgeShare: eff.HedgeBudget,
 		ShedOrder: requestOrder(q.id), Immediate: q.immediate, AvoidAddrs: q.avoid, Canary: q.canary,
 	}
-	if q.canary && len(job.OnlyShards) == 0 && len(snap.Holders) > 0 {
+	if q.canary && len(job.OnlyShards) == 0 && len(snap.LeavesByShard) > 0 {
 		job.OnlyShards = []uint32{firstLiveShard(snap)}
 	}
 	if q.minCoverage > 0 && eff.EarlyCoverage > 0 {
@@ -131,7 +131,7 @@
 
 // firstLiveShard returns the first shard with a live leaf, or 0.
 func firstLiveShard(s *leaf.Snapshot) uint32 {
-	i := slices.IndexFunc(s.Holders, func(h []settings.Leaf) bool { return len(h) > 0 })
+	i := slices.IndexFunc(s.LeavesByShard, func(h []settings.Leaf) bool { return len(h) > 0 })
 	return uint32(max(i, 0))
 }
 
@@ -215,11 +215,11 @@
 func dropDeclined(snaps []leaf.Snapshot, g *scatter.Group) []leaf.Snapshot {
 	out := make([]leaf.Snapshot, len(snaps))
 	for i, s := range snaps {
-		out[i] = leaf.Snapshot{Version: s.Version, Shards: s.Shards, Holders: make([][]settings.Leaf, len(s.Holders))}
-		for shard, holders := range s.Holders {
+		out[i] = leaf.Snapshot{Version: s.Version, Shards: s.Shards, LeavesByShard: make([][]settings.Leaf, len(s.LeavesByShard))}
+		for shard, holders := range s.LeavesByShard {
 			for _, l := range holders {
 				if g.Holds(l.Addr, s.Version, uint32(shard)) {
-					out[i].Holders[shard] = append(out[i].Holders[shard], l)
+					out[i].LeavesByShard[shard] = append(out[i].LeavesByShard[shard], l)
 				}
 			}
 		}
@@ -238,11 +238,11 @@
 	}
 	out := make([]leaf.Snapshot, len(snaps))
 	for i, s := range snaps {
-		out[i] = leaf.Snapshot{Version: s.Version, Shards: s.Shards, Holders: make([][]settings.Leaf, len(s.Holders))}
-		for shard, holders := range s.Holders {
+		out[i] = leaf.Snapshot{Version: s.Version, Shards: s.Shards, LeavesByShard: make([][]settings.Leaf, len(s.LeavesByShard))}
+		for shard, holders := range s.LeavesByShard {
 			for _, l := range holders {
 				if member[l.Addr] {
-					out[i].Holders[shard] = append(out[i].Holders[shard], l)
+					out[i].LeavesByShard[shard] = append(out[i].LeavesByShard[shard], l)
 				}
 			}
 		}
@@ -273,16 +273,16 @@
 
 // liveFraction returns the fraction of the shards that have a live leaf.
 func liveFraction(s *leaf.Snapshot) float64 {
-	if len(s.Holders) == 0 {
+	if len(s.LeavesByShard) == 0 {
 		return 0
 	}
 	n := 0
-	for _, h := range s.Holders {
+	for _, h := range s.LeavesByShard {
 		if len(h) > 0 {
 			n++
 		}
 	}
-	return float64(n) / float64(len(s.Holders))
+	return float64(n) / float64(len(s.LeavesByShard))
 }
 
 // allLive reports whether each of shards has a live leaf, or each shard of s if shards is
@@ -292,7 +292,7 @@
 		return liveFraction(s) == 1
 	}
 	for _, shard := range shards {
-		if int(shard) >= len(s.Holders) || len(s.Holders[shard]) == 0 {
+		if int(shard) >= len(s.LeavesByShard) || len(s.LeavesByShard[shard]) == 0 {
 			return false
 		}
 	}
@@ -303,8 +303,8 @@
 func versionStates(snaps []leaf.Snapshot) []versionState {
 	out := make([]versionState, len(snaps))
 	for i, s := range snaps {
-		v := versionState{version: s.Version, shards: uint32(len(s.Holders)), liveShards: newShardSet(uint32(len(s.Holders)))}
-		for shard, holders := range s.Holders {
+		v := versionState{version: s.Version, shards: uint32(len(s.LeavesByShard)), liveShards: newShardSet(uint32(len(s.LeavesByShard)))}
+		for shard, holders := range s.LeavesByShard {
 			if len(holders) > 0 {
 				v.liveShards.add(uint32(shard))
 			}
--- a/internal/query/world_test.go
+++ b/internal/query/world_test.go
@@ -187,7 +187,7 @@
 func (tier *testTier) snapshots(leaves []settings.Leaf) []leaf.Snapshot {
 	var snaps []leaf.Snapshot
 	for v := uint64(20); v > 0; v-- {
-		s := leaf.Snapshot{Version: v, Shards: shardsAt(v), Holders: make([][]settings.Leaf, shardsAt(v))}
+		s := leaf.Snapshot{Version: v, Shards: shardsAt(v), LeavesByShard: make([][]settings.Leaf, shardsAt(v))}
 		any := false
 		for _, l := range leaves {
 			fl := tier.leaves[l.Addr]
@@ -195,9 +195,9 @@
 				continue
 			}
 			any = true
-			for shard := range s.Holders {
+			for shard := range s.LeavesByShard {
 				if !fl.down {
-					s.Holders[shard] = append(s.Holders[shard], l)
+					s.LeavesByShard[shard] = append(s.LeavesByShard[shard], l)
 				}
 			}
 		}
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -166,7 +166,7 @@
 		return
 	}
 	var services []string
-	for _, stamp := range strings.Split(strings.Join(resp.Header.Values(dialect.Parts), ","), ",") {
+	for _, stamp := range strings.Split(strings.Join(resp.Header.Values(dialect.PartSignatures), ","), ",") {
 		fields := strings.Split(strings.TrimSpace(stamp), "/")
 		if len(fields) != 3 || fields[1] != id {
 			c.w.fail("request %s was answered with part %q", id, stamp)
@@ -177,7 +177,7 @@
 		}
 		services = append(services, fields[0])
 	}
-	missing, _ := strconv.Atoi(resp.Header.Get(dialect.Missing))
+	missing, _ := strconv.Atoi(resp.Header.Get(dialect.MissingParts))
 	if len(services)+missing != shardsOfOne || len(services) < 5 {
 		c.w.fail("request %s: %d parts and %d missing of %d", id, len(services), missing, shardsOfOne)
 	}
--- a/soak/leaves_test.go
+++ b/soak/leaves_test.go
@@ -138,7 +138,7 @@
 		return
 	}
 	rw.Header().Set(dialect.RequestID, id)
-	rw.Header().Set(dialect.Stamp, stamp)
+	rw.Header().Set(dialect.Signature, stamp)
 	rw.Header().Set(dialect.Load, "1,0,8")
 	_, _ = io.WriteString(rw, text)
 }
@@ -159,7 +159,7 @@
 	}
 	defer c.Close()
 	for range 2 {
-		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", dialect.RequestID, id, dialect.Stamp, stamp, len(text), text)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", dialect.RequestID, id, dialect.Signature, stamp, len(text), text)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
