--- a/internal/entryvm/drain.go
+++ b/internal/entryvm/drain.go
@@ -35,7 +35,7 @@
 	end := began.Add(time.Duration(endShare * float64(v.conf.Grace)))
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	defer time.AfterFunc(time.Until(end.Add(-finalAnswers)), v.engine.EndAll).Stop()
+	defer time.AfterFunc(time.Until(end.Add(-finalAnswers)), v.engine.FinishAll).Stop()
 	if err := v.server.Shutdown(ctx); err != nil {
 		klog.Warningf("entry: %s cuts off requests in flight: %v", v.conf.Name, err)
 	}
--- a/internal/entryvm/near.go
+++ b/internal/entryvm/near.go
@@ -38,7 +38,7 @@
 func newNearDaemons(v *VM) *nearDaemons { return &nearDaemons{v: v, byAddr: make(map[string]*helper)} }
 
 // Daemon implements forward.Near: one of this daemon's helpers in the domain.
-func (n *nearDaemons) Daemon(domain string) string {
+func (n *nearDaemons) DelegateAddr(domain string) string {
 	ms := n.v.client.Current().Members()
 	if ms == nil {
 		return ""
@@ -47,7 +47,7 @@
 }
 
 // Runner implements forward.Near: a fit daemon, of this one's own domain where there is one.
-func (n *nearDaemons) Runner(asked []string) string {
+func (n *nearDaemons) HandoverAddr(asked []string) string {
 	ms := n.v.client.Current().Members()
 	if ms == nil {
 		return ""
@@ -104,7 +104,7 @@
 }
 
 // Scatter implements forward.Near.
-func (n *nearDaemons) Scatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error) {
+func (n *nearDaemons) OpenScatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error) {
 	conn, err := n.v.partConns.Conn(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -113,7 +113,7 @@
 }
 
 // Handover implements forward.Near.
-func (n *nearDaemons) Handover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error) {
+func (n *nearDaemons) OpenHandover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error) {
 	conn, err := n.v.partConns.Conn(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 }
 
 // Ended implements forward.Near.
-func (n *nearDaemons) Ended(addr string, err error) {
+func (n *nearDaemons) ReportResult(addr string, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h := n.of(addr)
@@ -138,7 +138,7 @@
 }
 
 // Suspect implements forward.Near.
-func (n *nearDaemons) Suspect(addr string) {
+func (n *nearDaemons) ReportOverdue(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.of(addr).rest()
--- a/internal/entryvm/vm.go
+++ b/internal/entryvm/vm.go
@@ -76,8 +76,8 @@
 	}, v.book)
 	v.quarantine = quarantine.NewRegistry(vm.Monotonic, &quarantine.RemoteLeader{Conns: v.otherConns, ControlAddrs: v.controlContacts})
 	v.engine = forward.New(forward.Config{
-		Clock: vm.Monotonic, Dialect: conf.Dialect, Book: v.book, Board: forward.NewBoard(vm.Monotonic, conf.Domain), Log: conf.Log, Senders: v.senders,
-		Near: newNearDaemons(v), Quarantine: v.quarantine,
+		Clock: vm.Monotonic, Dialect: conf.Dialect, Leaves: v.book, Tracker: forward.NewLeafTracker(vm.Monotonic, conf.Domain), Log: conf.Log, DaemonCount: v.senders,
+		Peers: newNearDaemons(v), Quarantine: v.quarantine,
 		Budgets: policy.NewBudgets(conf.Budget, vm.Monotonic, v.senders),
 	})
 	v.server = forward.NewServer(&forward.Handler{Engine: v.engine, Dialect: conf.Dialect, Log: conf.Log, Draining: v.draining.Load})
@@ -120,7 +120,7 @@
 	}
 	err = errors.CombineErrors(err, wire.DRPCRegisterLeaves(mux, v.finder.Server()))
 	err = errors.CombineErrors(err, wire.DRPCRegisterContacts(mux, contactsServer{v}))
-	err = errors.CombineErrors(err, wire.DRPCRegisterGather(mux, v.engine.Scatterer()))
+	err = errors.CombineErrors(err, wire.DRPCRegisterGather(mux, v.engine.GatherServer()))
 	v.mux.Store(mux)
 	return err
 }
@@ -234,7 +234,7 @@
 	v.client.SetPhase(vm.Serving)
 	g.Go(func() error { return unlessDone(ctx, v.client.Run(ctx)) })
 	g.Go(func() error { v.finder.Run(ctx); return nil })
-	g.Go(func() error { v.engine.Tend(ctx); return nil })
+	g.Go(func() error { v.engine.MaintainLinks(ctx); return nil })
 	g.Go(func() error { v.install(ctx); return nil })
 	g.Go(func() error { v.findGroup(ctx); return nil })
 	g.Go(func() error { v.quarantine.Run(ctx); return nil })
--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -81,7 +81,7 @@
 	book.ApplyReading(list, vm.Monotonic())
 	one := func() int { return 1 }
 	e := New(Config{
-		Clock: vm.Monotonic, Dialect: testDialect, Book: book, Board: NewBoard(vm.Monotonic, ""), Senders: one,
+		Clock: vm.Monotonic, Dialect: testDialect, Leaves: book, Tracker: NewLeafTracker(vm.Monotonic, ""), DaemonCount: one,
 		Budgets: policy.NewBudgets(policy.BudgetLimits{Ratio: 0.2, Burst: 50, Window: 10 * time.Second}, vm.Monotonic, one),
 	})
 	e.Install(route.NewTable(rel), 1)
--- a/internal/forward/board.go
+++ b/internal/forward/board.go
@@ -13,7 +13,7 @@
 
 // LeafTracker records the observed health of each leaf and holds the connections to it.
 // It is safe for concurrent use.
-type Board struct {
+type LeafTracker struct {
 	clock  vm.Clock
 	domain string
 
@@ -23,8 +23,8 @@
 }
 
 // NewLeafTracker returns an empty tracker for a daemon in the given failure domain.
-func NewBoard(clock vm.Clock, domain string) *Board {
-	return &Board{clock: clock, domain: domain, leaves: make(map[discovery.RunID]*leafState), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
+func NewLeafTracker(clock vm.Clock, domain string) *LeafTracker {
+	return &LeafTracker{clock: clock, domain: domain, leaves: make(map[discovery.RunID]*leafState), rng: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))}
 }
 
 // leafState is the observed health of one leaf and the link to it.
@@ -35,7 +35,7 @@
 
 // Link returns the link to a leaf. It creates the link with the connection limit from
 // limit if there is none yet.
-func (t *Board) Link(l *discovery.Leaf, limit func(*discovery.Leaf) int) *target.Link {
+func (t *LeafTracker) Link(l *discovery.Leaf, limit func(*discovery.Leaf) int) *target.Link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.state(l.RunID())
@@ -46,7 +46,7 @@
 }
 
 // state returns the state of a leaf and creates it if needed. The caller holds t.mu.
-func (t *Board) state(life discovery.RunID) *leafState {
+func (t *LeafTracker) state(life discovery.RunID) *leafState {
 	s := t.leaves[life]
 	if s == nil {
 		s = &leafState{}
@@ -59,7 +59,7 @@
 // closes idle connections of the remaining links. Requests in flight at a leaf that was
 // removed are allowed to finish. Requests in flight at a leaf that has restarted are aborted,
 // since the process that received them no longer exists.
-func (t *Board) Keep(snap *discovery.Snapshot) {
+func (t *LeafTracker) Reconcile(snap *discovery.Snapshot) {
 	var current, removed, restarted []*target.Link
 	t.mu.Lock()
 	for life, s := range t.leaves {
@@ -93,7 +93,7 @@
 }
 
 // SetConnectionLimits updates the connection limit of every link.
-func (t *Board) SetLimits(snap *discovery.Snapshot, limit func(*discovery.Leaf) int) {
+func (t *LeafTracker) SetConnectionLimits(snap *discovery.Snapshot, limit func(*discovery.Leaf) int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for life, s := range t.leaves {
@@ -104,7 +104,7 @@
 }
 
 // Begin counts a request as in flight and returns its start time.
-func (t *Board) Begin(life discovery.RunID) vm.Instant {
+func (t *LeafTracker) Begin(life discovery.RunID) vm.Instant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock()
@@ -114,7 +114,7 @@
 
 // End removes a request that started at began from the requests in flight and updates the
 // health of the leaf from its outcome.
-func (t *Board) End(life discovery.RunID, began vm.Instant, e policy.RequestResult) {
+func (t *LeafTracker) End(life discovery.RunID, began vm.Instant, e policy.RequestResult) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.leaves[life]; s != nil { // otherwise the leaf was removed or has restarted
@@ -123,14 +123,14 @@
 }
 
 // MarkUnreachable records that a connection to the leaf could not be established.
-func (t *Board) Unreachable(life discovery.RunID) {
+func (t *LeafTracker) MarkUnreachable(life discovery.RunID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(life).Unreachable(t.clock(), t.rng)
 }
 
 // MarkMisplaced records that another leaf answers at the leaf's address.
-func (t *Board) Misplaced(life discovery.RunID) {
+func (t *LeafTracker) MarkMisplaced(life discovery.RunID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.state(life).Misplaced(t.clock())
@@ -143,7 +143,7 @@
 // Choose returns the best leaf of list, according to policy.Choose, for a request that usually
 // takes the given time. It skips leaves that are in tried or draining, and returns nil if no
 // leaf remains.
-func (t *Board) Choose(list []*discovery.Leaf, tried []*discovery.Leaf, usual time.Duration) *discovery.Leaf {
+func (t *LeafTracker) Choose(list []*discovery.Leaf, tried []*discovery.Leaf, usual time.Duration) *discovery.Leaf {
 	var leafBuf [stackCandidates]*discovery.Leaf
 	var candidateBuf [stackCandidates]policy.Candidate
 	eligible, candidates := leafBuf[:0], candidateBuf[:0]
--- a/internal/forward/board_test.go
+++ b/internal/forward/board_test.go
@@ -11,13 +11,13 @@
 
 type leafTrackerFixture struct {
 	now     vm.Instant
-	tracker *Board
+	tracker *LeafTracker
 	a, b    *discovery.Leaf
 }
 
 func newLeafTrackerFixture() *leafTrackerFixture {
 	r := &leafTrackerFixture{now: 1}
-	r.tracker = NewBoard(func() vm.Instant { return r.now }, "here")
+	r.tracker = NewLeafTracker(func() vm.Instant { return r.now }, "here")
 	r.a = &discovery.Leaf{ID: "a", Service: "s", Domain: "here", Slots: 2}
 	r.b = &discovery.Leaf{ID: "b", Service: "s", Domain: "here", Slots: 2}
 	return r
@@ -61,7 +61,7 @@
 		r.exchange(r.a, 6*usualTime, policy.Failed)
 		r.exchange(r.b, usualTime, policy.Replied)
 	}
-	r.tracker.Misplaced(r.a.RunID())
+	r.tracker.MarkMisplaced(r.a.RunID())
 	began := r.tracker.Begin(r.a.RunID())
 	oldLife := r.a.RunID()
 	r.a = &discovery.Leaf{ID: "a", StartMs: 7, Service: "s", Domain: "here", Slots: 2}
--- a/internal/forward/conn_test.go
+++ b/internal/forward/conn_test.go
@@ -24,14 +24,14 @@
 // panickingPeers is a PeerDaemons that panics, to simulate a bug in the handling of a request.
 type panickingPeers struct{ fakePeers }
 
-func (*panickingPeers) Daemon(string) string { panic("simulated bug in request handling") }
+func (*panickingPeers) DelegateAddr(string) string { panic("simulated bug in request handling") }
 
 // Guards against a panic in request handling that the caller sees as a closed connection
 // instead of an error answer.
 func TestPanicInHandlingReturnsInternalError(t *testing.T) {
 	rt, leaves := remoteRoute(t, validPart)
 	f := newTwoDaemonFixture(t, rt, leaves)
-	f.engine.cfg.Near = &panickingPeers{}
+	f.engine.cfg.Peers = &panickingPeers{}
 	before := handlerPanics.Count()
 	resp, text := f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusInternalServerError || !strings.Contains(text, "may_have_run") {
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -196,7 +196,7 @@
 	if a.Reason != "" {
 		l = l.Str("reason", string(a.Reason)).Str("verdict", a.Verdict.String()).Err(a.Cause)
 	}
-	l.Ms("list_age", r.e.cfg.Book.Age()).End()
+	l.Ms("list_age", r.e.cfg.Leaves.Age()).End()
 }
 
 // missingShards lists the shards without a part, each with the leaves it was sent to.
--- a/internal/forward/delegate.go
+++ b/internal/forward/delegate.go
@@ -43,23 +43,23 @@
 // PeerDaemons selects other daemons and opens calls to them. A daemon in the failure domain
 // of the leaves collects parts of a gather there, so that not every part has to cross the
 // link between failure domains. Implementations are safe for concurrent use.
-type Near interface {
+type PeerDaemons interface {
 	// DelegateAddr returns the address of a daemon in the failure domain that can be called
 	// with OpenScatter, empty if there is none.
-	Daemon(domain string) string
+	DelegateAddr(domain string) string
 	// HandoverAddr returns the address of a daemon that a whole gather can be handed over to,
 	// other than those in asked. It is empty if there is none or if this daemon is to run
 	// gathers itself.
-	Runner(asked []string) string
+	HandoverAddr(asked []string) string
 	// OpenHandover opens a handover call to the daemon at addr.
-	Handover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error)
+	OpenHandover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error)
 	// OpenScatter opens a scatter call to the daemon at addr.
-	Scatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error)
+	OpenScatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error)
 	// ReportResult reports the outcome of a call, nil if the daemon answered. It is called
 	// once for each address that DelegateAddr or HandoverAddr has returned.
-	Ended(addr string, err error)
+	ReportResult(addr string, err error)
 	// ReportOverdue reports that the reply of a daemon is long overdue.
-	Suspect(addr string)
+	ReportOverdue(addr string)
 }
 
 // partSet is a set of parts whose records arrived merged. The parts can be used only
@@ -112,14 +112,14 @@
 // are delegated to a daemon there, which returns only the greatest records of all parts
 // instead of every part with its headers.
 func (r *run) launchAll() {
-	if len(r.shards) < minDelegatedShards || r.e.cfg.Near == nil || r.leafRequest.Stream != nil || r.suspicion.Guarded() {
+	if len(r.shards) < minDelegatedShards || r.e.cfg.Peers == nil || r.leafRequest.Stream != nil || r.suspicion.Guarded() {
 		for i := range r.shards {
 			r.launch(i, false)
 		}
 		return
 	}
-	tracker := r.e.cfg.Board
-	snap := r.e.cfg.Book.Snapshot()
+	tracker := r.e.cfg.Tracker
+	snap := r.e.cfg.Leaves.Snapshot()
 	usual := r.stats.pace.Median()
 	remote := make(map[string][]assignment)
 	var direct []assignment
@@ -147,7 +147,7 @@
 // delegate delegates the sends for the shards in list to a daemon in the failure domain. It
 // returns false if no daemon is available.
 func (r *run) delegate(domain string, assignments []assignment) bool {
-	addr := r.e.cfg.Near.Daemon(domain)
+	addr := r.e.cfg.Peers.DelegateAddr(domain)
 	if addr == "" {
 		return false
 	}
@@ -160,7 +160,7 @@
 		Sends: make([]*wire.PartSend, len(assignments)), Caller: r.req.Caller,
 	}
 	for i, assigned := range assignments {
-		send := delegatedSend{shard: assigned.shard, leaf: assigned.leaf, call: &target.Call{}, began: r.e.cfg.Board.Begin(assigned.leaf.RunID())}
+		send := delegatedSend{shard: assigned.shard, leaf: assigned.leaf, call: &target.Call{}, began: r.e.cfg.Tracker.Begin(assigned.leaf.RunID())}
 		b.sends[i] = send
 		req.Sends[i] = &wire.PartSend{Leaf: assigned.leaf.Fingerprint()}
 		r.recordStart(assigned.shard, pendingSend{call: send.call, leaf: assigned.leaf, batch: b})
@@ -194,9 +194,9 @@
 		err = errors.New("forward: the daemon ended its answer early")
 	}
 	if released && !peer.NotSent(err) {
-		b.run.e.cfg.Near.Ended(b.addr, nil) // the call was cancelled by this daemon
+		b.run.e.cfg.Peers.ReportResult(b.addr, nil) // the call was cancelled by this daemon
 	} else {
-		b.run.e.cfg.Near.Ended(b.addr, err)
+		b.run.e.cfg.Peers.ReportResult(b.addr, err)
 	}
 	if unfinished == 0 {
 		return
@@ -225,7 +225,7 @@
 
 // exchange opens the scatter call, sends the request and receives replies until the call ends.
 func (b *delegatedBatch) exchange(ctx context.Context, req *wire.ScatterRequest) error {
-	stream, err := b.run.e.cfg.Near.Scatter(ctx, b.addr)
+	stream, err := b.run.e.cfg.Peers.OpenScatter(ctx, b.addr)
 	if err != nil {
 		return err
 	}
--- a/internal/forward/delegate_test.go
+++ b/internal/forward/delegate_test.go
@@ -34,9 +34,9 @@
 	overdueReports atomic.Int32
 }
 
-func (p *fakePeers) Daemon(string) string { p.daemonCalls.Add(1); return p.addr }
+func (p *fakePeers) DelegateAddr(string) string { p.daemonCalls.Add(1); return p.addr }
 
-func (p *fakePeers) Runner(asked []string) string {
+func (p *fakePeers) HandoverAddr(asked []string) string {
 	for _, addr := range p.handoverAddrs {
 		if !slices.Contains(asked, addr) {
 			return addr
@@ -45,7 +45,7 @@
 	return ""
 }
 
-func (p *fakePeers) Handover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error) {
+func (p *fakePeers) OpenHandover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error) {
 	conn, err := p.pool.Conn(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 	return wire.NewDRPCGatherClient(conn).Handover(ctx)
 }
 
-func (p *fakePeers) Scatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error) {
+func (p *fakePeers) OpenScatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error) {
 	conn, err := p.pool.Conn(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -61,13 +61,13 @@
 	return wire.NewDRPCGatherClient(conn).Scatter(ctx)
 }
 
-func (p *fakePeers) Ended(_ string, err error) {
+func (p *fakePeers) ReportResult(_ string, err error) {
 	if err != nil {
 		p.failures.Add(1)
 	}
 }
 
-func (p *fakePeers) Suspect(string) { p.overdueReports.Add(1) }
+func (p *fakePeers) ReportOverdue(string) { p.overdueReports.Add(1) }
 
 // twoDaemonFixture is a local daemon that serves callers and a remote daemon in the failure
 // domain of all leaves.
@@ -85,18 +85,18 @@
 func newTwoDaemonFixture(t *testing.T, rt route.Route, leaves map[string][]*fakeLeaf) *twoDaemonFixture {
 	t.Helper()
 	f := newFixture(t, rt, leaves)
-	book := f.engine.cfg.Book
+	book := f.engine.cfg.Leaves
 	var list []discovery.ListedLeaf
 	for _, l := range book.Snapshot().All() {
 		list = append(list, discovery.ListedLeaf{ID: l.ID, Service: l.Service, Addr: l.Addr, Domain: "there", Slots: l.Slots})
 	}
 	book.ApplyReading(list, vm.Monotonic())
 	cfg := f.engine.cfg
-	cfg.Board = NewBoard(vm.Monotonic, "there")
+	cfg.Tracker = NewLeafTracker(vm.Monotonic, "there")
 	remote := New(cfg)
 	remote.Install(f.engine.Table(), 1)
 	mux := drpcmux.New()
-	if err := wire.DRPCRegisterGather(mux, remote.Scatterer()); err != nil {
+	if err := wire.DRPCRegisterGather(mux, remote.GatherServer()); err != nil {
 		t.Fatal(err)
 	}
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,7 +112,7 @@
 	pool := peer.NewTrustedPool()
 	t.Cleanup(func() { _ = pool.Close() })
 	peers := &fakePeers{addr: lis.Addr().String(), pool: pool}
-	f.engine.cfg.Near = peers
+	f.engine.cfg.Peers = peers
 	return &twoDaemonFixture{fixture: f, peers: peers, remote: remote, stop: stop}
 }
 
@@ -405,7 +405,7 @@
 	f := newTwoDaemonFixture(t, rt, leaves)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	stream, err := f.peers.Scatter(ctx, f.peers.addr)
+	stream, err := f.peers.OpenScatter(ctx, f.peers.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forward/engine.go
+++ b/internal/forward/engine.go
@@ -25,15 +25,15 @@
 type Config struct {
 	Clock   vm.Clock
 	Dialect *target.Dialect
-	Book    *discovery.LeafCache
-	Board   *Board
+	Leaves  *discovery.LeafCache
+	Tracker *LeafTracker
 	Budgets *policy.Budgets
 	Log     *decision.Log
 	// DaemonCount returns the number of daemons that share the connection limits of the
 	// leaves, 0 while it is unknown.
-	Senders func() int
+	DaemonCount func() int
 	// Peers gives access to other daemons; nil if all sends are made directly.
-	Near Near
+	Peers PeerDaemons
 	// Quarantine records the requests that crash leaves; nil if there is no quarantine.
 	Quarantine *quarantine.Registry
 }
@@ -73,7 +73,7 @@
 // FinishAll makes every request in progress, and every later one, return its final answer
 // immediately. It is called before the process exits: an answer tells the caller whether the
 // request may have run, a broken connection does not.
-func (e *Engine) EndAll() { e.finishOnce.Do(func() { close(e.finishing) }) }
+func (e *Engine) FinishAll() { e.finishOnce.Do(func() { close(e.finishing) }) }
 
 // Install makes t the table for requests that arrive from now on; version is the version of
 // the settings tree that t was made from. A table that is not newer than the installed one is
@@ -89,7 +89,7 @@
 			previous[entry.Host+entry.Prefix] = stats
 		}
 	}
-	next := &activeTable{daemonCount: e.cfg.Senders, table: t, version: version, stats: make(map[*route.Entry]*routeStats)}
+	next := &activeTable{daemonCount: e.cfg.DaemonCount, table: t, version: version, stats: make(map[*route.Entry]*routeStats)}
 	var pacer work.Pacer
 	for _, entry := range t.Entries() {
 		pacer.Step()
@@ -112,19 +112,19 @@
 
 // Request is a request from a caller.
 type Request struct {
-	ID      string
-	Method  string
-	URI     string // path and query, unchanged
-	Path    string
-	Host    string
-	Caller  string      // the caller's address without the port
-	Header  http.Header // without hop-by-hop headers
-	Body    []byte
-	Stream  *target.Stream // the rest of a long body; nil if Body is complete
-	Arrived time.Time
-	Wait    time.Duration // how long the caller waits, from Arrived; 0 if not stated
-	Handed  bool          // the request was handed over by another daemon
-	Head    []byte        // request head as sent to leaves; nil if it is to be rendered from the fields above
+	ID         string
+	Method     string
+	URI        string // path and query, unchanged
+	Path       string
+	Host       string
+	Caller     string      // the caller's address without the port
+	Header     http.Header // without hop-by-hop headers
+	Body       []byte
+	Stream     *target.Stream // the rest of a long body; nil if Body is complete
+	Arrived    time.Time
+	Wait       time.Duration // how long the caller waits, from Arrived; 0 if not stated
+	HandedOver bool          // the request was handed over by another daemon
+	Head       []byte        // request head as sent to leaves; nil if it is to be rendered from the fields above
 }
 
 // Answer is the answer to a caller. A nil Answer means that the caller has left.
@@ -136,7 +136,7 @@
 	Parts      []string // signatures of the parts, if the answer is merged
 	Missing    int
 	Merged     bool
-	Handed     bool // the gather was handed over to another daemon
+	HandedOver bool // the gather was handed over to another daemon
 	RetryAfter time.Duration
 	Verdict    contract.Verdict
 	Reason     contract.Reason
@@ -203,12 +203,12 @@
 
 // MaintainLinks periodically adapts the links to the current leaves and number of daemons
 // until ctx is cancelled.
-func (e *Engine) Tend(ctx context.Context) {
+func (e *Engine) MaintainLinks(ctx context.Context) {
 	for vm.Sleep(ctx, linkMaintenanceInterval) {
-		snap := e.cfg.Book.Snapshot()
-		e.cfg.Board.Keep(snap)
+		snap := e.cfg.Leaves.Snapshot()
+		e.cfg.Tracker.Reconcile(snap)
 		if active := e.active.Load(); active != nil {
-			e.cfg.Board.SetLimits(snap, active.connectionLimit)
+			e.cfg.Tracker.SetConnectionLimits(snap, active.connectionLimit)
 		}
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -110,7 +110,7 @@
 	if fault := readBody(r, req, limits.BodyBytes); fault != nil {
 		return nil, fault
 	}
-	StripHop(req.Header)
+	StripHopByHop(req.Header)
 	delete(req.Header, http.CanonicalHeaderKey(h.Dialect.Deadline))
 	delete(req.Header, http.CanonicalHeaderKey(h.Dialect.LeafID))
 	return req, nil
@@ -229,7 +229,7 @@
 // If the request was handed over, it closes the connection, so that callers keep connections
 // to daemons that answer requests themselves.
 func (h *Handler) writeAnswer(w http.ResponseWriter, a *Answer) {
-	if a.Handed {
+	if a.HandedOver {
 		w.Header().Set("Connection", "close")
 	}
 	switch {
@@ -262,7 +262,7 @@
 func (h *Handler) writeLeafReply(w http.ResponseWriter, a *Answer) {
 	header := w.Header()
 	connection := header.Get("Connection")
-	StripHop(a.Header)
+	StripHopByHop(a.Header)
 	for k, vs := range a.Header {
 		header[k] = vs
 	}
--- a/internal/forward/handover.go
+++ b/internal/forward/handover.go
@@ -67,7 +67,7 @@
 // handOver lets another daemon answer a gather for which this one has too little CPU. handed
 // is false if no daemon has accepted and this daemon has to answer.
 func (r *run) handOver(ctx context.Context) (a *Answer, handed bool) {
-	if r.e.cfg.Near == nil || r.req.Handed || r.leafRequest.Stream != nil || !r.entry.Gathers() {
+	if r.e.cfg.Peers == nil || r.req.HandedOver || r.leafRequest.Stream != nil || !r.entry.Gathers() {
 		return nil, false
 	}
 	h := &handover{run: r, events: make(chan offerEvent, maxOffers), done: make(chan struct{})}
@@ -94,7 +94,7 @@
 		asked = append(asked, o.addr)
 	}
 	r := h.run
-	addr := r.e.cfg.Near.Runner(asked)
+	addr := r.e.cfg.Peers.HandoverAddr(asked)
 	if addr == "" {
 		return false
 	}
@@ -127,7 +127,7 @@
 			h.logEvent("handover not accepted", ev.from, ev.err)
 			h.offerNext()
 		case <-timer.C:
-			h.run.e.cfg.Near.Suspect(h.offers[len(h.offers)-1].addr)
+			h.run.e.cfg.Peers.ReportOverdue(h.offers[len(h.offers)-1].addr)
 			if !h.offerNext() {
 				h.logEvent("handover not accepted in time", nil, nil)
 				handoversUnaccepted.Inc(1)
@@ -166,7 +166,7 @@
 				silenceTimer.Reset(time.Until(r.afterArrival(r.times.AnswerDeadline + streamGracePeriod)))
 			}
 		case <-silenceTimer.C:
-			r.e.cfg.Near.Suspect(h.acceptedOffer.addr)
+			r.e.cfg.Peers.ReportOverdue(h.acceptedOffer.addr)
 			return h.lostAnswer(errHandoverSilent, contract.ReasonDeadline)
 		case <-r.e.finishing:
 			return h.lostAnswer(nil, contract.ReasonDraining)
@@ -185,7 +185,7 @@
 	if reason == contract.ReasonDeadline {
 		status = http.StatusGatewayTimeout
 	}
-	return &Answer{Status: status, Verdict: contract.MayHaveRun, Reason: reason, Cause: err, Handed: true}
+	return &Answer{Status: status, Verdict: contract.MayHaveRun, Reason: reason, Cause: err, HandedOver: true}
 }
 
 func (h *handover) logEvent(event string, o *offer, err error) {
@@ -206,7 +206,7 @@
 	if errors.Is(err, errDeclined) || o.handover.isDone() && !peer.NotSent(err) {
 		reported = nil
 	}
-	o.handover.run.e.cfg.Near.Ended(o.addr, reported)
+	o.handover.run.e.cfg.Peers.ReportResult(o.addr, reported)
 	if err != nil {
 		o.notify(offerEvent{from: o, err: err})
 	}
@@ -232,7 +232,7 @@
 
 // exchange makes the offer, waits for begin and passes the replies to the handover.
 func (o *offer) exchange(ctx context.Context) error {
-	stream, err := o.handover.run.e.cfg.Near.Handover(ctx, o.addr)
+	stream, err := o.handover.run.e.cfg.Peers.OpenHandover(ctx, o.addr)
 	if err != nil {
 		return err
 	}
@@ -285,7 +285,7 @@
 	}
 	a := &Answer{
 		Status: int(reply.Status), Body: reply.Body, Parts: reply.Parts, Missing: int(reply.Missing),
-		Merged: reply.Status == http.StatusOK, Handed: true, RetryAfter: time.Duration(reply.RetryAfterUs) * time.Microsecond,
+		Merged: reply.Status == http.StatusOK, HandedOver: true, RetryAfter: time.Duration(reply.RetryAfterUs) * time.Microsecond,
 		Verdict: contract.Verdict(min(reply.Verdict, uint32(contract.Ran))), Reason: contract.Reason(reply.Reason),
 	}
 	if reply.Cause != "" {
@@ -307,7 +307,7 @@
 }
 
 // Handover implements wire.DRPCGatherServer.
-func (s *Scatterer) Handover(stream wire.DRPCGather_HandoverStream) error {
+func (s *GatherServer) Handover(stream wire.DRPCGather_HandoverStream) error {
 	in, err := stream.Recv()
 	if err != nil {
 		return err
@@ -363,7 +363,7 @@
 	return e.newRun(active, entry, &Request{
 		ID: in.Id, Method: in.Method, URI: uri, Path: pathOf(uri), Host: host, Caller: in.Caller, Body: in.Body,
 		Arrived: time.Now().Add(-time.Duration(in.SpentUs) * time.Microsecond), Wait: time.Duration(in.WaitUs) * time.Microsecond,
-		Head: in.Head, Handed: true,
+		Head: in.Head, HandedOver: true,
 	})
 }
 
--- a/internal/forward/handover_test.go
+++ b/internal/forward/handover_test.go
@@ -111,7 +111,7 @@
 			newer.Number++
 			f.remote.Install(&newer, 2)
 		}},
-		{"stopping", func(_ *testing.T, f *twoDaemonFixture) { f.remote.EndAll() }},
+		{"stopping", func(_ *testing.T, f *twoDaemonFixture) { f.remote.FinishAll() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rt, leaves := remoteRoute(t, validPart)
@@ -134,7 +134,7 @@
 func TestWithdrawnHandoverNeverRuns(t *testing.T) {
 	rt, leaves := remoteRoute(t, validPart)
 	f := newHandoverFixture(t, rt, leaves)
-	stream, err := f.peers.Handover(context.Background(), f.peers.addr)
+	stream, err := f.peers.OpenHandover(context.Background(), f.peers.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -217,9 +217,9 @@
 // Guards against an answer that loses its Retry-After or verdict in a handover.
 func TestHandoverAnswerRoundTrip(t *testing.T) {
 	for _, a := range []*Answer{
-		{Status: 200, Merged: true, Handed: true, Body: []byte("records"), Parts: []string{"a", "b"}, Missing: 3, Verdict: contract.Ran},
-		{Status: 503, Handed: true, RetryAfter: 60 * time.Millisecond, Verdict: contract.NotRun, Reason: contract.ReasonNoReplica},
-		{Status: 504, Handed: true, Verdict: contract.MayHaveRun, Reason: contract.ReasonDeadline},
+		{Status: 200, Merged: true, HandedOver: true, Body: []byte("records"), Parts: []string{"a", "b"}, Missing: 3, Verdict: contract.Ran},
+		{Status: 503, HandedOver: true, RetryAfter: 60 * time.Millisecond, Verdict: contract.NotRun, Reason: contract.ReasonNoReplica},
+		{Status: 504, HandedOver: true, Verdict: contract.MayHaveRun, Reason: contract.ReasonDeadline},
 	} {
 		if got := decodeAnswer(encodeAnswer(a)); fmt.Sprint(got) != fmt.Sprint(a) {
 			t.Errorf("%+v became %+v", a, got)
@@ -232,7 +232,7 @@
 func TestHandoverSilenceTimeoutStartsAtAcceptance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &run{
-			e: New(Config{Near: &fakePeers{}}), active: &activeTable{table: &route.Table{}}, entry: &route.Entry{},
+			e: New(Config{Peers: &fakePeers{}}), active: &activeTable{table: &route.Table{}}, entry: &route.Entry{},
 			req: &Request{Arrived: time.Now()}, times: policy.Schedule{AnswerDeadline: time.Second},
 		}
 		h := &handover{run: r, events: make(chan offerEvent, maxOffers), done: make(chan struct{})}
--- a/internal/forward/head.go
+++ b/internal/forward/head.go
@@ -13,7 +13,7 @@
 
 // StripHopByHop removes the hop-by-hop headers from h, including those named in its Connection
 // header.
-func StripHop(h http.Header) {
+func StripHopByHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for _, name := range bytes.Split([]byte(line), []byte{','}) {
 			h.Del(string(bytes.TrimSpace(name)))
--- a/internal/forward/leaf_test.go
+++ b/internal/forward/leaf_test.go
@@ -150,7 +150,7 @@
 // fixture is an engine behind an HTTP server.
 type fixture struct {
 	url     string
-	tracker *Board
+	tracker *LeafTracker
 	engine  *Engine
 }
 
@@ -174,9 +174,9 @@
 	book := discovery.NewLeafCache(vm.Monotonic)
 	book.ApplyReading(list, vm.Monotonic())
 	one := func() int { return 1 }
-	tracker := NewBoard(vm.Monotonic, "")
+	tracker := NewLeafTracker(vm.Monotonic, "")
 	e := New(Config{
-		Clock: vm.Monotonic, Dialect: testDialect, Book: book, Board: tracker, Senders: one,
+		Clock: vm.Monotonic, Dialect: testDialect, Leaves: book, Tracker: tracker, DaemonCount: one,
 		Budgets: policy.NewBudgets(policy.BudgetLimits{Ratio: 100, Burst: 100, Window: 10 * time.Second}, vm.Monotonic, one),
 	})
 	e.Install(route.NewTable(rel), 1)
--- a/internal/forward/life_test.go
+++ b/internal/forward/life_test.go
@@ -23,9 +23,9 @@
 			time.Sleep(time.Millisecond)
 		}
 		newLeaf := startLeaf(t, replyWith("from the new life"))
-		book := f.engine.cfg.Book
+		book := f.engine.cfg.Leaves
 		book.ApplyReading([]discovery.ListedLeaf{{ID: "i-s-0", StartMs: 5, Service: "s", Addr: newLeaf.addr, Slots: 2}}, vm.Monotonic())
-		f.tracker.Keep(book.Snapshot())
+		f.tracker.Reconcile(book.Snapshot())
 	}()
 	began := time.Now()
 	resp, text := f.do(t, http.MethodGet, "/", "")
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -247,7 +247,7 @@
 		first := !b.bypassed && b.isSilent(now, r.afterArrival(r.times.HedgeAfter))
 		if first {
 			b.bypassed = true
-			r.e.cfg.Near.Suspect(b.addr)
+			r.e.cfg.Peers.ReportOverdue(b.addr)
 		}
 		if !b.bypassed {
 			continue
--- a/internal/forward/scatter.go
+++ b/internal/forward/scatter.go
@@ -16,10 +16,10 @@
 //
 // Scatter makes each requested send once. The calling daemon decides on retries and hedges,
 // since only it knows which parts are missing and what the budget allows.
-type Scatterer struct{ e *Engine }
+type GatherServer struct{ e *Engine }
 
 // GatherServer returns the server for gather calls of other daemons.
-func (e *Engine) Scatterer() *Scatterer { return &Scatterer{e} }
+func (e *Engine) GatherServer() *GatherServer { return &GatherServer{e} }
 
 // scatterCall is the state of one Scatter call.
 type scatterCall struct {
@@ -41,7 +41,7 @@
 
 // Scatter implements wire.DRPCGatherServer. Results that are available when the first parts
 // are due are sent in one reply, later results as they arrive.
-func (s *Scatterer) Scatter(stream wire.DRPCGather_ScatterStream) error {
+func (s *GatherServer) Scatter(stream wire.DRPCGather_ScatterStream) error {
 	req, err := stream.Recv()
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 
 // launch starts the requested sends. A send that is not allowed here gets an error result.
 func (sc *scatterCall) launch() {
-	snap := sc.e.cfg.Book.Snapshot()
+	snap := sc.e.cfg.Leaves.Snapshot()
 	quarantined := sc.isQuarantined()
 	for i, part := range sc.req.Sends {
 		call := &target.Call{}
@@ -87,7 +87,7 @@
 			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonNoReplica, errUnknownLeaf)}
 			continue
 		}
-		link := sc.e.cfg.Board.Link(leaf, sc.active.connectionLimit)
+		link := sc.e.cfg.Tracker.Link(leaf, sc.active.connectionLimit)
 		sc.e.sendPool.Run(sendTask{owner: sc, request: &sc.leafRequest, i: i, leaf: leaf, link: link, call: call})
 	}
 }
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -24,8 +24,8 @@
 		}
 		return
 	}
-	leaves := r.e.cfg.Book.Snapshot().ForService(s.service)
-	leaf := r.e.cfg.Board.Choose(leaves, s.tried, r.stats.pace.Median())
+	leaves := r.e.cfg.Leaves.Snapshot().ForService(s.service)
+	leaf := r.e.cfg.Tracker.Choose(leaves, s.tried, r.stats.pace.Median())
 	if leaf == nil {
 		if hedge {
 			return
@@ -49,7 +49,7 @@
 		}
 		return
 	}
-	link := r.e.cfg.Board.Link(leaf, r.active.connectionLimit)
+	link := r.e.cfg.Tracker.Link(leaf, r.active.connectionLimit)
 	call := &target.Call{}
 	r.recordStart(i, pendingSend{call: call, leaf: leaf})
 	if hedge {
@@ -119,7 +119,7 @@
 
 // perform makes a send, records its outcome and delivers the result to the owner.
 func (e *Engine) perform(s sendTask) {
-	began := e.cfg.Board.Begin(s.leaf.RunID())
+	began := e.cfg.Tracker.Begin(s.leaf.RunID())
 	reply, err := s.link.Do(s.call, s.request)
 	took := e.cfg.Clock().Sub(began)
 	outcome := outcomeOfError(err)
@@ -155,7 +155,7 @@
 
 // recordSend updates the health of the leaf and the statistics of the route.
 func (e *Engine) recordSend(o sendOutcome) {
-	tracker, life := e.cfg.Board, o.leaf.RunID()
+	tracker, life := e.cfg.Tracker, o.leaf.RunID()
 	if o.pace != nil {
 		o.usual = o.pace.Median()
 	}
@@ -166,11 +166,11 @@
 			o.pace.Observe(o.took)
 		}
 	case o.outcome == policy.Inconclusive && o.fault != nil && o.fault.Reason == contract.ReasonTargetFailed && (!o.delegated || o.fault.Verdict == contract.NotRun):
-		tracker.Unreachable(life)
+		tracker.MarkUnreachable(life)
 	case o.fault.LeafEnded():
-		tracker.Unreachable(life)
+		tracker.MarkUnreachable(life)
 	case o.reply != nil && o.reply.Status == http.StatusMisdirectedRequest:
-		tracker.Misplaced(life)
+		tracker.MarkMisplaced(life)
 	}
 }
 
--- a/internal/forward/single_test.go
+++ b/internal/forward/single_test.go
@@ -292,7 +292,7 @@
 	}
 	silentLeaf := startLeaf(t, hang)
 	f := newFixture(t, singleRoute("s"), map[string][]*fakeLeaf{"s": {silentLeaf}})
-	time.AfterFunc(100*time.Millisecond, f.engine.EndAll)
+	time.AfterFunc(100*time.Millisecond, f.engine.FinishAll)
 	began := time.Now()
 	resp, text := f.do(t, http.MethodPost, "/", "charge")
 	if resp.StatusCode != http.StatusBadGateway || !strings.Contains(text, "draining, may_have_run") {
@@ -305,7 +305,7 @@
 	replyingLeaf := startLeaf(t, replyWith("0123456789abcdef"))
 	gather := route.Route{Shards: []string{"a", "b"}, Attempts: 2, Repeatable: true, Top: 5, LeastCoverage: 0.5}
 	f = newFixture(t, gather, map[string][]*fakeLeaf{"a": {replyingLeaf}, "b": {startLeaf(t, hang)}})
-	time.AfterFunc(200*time.Millisecond, f.engine.EndAll)
+	time.AfterFunc(200*time.Millisecond, f.engine.FinishAll)
 	resp, _ = f.do(t, http.MethodGet, "/", "")
 	if resp.StatusCode != http.StatusOK || resp.Header.Get(testDialect.MissingParts) != "1" {
 		t.Errorf("gather: status %d, %q missing", resp.StatusCode, resp.Header.Get(testDialect.MissingParts))
