--- a/internal/journal/doc.go
+++ b/internal/journal/doc.go
@@ -1,11 +1,11 @@
-// Package journal keeps the durable side of a control VM under one data folder:
-// vote and log of the control group, the snapshot that replaces the log's
-// beginning, and the identity of the disk.
+// Package journal stores the durable state of a control VM in a data folder: the
+// hard state and log of the control group, the snapshot that replaces the start of
+// the log, and the identity of the disk.
 //
-// Everything written is framed with its length, a sequence number and a CRC32C,
-// and counts only once synced. One sync covers one frame, so a crash can damage
-// no frame but the last: a damaged end is cut off, damage anywhere else is a
-// CorruptError. After a failed sync nothing is known about what the disk holds,
-// and every later call returns a SyncError; the process has to end. A full disk
-// is an ErrFull, after which the same call may be made again.
+// Every record is a frame with its length, a sequence number and a CRC32C, and is
+// durable once synced. Each frame is synced before the next is written, so a crash
+// can damage only the last frame: a damaged tail is truncated, and damage anywhere
+// else is a CorruptError. After a failed sync the content of the disk is unknown and
+// every later write returns a SyncError; the process must end. If the disk is full, a
+// call returns ErrFull and may be retried.
 package journal
--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -7,13 +7,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrFull means that the disk has no room. Nothing of the call was kept; it may
-// be made again.
+// ErrFull means that the disk is full. The failed call left nothing behind and may
+// be retried.
 var ErrFull = errors.New("journal: the disk is full; free space in the data folder's file system")
 
-// SyncError means that it is unknown what of the last writes the disk holds. A
-// second sync may report success with the data gone, so the process has to end
-// and read back what is there.
+// SyncError means that it is unknown which of the last writes are on the disk. A
+// second sync may report success although the data is lost, so the process must end
+// and read the data folder again at its next start.
 type SyncError struct {
 	File  string
 	Cause error
@@ -27,10 +27,10 @@
 // Unwrap returns the cause.
 func (e *SyncError) Unwrap() error { return e.Cause }
 
-// CorruptError means that bytes which were synced read back differently.
+// CorruptError means that data which had been synced is damaged.
 type CorruptError struct {
 	File   string
-	Offset int64 // of the first frame that can't be read
+	Offset int64 // of the first unreadable frame
 	Why    string
 }
 
--- a/internal/journal/faults_test.go
+++ b/internal/journal/faults_test.go
@@ -9,16 +9,17 @@
 
 var errInjected = errors.New("injected")
 
-// faultFS makes the at-th modifying operation fail, counted from 1.
+// faultFS calls opError for the failAt-th modifying operation, counted from 1, and fails
+// the operation if it returns an error.
 type faultFS struct {
 	OS
 	at    int
 	ops   int
-	fault func(op string) error // what the operation returns
-	crash bool                  // every later operation fails too, as after a power cut
+	fault func(op string) error // returns the error for an operation, or nil
+	crash bool                  // later operations call opError too, as after a power failure
 }
 
-// next counts one operation and returns its error.
+// countOp counts an operation and returns its injected error.
 func (f *faultFS) next(op string) error {
 	f.ops++
 	if f.ops == f.at || f.crash && f.at > 0 && f.ops > f.at {
@@ -68,7 +69,7 @@
 	fs *faultFS
 }
 
-// Write leaves half of the bytes behind when it fails, as a full disk does.
+// Write writes only half of the bytes when it fails, as on a full disk.
 func (f *faultFile) Write(b []byte) (int, error) {
 	if err := f.fs.next("write"); err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
@@ -86,7 +87,7 @@
 
 func alwaysInjected(string) error { return errInjected }
 
-// diskFull fails what needs room; a sync or a remove does not.
+// failForSpace fails the operations that need disk space: write and create.
 func diskFull(op string) error {
 	if op == "write" || op == "create" {
 		return unix.ENOSPC
--- a/internal/journal/faultydisk/faultydisk.go
+++ b/internal/journal/faultydisk/faultydisk.go
@@ -1,6 +1,6 @@
-// Package faultydisk is a file system that is slow, stands still or is full while a file
-// beside the data folder says so. Only a build for tests uses it: nothing outside a process
-// can feign such a disk without rights over the machine.
+// Package faultydisk implements a journal.FS that injects disk faults: slow syncs, stalled
+// writes, or a full disk. The fault is read from a file next to the data folder. Only test
+// builds use it, because simulating such a disk from outside the process needs root.
 package faultydisk
 
 import (
@@ -12,15 +12,15 @@
 	"pearmoor/internal/journal"
 )
 
-// Fault is what is wrong with the disk.
+// Fault is a simulated disk fault.
 type Fault string
 
 // The faults.
 const (
 	Well   Fault = ""
-	Slow   Fault = "slow"   // each sync takes slowSync
-	Stalls Fault = "stalls" // nothing is written or synced until it is over
-	Full   Fault = "full"   // every write is refused
+	Slow   Fault = "slow"   // each sync is delayed by slowSyncDelay
+	Stalls Fault = "stalls" // writes and syncs block until the fault is changed
+	Full   Fault = "full"   // writes fail with ENOSPC
 )
 
 const (
@@ -28,18 +28,19 @@
 	pollEach = 5 * time.Millisecond
 )
 
-// FS is the machine's file system with the faults that its file states.
+// FS is the operating system's file system with the fault stated in the file at
+// faultPath.
 type FS struct {
 	journal.OS
 	file string
 }
 
-// New returns the file system of a data folder.
+// New returns the file system for the data folder dir.
 func New(dir string) FS { return FS{file: faultFile(dir)} }
 
 func faultFile(dir string) string { return dir + ".fault" }
 
-// Set states what is wrong with the disk of a data folder from now on.
+// Set replaces the current fault of the data folder dir.
 func Set(dir string, f Fault) error {
 	fresh := faultFile(dir) + ".new"
 	if err := os.WriteFile(fresh, []byte(f), 0o600); err != nil {
@@ -51,12 +52,12 @@
 func (fs FS) fault() Fault {
 	text, err := os.ReadFile(fs.file)
 	if err != nil {
-		return Well // nobody has stated one
+		return Well // no fault was set
 	}
 	return Fault(strings.TrimSpace(string(text)))
 }
 
-// wait returns when the disk takes something, or ENOSPC.
+// waitWritable blocks while the disk is stalled. It returns ENOSPC if the disk is full.
 func (fs FS) wait() error {
 	for fs.fault() == Stalls {
 		time.Sleep(pollEach)
@@ -68,7 +69,7 @@
 }
 
 func (fs FS) sync() {
-	_ = fs.wait() // a full disk still syncs what it holds
+	_ = fs.wait() // a full disk can still sync
 	if fs.fault() == Slow {
 		time.Sleep(slowSync)
 	}
--- a/internal/journal/file.go
+++ b/internal/journal/file.go
@@ -8,8 +8,8 @@
 
 const tempSuffix = ".tmp"
 
-// writeWhole replaces dir/name by one frame so that a crash leaves either the
-// old file or the new one.
+// writeFramedFile atomically replaces dir/name by a file with one frame: after a
+// crash the file is either the old or the new one.
 func writeWhole(fs FS, dir, name string, payload []byte) error {
 	path := filepath.Join(dir, name)
 	temp := path + tempSuffix
@@ -41,7 +41,7 @@
 	return &SyncError{path, err}
 }
 
-// readWhole returns what writeWhole wrote.
+// readFramedFile returns the payload of a file that writeFramedFile wrote.
 func readWhole(fs FS, dir, name string) ([]byte, error) {
 	path := filepath.Join(dir, name)
 	b, err := fs.ReadFile(path)
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -5,12 +5,12 @@
 	"hash/crc32"
 )
 
-// A frame is a header of three little-endian numbers and the payload:
+// A frame consists of three little-endian integers and the payload:
 //
 //	length uint32 of the payload | crc uint32 | sequence uint64 | payload
 //
-// The CRC32C covers length, sequence and payload. Sequence numbers of a log's
-// frames are consecutive over all its files.
+// The CRC32C covers length, sequence and payload. The sequence numbers of the frames
+// of a log are consecutive across its files.
 const (
 	frameHeader  = 16
 	maxFrameSize = 256 << 20
@@ -33,8 +33,8 @@
 	return crc32.Update(c, castagnoli, payload)
 }
 
-// readFrame returns the frame at the beginning of b, its size with the header,
-// and false when there is none that is whole and unharmed.
+// readFrame returns the frame at the start of b and its size including the header. ok
+// is false if the frame is incomplete or its checksum is wrong.
 func readFrame(b []byte) (seq uint64, payload []byte, size int, ok bool) {
 	if len(b) < frameHeader {
 		return 0, nil, 0, false
@@ -51,8 +51,8 @@
 	return binary.LittleEndian.Uint64(b[8:]), payload, size, true
 }
 
-// findFrame looks for a whole frame anywhere in b with a sequence number in
-// (after, after+window], and returns its offset.
+// findFrameAfter searches b for a valid frame with a sequence number in
+// (after, after+window] and returns its offset.
 func findFrame(b []byte, after uint64) (int, bool) {
 	const window = 1 << 20
 	for i := 0; i+frameHeader <= len(b); i++ {
--- a/internal/journal/fs.go
+++ b/internal/journal/fs.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// File is a file open for writing at its end.
+// File is a file that is open for appending.
 type File interface {
 	io.Writer
 	Sync() error
@@ -17,21 +17,22 @@
 	Close() error
 }
 
-// FS is what the journal asks of the file system; tests put failures behind it.
+// FS is the file system interface of the journal. Tests implement it to inject
+// faults.
 type FS interface {
 	MkdirAll(dir string) error
 	ReadDir(dir string) ([]string, error)
 	ReadFile(path string) ([]byte, error)
-	Create(path string) (File, error)             // empties an existing file
-	Append(path string, size int64) (File, error) // cuts the file to size first
+	Create(path string) (File, error)             // truncates an existing file to 0 bytes
+	Append(path string, size int64) (File, error) // truncates the file to size first
 	Rename(from, to string) error
 	Remove(path string) error
 	SyncDir(dir string) error
-	Free(dir string) (uint64, error)     // bytes left for this process
-	Lock(path string) (io.Closer, error) // exclusive between processes
+	Free(dir string) (uint64, error)     // bytes available to this process
+	Lock(path string) (io.Closer, error) // excludes other processes
 }
 
-// OS is the FS of the machine.
+// OS is the FS of the operating system.
 type OS struct{}
 
 // MkdirAll implements FS.
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -23,23 +23,23 @@
 	lockName       = "lock"
 )
 
-// IdentityName is the file that says whose disk it is.
+// IdentityFile is the name of the file that holds the identity of the disk.
 const IdentityName = "identity"
 
-// DefaultSegmentBytes is the size at which a new log file is started.
+// DefaultSegmentBytes is the size from which a new log file is started.
 const DefaultSegmentBytes = 16 << 20
 
-// Options of a journal; the zero value is for production.
+// Options holds the parameters of a journal; the zero value is for production.
 type Options struct {
-	FS           FS    // nil: OS{}
-	SegmentBytes int64 // 0: DefaultSegmentBytes
+	FS           FS    // nil means OS{}
+	SegmentBytes int64 // 0 means DefaultSegmentBytes
 }
 
-// Stored is what the data folder held when it was opened.
+// StoredState is the content of a data folder when it was opened.
 type Stored struct {
 	Identity  *wire.DiskIdentity // nil on a new disk
 	HardState *quorum.HardState  // nil before the first Save
-	Snapshot  *quorum.Snapshot   // nil if none
+	Snapshot  *quorum.Snapshot   // nil if there is none
 	Entries   []*quorum.Entry
 }
 
@@ -52,11 +52,11 @@
 	log   *Segments
 	hard  *quorum.HardState
 	last  map[uint64]uint64 // highest entry index by log file
-	snap  uint64            // index of the newest snapshot
-	fatal *SyncError        // first of them; every later write fails with it
+	snap  uint64            // index of the latest snapshot
+	fatal *SyncError        // first sync failure; every later write returns it
 }
 
-// Open locks and reads a data folder, making it if need be.
+// Open locks and reads a data folder, and creates it if it does not exist.
 func Open(dir string, o Options) (*Journal, *Stored, error) {
 	if o.FS == nil {
 		o.FS = OS{}
@@ -65,7 +65,7 @@
 		o.SegmentBytes = DefaultSegmentBytes
 	}
 	if err := o.FS.MkdirAll(dir); err != nil {
-		return nil, nil, errors.Wrap(err, "journal: data folder can't be made")
+		return nil, nil, errors.Wrap(err, "journal: create data folder")
 	}
 	lock, err := o.FS.Lock(filepath.Join(dir, lockName))
 	if err != nil {
@@ -89,7 +89,7 @@
 	newest := ""
 	for _, name := range names {
 		switch {
-		case strings.HasSuffix(name, tempSuffix): // left by a crash before its rename
+		case strings.HasSuffix(name, tempSuffix): // left behind by a crash before the rename
 			if err := j.fs.Remove(filepath.Join(j.dir, name)); err != nil {
 				return nil, err
 			}
@@ -121,8 +121,8 @@
 	return st, j.void(st.Snapshot)
 }
 
-// void finishes the replace that a crash broke off: what the log holds was
-// overruled by the leader whose snapshot is already stored.
+// finishReplace completes a replaceWithSnapshot that a crash interrupted: the
+// leader's snapshot is already stored and supersedes the log.
 func (j *Journal) void(snap *quorum.Snapshot) error {
 	if j.hard == nil {
 		return nil
@@ -138,15 +138,16 @@
 	return errors.Wrapf(proto.Unmarshal(b, m), "journal: %s", filepath.Join(j.dir, name))
 }
 
-// WriteIdentity names a new disk, once.
+// WriteIdentity stores the identity of a new disk.
 func (j *Journal) WriteIdentity(id *wire.DiskIdentity) error {
 	return j.sticky(WriteIdentity(j.fs, j.dir, id))
 }
 
-// IsLog reports whether a file of a data folder holds log entries or votes.
+// IsLogFile reports whether name is that of a log file, which holds entries and hard
+// states.
 func IsLog(name string) bool { return strings.HasPrefix(name, logPrefix+"-") }
 
-// ReadIdentity returns the identity in a data folder, nil when there is none.
+// ReadIdentity returns the identity in a data folder, or nil if there is none.
 func ReadIdentity(fs FS, dir string) (*wire.DiskIdentity, error) {
 	names, err := fs.ReadDir(dir)
 	if errors.Is(err, os.ErrNotExist) {
@@ -163,7 +164,8 @@
 	return id, errors.Wrapf(proto.Unmarshal(b, id), "journal: %s", filepath.Join(dir, identityName))
 }
 
-// WriteIdentity names the disk of an empty data folder that no journal has open.
+// WriteIdentity stores the identity of the disk in a data folder that no journal has
+// open.
 func WriteIdentity(fs FS, dir string, id *wire.DiskIdentity) error {
 	b, err := proto.Marshal(id)
 	if err != nil {
@@ -172,7 +174,8 @@
 	return writeWhole(fs, dir, identityName, b)
 }
 
-// sticky remembers a SyncError.
+// recordSyncError stores the first SyncError, which all later writes return, and
+// returns err.
 func (j *Journal) sticky(err error) error {
 	var failed *SyncError
 	if j.fatal == nil && errors.As(err, &failed) {
@@ -181,9 +184,9 @@
 	return err
 }
 
-// Save makes durable what one quorum.Ready asks for. Without sync nothing is
-// written: the hard state then differs by its commit index only, a hint that goes
-// with the next frame. After ErrFull the same Save may be made again.
+// Save makes the changes of a quorum.Ready durable. If sync is false and there are no
+// entries, nothing is written: only the commit index has changed, which need not be
+// durable and is written with the next frame. Save may be retried after ErrFull.
 func (j *Journal) Save(snap *quorum.Snapshot, hard *quorum.HardState, entries []*quorum.Entry, sync bool) error {
 	if j.fatal != nil {
 		return j.fatal
@@ -200,7 +203,8 @@
 	return j.sticky(j.extend(entries))
 }
 
-// extend writes a batch to the newest log file, or to a new one if that is full.
+// appendEntries writes a batch to the newest log file, or to a new one if that has
+// reached segmentBytes.
 func (j *Journal) extend(entries []*quorum.Entry) error {
 	if _, size := j.log.Current(); size >= j.limit {
 		if err := j.log.Rotate(); err != nil {
@@ -210,8 +214,8 @@
 	return j.append(&wire.JournalBatch{}, entries)
 }
 
-// append writes a batch with the hard state, which makes each log file whole
-// without those before it.
+// appendBatch writes a batch. Every batch includes the hard state, so that older log
+// files can be removed.
 func (j *Journal) append(b *wire.JournalBatch, entries []*quorum.Entry) error {
 	var err error
 	if b.HardState, err = proto.Marshal(j.hard); err != nil {
@@ -238,11 +242,11 @@
 	return nil
 }
 
-// replace stores a snapshot that came from the leader, in three steps that are
-// each durable before the next: the hard state, so that the disk never holds a
-// snapshot of a later term than its own; the snapshot; and that all earlier
-// entries of the log are void. load finishes what a crash after the second step
-// broke off.
+// replaceWithSnapshot stores a snapshot from the leader. It makes three records
+// durable, one after the other: the hard state, so that the disk never holds a
+// snapshot of a term above its own; the snapshot; and a batch that discards all
+// earlier log entries. After a crash between the second and third, load writes the
+// third.
 func (j *Journal) replace(snap *quorum.Snapshot, entries []*quorum.Entry) error {
 	if err := j.extend(nil); err != nil {
 		return err
@@ -260,7 +264,7 @@
 	return j.removeLogs(number)
 }
 
-// SaveSnapshot stores a snapshot of this VM's own applied state.
+// SaveSnapshot stores a snapshot of the state that this VM has applied.
 func (j *Journal) SaveSnapshot(snap *quorum.Snapshot) error {
 	if j.fatal != nil {
 		return j.fatal
@@ -297,9 +301,9 @@
 	return nil
 }
 
-// DropBelow deletes log files that hold no entry at or above index, nor the one
-// at the snapshot's index, by which replay recognises that log and snapshot
-// belong together.
+// RemoveLogsBelow deletes the oldest log files that hold neither an entry at or above
+// index nor the entry at the snapshot's index. The latter is needed at the next start
+// to check that log and snapshot belong together.
 func (j *Journal) DropBelow(index uint64) error {
 	index = min(index, j.snap)
 	current, _ := j.log.Current()
@@ -325,13 +329,13 @@
 	return nil
 }
 
-// Size returns the bytes of all log files.
+// Size returns the total size of the log files in bytes.
 func (j *Journal) Size() int64 { return j.log.Size() }
 
-// Free returns the bytes left on the disk.
+// Free returns the available bytes on the disk.
 func (j *Journal) Free() (uint64, error) { return j.fs.Free(j.dir) }
 
-// Close releases the data folder.
+// Close closes the log and unlocks the data folder.
 func (j *Journal) Close() error {
 	var err error
 	if j.log != nil {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -14,7 +14,7 @@
 	"pearmoor/internal/quorum"
 )
 
-// save is the arguments of one Save.
+// saveCall holds the arguments of a call of Save.
 type save struct {
 	snap    *quorum.Snapshot
 	hard    *quorum.HardState
@@ -33,8 +33,8 @@
 	return &quorum.HardState{Term: term, Vote: vote, Disk: 9}
 }
 
-// script has appends, an overwritten suffix, votes, and a snapshot from a leader
-// that voids the log.
+// testSaves returns saves with appends, an overwritten suffix, votes, and a snapshot from
+// a leader that replaces the log.
 func script() []save {
 	return []save{
 		{hard: hard(1, 1)},
@@ -48,7 +48,7 @@
 	}
 }
 
-// expected returns what a reader has to find after the first n saves.
+// stateAfter returns the state that Open must return after the given saves.
 func expected(saves []save) *Stored {
 	st := &Stored{}
 	for _, s := range saves {
@@ -68,7 +68,7 @@
 	return st
 }
 
-// differs returns how got differs from want; empty if it does not.
+// diffStates describes the first difference between got and want, or returns "".
 func differs(got, want *Stored) string {
 	if !proto.Equal(got.HardState, want.HardState) {
 		return fmt.Sprintf("hard state %v, want %v", got.HardState, want.HardState)
@@ -113,19 +113,19 @@
 	return st
 }
 
-// A crash can leave any part of the frame that was being written. The caller was
-// never told that it was stored, so it may be missing; everything synced before
-// has to be there, and the journal goes on from it.
+// A crash can leave any part of the frame that was being written. That frame was not
+// acknowledged and may be missing, but everything synced before it must be read back, and
+// later saves must work.
 func TestCutAtEveryByteOfTheLastFrames(t *testing.T) {
-	Convey("A log cut anywhere reads back as the saves that are whole", t, func() {
+	Convey("A log truncated at any byte reads back as the complete saves", t, func() {
 		saves := script()
 		dir := t.TempDir()
-		var sizes []int64 // of the last file after each save
+		var sizes []int64 // of the newest log file after each save
 		for n := range saves {
 			write(t, dir, Options{}, saves[n:n+1])
 			sizes = append(sizes, lastFile(t, dir).Size())
 		}
-		const first = 5 // saves before the snapshot are in files that are gone
+		const first = 5 // the first 5 saves end with the snapshot, which removes the older files
 		data, err := os.ReadFile(filepath.Join(dir, lastFile(t, dir).Name()))
 		So(err, ShouldBeNil)
 		for cut := int64(len(data)); cut >= sizes[first-1]; cut-- {
@@ -139,21 +139,21 @@
 				t.Fatal(err)
 			}
 			if why := differs(read(t, at), expected(saves[:whole])); why != "" {
-				t.Fatalf("cut at byte %d: %s", cut, why)
+				t.Fatalf("truncated at byte %d: %s", cut, why)
 			}
 			more := save{hard: hard(9, 1), entries: entries(9, 21, 21)}
 			write(t, at, Options{}, []save{more})
 			if why := differs(read(t, at), expected(append(saves[:whole:whole], more))); why != "" {
-				t.Fatalf("cut at byte %d, then written: %s", cut, why)
+				t.Fatalf("truncated at byte %d, after another save: %s", cut, why)
 			}
 		}
 	})
 }
 
-// A flipped bit in a frame that was synced must not be taken for a torn end: the
-// votes and entries after it, which others count on, would be dropped silently.
+// A bit flip in a synced frame must not be mistaken for a torn tail: the acknowledged
+// votes and entries after it would be dropped silently.
 func TestDamageBeforeTheEndIsReported(t *testing.T) {
-	Convey("Each byte of each frame but the last, flipped, is found with its file and offset", t, func() {
+	Convey("A flipped bit in any byte before the last frame is reported with its file and offset", t, func() {
 		saves := script()[:4]
 		dir := t.TempDir()
 		var ends []int64
@@ -178,12 +178,12 @@
 			_, _, err := Open(at, Options{})
 			var corrupt *CorruptError
 			if !errors.As(err, &corrupt) || corrupt.Offset != start || filepath.Base(corrupt.File) != name {
-				t.Fatalf("byte %d flipped: %v, want damage at offset %d", i, err, start)
+				t.Fatalf("bit flipped in byte %d: %v, want CorruptError at offset %d", i, err, start)
 			}
 		}
 	})
 
-	Convey("A damaged snapshot is found too", t, func() {
+	Convey("A damaged snapshot is reported", t, func() {
 		dir := t.TempDir()
 		write(t, dir, Options{}, script())
 		path := filepath.Join(dir, fmt.Sprintf("%s%016x", snapshotPrefix, 20))
@@ -198,12 +198,12 @@
 	})
 }
 
-// The power fails at any step of any save. What had been saved before is there
-// after the restart, and the save under way is there wholly or not at all. Only
-// the hard state of a leader's snapshot is stored ahead of it, on its own: a term
-// without a vote or an entry in it promises nothing that could be broken.
+// The power fails at any operation of any save. After the restart, earlier saves must be
+// complete, and the interrupted one complete or absent. The exception is the hard state
+// that comes with a leader's snapshot, which is stored before the snapshot: a term without
+// a vote or an entry acknowledges nothing.
 func TestPowerCutAtEveryOperation(t *testing.T) {
-	Convey("Whatever operation is the last, each save is whole or absent", t, func() {
+	Convey("After a crash at any operation, each save is complete or absent", t, func() {
 		saves := script()
 		for at := 1; ; at++ {
 			dir := t.TempDir()
@@ -221,7 +221,7 @@
 				whyOld = differs(got, before)
 			}
 			if whyOld != "" && whyNew != "" {
-				t.Fatalf("operation %d, in save %d: neither before (%s) nor after (%s)", at, done, whyOld, whyNew)
+				t.Fatalf("operation %d, in save %d: neither the state before (%s) nor after (%s)", at, done, whyOld, whyNew)
 			}
 			next := got.Snapshot.GetIndex() + 1
 			if n := len(got.Entries); n > 0 {
@@ -231,13 +231,13 @@
 			write(t, dir, Options{}, []save{more})
 			got.HardState, got.Entries = more.hard, append(got.Entries, more.entries...)
 			if why := differs(read(t, dir), got); why != "" {
-				t.Fatalf("operation %d, in save %d, then written: %s", at, done, why)
+				t.Fatalf("operation %d, in save %d, after another save: %s", at, done, why)
 			}
 		}
 	})
 }
 
-// run makes saves until one fails and returns how many did not.
+// saveUntilError runs the saves until one fails and returns the number that succeeded.
 func run(dir string, o Options, saves []save) int {
 	j, _, err := Open(dir, o)
 	if err != nil {
@@ -252,9 +252,9 @@
 	return len(saves)
 }
 
-// A sync fails once and would succeed the second time, with the data gone from
-// the page cache. Were it tried again, the group would count an entry that this
-// disk does not hold; so every later call has to fail.
+// A sync fails once and would succeed the second time, although the data is lost from the
+// page cache. After a retry, the group would count an entry that this disk does not hold,
+// so every later save must fail.
 func TestFailedSyncIsNeverRetried(t *testing.T) {
 	Convey("After any failed sync of the log each later save fails with the same error", t, func() {
 		failed := 0
@@ -287,10 +287,10 @@
 	})
 }
 
-// The disk is full in the middle of a save, then has room again. The save is
-// refused without a trace and can be made again.
+// The disk is full during a save and then has space again. The failed save must leave
+// nothing behind, and a retry must succeed.
 func TestFullDiskRefusesAndRecovers(t *testing.T) {
-	Convey("A save refused for want of room, made again, leaves what it would have left at once", t, func() {
+	Convey("A save retried after ErrFull has the same result as a save without the error", t, func() {
 		saves := script()
 		refused := 0
 		for at := 1; at < 60; at++ {
@@ -314,7 +314,7 @@
 }
 
 func TestCompaction(t *testing.T) {
-	Convey("Given a log over many files", t, func() {
+	Convey("Given a log of many files", t, func() {
 		dir := t.TempDir()
 		j, _, err := Open(dir, Options{SegmentBytes: 256})
 		So(err, ShouldBeNil)
@@ -324,7 +324,7 @@
 		}
 		before := j.Size()
 
-		Convey("a snapshot lets the files below it go, and the rest reads back", func() {
+		Convey("RemoveLogsBelow after a snapshot removes older files, and the rest reads back", func() {
 			snap := &quorum.Snapshot{Index: 90, Term: 1, Data: []byte("s")}
 			So(j.SaveSnapshot(snap), ShouldBeNil)
 			So(j.DropBelow(90), ShouldBeNil)
@@ -337,7 +337,7 @@
 			So(st.Identity.Disk, ShouldEqual, 9)
 		})
 
-		Convey("a second process is kept out of the folder", func() {
+		Convey("a second Open of the folder fails", func() {
 			_, _, err := Open(dir, Options{})
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, "in use")
@@ -346,7 +346,7 @@
 	})
 }
 
-// lastFile returns the newest log file.
+// newestLogFile returns the newest log file.
 func lastFile(t *testing.T, dir string) os.FileInfo {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, logPrefix+"-*"))
@@ -378,7 +378,7 @@
 			return
 		}
 		if again := appendFrame(nil, seq, payload); len(again) != size || string(again) != string(b[:size]) {
-			t.Fatalf("frame read back differently")
+			t.Fatalf("encoding the decoded frame again gives different bytes")
 		}
 	})
 }
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -8,11 +8,11 @@
 	"pearmoor/internal/quorum"
 )
 
-// replay rebuilds hard state and entries from the batches of the log.
+// replayState rebuilds the hard state and the entries from the batches of the log.
 type replay struct {
 	hard    *quorum.HardState
 	entries []*quorum.Entry
-	reset   uint64            // index of the snapshot that last voided the log
+	reset   uint64            // index of the last snapshot that replaced the log
 	last    map[uint64]uint64 // highest entry index by log file
 }
 
@@ -39,7 +39,7 @@
 			r.cut(e.Index)
 		}
 		if n := len(r.entries); n > 0 && e.Index != r.entries[n-1].Index+1 {
-			return errors.Newf("entry %d follows entry %d", e.Index, r.entries[n-1].Index)
+			return errors.Newf("entry %d follows entry %d, not consecutive", e.Index, r.entries[n-1].Index)
 		}
 		r.entries = append(r.entries, e)
 		r.last[segment] = max(r.last[segment], e.Index)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// cut drops the entries at and above index.
+// truncateFrom drops the entries at and above index.
 func (r *replay) cut(index uint64) {
 	if len(r.entries) == 0 {
 		return
@@ -62,8 +62,8 @@
 	}
 }
 
-// follows reports whether the entries go with the snapshot: the log was reset to
-// it, or holds the snapshot's last entry.
+// matchesSnapshot reports whether the entries belong to the snapshot: the log was
+// reset to it, or holds the entry with the index and term of the snapshot.
 func (r *replay) follows(snap *quorum.Snapshot) bool {
 	if r.reset == snap.Index {
 		return true
--- a/internal/journal/segments.go
+++ b/internal/journal/segments.go
@@ -8,16 +8,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Segments is an append-only log of frames over several files. It is not safe
-// for concurrent use, but for ReadSegment.
+// Segments is an append-only log of frames in several files. Only ReadSegment is safe
+// for concurrent use.
 type Segments struct {
 	fs     FS
 	dir    string
 	prefix string
 	list   []segment // oldest first
-	file   File      // the last of list; nil before the first frame after Open without one
-	seq    uint64    // of the last frame
-	failed error     // sticky: set by the first failed sync
+	file   File      // the newest segment, open for appending; nil until there is one
+	seq    uint64    // sequence number of the last frame
+	failed error     // first write or sync failure; every later write returns it
 }
 
 type segment struct {
@@ -25,18 +25,19 @@
 	size   int64
 }
 
-// Visit is called for each frame found by OpenSegments, oldest first.
+// VisitFunc is called for each frame that OpenSegments or ReadSegment reads, oldest
+// first.
 type Visit func(segment uint64, payload []byte) error
 
-// OpenSegments reads the files of that prefix in dir, cuts off a damaged end, and
-// opens the last one for appending.
+// OpenSegments reads the files in dir whose names start with prefix, truncates a
+// damaged tail, and opens the last file for appending.
 func OpenSegments(fs FS, dir, prefix string, visit Visit) (*Segments, error) {
 	s := &Segments{fs: fs, dir: dir, prefix: prefix}
 	names, err := fs.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range names { // ReadDir sorts; numbers have a fixed width
+	for _, name := range names { // ReadDir sorts by name, and numbers have a fixed width
 		if n, ok := s.parse(name); ok {
 			s.list = append(s.list, segment{number: n})
 		}
@@ -65,9 +66,10 @@
 	return number, err == nil
 }
 
-// load reads segment i. In the last one a damaged end is what a crash left of a
-// frame that was never synced: nobody was told of it, and it is cut off. A whole
-// frame after the damage proves that the damaged one had been synced before.
+// loadSegment reads segment i. In the last segment, a damaged tail is the remainder of
+// a frame that was not synced before a crash. It was never acknowledged, and
+// openLast truncates it. A valid frame after the damage proves that the damaged frame
+// had been synced.
 func (s *Segments) load(i int, visit Visit) error {
 	seg := &s.list[i]
 	path := s.path(seg.number)
@@ -86,7 +88,7 @@
 				return &CorruptError{path, int64(off), "a later file exists, so this frame had been synced"}
 			}
 			if at, found := findFrame(b[off:], s.seq); found {
-				return &CorruptError{path, int64(off), fmt.Sprintf("a whole frame follows at offset %d, so this one had been synced", off+at)}
+				return &CorruptError{path, int64(off), fmt.Sprintf("a valid frame follows at offset %d, so this one had been synced", off+at)}
 			}
 			break
 		}
@@ -108,7 +110,7 @@
 		return err
 	}
 	s.file = f
-	if err := f.Sync(); err != nil { // the cut must not come undone
+	if err := f.Sync(); err != nil { // makes the truncation durable
 		return &SyncError{path, err}
 	}
 	return nil
@@ -140,8 +142,8 @@
 	return nil
 }
 
-// undo takes back a write that the disk had no room for. It was not synced yet,
-// so cutting it off leaves the file as it was.
+// rollBackWrite handles a failed write. If the disk is full, it truncates the file to
+// its size before the write, which was not synced. Other errors are permanent.
 func (s *Segments) undo(cur *segment, cause error) error {
 	if !isFull(cause) {
 		return s.fail(cur.number, cause)
@@ -157,7 +159,7 @@
 	return s.failed
 }
 
-// Rotate starts a new file; the frames before it keep their files.
+// Rotate starts a new file. Existing files are not changed.
 func (s *Segments) Rotate() error {
 	if s.failed != nil {
 		return s.failed
@@ -186,7 +188,7 @@
 	return nil
 }
 
-// RemoveBefore deletes the files before that number; the newest one stays.
+// RemoveBefore deletes the files with a smaller number, except the newest file.
 func (s *Segments) RemoveBefore(number uint64) error {
 	for len(s.list) > 1 && s.list[0].number < number {
 		if err := s.fs.Remove(s.path(s.list[0].number)); err != nil {
@@ -197,8 +199,8 @@
 	return nil
 }
 
-// Current returns the number and size in bytes of the file being written; 0
-// before the first.
+// Current returns the number and the size in bytes of the newest file, or zeros if
+// there is none.
 func (s *Segments) Current() (number uint64, size int64) {
 	if len(s.list) == 0 {
 		return 0, 0
@@ -207,7 +209,7 @@
 	return last.number, last.size
 }
 
-// Size returns the bytes of all files.
+// Size returns the total size of all files in bytes.
 func (s *Segments) Size() int64 {
 	var sum int64
 	for _, seg := range s.list {
@@ -216,8 +218,8 @@
 	return sum
 }
 
-// ReadSegment visits the whole frames of one file again. It may run beside
-// Append: a frame that is just being written is left out.
+// ReadSegment visits the complete frames of a file. It may run concurrently with
+// Append; a frame that is not completely written is skipped.
 func (s *Segments) ReadSegment(number uint64, visit Visit) error {
 	b, err := s.fs.ReadFile(s.path(number))
 	if err != nil {
@@ -236,7 +238,7 @@
 	return nil
 }
 
-// Close closes the file being written.
+// Close closes the newest file.
 func (s *Segments) Close() error {
 	if s.file == nil {
 		return nil
--- a/internal/quorum/agreement_test.go
+++ b/internal/quorum/agreement_test.go
@@ -7,7 +7,8 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// formed returns a group whose disks are bound and whose first leader is host 1.
+// newElectedCluster returns a cluster whose disks are bound and whose first leader is
+// host 1.
 func formed(t *testing.T, n int) (*cluster, *host) {
 	t.Helper()
 	c := newCluster(t, 7, n)
@@ -20,9 +21,9 @@
 	return c, h
 }
 
-// An even group falls into two halves. Each half has the same number of votes;
-// if half were enough, both would accept changes and one side's would be lost.
-// No change is accepted until the halves meet again.
+// A partition splits a group of even size into two halves with equal votes. If half
+// of the votes were enough, both halves would commit changes and one half's would be
+// lost. Neither half may elect a leader until the partition heals.
 func TestEqualVotesElectNobody(t *testing.T) {
 	for _, n := range []int{2, 4, 8} {
 		c, _ := formed(t, n)
@@ -34,22 +35,22 @@
 		term := c.host(1).m.hard.Term
 		c.rounds(200)
 		if h := c.leader(); h != nil || c.host(1).m.hard.Term != term {
-			t.Fatalf("%d voters in two halves: %s", n, c)
+			t.Fatalf("%d voters in two halves have a leader or a new term: %s", n, c)
 		}
 		c.calm(0)
 		c.mustCommit(c.mustLead())
 	}
 }
 
-// Two candidates of one term get half of the votes each. Neither leads, and a
-// later term decides.
+// Two candidates in the same term get half of the votes each. Neither becomes leader,
+// and an election in a later term succeeds.
 func TestSplitVoteIsDecidedLater(t *testing.T) {
 	c, h := formed(t, 4)
 	c.crash(h, wholly)
 	c.rounds(9)
 	for _, id := range []uint64{2, 3} {
 		o := c.host(id)
-		o.m.elect(false) // both pass their pre-vote at once
+		o.m.elect(false) // as if both passed the pre-vote at the same time
 		c.pump(o)
 	}
 	if l := c.leader(); l != nil {
@@ -59,10 +60,10 @@
 	c.mustCommit(c.mustLead())
 }
 
-// A leader is cut off silently: its links look open, it still believes that it
-// leads, and daemons and operators still ask it. It answers no read and grants
-// nothing before anybody else is elected, then steps down. When it comes back,
-// the new leader is not disturbed, and what was never committed is gone.
+// A partition isolates a leader without closing its connections, so that it still
+// believes that it leads. Its QuorumActive must end before another member is elected,
+// it must answer no read, and it must step down. When the partition heals, it must
+// not disturb the new leader, and its uncommitted entry is dropped.
 func TestLeaderCutOffSilently(t *testing.T) {
 	c, old := formed(t, 3)
 	c.isolate(old)
@@ -74,12 +75,12 @@
 	for old.m.QuorumActive() {
 		c.rounds(1)
 		if l := c.leader(); l != old {
-			t.Fatalf("another leads while the lease holds: %s", c)
+			t.Fatalf("another member leads while QuorumActive of the old leader holds: %s", c)
 		}
 	}
 	c.rounds(60)
 	if r := c.reads[token]; r == nil || !r.Lost {
-		t.Fatalf("the cut off leader answered a read: %v", r)
+		t.Fatalf("the isolated leader answered a read: %v", r)
 	}
 	l := c.mustLead()
 	c.mustCommit(l)
@@ -87,15 +88,16 @@
 	term := l.m.hard.Term
 	c.calm(30)
 	if c.leader() != l || l.m.hard.Term != term {
-		t.Fatalf("the return disturbed the leader of term %d: %s", term, c)
+		t.Fatalf("the old leader disturbed the leader of term %d when it rejoined: %s", term, c)
 	}
 	if old.state != l.state || l.state.value != 1 {
 		t.Fatalf("states %v and %v", old.state, l.state)
 	}
 }
 
-// Only one direction fails. A leader that can't hear steps down; one that can't
-// be heard is replaced; in both cases the others go on.
+// Links fail in one direction only. A leader that receives nothing must step down, and
+// one whose messages are lost must be replaced. The other members elect a new leader
+// and commit.
 func TestLeaderCutOneWay(t *testing.T) {
 	for _, deaf := range []bool{true, false} {
 		c, old := formed(t, 3)
@@ -109,15 +111,15 @@
 		c.rounds(60)
 		l := c.mustLead()
 		if l == old {
-			t.Fatalf("deaf=%v: %s", deaf, c)
+			t.Fatalf("blockInbound=%v: the old leader still leads: %s", deaf, c)
 		}
 		c.mustCommit(l)
 	}
 }
 
-// A leader counts on the voters that answered it to elect nobody else for an
-// election timeout. A voter that restarts, or learns of a newer term, right after
-// its answer keeps that promise though it forgot the leader.
+// A voter that answered its leader must grant no vote for an election timeout, because
+// the leader's QuorumActive relies on it. This must hold even if the voter restarts, and
+// so no longer knows the leader, or receives a newer term right after its reply.
 func TestPromiseOutlivesRestartAndTerm(t *testing.T) {
 	for _, restart := range []bool{true, false} {
 		c, l := formed(t, 3)
@@ -139,15 +141,15 @@
 			c.pump(c.host(3))
 			c.rounds(1)
 			if c.host(3).m.role == Leader {
-				t.Fatalf("restart=%v: the promise was broken: %s", restart, c)
+				t.Fatalf("restart=%v: a vote was granted during the leader lease: %s", restart, c)
 			}
 		}
 	}
 }
 
-// The leader of term 4 holds an entry of term 2 that a majority has, too. It may
-// not commit it: a member whose log ends in term 3 could still be elected and
-// replace it. An entry of term 4 on a majority commits both.
+// The leader of term 4 has replicated an entry of term 2 to a majority. It must not
+// commit that entry by itself: a member whose log ends in term 3 could still be elected
+// and replace it. An entry of term 4 on a majority commits both.
 func TestOldTermIsCommittedOnlyByANewEntry(t *testing.T) {
 	boot, err := Bootstrap([]*Member{{Id: 1, Disk: 1}, {Id: 2, Disk: 2}, {Id: 3, Disk: 3}, {Id: 4, Disk: 4}, {Id: 5, Disk: 5}})
 	if err != nil {
@@ -179,17 +181,18 @@
 		step(&Message{Kind: quorumpb.Kind_APPEND_REPLY, From: from, Index: 2})
 	}
 	if m.role != Leader || m.log.commit != 0 {
-		t.Fatalf("%v committed %d by counting an older term", m.role, m.log.commit)
+		t.Fatalf("%v committed up to %d by counting replicas of an entry of an older term", m.role, m.log.commit)
 	}
 	step(&Message{Kind: quorumpb.Kind_APPEND_REPLY, From: 2, Index: 3})
 	step(&Message{Kind: quorumpb.Kind_APPEND_REPLY, From: 3, Index: 3})
 	if m.log.commit != 3 {
-		t.Fatalf("commit %d", m.log.commit)
+		t.Fatalf("commit index is %d, want 3", m.log.commit)
 	}
 }
 
-// Stopping a leader as planned: another one leads within a few ticks, without an
-// election timeout; from the moment it was told, the old one grants nothing more.
+// A leadership transfer, as at a planned stop, must elect the successor within a few
+// ticks, without an election timeout. Once TIMEOUT_NOW is sent, QuorumActive of the old
+// leader must be false.
 func TestHandOver(t *testing.T) {
 	for _, pending := range []bool{false, true} {
 		c, l := formed(t, 3)
@@ -202,22 +205,22 @@
 			t.Fatal(err)
 		}
 		if _, _, err := l.m.Propose(nil); !errors.Is(err, ErrTransferring) {
-			t.Fatalf("goes on as leader: %v", err)
+			t.Fatalf("proposal accepted during the transfer: %v", err)
 		}
 		if !pending && l.m.QuorumActive() {
-			t.Fatal("still grants after the successor was told")
+			t.Fatal("QuorumActive after TIMEOUT_NOW was sent to the successor")
 		}
 		c.pump(l)
 		c.rounds(3)
 		if n := c.leader(); n == nil || n.id != 2 {
-			t.Fatalf("not handed over: %s", c)
+			t.Fatalf("leadership was not transferred to member 2: %s", c)
 		}
 		c.mustCommit(c.host(2))
 	}
 }
 
-// A member that answers nothing gets heartbeats and no entries; one that answers
-// has at most MaxInflight messages under way, whatever is proposed.
+// However much is proposed, a member must have at most MaxInflight entries sent to it
+// without a reply, and Propose must fail with ErrBusy at MaxUncommittedBytes.
 func TestReplicationIsBounded(t *testing.T) {
 	c, l := formed(t, 3)
 	c.isolate(c.host(3))
@@ -235,10 +238,10 @@
 		l.m.Advance()
 	}
 	if pieces[2] > l.m.cfg.MaxInflight || pieces[3] > l.m.cfg.MaxInflight {
-		t.Fatalf("entries sent ahead: %v", pieces)
+		t.Fatalf("more than MaxInflight entries sent without a reply: %v", pieces)
 	}
 	l.m.cfg.MaxUncommittedBytes = 1000
 	if _, _, err := l.m.Propose(nil); !errors.Is(err, ErrBusy) {
-		t.Fatalf("no bound on what waits for commit: %v", err)
+		t.Fatalf("uncommitted bytes are not bounded: %v", err)
 	}
 }
--- a/internal/quorum/app_test.go
+++ b/internal/quorum/app_test.go
@@ -6,7 +6,7 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// appState is the application: a chain over all commands and a register that
+// appState is the replicated application: a hash over all commands and a register that
 // commands change by compare-and-set.
 type appState struct{ applied, chain, value uint64 }
 
@@ -30,7 +30,7 @@
 	b := binary.LittleEndian.AppendUint64(nil, s.applied)
 	b = binary.LittleEndian.AppendUint64(b, s.chain)
 	b = binary.LittleEndian.AppendUint64(b, s.value)
-	return append(b, make([]byte, 300)...) // several pieces long
+	return append(b, make([]byte, 300)...) // padded to several snapshot chunks
 }
 
 func decodeState(b []byte) appState {
--- a/internal/quorum/bench_test.go
+++ b/internal/quorum/bench_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkCommit measures the processor time of three machines, messages encoded
-// and decoded, for one change of 300 bytes: proposed, replicated, committed.
+// BenchmarkCommit measures the CPU time of three machines for proposing, replicating
+// and committing a command of 300 bytes, including message encoding and decoding.
 func BenchmarkCommit(b *testing.B) {
 	c := newCluster(b, 7, 3)
 	l := c.mustLead()
--- a/internal/quorum/chaos_test.go
+++ b/internal/quorum/chaos_test.go
@@ -6,18 +6,18 @@
 	"pgregory.net/rapid"
 )
 
-// world is the cluster as rapid drives it.
+// randomCluster is a cluster with the actions that rapid runs on it.
 type world struct {
 	*cluster
 	nextID uint64
-	lost   int // voters' disks lost for good and not yet removed
+	lost   int // number of voters' disks that were replaced
 }
 
-// Callers see commits, compare-and-set results and reads while VMs crash in the
-// middle of their work, disks are replaced, links are cut one way, messages are
-// lost, repeated and reordered, and the group changes. Whatever the order, no
-// term has two leaders, no commit is lost or changed, and no read is stale; when
-// the faults end the group goes on.
+// Random sequences of commands, reads, membership changes and faults: VMs crash while
+// they process a Ready, disks are replaced, links fail in one direction, and messages are
+// lost, duplicated and reordered. No term may have two leaders, no committed entry may be
+// lost or changed, and no read may be stale. When the faults end, the group must commit
+// again.
 func TestGroupSurvivesFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 3, 4, 5, 2, 1}).Draw(t, "voters")
@@ -28,7 +28,7 @@
 		}
 		w.fragile = rapid.SampledFrom([]float64{0, 0.01, 0.1}).Draw(t, "fragile")
 		t.Repeat(map[string]func(*rapid.T){
-			"":         w.passTime, // after each of the others
+			"":         w.passTime, // runs after each of the other actions
 			"elect":    w.actElect,
 			"network":  w.actNetwork,
 			"cut":      w.actCut,
@@ -57,12 +57,12 @@
 func (w *world) pick(t *rapid.T) *host {
 	hs := w.up()
 	if len(hs) == 0 {
-		t.Skip("all are down")
+		t.Skip("all hosts are down")
 	}
 	return hs[rapid.IntRange(0, len(hs)-1).Draw(t, "host")]
 }
 
-// pickLeader prefers whoever believes to lead, the stale ones included.
+// pickLeader returns a host in the Leader role, which may be a stale leader.
 func (w *world) pickLeader(t *rapid.T) *host {
 	var hs []*host
 	for _, h := range w.up() {
@@ -71,7 +71,7 @@
 		}
 	}
 	if len(hs) == 0 {
-		t.Skip("nobody leads")
+		t.Skip("no host leads")
 	}
 	return hs[rapid.IntRange(0, len(hs)-1).Draw(t, "leader")]
 }
@@ -83,7 +83,7 @@
 	}
 }
 
-// actElect makes one VM's timeout come at once, to bring about equal votes.
+// actElect lets one VM's election timeout expire at once, to provoke split votes.
 func (w *world) actElect(t *rapid.T) {
 	h := w.pick(t)
 	if h.m.role != Leader {
@@ -110,7 +110,7 @@
 
 func (w *world) actHeal(t *rapid.T) { clear(w.cut) }
 
-// actSplit parts the VMs into two sides that can't reach each other.
+// actPartition splits the VMs into two sides that can't reach each other.
 func (w *world) actSplit(t *rapid.T) {
 	side := rapid.Uint64().Draw(t, "side")
 	for i, a := range w.sorted() {
@@ -120,7 +120,7 @@
 	}
 }
 
-// actDeliver hands over some messages while no clock goes on.
+// actDeliver delivers some messages without any ticks.
 func (w *world) actDeliver(t *rapid.T) {
 	for range rapid.IntRange(1, 10).Draw(t, "n") {
 		if n := len(w.wire); n > 0 {
@@ -155,7 +155,8 @@
 	w.crash(w.pick(t), rapid.IntRange(afterEarly, wholly).Draw(t, "until"))
 }
 
-// actBounce crashes a VM that has work to do and starts it again at once.
+// actCrashAndRestart crashes a VM, possibly while it processes a Ready, and restarts it
+// at once.
 func (w *world) actBounce(t *rapid.T) {
 	h := w.pick(t)
 	if rapid.Bool().Draw(t, "vote") && h.m.role != Leader {
@@ -166,8 +167,8 @@
 	w.start(h)
 }
 
-// actUsurp cuts off the leader, lets it append what nobody else gets, and lets
-// the others go on without it.
+// actDeposeLeader isolates the leader, lets it append entries that no other member
+// receives, and lets the other members elect a new leader and append entries of theirs.
 func (w *world) actUsurp(t *rapid.T) {
 	h := w.pickLeader(t)
 	w.isolate(h)
@@ -186,7 +187,7 @@
 	}
 }
 
-// isLost reports whether the disk was replaced: another disk runs under its id.
+// isDiskReplaced reports whether a newer disk uses the id of h.
 func (w *world) isLost(h *host) bool {
 	for _, o := range w.hosts {
 		if o.id == h.id && o.disk > h.disk {
@@ -209,7 +210,7 @@
 	w.nextID++
 	_, _, err := h.m.ProposeConf(ConfChange{AddLearner, &Member{Id: n.id, Disk: n.disk}})
 	if err != nil {
-		delete(w.hosts, n.disk) // was never heard of
+		delete(w.hosts, n.disk) // no member knows of it
 		return
 	}
 	w.pump(h)
@@ -233,9 +234,9 @@
 	w.pump(h)
 }
 
-// actReplace loses a VM's disk and starts it again on a blank one under the same
-// id and with the same start-up flags, as an operator would who knows no better.
-// The group is promised to live through one such loss at a time.
+// actReplace replaces a VM's disk by a blank one and restarts the VM under the same id
+// with the same start-up flags, which is an operator error. The group must tolerate one
+// such loss at a time.
 func (w *world) actReplace(t *rapid.T) {
 	h := w.pick(t)
 	if w.lost > 0 {
@@ -249,7 +250,7 @@
 	w.lost++
 	genesis := h.stored.Snapshot
 	if genesis.GetIndex() != 0 || voterCount(genesis.GetConf()) == 1 {
-		genesis = nil // a group founded by one VM must not be founded again, see Bootstrap
+		genesis = nil // a single-member group must not be bootstrapped again, see Bootstrap
 	}
 	h.m = nil
 	w.addHost(h.id, genesis)
@@ -261,8 +262,8 @@
 	w.pump(h)
 }
 
-// finish ends all faults. Whatever group the newest leader states, if a quorum of
-// its disks is left, it elects a leader and commits, and all agree.
+// healAndCheckProgress ends all faults. If a quorum of disks is left, the group must
+// elect a leader and commit an entry, and all members must apply it.
 func (w *world) finish() {
 	for _, h := range w.sorted() {
 		if h.m == nil && !w.isLost(h) {
@@ -278,16 +279,16 @@
 	for _, b := range h.m.conf().Members {
 		o := w.hosts[b.Disk]
 		if o != nil && o.m != nil && o.state.applied < index {
-			w.t.Fatalf("member %d holds %d of %d after the faults ended: %s", o.id, o.state.applied, index, w)
+			w.t.Fatalf("member %d has applied %d of %d after the faults ended: %s", o.id, o.state.applied, index, w)
 		}
 	}
 }
 
-// canDecide reports whether the disks of a quorum are there, both for the group
-// last committed and for every later one that a running VM might go by.
+// hasQuorumOfDisks reports whether a quorum of disks is left, both for the last committed
+// configuration and for every later one that a running VM uses.
 func (w *world) canDecide() bool {
 	if w.group == nil {
-		return w.lost == 0 // a new group needs all of its first disks
+		return w.lost == 0 // a group without bound disks needs all of its first disks
 	}
 	groups := []*Conf{w.group}
 	for _, h := range w.up() {
--- a/internal/quorum/cluster_test.go
+++ b/internal/quorum/cluster_test.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestMain fixes the seed, so that every run has the same verdict.
+// TestMain sets a fixed seed, so that every run has the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	fixed := map[string]string{"rapid.seed": "20261202", "rapid.checks": "1200", "rapid.steps": "50"}
@@ -23,24 +23,24 @@
 	os.Exit(m.Run())
 }
 
-// failer is what checks report to: *testing.T, *rapid.T or *testing.F.
+// fataler is implemented by *testing.T, *testing.B and *rapid.T.
 type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// host is one control VM with its disk. Only disk survives a crash.
+// host is a control VM with its disk. Only id, disk and persisted survive a crash.
 type host struct {
 	id, disk uint64
 	m        *Machine // nil while down
-	stored   Stored   // what was synced
+	stored   Stored   // state that was synced
 	state    appState
 }
 
 type position struct{ index, term uint64 }
 
-// cluster drives machines over a network that it may make lose, delay, reorder
-// and repeat messages, and checks the invariants of the group at every step.
+// cluster runs machines on a simulated network that can lose, delay, reorder and
+// duplicate messages, and checks the invariants of the group at every step.
 type cluster struct {
 	t     failer
 	rng   *rand.Rand
@@ -49,20 +49,20 @@
 	cut   map[[2]uint64]bool // from disk, to disk
 	disks uint64
 
-	loss, repeat, delay float64 // chances per message
-	eager               float64 // chance that messages come before a sync is done
-	fragile             float64 // chance of a crash in the middle of a Ready
+	loss, repeat, delay float64 // probabilities per message
+	eager               float64 // probability that messages are delivered before a sync is complete
+	fragile             float64 // probability of a crash while a Ready is processed
 	nested              bool
 
 	leaders   map[uint64]uint64     // term -> disk
 	entries   map[position]string   // content and term of the predecessor
 	committed map[uint64]string     // index -> content
 	terms     map[uint64]uint64     // index -> term, committed
-	chains    map[uint64]uint64     // index -> application chain
-	asked     map[uint64]uint64     // read token -> newest commit anybody had seen when asked
+	chains    map[uint64]uint64     // index -> hash of the application state
+	asked     map[uint64]uint64     // read token -> highest committed index at the time of the request
 	reads     map[uint64]*ReadState // finished
 	newest    uint64                // highest index in committed
-	group     *Conf                 // newest one committed, by the entry at groupAt
+	group     *Conf                 // last committed one, from the entry at committedConfIndex
 	groupAt   uint64
 	tokens    uint64
 	onApply   func(h *host, e *Entry, swapped bool)
@@ -118,7 +118,7 @@
 	return hs
 }
 
-// up returns the hosts that run, in a fixed order.
+// runningHosts returns the running hosts, ordered by disk.
 func (c *cluster) up() []*host {
 	return slices.DeleteFunc(c.sorted(), func(h *host) bool { return h.m == nil })
 }
@@ -142,7 +142,7 @@
 	return best
 }
 
-// Where a crash may hit while a Ready is carried out.
+// Points at which the processing of a Ready may be interrupted by a crash.
 const (
 	afterEarly = iota
 	afterSync
@@ -150,7 +150,7 @@
 	wholly
 )
 
-// isolate cuts a VM off from all others, both ways.
+// isolate blocks all links of a VM in both directions.
 func (c *cluster) isolate(h *host) {
 	for _, o := range c.sorted() {
 		c.cut[[2]uint64{h.disk, o.disk}] = true
@@ -158,7 +158,7 @@
 	}
 }
 
-// carryOut does what Ready asks up to the given point.
+// processReady does the work of a Ready up to the given point.
 func (c *cluster) carryOut(h *host, until int) {
 	rd := h.m.Ready()
 	c.post(rd.Early)
@@ -235,8 +235,8 @@
 	}
 }
 
-// deliver hands over every message now on the wire, out of order when messages
-// may be delayed; what a machine answers waits for the next call.
+// deliver delivers every message that is in flight, in random order if delayRate is
+// set. Replies stay in flight until the next call.
 func (c *cluster) deliver() {
 	wire := c.wire
 	c.wire = nil
@@ -260,7 +260,7 @@
 		c.t.Fatalf("decode: %v", err)
 	}
 	for _, h := range c.up() {
-		// A message for an id reaches whatever disk runs under it now.
+		// A message for an id reaches every running disk with that id.
 		if h.id != msg.To || c.cut[[2]uint64{msg.FromDisk, h.disk}] {
 			continue
 		}
@@ -270,7 +270,7 @@
 	}
 }
 
-// rounds lets n ticks pass at every VM, with a few deliveries in each.
+// runTicks runs n ticks at every VM, with 3 deliveries after each.
 func (c *cluster) rounds(n int) {
 	for range n {
 		for _, h := range c.up() {
@@ -284,7 +284,7 @@
 	}
 }
 
-// crash stops a VM somewhere in the middle of its next Ready.
+// crash stops a VM after it has processed its next Ready up to the given point.
 func (c *cluster) crash(h *host, until int) {
 	if h.m.HasReady() && until != wholly {
 		c.carryOut(h, until)
@@ -295,7 +295,7 @@
 func (c *cluster) compact(h *host, keep uint64) {
 	s, err := h.m.Compact(h.state.applied, h.state.encode(), keep)
 	if err != nil {
-		return // nothing new since the last one
+		return // nothing was applied since the last snapshot
 	}
 	h.stored.Snapshot = s
 	h.stored.Entries = slices.DeleteFunc(slices.Clone(h.stored.Entries), func(e *Entry) bool { return e.Index <= s.Index })
@@ -310,14 +310,15 @@
 	return c.tokens
 }
 
-// calm ends all faults of the network and lets time pass.
+// healNetwork ends all faults and then runs the given number of ticks.
 func (c *cluster) calm(rounds int) {
 	c.loss, c.repeat, c.delay, c.eager, c.fragile = 0, 0, 0, 0, 0
 	clear(c.cut)
 	c.rounds(rounds)
 }
 
-// mustLead lets time pass until a leader has committed in its term.
+// waitForLeader runs ticks until a leader with an active quorum has committed in its
+// term.
 func (c *cluster) mustLead() *host {
 	c.t.Helper()
 	for range 100 {
@@ -326,11 +327,11 @@
 		}
 		c.rounds(1)
 	}
-	c.t.Fatalf("no leader after 100 rounds: %s", c)
+	c.t.Fatalf("no leader after 100 ticks: %s", c)
 	return nil
 }
 
-// mustCommit proposes and lets time pass until the proposal is applied.
+// proposeAndWait proposes a command, runs 20 ticks and checks that it is committed.
 func (c *cluster) mustCommit(h *host) uint64 {
 	c.t.Helper()
 	index, term, err := h.m.Propose(command(h.state.value, h.state.value+1, 0))
@@ -345,7 +346,8 @@
 	return index
 }
 
-// mustChange carries out a membership change.
+// changeMembership proposes a membership change, runs 20 ticks and checks that it is
+// committed.
 func (c *cluster) mustChange(h *host, op ConfOp, b *Member) {
 	c.t.Helper()
 	index, term, err := h.m.ProposeConf(ConfChange{op, b})
--- a/internal/quorum/conf.go
+++ b/internal/quorum/conf.go
@@ -9,15 +9,15 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// Bootstrap returns the snapshot with which every first member of a new group
-// starts. Members need not have their Disk set: until the disks of all members
-// are bound by the group's first entry, votes and commits need all members, not
-// a majority, so that a member whose disk was lost in between can't be mistaken
-// for its old self. The driver stores the snapshot on a new disk before New.
+// Bootstrap returns the initial snapshot for every founding member of a new
+// group. The driver stores it on a new disk before it calls New. Member.Disk may
+// be unset: the first entry of the group binds the disk of each member to its id.
+// Until then, votes and commits need all members instead of a majority, because a
+// member whose disk was replaced in the meantime can't be told from the original.
 //
-// A group founded by a single member has nobody to object when that member's
-// disk is replaced and it founds the group once more. Founding must therefore be
-// an act of the operator's on that one start, never a standing start-up flag.
+// If the disk of a single-member group is replaced, no other member can prevent a
+// second bootstrap of the same group. The operator must therefore request the
+// bootstrap for one start of the process only, not by a permanent flag.
 func Bootstrap(members []*Member) (*Snapshot, error) {
 	c := &Conf{}
 	for _, b := range members {
@@ -44,7 +44,8 @@
 	return 0
 }
 
-// validateConf checks what every stored or received Conf must satisfy.
+// validateConf checks a stored or received Conf: the number of members, at least
+// one voter, and member ids that are unique, ascending and at most MaxId.
 func validateConf(c *Conf) error {
 	if n := len(c.Members); n == 0 || n > MaxMembers {
 		return errors.Newf("quorum: a group has %d members; use 1 to %d", n, MaxMembers)
@@ -86,7 +87,7 @@
 	return n
 }
 
-// bound reports whether the disks of all members are known to the group.
+// allDisksBound reports whether the configuration names the disk of every member.
 func bound(c *Conf) bool {
 	for _, b := range c.GetMembers() {
 		if b.Disk == 0 {
@@ -96,8 +97,9 @@
 	return true
 }
 
-// quorumSize returns how many voters must agree: a strict majority, so that two
-// halves of an even group can't both decide; all of them while disks are unbound.
+// quorumSize returns the number of voters that must agree: a strict majority, so
+// that two halves of a group of even size can't both decide, or all voters while
+// a disk is not bound.
 func quorumSize(c *Conf) int {
 	n := voterCount(c)
 	if !bound(c) {
@@ -106,21 +108,21 @@
 	return n/2 + 1
 }
 
-// confAt is the group in effect from the entry at index on.
+// indexedConf is a configuration that takes effect with the entry at index.
 type confAt struct {
 	index uint64
 	conf  *Conf
 }
 
-// confHistory lists the groups stated by the snapshot and by the log, oldest
-// first. A group is in effect as soon as its entry is in the log, committed or
-// not: each differs by at most one voter from the one before, so that any
-// two quorums of neighbours share a voter.
+// confHistory lists the configurations in the snapshot and in the log, oldest
+// first. A configuration takes effect when its entry is appended, committed or
+// not. Each differs from its predecessor by at most one voter, so any quorum of
+// one shares a voter with any quorum of the next.
 type confHistory []confAt
 
 func (h confHistory) newest() confAt { return h[len(h)-1] }
 
-// at returns the group in effect after the entry at index.
+// at returns the configuration in effect after the entry at index.
 func (h confHistory) at(index uint64) *Conf {
 	for i := len(h) - 1; i > 0; i-- {
 		if h[i].index <= index {
@@ -130,7 +132,7 @@
 	return h[0].conf
 }
 
-// add takes in the groups among entries; each was checked by decodeConfs.
+// appendFrom appends the configurations among es, which checkEntries has validated.
 func (h confHistory) add(es []*Entry) confHistory {
 	for _, e := range es {
 		if e.Kind == quorumpb.EntryKind_CONF {
@@ -143,7 +145,7 @@
 	return h
 }
 
-// truncate forgets the groups stated from index on.
+// truncateFrom drops the configurations at and above index.
 func (h confHistory) truncate(index uint64) confHistory {
 	for len(h) > 1 && h.newest().index >= index {
 		h = h[:len(h)-1]
@@ -151,7 +153,7 @@
 	return h
 }
 
-// compact forgets the groups that are superseded at index.
+// compactTo drops the configurations that are superseded at index.
 func (h confHistory) compact(index uint64) confHistory {
 	for len(h) > 1 && h[1].index <= index {
 		h = h[1:]
@@ -159,7 +161,8 @@
 	return h
 }
 
-// checkEntries refuses entries that don't follow index or state a broken group.
+// checkEntries returns an error if es does not continue the log after the entry at
+// index and term, has a term above maxTerm, or holds an invalid configuration.
 func checkEntries(es []*Entry, index, term, maxTerm uint64) error {
 	for _, e := range es {
 		index++
--- a/internal/quorum/disk_test.go
+++ b/internal/quorum/disk_test.go
@@ -9,7 +9,7 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// restartForgotten restarts a VM and lets its promise to a leader run out.
+// restartAfterLeaderLease restarts a VM and lets its leader lease expire.
 func (c *cluster) restartForgotten(h *host) {
 	c.crash(h, wholly)
 	c.start(h)
@@ -22,9 +22,9 @@
 	}
 }
 
-// A change is committed by 1 and 3. The disk of 3 is replaced and 1 stops. If 3
-// could vote under its old id, 2 and 3 would elect a leader without the change
-// and it would be lost. They can't; 3 is told why, and comes back under a new id.
+// Members 1 and 3 commit a change, then the disk of 3 is replaced and 1 stops. If 3
+// could vote under its old id, 2 and 3 would elect a leader without the change, and the
+// change would be lost. Instead, 3 is refused with the reason and rejoins under a new id.
 func TestReplacedDiskNeverVotesAsItsOldSelf(t *testing.T) {
 	c, l := formed(t, 3)
 	c.isolate(c.host(2))
@@ -34,10 +34,10 @@
 	c.crash(l, wholly)
 	c.calm(200)
 	if c.leader() != nil {
-		t.Fatalf("elected with a replaced disk: %s", c)
+		t.Fatalf("a leader was elected with the vote of a replaced disk: %s", c)
 	}
 	if why := blank.m.Status().Refused; why != quorumpb.Refusal_WRONG_DISK {
-		t.Fatalf("the replaced VM was told %v", why)
+		t.Fatalf("refusal reason at the VM with the replaced disk: %v", why)
 	}
 	c.start(l)
 	c.rounds(60)
@@ -55,8 +55,8 @@
 	}
 }
 
-// A member gives its vote in a term that it knew before, crashes and starts
-// again. If the vote alone was not stored, it gives a second one in that term.
+// A member votes in a term that it has already persisted, crashes and restarts. If a
+// vote without a term change were not persisted, it would vote twice in that term.
 func TestVoteIsStoredWithoutANewTerm(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	voter := c.host(1)
@@ -83,8 +83,8 @@
 	}
 }
 
-// A message for the disk that was replaced is not for the disk that took its
-// place: acknowledged by the blank one, it would count for the old.
+// A message that is addressed to a replaced disk must be refused by the new disk: an
+// acknowledgement of the blank disk would count for the old one.
 func TestMessageForTheOldDiskIsRefused(t *testing.T) {
 	c, l := formed(t, 3)
 	c.crash(c.host(3), wholly)
@@ -94,15 +94,15 @@
 		for _, msg := range l.m.Ready().Early {
 			var why *RefusedError
 			if err := blank.m.Step(msg); msg.To == 3 && !errors.As(err, &why) {
-				t.Fatalf("%v was read: %v", msg, err)
+				t.Fatalf("message for the replaced disk was processed: %v: %v", msg, err)
 			}
 		}
 		l.m.Advance()
 	}
 }
 
-// While a follower syncs an entry, a new leader replaces it. The end of that sync
-// says nothing about the new entry, which must be synced before it counts.
+// A new leader replaces an entry while the follower syncs it. The completed sync does
+// not cover the new entry, which must be returned by the next Ready to be synced.
 func TestEntryReplacedDuringItsSync(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	m := c.host(1).m
@@ -120,20 +120,20 @@
 	add(3, 2)
 	m.Advance()
 	if rd := m.Ready(); len(rd.Entries) != 1 || rd.Entries[0].Term != 2 || !rd.MustSync {
-		t.Fatalf("the new entry is not to be synced: %v", rd.Entries)
+		t.Fatalf("Ready does not return the new entry to be synced: %v", rd.Entries)
 	}
 }
 
-// A new group's disks are not yet known. Until they are bound, all members are
-// needed: with a majority, a member whose disk is replaced at this moment could
-// help two leaders to a term.
+// The first election of a new group needs all members, because the disks are not bound
+// yet: if a majority were enough, a member whose disk is replaced at that moment could
+// vote for two leaders in one term.
 func TestFoundingNeedsEveryMember(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	absent := c.host(3)
 	c.crash(absent, wholly)
 	c.rounds(100)
 	if c.leader() != nil {
-		t.Fatalf("founded by two of three: %s", c)
+		t.Fatalf("two of three members elected the first leader: %s", c)
 	}
 	c.start(absent)
 	c.rounds(60)
@@ -142,8 +142,8 @@
 	}
 }
 
-// Before disks are bound, two disks may come under one id. A vote for the first
-// must not be repeated for the second: each would lead the same term.
+// Before disks are bound, two disks may use the same id. A vote for one disk must not
+// be repeated for the other, or both could lead the same term.
 func TestVoteIsBoundToTheDisk(t *testing.T) {
 	c := newCluster(t, 3, 3)
 	voter := c.host(1)
@@ -159,20 +159,20 @@
 	}
 	for range 2 {
 		if !ask(77) {
-			t.Fatal("a vote was not given, or not repeated to the same disk")
+			t.Fatal("the vote was not granted, or not repeated for the same disk")
 		}
 	}
 	c.restartForgotten(voter)
 	if ask(78) {
-		t.Fatal("two disks under one id got a vote in one term")
+		t.Fatal("two disks with the same id got a vote in one term")
 	}
 	if voter.stored.HardState.VoteDisk != 77 {
-		t.Fatalf("stored %v", voter.stored.HardState)
+		t.Fatalf("persisted hard state is %v, want VoteDisk 77", voter.stored.HardState)
 	}
 }
 
-// A member restarts with 10,000 changes behind it. It has the same state from a
-// snapshot and a bounded log, and a member that was away takes the snapshot.
+// A member restarts after 10,000 changes. It must restore the same state from a snapshot
+// and a log of bounded size, and a member that was down must catch up by the snapshot.
 func TestRestartAfterManyChanges(t *testing.T) {
 	c, l := formed(t, 3)
 	l.m.cfg.MaxAppendBytes = 1 << 16
@@ -194,7 +194,7 @@
 	}
 	c.rounds(60)
 	if n := len(l.stored.Entries); n > 1200 {
-		t.Fatalf("%d entries are kept", n)
+		t.Fatalf("%d log entries after compaction, want at most 1200", n)
 	}
 	c.crash(l, wholly)
 	c.start(l)
@@ -205,8 +205,9 @@
 	}
 }
 
-// The journal holds a commit index whose entries were torn off by the crash. They
-// were not acknowledged; the member starts with what it has and gets them again.
+// The stored commit index is above the last entry, because a crash tore the end of the
+// log off. Those entries were not acknowledged. The member must start with the entries
+// that it has and receive the others again.
 func TestCommitIndexPastTornTail(t *testing.T) {
 	c, l := formed(t, 3)
 	c.mustCommit(l)
--- a/internal/quorum/doc.go
+++ b/internal/quorum/doc.go
@@ -1,12 +1,12 @@
-// Package quorum keeps a replicated log over 1 to 8 control VMs.
+// Package quorum replicates a log over 1 to 8 control VMs with the Raft protocol.
 //
-// The Machine is pure: it does no I/O, reads no clock and starts no goroutine.
-// A driver feeds it ticks, messages and proposals, and carries out what Ready
-// returns:
+// A Machine is deterministic: it does no I/O, reads no clock and starts no
+// goroutine. A driver passes it ticks, messages and proposals, and does the work
+// that Ready returns:
 //
 //	for m.HasReady() {
 //		rd := m.Ready()
-//		send(rd.Early)                          // safe before the sync
+//		send(rd.EarlyMessages)                  // safe before the sync
 //		journal(rd.Snapshot, rd.HardState, rd.Entries) // in this order; sync if rd.MustSync
 //		send(rd.Messages)                       // only after the sync
 //		restore(rd.Snapshot); apply(rd.Committed)
@@ -14,7 +14,8 @@
 //		m.Advance()
 //	}
 //
-// A failed sync ends the process: nothing may be sent or advanced after it.
+// After a failed sync the driver must end the process without sending Messages or
+// calling Advance.
 //
 // A Machine is not safe for concurrent use.
 package quorum
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -2,9 +2,9 @@
 
 import "pearmoor/internal/quorum/quorumpb"
 
-// campaign asks whether an election could be won, without entering a new term.
-// A member that was cut off for long thus can't depose a leader that the others
-// still hear when it comes back.
+// startPreVote asks the voters whether they would grant a vote, without entering a
+// new term. A member that rejoins after a partition therefore can't depose a
+// leader that the other voters still hear from.
 func (m *Machine) campaign() {
 	if !m.mayLead() {
 		return
@@ -19,17 +19,17 @@
 	m.askVotes(&Message{Kind: quorumpb.Kind_PRE_VOTE, Term: m.hard.Term + 1})
 }
 
-// mayLead reports whether this member may stand for election. One whose removal
-// is in its log but not committed still may: perhaps no voter of the new group
-// holds that entry, so that this member's log wins over theirs and they can
-// neither win its vote nor do without it. It then leads, without counting itself,
-// until the removal is committed.
+// canCampaign reports whether this member may start an election. A member whose
+// own removal is in its log but not committed may: if no voter of the new
+// configuration holds that entry, their logs are behind this one, and they can't
+// win this member's vote, which they may need. As leader it does not count itself
+// towards a quorum, and steps down when the removal is committed.
 func (m *Machine) mayLead() bool {
 	return isVoter(m.conf(), m.cfg.ID) || isVoter(m.committedConf(), m.cfg.ID)
 }
 
-// elect enters a new term as candidate. transfer is true when the leader asked
-// for it, which lets voters pass over their promise to that leader.
+// startElection enters a new term as candidate. If transfer is set, the leader
+// requested the election, and voters ignore the leader lease.
 func (m *Machine) elect(transfer bool) {
 	m.becomeFollower(m.hard.Term+1, 0)
 	m.role = Candidate
@@ -55,7 +55,7 @@
 	}
 }
 
-// countVote counts a voter once, and only from the disk bound to its id.
+// countVote records the vote of a voter, if it comes from the disk bound to its id.
 func (m *Machine) countVote(id, disk uint64) {
 	b := find(m.conf(), id)
 	if b == nil || b.Learner || b.Disk != 0 && b.Disk != disk {
@@ -69,10 +69,10 @@
 
 func (m *Machine) won() bool { return len(m.votes) >= quorumSize(m.conf()) }
 
-// promised reports whether a leader was heard so lately that it may still count
-// on this member: no vote is given to anybody else until then, which is what
-// QuorumActive relies on. A higher term seen meanwhile does not end the promise:
-// the leader may not have seen it.
+// inLeaderLease reports whether this member leads or received a message from a
+// leader within ElectionTicks. It grants no vote during that time, on which
+// QuorumActive relies. A higher term does not end the lease, because the leader
+// may not have seen that term.
 func (m *Machine) promised() bool {
 	return m.role == Leader || m.tick-m.heardTick < m.cfg.ElectionTicks
 }
@@ -105,11 +105,11 @@
 	}
 }
 
-// onVote gives at most one vote per term. It is bound to the candidate's disk:
-// before disks are bound by the log, two disks may come under the same id.
+// onVote grants at most one vote per term. The vote is for an id and a disk: until
+// the log binds the disks, two disks may use the same id.
 func (m *Machine) onVote(msg *Message) {
 	if msg.Term >= m.hard.Term && m.promised() && !msg.Transfer {
-		return // also in a term that is known already: see promised
+		return // also if the term is already known: see inLeaderLease
 	}
 	if msg.Term > m.hard.Term {
 		m.becomeFollower(msg.Term, 0)
@@ -134,9 +134,9 @@
 	}
 }
 
-// becomeLeader starts the term with an entry of its own: only that one proves,
-// once committed, that all entries before it are committed too. In a new group
-// the entry binds each member's disk, seen with its vote.
+// becomeLeader appends an entry of the new term: once it is committed, so are all
+// entries before it. In a new group this entry binds the disk of each member, which
+// the votes reported.
 func (m *Machine) becomeLeader() {
 	votes := m.votes
 	m.votes = nil
--- a/internal/quorum/errors.go
+++ b/internal/quorum/errors.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The errors of proposals, reads and transfers. Nothing was appended when one
-// of them is returned.
+// The errors of proposals and leadership transfers. When one of them is returned,
+// nothing was appended to the log.
 var (
 	ErrBusy         = errors.New("quorum: too many bytes wait for commit; try again later")
 	ErrTransferring = errors.New("quorum: leadership is being handed over; ask the new leader")
@@ -17,14 +17,14 @@
 )
 
 // NotLeaderError is returned by calls that only the leader serves.
-type NotLeaderError struct{ Leader uint64 } // 0: none known
+type NotLeaderError struct{ Leader uint64 } // 0 if unknown
 
 // Error implements error.
 func (e *NotLeaderError) Error() string {
 	return fmt.Sprintf("quorum: not the leader; leader is %d (0: none known)", e.Leader)
 }
 
-// RefusedError is returned by Step for a message that was not read.
+// MessageRefusedError is returned by Step for a message that was not processed.
 type RefusedError struct {
 	From uint64
 	Why  string
--- a/internal/quorum/fuzz_test.go
+++ b/internal/quorum/fuzz_test.go
@@ -6,8 +6,8 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// Whatever bytes come from outside, a machine refuses or takes them without
-// failing, keeps what it committed and never goes back to an older term.
+// FuzzStep passes arbitrary messages to Step. The machine must not panic, and its term
+// and commit index must not decrease.
 func FuzzStep(f *testing.F) {
 	for kind := range quorumpb.Kind_name {
 		msg := &Message{
--- a/internal/quorum/invariant_test.go
+++ b/internal/quorum/invariant_test.go
@@ -10,8 +10,8 @@
 
 func content(e *Entry) string { return fmt.Sprintf("%d %v %x", e.Term, e.Kind, e.Data) }
 
-// checkLeader checks election safety, and leader completeness when a term's
-// leader is first seen.
+// checkLeader checks election safety and, when a term's leader is first seen, leader
+// completeness.
 func (c *cluster) checkLeader(h *host) {
 	if h.m == nil || h.m.role != Leader {
 		return
@@ -31,21 +31,21 @@
 	}
 }
 
-// checkConfs checks that a machine goes by the newest group in its log.
+// checkConfs checks that a machine uses the latest configuration in its log.
 func (c *cluster) checkConfs(h *host) {
 	want := confHistory{{h.m.snap.Index, confOf(h.m.snap)}}.add(h.m.log.from(h.m.snap.Index+1, h.m.log.last(), maxInt)).newest()
 	if got := h.m.confs.newest(); !proto.Equal(got.conf, want.conf) {
-		c.t.Fatalf("member %d goes by the group of entry %d, the newest in its log is %d", h.id, got.index, want.index)
+		c.t.Fatalf("member %d uses the configuration of entry %d, the latest in its log is %d", h.id, got.index, want.index)
 	}
 }
 
-// checkEntries checks log matching: an index and term name one entry with one
-// predecessor, whoever holds it; by induction the logs are the same below.
+// checkEntries checks log matching: in all logs, an index and term identify the same
+// entry with the same term of its predecessor. By induction, the logs are the same below.
 func (c *cluster) checkEntries(h *host, es []*Entry) {
 	for _, e := range es {
 		prev, ok := h.m.log.term(e.Index - 1)
 		if !ok {
-			continue // replaced or compacted since
+			continue // already replaced or compacted
 		}
 		now := fmt.Sprintf("%s after term %d", content(e), prev)
 		at := position{e.Index, e.Term}
@@ -56,10 +56,11 @@
 	}
 }
 
-// apply checks state machine safety: every index holds one entry for all.
+// apply checks state machine safety, that all members apply the same entry at an index,
+// and applies the entry.
 func (c *cluster) apply(h *host, e *Entry) {
 	if e.Index != h.state.applied+1 {
-		c.t.Fatalf("member %d applies %d after %d", h.id, e.Index, h.state.applied)
+		c.t.Fatalf("member %d applies entry %d after entry %d", h.id, e.Index, h.state.applied)
 	}
 	if was, ok := c.committed[e.Index]; ok && was != content(e) {
 		c.t.Fatalf("state machine safety: index %d is %q and %q", e.Index, was, content(e))
@@ -76,7 +77,8 @@
 	}
 }
 
-// checkChain checks that equal indexes mean equal states, snapshots included.
+// checkStateHash checks that all members have the same state at an index, also when it
+// comes from a snapshot.
 func (c *cluster) checkChain(h *host) {
 	if was, ok := c.chains[h.state.applied]; ok && was != h.state.chain {
 		c.t.Fatalf("state machine safety: states differ at index %d", h.state.applied)
@@ -84,14 +86,15 @@
 	c.chains[h.state.applied] = h.state.chain
 }
 
-// finishRead checks that a read sees everything that was committed when it was asked.
+// finishRead checks that the index of a read covers everything that was committed when
+// the read was requested.
 func (c *cluster) finishRead(h *host, r ReadState) {
 	if _, ok := c.reads[r.Token]; ok {
 		c.t.Fatalf("read %d finished twice", r.Token)
 	}
 	c.reads[r.Token] = &r
 	if !r.Lost && r.Index < c.asked[r.Token] {
-		c.t.Fatalf("linearizable read: index %d was given, %d was committed before it was asked", r.Index, c.asked[r.Token])
+		c.t.Fatalf("linearizable read: got index %d, but %d was committed before the request", r.Index, c.asked[r.Token])
 	}
 	if c.onRead != nil {
 		c.onRead(h, r)
--- a/internal/quorum/lease_test.go
+++ b/internal/quorum/lease_test.go
@@ -6,10 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// A leader that is cut off goes on granting leases to daemons for as long as it
-// believes that nobody else leads. Clocks run apart by up to 10%, messages come
-// late, links are cut one way, VMs restart and leadership is handed over; still
-// nobody is elected while an older leader's QuorumActive holds.
+// A partitioned leader continues to grant leases to daemons while its QuorumActive holds.
+// No other member may be elected during that time, although clock rates differ by up to
+// 10%, messages are delayed, links fail in one direction, VMs restart and leadership is
+// transferred.
 func TestNoElectionDuringLeaderLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 5).Draw(t, "voters")
@@ -62,7 +62,7 @@
 	}
 	for _, h := range c.up() {
 		if h.m.hard.Term < l.m.hard.Term && h.m.QuorumActive() {
-			c.t.Fatalf("member %d leads term %d while %d still holds the lease of term %d: %s",
+			c.t.Fatalf("member %d leads term %d while QuorumActive of member %d holds in term %d: %s",
 				l.id, l.m.hard.Term, h.id, h.m.hard.Term, c)
 		}
 	}
--- a/internal/quorum/linear_test.go
+++ b/internal/quorum/linear_test.go
@@ -10,8 +10,8 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operation is one compare-and-set or read on the register.
-type operation struct{ read, expect, next uint64 } // read 1: a read
+// operation is a compare-and-set or a read of the register.
+type operation struct{ read, expect, next uint64 } // read is 1 for a read
 
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
@@ -19,8 +19,8 @@
 		value, op, out := state.(uint64), in.(operation), result.(uint64)
 		switch {
 		case out == unknown && op.read == 0:
-			// The operation may have run or not; not running is covered by its
-			// call never returning before the end.
+			// The operation may or may not have run. If it has not, porcupine can
+			// place it at the end of the history, as it never returned.
 			if value == op.expect {
 				return true, op.next
 			}
@@ -38,14 +38,14 @@
 
 const unknown = math.MaxUint64
 
-// clients issue operations against whoever leads and note what they saw.
+// workload issues operations at leaders and records the history of their results.
 type clients struct {
 	*cluster
 	now     int64
 	next    int
 	history []porcupine.Operation
-	writes  map[position]int // entry -> operation
-	asks    map[uint64]int   // read token -> operation
+	writes  map[position]int // entry -> index of the operation in history
+	asks    map[uint64]int   // read token -> index of the operation in history
 	waiting map[uint64][]ReadState
 }
 
@@ -67,7 +67,7 @@
 	i := k.call(operation{expect: expect, next: next})
 	index, term, err := h.m.Propose(command(expect, next, uint64(i)))
 	if err != nil {
-		k.history = k.history[:i] // certainly did not run
+		k.history = k.history[:i] // not appended, so it did not run
 		return
 	}
 	k.writes[position{index, term}] = i
@@ -101,7 +101,7 @@
 	k.serve(h)
 }
 
-// serve answers the reads whose index is applied.
+// completeReads completes the reads whose index is applied.
 func (k *clients) serve(h *host) {
 	k.waiting[h.disk] = slices.DeleteFunc(k.waiting[h.disk], func(r ReadState) bool {
 		if h.state.applied < r.Index {
@@ -112,10 +112,9 @@
 	})
 }
 
-// Operators race with compare-and-set edits and reads while leaders crash, are
-// cut off one way and messages are lost, late and doubled. What all of them saw
-// must fit one order of the edits, in which each took effect at one instant
-// between its call and its answer.
+// Concurrent compare-and-set writes and reads must be linearizable while VMs crash, links
+// fail in one direction, and messages are lost, delayed and duplicated: there must be one
+// order in which each operation takes effect between its call and its return.
 func TestHistoriesAreLinearizable(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -131,7 +130,7 @@
 			}
 			k.calm(60)
 			if known := k.known(); known < 10 {
-				t.Fatalf("only %d operations have an outcome: the history proves nothing", known)
+				t.Fatalf("only %d operations have a known outcome, want at least 10", known)
 			}
 			verdict := porcupine.CheckOperationsTimeout(registerModel, k.history, time.Minute)
 			if verdict != porcupine.Ok {
--- a/internal/quorum/log.go
+++ b/internal/quorum/log.go
@@ -2,22 +2,22 @@
 
 import "sort"
 
-// entryLog holds the entries from first on. Invariants:
-//   - entries are consecutive and their terms never fall;
+// entryLog holds the log entries at and above index first. Invariants:
+//   - entries have consecutive indexes and terms that never decrease;
 //   - first-1 <= applied <= commit <= last, and stable <= last;
 //   - an entry at or below commit is never changed or truncated.
 type entryLog struct {
 	first    uint64 // index of entries[0]
 	prevTerm uint64 // term of the entry at first-1
 	entries  []*Entry
-	stable   uint64 // synced up to here
+	stable   uint64 // index of the last synced entry
 	commit   uint64
-	applied  uint64 // handed to the application up to here
+	applied  uint64 // index of the last entry that the application applied
 }
 
 func (l *entryLog) last() uint64 { return l.first + uint64(len(l.entries)) - 1 }
 
-// term returns the term of the entry at i, and false where it isn't known.
+// term returns the term of the entry at i, or false if the log does not hold it.
 func (l *entryLog) term(i uint64) (uint64, bool) {
 	switch {
 	case i+1 == l.first:
@@ -38,15 +38,15 @@
 	return ok && t == term
 }
 
-// upToDate reports whether a log ending with that entry holds at least what this
-// one does; only such a candidate gets a vote, so that every leader holds every
-// committed entry.
+// upToDate reports whether a log that ends with an entry of this index and term is
+// at least as up to date as this one. Only such a candidate gets a vote, so every
+// leader holds every committed entry.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	own := l.lastTerm()
 	return term > own || term == own && index >= l.last()
 }
 
-// from returns the entries in [lo, hi], as many as fit into maxBytes but at least one.
+// slice returns the entries in [lo, hi] up to maxBytes in total, but at least one.
 func (l *entryLog) from(lo, hi uint64, maxBytes int) []*Entry {
 	hi = min(hi, l.last())
 	if lo < l.first || lo > hi {
@@ -65,16 +65,16 @@
 
 func (l *entryLog) append(es ...*Entry) { l.entries = append(l.entries, es...) }
 
-// truncate drops the entries from index on. The slice is copied when it grows
-// again, because entries handed out before may still be read.
+// truncate drops the entries at and above index. It limits the slice's capacity, so
+// that the next append copies it: slices returned earlier may still be in use.
 func (l *entryLog) truncate(index uint64) {
 	n := index - l.first
 	l.entries = l.entries[:n:n]
 	l.stable = min(l.stable, index-1)
 }
 
-// stableTo notes that the entries up to index were synced, unless they were
-// replaced meanwhile.
+// stableTo marks the entries up to index as synced, unless the entry at index was
+// replaced in the meantime.
 func (l *entryLog) stableTo(index, term uint64) {
 	if index > l.stable && l.matches(index, term) {
 		l.stable = index
@@ -85,8 +85,9 @@
 	l.commit = max(l.commit, min(index, l.last()))
 }
 
-// hint returns the highest index at or below index whose term is not above term.
-// With it one exchange skips a whole term of entries that can't match.
+// findConflictByTerm returns the highest index at or below index whose term is not
+// above term, and the term there. With it, the leader skips all conflicting entries
+// of a term in one round trip.
 func (l *entryLog) hint(index, term uint64) (uint64, uint64) {
 	index = min(index, l.last())
 	if index+1 < l.first {
@@ -108,12 +109,12 @@
 	l.first = first
 }
 
-// reset empties the log: it goes on after a snapshot.
+// reset empties the log and continues it after the snapshot at index and term.
 func (l *entryLog) reset(index, term uint64) {
 	*l = entryLog{first: index + 1, prevTerm: term, stable: index, commit: index, applied: index}
 }
 
-// entryOverhead is the room for index, term and kind in a message, in bytes.
+// entryOverhead is the encoded size of index, term and kind of an entry, in bytes.
 const entryOverhead = 24
 
 func entrySize(e *Entry) int { return len(e.Data) + entryOverhead }
--- a/internal/quorum/machine.go
+++ b/internal/quorum/machine.go
@@ -7,57 +7,55 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Machine is one member's replica of the agreed log.
-//
-// Invariants over the group, on which all else rests:
+// Machine is the Raft state machine of one member. The group keeps these invariants:
 //   - at most one leader is elected in a term;
 //   - a leader never changes or drops entries of its own log;
-//   - two logs with an entry of the same index and term are the same up to it;
-//   - an entry once committed is in the log of every later leader.
+//   - two logs with an entry of the same index and term are identical up to it;
+//   - a committed entry is in the log of every later leader.
 type Machine struct {
 	cfg  Config
 	rng  *rand.Rand
-	hard HardState // as of now; saved is what was handed out last
+	hard HardState // current; savedHardState is what Ready last returned
 
 	role   Role
-	leader uint64 // known leader of the term; 0: none
+	leader uint64 // known leader of the term; 0 if unknown
 	log    entryLog
 	confs  confHistory
-	snap   *Snapshot // newest, for members that lag behind the log
+	snap   *Snapshot // latest; sent to members that need entries already compacted
 
-	tick      int // counts from New
-	heardTick int // when a leader, of whatever term, was last heard
-	timeoutAt int // when to campaign
+	tick      int // number of ticks since New
+	heardTick int // tick of the last message from a leader of any term
+	timeoutAt int // tick at which to start a pre-vote
 
-	votes map[uint64]uint64 // id -> disk of those who granted
+	votes map[uint64]uint64 // granted votes: member id to disk
 
 	// Leader only.
 	peers       map[uint64]*progress
 	leaderSince int
-	round       uint64 // grows with every ReadIndex batch
+	round       uint64 // incremented for every batch of ReadIndex calls
 	reads       []pendingRead
 	readsUnsent bool
-	uncommitted int // bytes of commands appended and not committed
+	uncommitted int // bytes of uncommitted commands in the log
 	transfer    transfer
 
-	incoming incoming // snapshot being received
+	incoming incoming // snapshot of which not all chunks have arrived
 
 	outbox  []*Message
 	done    []ReadState
 	refused refusal
 
-	saved     HardState // durable, or being made so by the Ready given out
-	installed *Snapshot // received and not yet handed out
-	given     *Ready    // handed out and not yet advanced
+	saved     HardState // returned by the last Ready that changed it
+	installed *Snapshot // received from the leader, not yet returned by Ready
+	given     *Ready    // returned by Ready, Advance not yet called
 }
 
-// New returns a machine in the state that the driver stored.
+// New returns a machine that continues from the state the driver stored.
 func New(cfg Config, st Stored) (*Machine, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	if st.HardState.GetDisk() == 0 {
-		return nil, errors.New("quorum: HardState.Disk is not set; choose a random one when the data folder is made")
+		return nil, errors.New("quorum: HardState.Disk is not set; generate a random one when the data folder is created")
 	}
 	snap := st.Snapshot
 	if snap == nil {
@@ -73,9 +71,9 @@
 		return nil, err
 	}
 	proto.Merge(&m.saved, &m.hard)
-	// A restarted member has forgotten when it heard the leader. Voting at once
-	// could elect a second leader while the first still counts on it, so the
-	// start is taken for a sign of the leader. A new disk has promised nothing.
+	// A restart loses the time of the last message from the leader. A vote right
+	// after it could elect a second leader during the lease of the first, so the
+	// restart counts as a message from the leader. A new disk has granted no lease.
 	if m.hard.Term == 0 {
 		m.heardTick = -cfg.ElectionTicks
 	}
@@ -86,9 +84,10 @@
 	return m, nil
 }
 
-// alone reports whether this member is the only voter. Nobody else can lead then,
-// and no timeout has to be waited for. A group that is not yet committed does not
-// count: the leader that shrank it may still hold its lease by this member's answer.
+// isSoleVoter reports whether this member is the only voter of a committed
+// configuration. It then need not wait for the election timeout, as no other member
+// can lead. An uncommitted configuration does not count: the leader that proposed it
+// may still hold a lease based on this member's reply.
 func (m *Machine) alone() bool {
 	c := m.confs.newest()
 	return c.index <= m.log.commit && voterCount(c.conf) == 1 && isVoter(c.conf, m.cfg.ID)
@@ -108,12 +107,12 @@
 		es = es[1:]
 	}
 	if err := checkEntries(es, m.snap.Index, m.snap.Term, m.hard.Term); err != nil {
-		return errors.Wrap(err, "quorum: the journal is broken")
+		return errors.Wrap(err, "quorum: the stored log is inconsistent")
 	}
 	m.log.append(es...)
 	m.log.stable = m.log.last()
-	// The commit index may have been written where the entries were torn off;
-	// those entries were not acknowledged to anybody.
+	// The stored commit index may be above the last entry if the end of the log
+	// was lost in a crash. The lost entries had not been acknowledged.
 	m.log.commitTo(m.hard.Commit)
 	m.hard.Commit = m.log.commit
 	m.confs = m.confs.add(es)
@@ -124,8 +123,8 @@
 
 func (m *Machine) committedConf() *Conf { return m.confs.at(m.log.commit) }
 
-// Tick tells the machine that one tick has passed. After a pause the driver
-// delivers every tick that was missed before anything else.
+// Tick advances the clock of the machine by one tick. After a pause the driver must
+// deliver all missed ticks before it calls any other method.
 func (m *Machine) Tick() {
 	m.tick++
 	if m.role == Leader {
@@ -140,8 +139,8 @@
 
 func (m *Machine) tickLeader() {
 	if m.tick-max(m.quorumTick(), m.leaderSince) >= m.cfg.ElectionTicks {
-		// Cut off: somebody else may lead by now. Going on would only keep
-		// callers waiting for commits that can't come.
+		// No contact with a quorum: another member may lead by now, and callers
+		// would wait for commits that can't happen.
 		m.becomeFollower(m.hard.Term, 0)
 		return
 	}
@@ -155,8 +154,8 @@
 	m.timeoutAt = m.tick + m.cfg.ElectionTicks + m.rng.IntN(m.cfg.ElectionTicks)
 }
 
-// becomeFollower enters term, or stays in it, and leaves any other role. Reads
-// and the transfer of a lost leadership end here.
+// becomeFollower makes the member a follower in term, which may be its current one.
+// It fails pending reads and ends a leadership transfer.
 func (m *Machine) becomeFollower(term, leader uint64) {
 	if term > m.hard.Term {
 		m.hard.Term, m.hard.Vote, m.hard.VoteDisk = term, 0, 0
@@ -170,7 +169,7 @@
 	m.transfer = transfer{}
 }
 
-// heard notes a message of the term's leader.
+// onLeaderContact records a message from the leader of the current term.
 func (m *Machine) heard(leader uint64) {
 	if m.role != Follower || m.leader != leader {
 		m.becomeFollower(m.hard.Term, leader)
@@ -180,7 +179,7 @@
 	m.resetTimeout()
 }
 
-// Status returns a copy of what the machine knows.
+// Status returns the current state of the machine.
 func (m *Machine) Status() Status {
 	s := Status{
 		ID: m.cfg.ID, Term: m.hard.Term, Leader: m.leader, Role: m.role,
--- a/internal/quorum/membership.go
+++ b/internal/quorum/membership.go
@@ -9,14 +9,14 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// ConfOp is one step of membership change.
+// ConfOp is the kind of a membership change.
 type ConfOp uint8
 
 // The operations.
 const (
-	AddLearner ConfOp = iota // Member with an ID above Conf.MaxId and its Disk
-	Promote                  // a learner that has caught up becomes a voter
-	Remove                   // a voter or learner; its ID is never used again
+	AddLearner ConfOp = iota // Member needs an ID above Conf.MaxId and a Disk
+	Promote                  // makes a caught-up learner a voter
+	Remove                   // removes a voter or learner; its ID is never reused
 )
 
 var confOpNames = [...]string{AddLearner: "add", Promote: "promote", Remove: "remove"}
@@ -29,13 +29,14 @@
 	return "unknown"
 }
 
-// ConfChange changes the group by one member.
+// ConfChange is a membership change of one member.
 type ConfChange struct {
 	Op     ConfOp
-	Member *Member // Promote and Remove read only the ID
+	Member *Member // Promote and Remove use only the ID
 }
 
-// ConfError refuses a membership change that would do harm or makes no sense.
+// ConfError is returned for a membership change that is invalid or would leave the
+// group without an active quorum.
 type ConfError struct {
 	Op       ConfOp
 	ID       uint64
@@ -47,10 +48,9 @@
 	return fmt.Sprintf("quorum: can't %s member %d: %s; %s", e.Op, e.ID, e.Why, e.Fix)
 }
 
-// ProposeConf appends a membership change. At most one is under way, and the
-// leader must have committed in its own term first: otherwise two leaders could
-// each build on a different uncommitted change, and their quorums need not share
-// a voter.
+// ProposeConf appends a membership change. At most one change may be uncommitted,
+// and the leader must have committed an entry of its own term: otherwise two leaders
+// could build on different uncommitted changes, with quorums that share no voter.
 func (m *Machine) ProposeConf(c ConfChange) (index, term uint64, err error) {
 	if err := m.checkLeader(); err != nil {
 		return 0, 0, err
@@ -72,13 +72,13 @@
 func (m *Machine) appendConf(c *Conf) *Entry {
 	data, err := proto.Marshal(c)
 	if err != nil {
-		// Only invalid UTF-8 in a name can fail here, and changed refuses it.
-		panic("quorum: encode group: " + err.Error())
+		// Only invalid UTF-8 in a name can fail here, and addLearner rejects it.
+		panic("quorum: encode configuration: " + err.Error())
 	}
 	return m.appendOwn(quorumpb.EntryKind_CONF, data)
 }
 
-// changed returns the group after c, or why c is refused.
+// confAfter returns the configuration after c, or an error if c is not allowed.
 func (m *Machine) changed(c ConfChange) (*Conf, error) {
 	next := proto.CloneOf(m.conf())
 	var err error
@@ -126,9 +126,9 @@
 	return nil
 }
 
-// promote wants the learner to answer and to hold every committed entry, synced:
-// from then on it counts, and the loss of another voter must neither lose an
-// entry nor stop the group for as long as the learner would take to catch up.
+// promote makes a learner a voter. The learner must be active and have synced every
+// committed entry: once it counts towards a quorum, the loss of another voter must
+// neither lose an entry nor block commits until the learner has caught up.
 func (m *Machine) promote(c *Conf, id uint64) error {
 	b := find(c, id)
 	if b == nil || !b.Learner {
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// activeQuorum reports whether a quorum of c answers. Without this check the
-// removal of a live member beside a dead one would stop the group for good.
+// hasActiveQuorum reports whether a quorum of c is active. Without this check, the
+// removal of a live member while another is down would block the group permanently.
 func (m *Machine) activeQuorum(c *Conf) bool {
 	n := 0
 	for _, b := range c.Members {
@@ -164,12 +164,13 @@
 	return n >= quorumSize(c)
 }
 
-// answers reports whether the member answered a message of the last ElectionTicks.
+// recentlyActive reports whether the member answered a message that was sent within
+// the last ElectionTicks.
 func (m *Machine) answers(p *progress) bool {
 	return p != nil && p.ackedTick != notHeard && m.tick-p.ackedTick < m.cfg.ElectionTicks
 }
 
-// bind returns the group with each member's disk.
+// bindDisks returns a copy of c with the disk of each member set.
 func bind(c *Conf, disks map[uint64]uint64) *Conf {
 	c = proto.CloneOf(c)
 	for _, b := range c.Members {
@@ -178,8 +179,8 @@
 	return c
 }
 
-// leaveIfRemoved ends the leadership of a member whose removal is committed, and
-// lets the most up to date voter take over without waiting for its timeout.
+// stepDownIfRemoved ends the leadership of a member whose removal is committed. The
+// most up-to-date voter starts an election at once, without an election timeout.
 func (m *Machine) leaveIfRemoved() {
 	if m.confs.newest().index > m.log.commit || isVoter(m.conf(), m.cfg.ID) {
 		return
--- a/internal/quorum/membership_test.go
+++ b/internal/quorum/membership_test.go
@@ -7,9 +7,9 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// A repaired VM is added. It counts only once it holds every committed entry and
-// answers, so that the loss of a second VM right after the promotion neither
-// loses a change nor stops the group.
+// A replacement VM is added as a learner. It may be promoted only when it holds every
+// committed entry and is active, so that the loss of a second VM right after the
+// promotion neither loses a change nor blocks the group.
 func TestRepairedVMCountsOnlyWhenCaughtUp(t *testing.T) {
 	c, l := formed(t, 3)
 	for range 10 {
@@ -34,7 +34,7 @@
 	c.rounds(60)
 	l = c.mustLead()
 	c.mustChange(l, Promote, &Member{Id: 4})
-	second := c.host(5 - l.id) // 2 or 3, whichever does not lead
+	second := c.host(5 - l.id) // the one of 2 and 3 that does not lead
 	if l.id == 1 {
 		second = c.host(2)
 	}
@@ -49,13 +49,13 @@
 	c.rounds(60)
 	c.mustCommit(c.mustLead())
 	if n.state.value != 12 {
-		t.Fatalf("state %v after 12 changes", n.state)
+		t.Fatalf("state is %v after 12 changes", n.state)
 	}
 }
 
-// The only voter of a group leads at the first tick after a restart; one that is
-// alone only by an uncommitted removal waits for its timeout, because the leader
-// that removed itself may still hold a lease by its answer.
+// The only voter of a group must lead at the first tick after a restart. If it is the
+// only voter because of an uncommitted removal, it must wait for its election timeout:
+// the leader that removed itself may still hold a lease based on this voter's reply.
 func TestLoneVoterLeadsAtOnce(t *testing.T) {
 	for _, committed := range []bool{true, false} {
 		c, l := formed(t, 2)
@@ -70,7 +70,7 @@
 			c.deliver()
 		}
 		if committed && l.m.role == Leader {
-			t.Fatal("leads on after its removal")
+			t.Fatal("the leader did not step down after its removal")
 		}
 		c.crash(f, wholly)
 		c.start(f)
@@ -81,9 +81,9 @@
 	}
 }
 
-// The leader removes itself and is cut off before anybody else has the entry. It
-// is in no group by its own log, and the others' logs are behind its; if it did
-// not stand for election, nobody could ever be elected.
+// A leader removes itself and is isolated before another member has the entry. Its own
+// log no longer lists it as a voter, and the log of the other member is behind, so that
+// member can't win its vote. If it could not campaign, no leader could be elected.
 func TestUncommittedSelfRemoval(t *testing.T) {
 	c, l := formed(t, 2)
 	c.isolate(l)
@@ -96,21 +96,21 @@
 	n := c.mustLead()
 	c.mustCommit(n)
 	if n.id != 2 || l.m.role == Leader || len(n.m.committedConf().Members) != 1 {
-		t.Fatalf("removal was not finished: %s", c)
+		t.Fatalf("the removal was not completed: %s", c)
 	}
 	if find(l.m.committedConf(), 1) != nil {
-		t.Fatalf("the removed VM does not know: %s", c)
+		t.Fatalf("the removed VM has not committed its removal: %s", c)
 	}
 }
 
-// Membership changes that would reuse an id or a disk, stop the group or overtake
-// one another are refused, and nothing is appended.
+// Membership changes that would reuse an id or a disk, block the group, or start before
+// the previous change is committed must be refused without an append to the log.
 func TestMembershipRefusals(t *testing.T) {
 	c, l := formed(t, 3)
 	c.mustChange(l, Remove, &Member{Id: 3})
 	c.rounds(20)
 	if why := c.host(3).m.Status().Refused; why != quorumpb.Refusal_REMOVED {
-		t.Fatalf("the removed VM was told %v", why)
+		t.Fatalf("refusal reason at the removed VM: %v", why)
 	}
 	refuse := func(op ConfOp, b *Member) {
 		t.Helper()
@@ -120,7 +120,7 @@
 		}
 	}
 	refuse(AddLearner, &Member{Id: 3, Disk: 55})   // removed before
-	refuse(AddLearner, &Member{Id: 4, Disk: 1002}) // disk of 2
+	refuse(AddLearner, &Member{Id: 4, Disk: 1002}) // disk of member 2
 	refuse(AddLearner, &Member{Id: 4})
 	refuse(AddLearner, nil)
 	refuse(Promote, &Member{Id: 2})
@@ -139,20 +139,20 @@
 	if _, _, err := l.m.ProposeConf(ConfChange{AddLearner, &Member{Id: 4, Disk: 55}}); err != nil {
 		t.Fatal(err)
 	}
-	refuse(AddLearner, &Member{Id: 5, Disk: 56}) // the one before is not committed
+	refuse(AddLearner, &Member{Id: 5, Disk: 56}) // the previous change is not committed
 	c.pump(l)
 	c.rounds(20)
-	refuse(Promote, &Member{Id: 4}) // never answered
+	refuse(Promote, &Member{Id: 4}) // has never replied
 	c.mustChange(l, Remove, &Member{Id: 4})
 	c.mustChange(l, Remove, &Member{Id: 3 - l.id})
 	refuse(Remove, &Member{Id: l.id}) // the last voter
 	l.m.becomeFollower(l.m.hard.Term, 0)
 	l.m.elect(false)
-	refuse(AddLearner, &Member{Id: 6, Disk: 66}) // nothing is committed in the new term yet
+	refuse(AddLearner, &Member{Id: 6, Disk: 66}) // no entry of the new term is committed yet
 }
 
-// One of three voters is dead. Removing the other live one would leave a group
-// of two that can never commit again.
+// One of three voters is down. The removal of a live voter would leave a group of two
+// voters, one of them down, that can never commit again.
 func TestRemovalThatWouldStopTheGroup(t *testing.T) {
 	c, l := formed(t, 3)
 	c.crash(c.host(3), wholly)
@@ -160,7 +160,7 @@
 	_, _, err := l.m.ProposeConf(ConfChange{Remove, &Member{Id: 2}})
 	var why *ConfError
 	if !errors.As(err, &why) {
-		t.Fatalf("removal of a live member beside a dead one: %v", err)
+		t.Fatalf("removal of a live member while another is down: %v", err)
 	}
 	c.mustChange(l, Remove, &Member{Id: 3})
 }
--- a/internal/quorum/message.go
+++ b/internal/quorum/message.go
@@ -7,13 +7,13 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// Encode returns the bytes of a message.
+// Encode marshals a message.
 func Encode(msg *Message) ([]byte, error) {
 	b, err := proto.Marshal(msg)
 	return b, errors.Wrap(err, "quorum: encode message")
 }
 
-// Decode reads the bytes of a message. Whether it makes sense is checked by Step.
+// Decode unmarshals a message. Step validates its content.
 func Decode(b []byte) (*Message, error) {
 	msg := &Message{}
 	if err := proto.Unmarshal(b, msg); err != nil {
@@ -22,7 +22,8 @@
 	return msg, nil
 }
 
-// fromLeader reports whether only the leader of msg.Term sends messages of its kind.
+// isLeaderMessage reports whether msg is of a kind that only the leader of msg.Term
+// sends.
 func fromLeader(msg *Message) bool {
 	switch msg.Kind {
 	case quorumpb.Kind_APPEND, quorumpb.Kind_HEARTBEAT, quorumpb.Kind_SNAPSHOT, quorumpb.Kind_TIMEOUT_NOW:
@@ -31,8 +32,8 @@
 	return false
 }
 
-// promisesNothing reports whether msg may be sent before the journal is synced:
-// it tells of no vote cast and no entry held by the sender.
+// safeBeforeSync reports whether msg may be sent before the journal is synced: it
+// acknowledges neither a vote nor an entry of the sender.
 func promisesNothing(msg *Message) bool {
 	switch msg.Kind {
 	case quorumpb.Kind_APPEND, quorumpb.Kind_HEARTBEAT, quorumpb.Kind_SNAPSHOT:
@@ -41,7 +42,7 @@
 	return false
 }
 
-// send addresses msg to a member and queues it. Term is the sender's unless set.
+// send queues msg for a member. An unset Term becomes the current term.
 func (m *Machine) send(to uint64, msg *Message) {
 	msg.From, msg.FromDisk = m.cfg.ID, m.hard.Disk
 	msg.To = to
@@ -57,7 +58,7 @@
 	m.outbox = append(m.outbox, msg)
 }
 
-// reply queues an answer to msg, which goes to the very disk that asked.
+// reply queues a response to msg, addressed to the disk that sent it.
 func (m *Machine) reply(msg, answer *Message) {
 	answer.ToDisk = msg.FromDisk
 	answer.Round, answer.SentTick = msg.Round, msg.SentTick
--- a/internal/quorum/progress.go
+++ b/internal/quorum/progress.go
@@ -1,30 +1,30 @@
 package quorum
 
-// flow is how the leader sends to one member.
+// progressState is the mode in which the leader sends entries to a member.
 type flow uint8
 
 const (
-	probing     flow = iota // where the logs match isn't known: one message until it answers
-	replicating             // a window of messages is sent ahead of the answers
-	installing              // a snapshot is sent, one piece until it answers
+	probing     flow = iota // the matching index is unknown; one message at a time
+	replicating             // up to MaxInflight messages are sent without waiting for replies
+	installing              // a snapshot is sent, one chunk at a time
 )
 
-// notHeard is the tick of a member that has not answered in this term.
+// neverAcked is the ackedSentTick of a member that has not replied in this term.
 const notHeard = -1
 
-// progress is what the leader knows of one member. Invariant: match < next, and
-// every entry up to match is synced there.
+// progress tracks replication to one member. Invariants: match < next, and the
+// member has synced every entry up to match.
 type progress struct {
 	match, next uint64
 	flow        flow
-	waiting     bool     // probing, installing: a message is out
-	inflight    []uint64 // replicating: last index of each unanswered append
+	waiting     bool     // stateProbe, stateSnapshot: a message is unanswered
+	inflight    []uint64 // stateReplicate: last index of each unanswered append
 
-	snapshot *Snapshot // installing
-	offset   uint64    // bytes of snapshot data held by the member
+	snapshot *Snapshot // stateSnapshot: the snapshot being sent
+	offset   uint64    // bytes of snapshot data that the member has received
 
-	movedTick  int // when match last moved, or something was sent after a rest
-	ackedTick  int // when the newest message it answered was sent
+	movedTick  int // tick at which match last advanced or sending resumed after being idle
+	ackedTick  int // tick at which the latest answered message was sent
 	ackedRound uint64
 }
 
@@ -32,7 +32,7 @@
 	return &progress{next: last + 1, ackedTick: notHeard}
 }
 
-// contact notes that the member answered a message sent at tick in round.
+// recordReply records a reply to a message that was sent at tick in round.
 func (p *progress) contact(tick int, round uint64) {
 	p.ackedTick = max(p.ackedTick, tick)
 	p.ackedRound = max(p.ackedRound, round)
@@ -53,7 +53,7 @@
 	p.inflight, p.snapshot, p.offset = nil, s, 0
 }
 
-// acked notes at tick that everything up to index is synced there.
+// updateMatch records, at tick, that the member has synced all entries up to index.
 func (p *progress) acked(index uint64, tick int) {
 	if index > p.match {
 		p.match, p.movedTick = index, tick
@@ -67,10 +67,10 @@
 	}
 }
 
-// resting reports whether no answer to entries or a snapshot is waited for.
+// idle reports whether no append or snapshot message is unanswered.
 func (p *progress) resting() bool { return !p.waiting && len(p.inflight) == 0 }
 
-// blocked reports whether nothing may be sent before an answer comes.
+// paused reports whether nothing may be sent before the member replies.
 func (p *progress) blocked(maxInflight int) bool {
 	if p.flow == replicating {
 		return len(p.inflight) >= maxInflight
--- a/internal/quorum/readindex.go
+++ b/internal/quorum/readindex.go
@@ -1,10 +1,10 @@
 package quorum
 
-// pendingRead waits until a quorum has answered a message of its round.
+// pendingRead is a read that waits for a quorum to answer a message of its round.
 type pendingRead struct{ token, round uint64 }
 
-// ReadIndex asks for an index at which a read is linearizable. The outcome comes
-// in Ready.Reads with the same token.
+// ReadIndex requests an index at which a read is linearizable. Ready.Reads returns
+// the result with the same token.
 func (m *Machine) ReadIndex(token uint64) error {
 	if m.role != Leader {
 		return &NotLeaderError{m.leader}
@@ -17,7 +17,8 @@
 	return nil
 }
 
-// flushReads sends one round of heartbeats for all reads asked since the last.
+// flushReads sends one round of heartbeats for all reads requested since the last
+// round.
 func (m *Machine) flushReads() {
 	if !m.readsUnsent {
 		return
@@ -27,9 +28,10 @@
 	m.releaseReads()
 }
 
-// releaseReads finishes the reads whose round a quorum has answered: nobody else
-// led when they were asked, so nothing newer was committed. An entry of this term
-// must be committed first; before, the leader may not know the newest commit.
+// finishReads finishes the reads whose round a quorum has answered: no other member
+// led when they were requested, so no later entry was committed. An entry of the
+// current term must be committed first, as the leader may not know the latest commit
+// index until then.
 func (m *Machine) releaseReads() {
 	if m.role != Leader || len(m.reads) == 0 || !m.committedInTerm() {
 		return
@@ -50,18 +52,18 @@
 
 func (m *Machine) committedInTerm() bool { return m.log.matches(m.log.commit, m.hard.Term) }
 
-// quorumTick returns when the messages were sent that a quorum has answered, or
-// notHeard.
+// quorumTick returns the latest tick such that a quorum has answered messages sent
+// at or after it, or neverAcked.
 func (m *Machine) quorumTick() int {
 	of := func(p *progress) uint64 { return uint64(p.ackedTick + 1) }
 	return int(m.quorumValue(of, uint64(m.tick+1))) - 1
 }
 
-// QuorumActive reports whether a quorum of the voters answered a message sent
-// within the last three quarters of ElectionTicks. While it holds, no other
-// leader can have been elected: each of those voters refuses all others for
-// ElectionTicks. The quarter between covers a tick's length and clocks that run
-// at different rates. The driver delivers all due ticks before it asks.
+// QuorumActive reports whether this member leads and a quorum of the voters answered
+// messages sent within the last three quarters of ElectionTicks. No other leader can
+// have been elected while it returns true, because each of those voters grants no
+// vote for ElectionTicks. The remaining quarter allows for the length of a tick and
+// for clock drift. The driver must deliver all due ticks before the call.
 func (m *Machine) QuorumActive() bool {
 	if m.role != Leader || m.transfer.sent {
 		return false
--- a/internal/quorum/ready.go
+++ b/internal/quorum/ready.go
@@ -19,8 +19,8 @@
 	return m.hard.Term != m.saved.Term || m.hard.Vote != m.saved.Vote || m.hard.VoteDisk != m.saved.VoteDisk
 }
 
-// Ready returns the work to do. Advance must be called before the next Ready;
-// ticks and messages may come in between.
+// Ready returns the work for the driver. Advance must be called before the next
+// Ready; Tick and Step may be called in between.
 func (m *Machine) Ready() Ready {
 	if m.given != nil {
 		panic("quorum: Ready called again before Advance")
@@ -45,9 +45,10 @@
 	return rd
 }
 
-// splitOutbox sorts out what may be sent before the sync. While the term or vote
-// itself is not yet synced nothing may: after a crash the same term could be led
-// again with other entries.
+// splitOutbox divides the queued messages into those that may be sent before the
+// sync and those that may not. If the term or vote itself is not synced, no message
+// may be sent before: after a crash this member could lead the same term again with
+// different entries.
 func (m *Machine) splitOutbox(rd *Ready) {
 	wait := m.promiseChanged()
 	for _, msg := range m.outbox {
@@ -59,7 +60,8 @@
 	}
 }
 
-// Advance tells that all of the last Ready was done: stored, synced, sent, applied.
+// Advance reports that the work of the last Ready is done: stored, synced, sent and
+// applied.
 func (m *Machine) Advance() {
 	rd := m.given
 	if rd == nil {
--- a/internal/quorum/replicate.go
+++ b/internal/quorum/replicate.go
@@ -9,9 +9,9 @@
 
 const maxInt = math.MaxInt
 
-// Propose appends data to the leader's log. It is committed once an entry with
-// this index and term is among Ready.Committed; another term there means that it
-// was lost.
+// Propose appends data to the leader's log. The proposal is committed once
+// Ready.Committed contains an entry with this index and term. An entry with this
+// index and another term means that the proposal was lost.
 func (m *Machine) Propose(data []byte) (index, term uint64, err error) {
 	if err := m.checkLeader(); err != nil {
 		return 0, 0, err
@@ -40,7 +40,7 @@
 	return len(e.Data)
 }
 
-// appendOwn appends the leader's next entry and sends it on.
+// appendEntry appends an entry to the leader's log and sends it to the other members.
 func (m *Machine) appendOwn(kind quorumpb.EntryKind, data []byte) *Entry {
 	e := &Entry{Index: m.log.last() + 1, Term: m.hard.Term, Kind: kind, Data: data}
 	m.log.append(e)
@@ -53,7 +53,7 @@
 	return e
 }
 
-// syncPeers keeps a progress for each other member of the newest group.
+// syncPeers adds and removes progress records to match the latest configuration.
 func (m *Machine) syncPeers() {
 	for _, b := range m.conf().Members {
 		if b.Id != m.cfg.ID && m.peers[b.Id] == nil {
@@ -67,8 +67,8 @@
 	}
 }
 
-// eachPeer calls f for each other member in order of id, so that a run is the
-// same every time.
+// forEachPeer calls f for each other member in ascending order of id, so that runs
+// are deterministic.
 func (m *Machine) eachPeer(f func(id uint64, p *progress)) {
 	for _, b := range m.conf().Members {
 		if p := m.peers[b.Id]; p != nil {
@@ -79,7 +79,7 @@
 
 func (m *Machine) broadcastAppend() { m.eachPeer(m.sendEntries) }
 
-// sendEntries sends what the member lacks, as far as its window allows.
+// sendEntries sends the entries that the member lacks until its progress is paused.
 func (m *Machine) sendEntries(id uint64, p *progress) {
 	if p.resting() {
 		p.movedTick = m.tick
@@ -111,8 +111,8 @@
 	}
 }
 
-// broadcastHeartbeat sends each member a sign of life. Commit is held down to
-// what the member is known to hold, as the rest of its log may be another's.
+// broadcastHeartbeat sends a heartbeat to each other member. Its commit index is at
+// most the member's match index, as the log above it may differ from the leader's.
 func (m *Machine) broadcastHeartbeat() {
 	m.eachPeer(func(id uint64, p *progress) {
 		m.send(id, &Message{Kind: quorumpb.Kind_HEARTBEAT, Commit: min(m.log.commit, p.match)})
@@ -125,9 +125,9 @@
 	m.reply(msg, &Message{Kind: quorumpb.Kind_HEARTBEAT_REPLY})
 }
 
-// onAppend takes in entries if they follow an entry that is the same in the
-// leader's log. Entries are dropped only where they differ from the leader's:
-// a late, shorter message must not drop what a newer one brought.
+// onAppend appends entries if the entry before them matches the leader's. It drops
+// existing entries only on a conflict, so that a delayed message with fewer entries
+// does not remove entries of a later message.
 func (m *Machine) onAppend(msg *Message) error {
 	if err := checkEntries(msg.Entries, msg.Index, msg.LogTerm, msg.Term); err != nil {
 		return &RefusedError{msg.From, err.Error()}
@@ -158,8 +158,8 @@
 	return nil
 }
 
-// replaceFrom puts es at the end of the log, in place of what stood there. The
-// entry before es is at or above commit, so no committed entry is touched.
+// truncateAndAppend replaces the entries at and above es[0].Index by es. The entry
+// before es is at or above the commit index, so no committed entry is replaced.
 func (m *Machine) replaceFrom(es []*Entry) {
 	if index := es[0].Index; index <= m.log.last() {
 		m.log.truncate(index)
@@ -193,12 +193,12 @@
 	switch p.flow {
 	case replicating:
 		if msg.Index <= p.match {
-			return // late
+			return // stale
 		}
 		p.probe(p.match + 1)
 	case probing:
 		if msg.Index != p.next-1 {
-			return // late
+			return // stale
 		}
 		index, _ := m.log.hint(msg.HintIndex, msg.HintTerm)
 		p.probe(max(min(index+1, msg.Index), p.match+1))
@@ -208,9 +208,10 @@
 	m.sendEntries(msg.From, p)
 }
 
-// onHeartbeatReply finds out lost messages: the member answers a heartbeat, and
-// what was sent well before it brought no progress. A member that answers
-// nothing is sent nothing but heartbeats.
+// onHeartbeatReply detects lost messages: the member answered a heartbeat, but there
+// was no progress in the two heartbeat intervals before that heartbeat was sent. The
+// leader then probes and sends again. A member that does not answer gets only
+// heartbeats.
 func (m *Machine) onHeartbeatReply(p *progress, msg *Message) {
 	if int(msg.SentTick) < p.movedTick+2*m.cfg.HeartbeatTicks {
 		return
@@ -224,9 +225,9 @@
 	}
 }
 
-// maybeCommit commits what a quorum has synced. Only an entry of this term is
-// counted: an older one held by a majority can still be replaced by a leader
-// whose last entry is of a term in between.
+// maybeCommit advances the commit index to what a quorum has synced. Only an entry
+// of the current term is committed by counting: an older entry on a majority can
+// still be replaced by a leader whose last entry has a term in between.
 func (m *Machine) maybeCommit() {
 	index := m.quorumValue(func(p *progress) uint64 { return p.match }, m.log.stable)
 	if index <= m.log.commit || !m.log.matches(index, m.hard.Term) {
@@ -240,8 +241,8 @@
 	m.leaveIfRemoved()
 }
 
-// quorumValue returns the highest value that a quorum of the voters has reached,
-// where own is this member's.
+// quorumValue returns the highest value that a quorum of the voters has reached. own
+// is the value of this member.
 func (m *Machine) quorumValue(of func(*progress) uint64, own uint64) uint64 {
 	var values []uint64
 	for _, b := range m.conf().Members {
--- a/internal/quorum/snapshot.go
+++ b/internal/quorum/snapshot.go
@@ -6,15 +6,16 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// incoming is a snapshot of which the first pieces have come.
+// partialSnapshot is a snapshot of which not all chunks have arrived.
 type incoming struct {
 	index, term, from uint64
 	data              []byte
 }
 
-// Compact replaces the log up to the applied index by data, the application's
-// state after it, and keeps the last keep entries before it for slow followers.
-// The driver stores the returned snapshot and may then drop the journal below it.
+// Compact makes a snapshot at index from data, the application's state after that
+// entry, and drops the log before it except for the last keep entries up to index,
+// which slow followers may need. index must be applied. The driver stores the
+// returned snapshot and may then drop the journal below it.
 func (m *Machine) Compact(index uint64, data []byte, keep uint64) (*Snapshot, error) {
 	if index > m.log.applied || index <= m.snap.Index {
 		return nil, errors.Newf("quorum: can't compact at %d; use an index above %d, the last snapshot's, and up to %d, the applied one",
@@ -32,8 +33,8 @@
 	return m.snap, nil
 }
 
-// sendPiece sends the next part of a snapshot. The snapshot stays the one begun
-// with, though a newer one may have been made.
+// sendSnapshotChunk sends the next chunk of the member's snapshot. A transfer in
+// progress continues with its snapshot even if a newer one exists.
 func (m *Machine) sendPiece(id uint64, p *progress) {
 	s := p.snapshot
 	total := uint64(len(s.Data))
@@ -83,8 +84,8 @@
 	})
 }
 
-// restore replaces everything by the snapshot. Entries after it are dropped even
-// where they match; the leader sends them again.
+// installSnapshot replaces the whole log by the snapshot. Entries after it are
+// dropped even if they match the leader's; the leader sends them again.
 func (m *Machine) restore(s *Snapshot) {
 	m.incoming = incoming{}
 	m.log.reset(s.Index, s.Term)
--- a/internal/quorum/step.go
+++ b/internal/quorum/step.go
@@ -2,11 +2,11 @@
 
 import "pearmoor/internal/quorum/quorumpb"
 
-// refusal is the group's word that this VM is not taken for a member.
+// refusalNotice is another member's notice that it refuses this VM as a member.
 type refusal struct{ why quorumpb.Refusal }
 
-// Step takes in a message. A *RefusedError tells that it was not read; the
-// driver logs it and goes on.
+// Step processes a message. If it returns a *MessageRefusedError, the message was
+// not processed; the driver logs the error and continues.
 func (m *Machine) Step(msg *Message) error {
 	if _, ok := quorumpb.Kind_name[int32(msg.Kind)]; !ok || msg.Kind == quorumpb.Kind_UNKNOWN {
 		return &RefusedError{msg.From, "its kind is unknown"}
@@ -29,14 +29,14 @@
 	return nil
 }
 
-// checkAddress refuses messages between others than this disk and a member's own
-// disk. A replaced disk has lost the votes and entries its member promised to
-// keep; counted under the old id, it could help a second leader into a term or
-// an older log into the lead. Ids are never reused, so a member that was removed
-// stays out.
+// checkSenderAndRecipient refuses messages that are not addressed to this disk or do
+// not come from the disk bound to the sender's id. A replaced disk has lost the votes
+// and entries that it acknowledged: under the old id it could help to elect a second
+// leader in a term, or a leader without all committed entries. Ids are never reused,
+// so a removed member stays refused.
 func (m *Machine) checkAddress(msg *Message) error {
 	if msg.To != m.cfg.ID || msg.ToDisk != 0 && msg.ToDisk != m.hard.Disk {
-		return &RefusedError{msg.From, "it is for another member or for a disk that was replaced"}
+		return &RefusedError{msg.From, "it is addressed to another member or to a replaced disk"}
 	}
 	if msg.From == 0 || msg.From == m.cfg.ID || msg.FromDisk == 0 {
 		return &RefusedError{msg.From, "it does not name its sender"}
@@ -54,8 +54,9 @@
 	return &RefusedError{msg.From, "it was removed from the group"}
 }
 
-// refusalOf looks at the committed group: an uncommitted one may yet be undone,
-// and a member that it leaves out may still be needed to elect a leader.
+// refusalReason returns why the sender of msg is refused, by the committed
+// configuration: an uncommitted one may be rolled back, and a member that it removes
+// may still be needed to elect a leader.
 func (m *Machine) refusalOf(msg *Message) quorumpb.Refusal {
 	c := m.committedConf()
 	b := find(c, msg.From)
@@ -68,11 +69,11 @@
 	return quorumpb.Refusal_NONE
 }
 
-// stepInTerm takes in the messages that count only in their own term.
+// stepInTerm processes the messages that are valid only in their own term.
 func (m *Machine) stepInTerm(msg *Message) error {
 	if msg.Term < m.hard.Term {
 		if fromLeader(msg) {
-			// The sender was superseded and can't know; it steps down by our term.
+			// The sender is a superseded leader; it steps down on the newer term.
 			m.reply(msg, &Message{Kind: quorumpb.Kind_APPEND_REPLY, Reject: true})
 		}
 		return nil
@@ -81,7 +82,7 @@
 		m.becomeFollower(msg.Term, 0)
 	}
 	if fromLeader(msg) && m.role == Leader {
-		return &RefusedError{msg.From, "it claims to lead the term that this member leads"}
+		return &RefusedError{msg.From, "it claims leadership of the term that this member leads"}
 	}
 	switch msg.Kind {
 	case quorumpb.Kind_VOTE_REPLY:
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// onPeerReply takes in a member's answer to its leader. Only the bound disk counts.
+// onPeerReply processes a member's reply to its leader, if it comes from the disk
+// bound to the member's id.
 func (m *Machine) onPeerReply(msg *Message) {
 	b := find(m.conf(), msg.From)
 	p := m.peers[msg.From]
--- a/internal/quorum/transfer.go
+++ b/internal/quorum/transfer.go
@@ -6,20 +6,20 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// transfer is a planned hand-over of leadership.
+// leadershipTransfer is the state of a leadership transfer that Transfer started.
 type transfer struct {
 	active bool
 	to     uint64
 	since  int
-	// sent: the successor was told to start. It may do so at any time from now
-	// on, so this leader never again claims that nobody else leads.
+	// timeoutNowSent means that TIMEOUT_NOW was sent to the successor. The successor may be
+	// elected at any time after that, so QuorumActive returns false.
 	sent bool
 }
 
-// Transfer hands leadership to the voter to, or to the most up to date voter if
-// to is 0. Proposals are refused with ErrTransferring from now on. If the voter
-// does not take over within ElectionTicks, the leader goes on (nothing was sent
-// yet) or steps down.
+// Transfer hands leadership to the voter to, or to the most up-to-date voter if to
+// is 0. During the transfer, proposals fail with ErrTransferring. If the voter does
+// not take over within ElectionTicks, the leader resumes if TIMEOUT_NOW was not sent
+// yet, and steps down otherwise.
 func (m *Machine) Transfer(to uint64) error {
 	if err := m.checkLeader(); err != nil {
 		return err
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// successor returns the other voter that holds most and answers, or 0.
+// successor returns the active voter other than this member with the highest match
+// index, or 0 if there is none.
 func (m *Machine) successor() uint64 {
 	best := uint64(0)
 	m.eachPeer(func(id uint64, p *progress) {
@@ -47,7 +48,7 @@
 	return best
 }
 
-// maybeHandOver tells the successor to start once it holds the whole log.
+// maybeSendTimeoutNow sends TIMEOUT_NOW to the successor once it holds the whole log.
 func (m *Machine) maybeHandOver() {
 	t := &m.transfer
 	if !t.active || t.sent || m.peers[t.to] == nil || m.peers[t.to].match != m.log.last() {
--- a/internal/quorum/types.go
+++ b/internal/quorum/types.go
@@ -2,8 +2,8 @@
 
 import "pearmoor/internal/quorum/quorumpb"
 
-// The stored and exchanged types. Values handed to or returned by a Machine are
-// shared and must not be changed afterwards.
+// Types that are stored and sent to other members. Values passed to or returned by a
+// Machine are shared and must not be modified afterwards.
 type (
 	Entry     = quorumpb.Entry
 	Member    = quorumpb.Member
@@ -13,7 +13,7 @@
 	Message   = quorumpb.Message
 )
 
-// Role is what a machine is in its current term.
+// Role is the role of a member in its current term.
 type Role uint8
 
 // The roles.
@@ -29,59 +29,59 @@
 // String returns the role's name.
 func (r Role) String() string { return roleNames[r] }
 
-// Stored is what a driver read back from its journal.
+// StoredState is the state that a driver has read from its journal.
 type Stored struct {
 	HardState *HardState // Disk must be set
-	Snapshot  *Snapshot  // newest one; Bootstrap's or empty on a new disk
-	Entries   []*Entry   // consecutive, from Snapshot.Index+1 or earlier on
+	Snapshot  *Snapshot  // latest; on a new disk the one of Bootstrap, or empty
+	Entries   []*Entry   // consecutive, starting at or before Snapshot.Index+1
 }
 
-// Ready is the work a driver has to do, in the order given in the package comment.
+// Ready is the work that a driver has to do, in the order in the package comment.
 type Ready struct {
 	// HardState is nil when unchanged.
 	HardState *HardState
-	// Snapshot, if not nil, came from the leader and replaces the whole journal
-	// and the applied state.
+	// Snapshot, if not nil, was received from the leader and replaces the whole
+	// journal and the applied state.
 	Snapshot *Snapshot
-	// Entries are to be written to the journal, which first drops every entry
-	// at or above Entries[0].Index.
+	// Entries must be written to the journal, which first drops every entry at or
+	// above Entries[0].Index.
 	Entries []*Entry
-	// Early messages may be sent before the journal is synced.
+	// EarlyMessages may be sent before the journal is synced.
 	Early []*Message
-	// Messages may only be sent after the journal is synced: they promise that
-	// a vote was cast or an entry is held.
+	// Messages may only be sent after the journal is synced: they may acknowledge a
+	// vote or an entry.
 	Messages []*Message
-	// Committed entries are to be applied; they are consecutive. Entries of
-	// kind CONF and EMPTY are included and carry nothing for the application.
+	// Committed entries must be applied; their indexes are consecutive. Entries of
+	// kind CONF and EMPTY are included and hold no command for the application.
 	Committed []*Entry
 	// Reads are finished ReadIndex calls.
 	Reads []ReadState
-	// MustSync tells that the journal has to be synced before Messages are sent.
+	// MustSync reports whether the journal must be synced before Messages are sent.
 	MustSync bool
 }
 
-// ReadState is the outcome of one ReadIndex.
+// ReadState is the result of a ReadIndex call.
 type ReadState struct {
 	Token uint64
-	Index uint64 // the read may be served once this index is applied
-	Lost  bool   // leadership was lost first; ask the new leader
+	Index uint64 // the read may be served once the entry at Index is applied
+	Lost  bool   // leadership was lost before the read finished; retry at the new leader
 }
 
-// Status describes a machine to operators and to its driver.
+// Status is the state of a machine, for operators and for its driver.
 type Status struct {
-	ID, Term, Leader                  uint64 // Leader 0: none known
+	ID, Term, Leader                  uint64 // Leader is 0 if unknown
 	Role                              Role
 	Commit, Applied, LastIndex, First uint64
-	Conf                              *Conf            // newest in the log, committed or not
+	Conf                              *Conf            // latest in the log, committed or not
 	ConfCommitted                     bool             // whether Conf is committed
-	Peers                             []PeerStatus     // leader only, sorted by id
-	Refused                           quorumpb.Refusal // why the group refuses this VM, if it said so
+	Peers                             []PeerStatus     // on the leader only, sorted by id
+	Refused                           quorumpb.Refusal // reason why another member refuses this VM, if any
 }
 
-// PeerStatus is the leader's knowledge of one other member.
+// PeerStatus is the leader's view of another member.
 type PeerStatus struct {
 	ID       uint64
-	Match    uint64 // newest entry known to be synced there
-	Age      int    // ticks since the newest message it answered was sent; -1: none in this term
-	CaughtUp bool   // holds every committed entry: a learner may be promoted
+	Match    uint64 // index of the last entry that the member is known to have synced
+	Age      int    // ticks since the latest answered message was sent; -1 if none in this term
+	CaughtUp bool   // the member holds every committed entry; a learner may be promoted
 }
