--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -39,6 +39,6 @@
 	return fmt.Sprintf("journal: %s is damaged at offset %d: %s; replace this control VM's disk and add it to the group as a new member", e.File, e.Offset, e.Why)
 }
 
-func isFull(err error) bool {
+func isNoSpace(err error) bool {
 	return errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT)
 }
--- a/internal/journal/faults_test.go
+++ b/internal/journal/faults_test.go
@@ -13,23 +13,23 @@
 // the operation if it returns an error.
 type faultFS struct {
 	OS
-	at    int
-	ops   int
-	fault func(op string) error // returns the error for an operation, or nil
-	crash bool                  // later operations call opError too, as after a power failure
+	failAt       int
+	ops          int
+	opError      func(op string) error // returns the error for an operation, or nil
+	failAllLater bool                  // later operations call opError too, as after a power failure
 }
 
 // countOp counts an operation and returns its injected error.
-func (f *faultFS) next(op string) error {
+func (f *faultFS) countOp(op string) error {
 	f.ops++
-	if f.ops == f.at || f.crash && f.at > 0 && f.ops > f.at {
-		return f.fault(op)
+	if f.ops == f.failAt || f.failAllLater && f.failAt > 0 && f.ops > f.failAt {
+		return f.opError(op)
 	}
 	return nil
 }
 
 func (f *faultFS) Create(path string) (File, error) {
-	if err := f.next("create"); err != nil {
+	if err := f.countOp("create"); err != nil {
 		return nil, err
 	}
 	file, err := f.OS.Create(path)
@@ -42,21 +42,21 @@
 }
 
 func (f *faultFS) Rename(from, to string) error {
-	if err := f.next("rename"); err != nil {
+	if err := f.countOp("rename"); err != nil {
 		return err
 	}
 	return f.OS.Rename(from, to)
 }
 
 func (f *faultFS) Remove(path string) error {
-	if err := f.next("remove"); err != nil {
+	if err := f.countOp("remove"); err != nil {
 		return err
 	}
 	return f.OS.Remove(path)
 }
 
 func (f *faultFS) SyncDir(dir string) error {
-	if err := f.next("syncdir"); err != nil {
+	if err := f.countOp("syncdir"); err != nil {
 		return err
 	}
 	return f.OS.SyncDir(dir)
@@ -71,7 +71,7 @@
 
 // Write writes only half of the bytes when it fails, as on a full disk.
 func (f *faultFile) Write(b []byte) (int, error) {
-	if err := f.fs.next("write"); err != nil {
+	if err := f.fs.countOp("write"); err != nil {
 		n, _ := f.File.Write(b[:len(b)/2])
 		return n, err
 	}
@@ -79,16 +79,16 @@
 }
 
 func (f *faultFile) Sync() error {
-	if err := f.fs.next("sync"); err != nil {
+	if err := f.fs.countOp("sync"); err != nil {
 		return err
 	}
 	return f.File.Sync()
 }
 
-func alwaysInjected(string) error { return errInjected }
+func failAnyOp(string) error { return errInjected }
 
 // failForSpace fails the operations that need disk space: write and create.
-func diskFull(op string) error {
+func failForSpace(op string) error {
 	if op == "write" || op == "create" {
 		return unix.ENOSPC
 	}
--- a/internal/journal/faultydisk/faultydisk.go
+++ b/internal/journal/faultydisk/faultydisk.go
@@ -1,6 +1,7 @@
 // Package faultydisk implements a journal.FS that injects disk faults: slow syncs, stalled
 // writes, or a full disk. The fault is read from a file next to the data folder. Only test
-// builds use it, because simulating such a disk from outside the process needs root.
+// builds use it, because simulating such a disk from outside the process needs privileges on
+// the machine.
 package faultydisk
 
 import (
@@ -24,33 +25,33 @@
 )
 
 const (
-	slowSync = 150 * time.Millisecond
-	pollEach = 5 * time.Millisecond
+	slowSyncDelay = 150 * time.Millisecond
+	pollInterval  = 5 * time.Millisecond
 )
 
 // FS is the operating system's file system with the fault stated in the file at
 // faultPath.
 type FS struct {
 	journal.OS
-	file string
+	faultPath string
 }
 
 // New returns the file system for the data folder dir.
-func New(dir string) FS { return FS{file: faultFile(dir)} }
+func New(dir string) FS { return FS{faultPath: faultPath(dir)} }
 
-func faultFile(dir string) string { return dir + ".fault" }
+func faultPath(dir string) string { return dir + ".fault" }
 
 // Set replaces the current fault of the data folder dir.
 func Set(dir string, f Fault) error {
-	fresh := faultFile(dir) + ".new"
-	if err := os.WriteFile(fresh, []byte(f), 0o600); err != nil {
+	temp := faultPath(dir) + ".new"
+	if err := os.WriteFile(temp, []byte(f), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(fresh, faultFile(dir))
+	return os.Rename(temp, faultPath(dir))
 }
 
-func (fs FS) fault() Fault {
-	text, err := os.ReadFile(fs.file)
+func (fs FS) currentFault() Fault {
+	text, err := os.ReadFile(fs.faultPath)
 	if err != nil {
 		return Well // no fault was set
 	}
@@ -58,26 +59,26 @@
 }
 
 // waitWritable blocks while the disk is stalled. It returns ENOSPC if the disk is full.
-func (fs FS) wait() error {
-	for fs.fault() == Stalls {
-		time.Sleep(pollEach)
+func (fs FS) waitWritable() error {
+	for fs.currentFault() == Stalls {
+		time.Sleep(pollInterval)
 	}
-	if fs.fault() == Full {
+	if fs.currentFault() == Full {
 		return syscall.ENOSPC
 	}
 	return nil
 }
 
 func (fs FS) sync() {
-	_ = fs.wait() // a full disk can still sync
-	if fs.fault() == Slow {
-		time.Sleep(slowSync)
+	_ = fs.waitWritable() // a full disk can still sync
+	if fs.currentFault() == Slow {
+		time.Sleep(slowSyncDelay)
 	}
 }
 
 // Create implements journal.FS.
 func (fs FS) Create(path string) (journal.File, error) {
-	if err := fs.wait(); err != nil {
+	if err := fs.waitWritable(); err != nil {
 		return nil, err
 	}
 	f, err := fs.OS.Create(path)
@@ -98,7 +99,7 @@
 
 // Free implements journal.FS.
 func (fs FS) Free(dir string) (uint64, error) {
-	if fs.fault() == Full {
+	if fs.currentFault() == Full {
 		return 0, nil
 	}
 	return fs.OS.Free(dir)
@@ -111,7 +112,7 @@
 
 // Write implements io.Writer.
 func (f file) Write(b []byte) (int, error) {
-	if err := f.fs.wait(); err != nil {
+	if err := f.fs.waitWritable(); err != nil {
 		return 0, err
 	}
 	return f.File.Write(b)
--- a/internal/journal/file.go
+++ b/internal/journal/file.go
@@ -10,23 +10,23 @@
 
 // writeFramedFile atomically replaces dir/name by a file with one frame: after a
 // crash the file is either the old or the new one.
-func writeWhole(fs FS, dir, name string, payload []byte) error {
+func writeFramedFile(fs FS, dir, name string, payload []byte) error {
 	path := filepath.Join(dir, name)
 	temp := path + tempSuffix
 	f, err := fs.Create(temp)
 	if err != nil {
-		return fullOr(err, path)
+		return toDiskError(err, path)
 	}
 	if _, err := f.Write(appendFrame(nil, 1, payload)); err != nil {
 		_ = f.Close()
 		_ = fs.Remove(temp)
-		return fullOr(err, path)
+		return toDiskError(err, path)
 	}
 	if err := errors.CombineErrors(f.Sync(), f.Close()); err != nil {
 		return &SyncError{path, err}
 	}
 	if err := fs.Rename(temp, path); err != nil {
-		return fullOr(err, path)
+		return toDiskError(err, path)
 	}
 	if err := fs.SyncDir(dir); err != nil {
 		return &SyncError{path, err}
@@ -34,15 +34,15 @@
 	return nil
 }
 
-func fullOr(err error, path string) error {
-	if isFull(err) {
+func toDiskError(err error, path string) error {
+	if isNoSpace(err) {
 		return ErrFull
 	}
 	return &SyncError{path, err}
 }
 
 // readFramedFile returns the payload of a file that writeFramedFile wrote.
-func readWhole(fs FS, dir, name string) ([]byte, error) {
+func readFramedFile(fs FS, dir, name string) ([]byte, error) {
 	path := filepath.Join(dir, name)
 	b, err := fs.ReadFile(path)
 	if err != nil {
--- a/internal/journal/frame.go
+++ b/internal/journal/frame.go
@@ -12,14 +12,14 @@
 // The CRC32C covers length, sequence and payload. The sequence numbers of the frames
 // of a log are consecutive across its files.
 const (
-	frameHeader  = 16
-	maxFrameSize = 256 << 20
+	frameHeaderSize = 16
+	maxFrameSize    = 256 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func appendFrame(buf []byte, seq uint64, payload []byte) []byte {
-	var h [frameHeader]byte
+	var h [frameHeaderSize]byte
 	binary.LittleEndian.PutUint32(h[0:], uint32(len(payload)))
 	binary.LittleEndian.PutUint64(h[8:], seq)
 	binary.LittleEndian.PutUint32(h[4:], checksum(h[:], payload))
@@ -36,15 +36,15 @@
 // readFrame returns the frame at the start of b and its size including the header. ok
 // is false if the frame is incomplete or its checksum is wrong.
 func readFrame(b []byte) (seq uint64, payload []byte, size int, ok bool) {
-	if len(b) < frameHeader {
+	if len(b) < frameHeaderSize {
 		return 0, nil, 0, false
 	}
 	n := binary.LittleEndian.Uint32(b)
-	if n > maxFrameSize || int(n) > len(b)-frameHeader {
+	if n > maxFrameSize || int(n) > len(b)-frameHeaderSize {
 		return 0, nil, 0, false
 	}
-	size = frameHeader + int(n)
-	payload = b[frameHeader:size]
+	size = frameHeaderSize + int(n)
+	payload = b[frameHeaderSize:size]
 	if checksum(b, payload) != binary.LittleEndian.Uint32(b[4:]) {
 		return 0, nil, 0, false
 	}
@@ -53,9 +53,9 @@
 
 // findFrameAfter searches b for a valid frame with a sequence number in
 // (after, after+window] and returns its offset.
-func findFrame(b []byte, after uint64) (int, bool) {
+func findFrameAfter(b []byte, after uint64) (int, bool) {
 	const window = 1 << 20
-	for i := 0; i+frameHeader <= len(b); i++ {
+	for i := 0; i+frameHeaderSize <= len(b); i++ {
 		seq := binary.LittleEndian.Uint64(b[i+8:])
 		if seq <= after || seq-after > window {
 			continue
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -19,8 +19,8 @@
 const (
 	logPrefix      = "log"
 	snapshotPrefix = "snapshot-"
-	identityName   = IdentityName
-	lockName       = "lock"
+	identityFile   = IdentityName
+	lockFile       = "lock"
 )
 
 // IdentityFile is the name of the file that holds the identity of the disk.
@@ -45,15 +45,15 @@
 
 // Journal writes to an open data folder. It is not safe for concurrent use.
 type Journal struct {
-	fs    FS
-	dir   string
-	limit int64
-	lock  io.Closer
-	log   *Segments
-	hard  *quorum.HardState
-	last  map[uint64]uint64 // highest entry index by log file
-	snap  uint64            // index of the latest snapshot
-	fatal *SyncError        // first sync failure; every later write returns it
+	fs            FS
+	dir           string
+	segmentBytes  int64
+	lock          io.Closer
+	log           *Segments
+	hardState     *quorum.HardState
+	lastIndexes   map[uint64]uint64 // highest entry index by log file
+	snapshotIndex uint64            // index of the latest snapshot
+	syncErr       *SyncError        // first sync failure; every later write returns it
 }
 
 // Open locks and reads a data folder, and creates it if it does not exist.
@@ -67,11 +67,11 @@
 	if err := o.FS.MkdirAll(dir); err != nil {
 		return nil, nil, errors.Wrap(err, "journal: create data folder")
 	}
-	lock, err := o.FS.Lock(filepath.Join(dir, lockName))
+	lock, err := o.FS.Lock(filepath.Join(dir, lockFile))
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "journal")
 	}
-	j := &Journal{fs: o.FS, dir: dir, limit: o.SegmentBytes, lock: lock, last: make(map[uint64]uint64)}
+	j := &Journal{fs: o.FS, dir: dir, segmentBytes: o.SegmentBytes, lock: lock, lastIndexes: make(map[uint64]uint64)}
 	st, err := j.load()
 	if err != nil {
 		_ = j.Close()
@@ -93,7 +93,7 @@
 			if err := j.fs.Remove(filepath.Join(j.dir, name)); err != nil {
 				return nil, err
 			}
-		case name == identityName:
+		case name == identityFile:
 			st.Identity = &wire.DiskIdentity{}
 			if err := j.readMessage(name, st.Identity); err != nil {
 				return nil, err
@@ -107,31 +107,31 @@
 		if err := j.readMessage(newest, st.Snapshot); err != nil {
 			return nil, err
 		}
-		j.snap = st.Snapshot.Index
+		j.snapshotIndex = st.Snapshot.Index
 	}
-	r := replay{last: j.last}
-	if j.log, err = OpenSegments(j.fs, j.dir, logPrefix, r.visit); err != nil {
+	r := replayState{lastIndexes: j.lastIndexes}
+	if j.log, err = OpenSegments(j.fs, j.dir, logPrefix, r.applyBatch); err != nil {
 		return nil, err
 	}
-	j.hard, st.HardState = r.hard, r.hard
-	if st.Snapshot == nil || r.follows(st.Snapshot) {
+	j.hardState, st.HardState = r.hardState, r.hardState
+	if st.Snapshot == nil || r.matchesSnapshot(st.Snapshot) {
 		st.Entries = r.entries
 		return st, nil
 	}
-	return st, j.void(st.Snapshot)
+	return st, j.finishReplace(st.Snapshot)
 }
 
 // finishReplace completes a replaceWithSnapshot that a crash interrupted: the
 // leader's snapshot is already stored and supersedes the log.
-func (j *Journal) void(snap *quorum.Snapshot) error {
-	if j.hard == nil {
+func (j *Journal) finishReplace(snap *quorum.Snapshot) error {
+	if j.hardState == nil {
 		return nil
 	}
 	return j.append(&wire.JournalBatch{ResetIndex: snap.Index}, nil)
 }
 
 func (j *Journal) readMessage(name string, m proto.Message) error {
-	b, err := readWhole(j.fs, j.dir, name)
+	b, err := readFramedFile(j.fs, j.dir, name)
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 
 // WriteIdentity stores the identity of a new disk.
 func (j *Journal) WriteIdentity(id *wire.DiskIdentity) error {
-	return j.sticky(WriteIdentity(j.fs, j.dir, id))
+	return j.recordSyncError(WriteIdentity(j.fs, j.dir, id))
 }
 
 // IsLogFile reports whether name is that of a log file, which holds entries and hard
@@ -153,15 +153,15 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
-	if err != nil || !slices.Contains(names, identityName) {
+	if err != nil || !slices.Contains(names, identityFile) {
 		return nil, err
 	}
-	b, err := readWhole(fs, dir, identityName)
+	b, err := readFramedFile(fs, dir, identityFile)
 	if err != nil {
 		return nil, err
 	}
 	id := &wire.DiskIdentity{}
-	return id, errors.Wrapf(proto.Unmarshal(b, id), "journal: %s", filepath.Join(dir, identityName))
+	return id, errors.Wrapf(proto.Unmarshal(b, id), "journal: %s", filepath.Join(dir, identityFile))
 }
 
 // WriteIdentity stores the identity of the disk in a data folder that no journal has
@@ -171,15 +171,15 @@
 	if err != nil {
 		return err
 	}
-	return writeWhole(fs, dir, identityName, b)
+	return writeFramedFile(fs, dir, identityFile, b)
 }
 
 // recordSyncError stores the first SyncError, which all later writes return, and
 // returns err.
-func (j *Journal) sticky(err error) error {
+func (j *Journal) recordSyncError(err error) error {
 	var failed *SyncError
-	if j.fatal == nil && errors.As(err, &failed) {
-		j.fatal = failed
+	if j.syncErr == nil && errors.As(err, &failed) {
+		j.syncErr = failed
 	}
 	return err
 }
@@ -187,26 +187,26 @@
 // Save makes the changes of a quorum.Ready durable. If sync is false and there are no
 // entries, nothing is written: only the commit index has changed, which need not be
 // durable and is written with the next frame. Save may be retried after ErrFull.
-func (j *Journal) Save(snap *quorum.Snapshot, hard *quorum.HardState, entries []*quorum.Entry, sync bool) error {
-	if j.fatal != nil {
-		return j.fatal
+func (j *Journal) Save(snap *quorum.Snapshot, hardState *quorum.HardState, entries []*quorum.Entry, sync bool) error {
+	if j.syncErr != nil {
+		return j.syncErr
 	}
-	if hard != nil {
-		j.hard = hard
+	if hardState != nil {
+		j.hardState = hardState
 	}
 	if snap != nil {
-		return j.sticky(j.replace(snap, entries))
+		return j.recordSyncError(j.replaceWithSnapshot(snap, entries))
 	}
 	if !sync && len(entries) == 0 {
 		return nil
 	}
-	return j.sticky(j.extend(entries))
+	return j.recordSyncError(j.appendEntries(entries))
 }
 
 // appendEntries writes a batch to the newest log file, or to a new one if that has
 // reached segmentBytes.
-func (j *Journal) extend(entries []*quorum.Entry) error {
-	if _, size := j.log.Current(); size >= j.limit {
+func (j *Journal) appendEntries(entries []*quorum.Entry) error {
+	if _, size := j.log.Current(); size >= j.segmentBytes {
 		if err := j.log.Rotate(); err != nil {
 			return err
 		}
@@ -214,11 +214,11 @@
 	return j.append(&wire.JournalBatch{}, entries)
 }
 
-// appendBatch writes a batch. Every batch includes the hard state, so that older log
+// append writes a batch. Every batch includes the hard state, so that older log
 // files can be removed.
 func (j *Journal) append(b *wire.JournalBatch, entries []*quorum.Entry) error {
 	var err error
-	if b.HardState, err = proto.Marshal(j.hard); err != nil {
+	if b.HardState, err = proto.Marshal(j.hardState); err != nil {
 		return err
 	}
 	for _, e := range entries {
@@ -237,7 +237,7 @@
 	}
 	if n := len(entries); n > 0 {
 		number, _ := j.log.Current()
-		j.last[number] = max(j.last[number], entries[n-1].Index)
+		j.lastIndexes[number] = max(j.lastIndexes[number], entries[n-1].Index)
 	}
 	return nil
 }
@@ -247,8 +247,8 @@
 // snapshot of a term above its own; the snapshot; and a batch that discards all
 // earlier log entries. After a crash between the second and third, load writes the
 // third.
-func (j *Journal) replace(snap *quorum.Snapshot, entries []*quorum.Entry) error {
-	if err := j.extend(nil); err != nil {
+func (j *Journal) replaceWithSnapshot(snap *quorum.Snapshot, entries []*quorum.Entry) error {
+	if err := j.appendEntries(nil); err != nil {
 		return err
 	}
 	if err := j.writeSnapshot(snap); err != nil {
@@ -266,10 +266,10 @@
 
 // SaveSnapshot stores a snapshot of the state that this VM has applied.
 func (j *Journal) SaveSnapshot(snap *quorum.Snapshot) error {
-	if j.fatal != nil {
-		return j.fatal
+	if j.syncErr != nil {
+		return j.syncErr
 	}
-	return j.sticky(j.writeSnapshot(snap))
+	return j.recordSyncError(j.writeSnapshot(snap))
 }
 
 func (j *Journal) writeSnapshot(snap *quorum.Snapshot) error {
@@ -278,10 +278,10 @@
 		return err
 	}
 	name := fmt.Sprintf("%s%016x", snapshotPrefix, snap.Index)
-	if err := writeWhole(j.fs, j.dir, name, b); err != nil {
+	if err := writeFramedFile(j.fs, j.dir, name, b); err != nil {
 		return err
 	}
-	j.snap = snap.Index
+	j.snapshotIndex = snap.Index
 	return j.removeSnapshots(name)
 }
 
@@ -305,25 +305,25 @@
 // index nor the entry at the snapshot's index. The latter is needed at the next start
 // to check that log and snapshot belong together.
 func (j *Journal) DropBelow(index uint64) error {
-	index = min(index, j.snap)
+	index = min(index, j.snapshotIndex)
 	current, _ := j.log.Current()
-	keep := uint64(0)
-	for _, seg := range j.log.list {
-		keep = seg.number
-		if seg.number == current || j.last[seg.number] >= index {
+	firstKept := uint64(0)
+	for _, seg := range j.log.segments {
+		firstKept = seg.number
+		if seg.number == current || j.lastIndexes[seg.number] >= index {
 			break
 		}
 	}
-	return j.removeLogs(keep)
+	return j.removeLogs(firstKept)
 }
 
 func (j *Journal) removeLogs(before uint64) error {
 	if err := j.log.RemoveBefore(before); err != nil {
 		return err
 	}
-	for number := range j.last {
+	for number := range j.lastIndexes {
 		if number < before {
-			delete(j.last, number)
+			delete(j.lastIndexes, number)
 		}
 	}
 	return nil
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -15,13 +15,13 @@
 )
 
 // saveCall holds the arguments of a call of Save.
-type save struct {
-	snap    *quorum.Snapshot
-	hard    *quorum.HardState
-	entries []*quorum.Entry
+type saveCall struct {
+	snapshot  *quorum.Snapshot
+	hardState *quorum.HardState
+	entries   []*quorum.Entry
 }
 
-func entries(term uint64, from, to uint64) []*quorum.Entry {
+func makeEntries(term uint64, from, to uint64) []*quorum.Entry {
 	var es []*quorum.Entry
 	for i := from; i <= to; i++ {
 		es = append(es, &quorum.Entry{Index: i, Term: term, Data: fmt.Appendf(nil, "entry %d of term %d", i, term)})
@@ -29,34 +29,34 @@
 	return es
 }
 
-func hard(term, vote uint64) *quorum.HardState {
+func makeHardState(term, vote uint64) *quorum.HardState {
 	return &quorum.HardState{Term: term, Vote: vote, Disk: 9}
 }
 
 // testSaves returns saves with appends, an overwritten suffix, votes, and a snapshot from
 // a leader that replaces the log.
-func script() []save {
-	return []save{
-		{hard: hard(1, 1)},
-		{entries: entries(1, 1, 4)},
-		{hard: hard(2, 3), entries: entries(2, 3, 5)},
-		{entries: entries(2, 6, 6)},
-		{snap: &quorum.Snapshot{Index: 20, Term: 3, Data: []byte("state")}, hard: hard(3, 0)},
-		{entries: entries(3, 21, 23)},
-		{hard: hard(4, 2)},
-		{hard: hard(5, 2), entries: entries(5, 22, 24)},
+func testSaves() []saveCall {
+	return []saveCall{
+		{hardState: makeHardState(1, 1)},
+		{entries: makeEntries(1, 1, 4)},
+		{hardState: makeHardState(2, 3), entries: makeEntries(2, 3, 5)},
+		{entries: makeEntries(2, 6, 6)},
+		{snapshot: &quorum.Snapshot{Index: 20, Term: 3, Data: []byte("state")}, hardState: makeHardState(3, 0)},
+		{entries: makeEntries(3, 21, 23)},
+		{hardState: makeHardState(4, 2)},
+		{hardState: makeHardState(5, 2), entries: makeEntries(5, 22, 24)},
 	}
 }
 
 // stateAfter returns the state that Open must return after the given saves.
-func expected(saves []save) *Stored {
+func stateAfter(saves []saveCall) *Stored {
 	st := &Stored{}
 	for _, s := range saves {
-		if s.hard != nil {
-			st.HardState = s.hard
+		if s.hardState != nil {
+			st.HardState = s.hardState
 		}
-		if s.snap != nil {
-			st.Snapshot, st.Entries = s.snap, nil
+		if s.snapshot != nil {
+			st.Snapshot, st.Entries = s.snapshot, nil
 		}
 		for _, e := range s.entries {
 			for len(st.Entries) > 0 && st.Entries[len(st.Entries)-1].Index >= e.Index {
@@ -69,7 +69,7 @@
 }
 
 // diffStates describes the first difference between got and want, or returns "".
-func differs(got, want *Stored) string {
+func diffStates(got, want *Stored) string {
 	if !proto.Equal(got.HardState, want.HardState) {
 		return fmt.Sprintf("hard state %v, want %v", got.HardState, want.HardState)
 	}
@@ -87,7 +87,7 @@
 	return ""
 }
 
-func write(t *testing.T, dir string, o Options, saves []save) {
+func writeSaves(t *testing.T, dir string, o Options, saves []saveCall) {
 	t.Helper()
 	j, _, err := Open(dir, o)
 	if err != nil {
@@ -95,13 +95,13 @@
 	}
 	defer func() { _ = j.Close() }()
 	for _, s := range saves {
-		if err := j.Save(s.snap, s.hard, s.entries, true); err != nil {
+		if err := j.Save(s.snapshot, s.hardState, s.entries, true); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-func read(t *testing.T, dir string) *Stored {
+func readState(t *testing.T, dir string) *Stored {
 	t.Helper()
 	j, st, err := Open(dir, Options{})
 	if err != nil {
@@ -116,34 +116,34 @@
 // A crash can leave any part of the frame that was being written. That frame was not
 // acknowledged and may be missing, but everything synced before it must be read back, and
 // later saves must work.
-func TestCutAtEveryByteOfTheLastFrames(t *testing.T) {
+func TestTruncationAtAnyByteKeepsCompleteSaves(t *testing.T) {
 	Convey("A log truncated at any byte reads back as the complete saves", t, func() {
-		saves := script()
+		saves := testSaves()
 		dir := t.TempDir()
 		var sizes []int64 // of the newest log file after each save
 		for n := range saves {
-			write(t, dir, Options{}, saves[n:n+1])
-			sizes = append(sizes, lastFile(t, dir).Size())
+			writeSaves(t, dir, Options{}, saves[n:n+1])
+			sizes = append(sizes, newestLogFile(t, dir).Size())
 		}
 		const first = 5 // the first 5 saves end with the snapshot, which removes the older files
-		data, err := os.ReadFile(filepath.Join(dir, lastFile(t, dir).Name()))
+		data, err := os.ReadFile(filepath.Join(dir, newestLogFile(t, dir).Name()))
 		So(err, ShouldBeNil)
 		for cut := int64(len(data)); cut >= sizes[first-1]; cut-- {
-			whole := first
-			for whole < len(saves) && sizes[whole] <= cut {
-				whole++
+			complete := first
+			for complete < len(saves) && sizes[complete] <= cut {
+				complete++
 			}
-			at := copyDir(t, dir)
-			path := filepath.Join(at, lastFile(t, dir).Name())
+			dirCopy := copyDir(t, dir)
+			path := filepath.Join(dirCopy, newestLogFile(t, dir).Name())
 			if err := os.WriteFile(path, data[:cut], 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if why := differs(read(t, at), expected(saves[:whole])); why != "" {
+			if why := diffStates(readState(t, dirCopy), stateAfter(saves[:complete])); why != "" {
 				t.Fatalf("truncated at byte %d: %s", cut, why)
 			}
-			more := save{hard: hard(9, 1), entries: entries(9, 21, 21)}
-			write(t, at, Options{}, []save{more})
-			if why := differs(read(t, at), expected(append(saves[:whole:whole], more))); why != "" {
+			extra := saveCall{hardState: makeHardState(9, 1), entries: makeEntries(9, 21, 21)}
+			writeSaves(t, dirCopy, Options{}, []saveCall{extra})
+			if why := diffStates(readState(t, dirCopy), stateAfter(append(saves[:complete:complete], extra))); why != "" {
 				t.Fatalf("truncated at byte %d, after another save: %s", cut, why)
 			}
 		}
@@ -152,16 +152,16 @@
 
 // A bit flip in a synced frame must not be mistaken for a torn tail: the acknowledged
 // votes and entries after it would be dropped silently.
-func TestDamageBeforeTheEndIsReported(t *testing.T) {
+func TestCorruptionBeforeTailIsReported(t *testing.T) {
 	Convey("A flipped bit in any byte before the last frame is reported with its file and offset", t, func() {
-		saves := script()[:4]
+		saves := testSaves()[:4]
 		dir := t.TempDir()
 		var ends []int64
 		for n := range saves {
-			write(t, dir, Options{}, saves[n:n+1])
-			ends = append(ends, lastFile(t, dir).Size())
+			writeSaves(t, dir, Options{}, saves[n:n+1])
+			ends = append(ends, newestLogFile(t, dir).Size())
 		}
-		name := lastFile(t, dir).Name()
+		name := newestLogFile(t, dir).Name()
 		data, err := os.ReadFile(filepath.Join(dir, name))
 		So(err, ShouldBeNil)
 		start, frame := int64(0), 0
@@ -169,13 +169,13 @@
 			if i >= ends[frame] {
 				start, frame = ends[frame], frame+1
 			}
-			at := copyDir(t, dir)
-			bad := append([]byte(nil), data...)
-			bad[i] ^= 0x40
-			if err := os.WriteFile(filepath.Join(at, name), bad, 0o600); err != nil {
+			dirCopy := copyDir(t, dir)
+			damaged := append([]byte(nil), data...)
+			damaged[i] ^= 0x40
+			if err := os.WriteFile(filepath.Join(dirCopy, name), damaged, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			_, _, err := Open(at, Options{})
+			_, _, err := Open(dirCopy, Options{})
 			var corrupt *CorruptError
 			if !errors.As(err, &corrupt) || corrupt.Offset != start || filepath.Base(corrupt.File) != name {
 				t.Fatalf("bit flipped in byte %d: %v, want CorruptError at offset %d", i, err, start)
@@ -185,7 +185,7 @@
 
 	Convey("A damaged snapshot is reported", t, func() {
 		dir := t.TempDir()
-		write(t, dir, Options{}, script())
+		writeSaves(t, dir, Options{}, testSaves())
 		path := filepath.Join(dir, fmt.Sprintf("%s%016x", snapshotPrefix, 20))
 		data, err := os.ReadFile(path)
 		So(err, ShouldBeNil)
@@ -202,50 +202,50 @@
 // complete, and the interrupted one complete or absent. The exception is the hard state
 // that comes with a leader's snapshot, which is stored before the snapshot: a term without
 // a vote or an entry acknowledges nothing.
-func TestPowerCutAtEveryOperation(t *testing.T) {
+func TestSaveIsAtomicOnCrashAtAnyOperation(t *testing.T) {
 	Convey("After a crash at any operation, each save is complete or absent", t, func() {
-		saves := script()
-		for at := 1; ; at++ {
+		saves := testSaves()
+		for failAt := 1; ; failAt++ {
 			dir := t.TempDir()
-			fs := &faultFS{at: at, fault: alwaysInjected, crash: true}
-			done := run(dir, Options{FS: fs, SegmentBytes: 64}, saves)
-			if done == len(saves) && fs.ops < at {
-				So(at, ShouldBeGreaterThan, 20)
+			fs := &faultFS{failAt: failAt, opError: failAnyOp, failAllLater: true}
+			completed := saveUntilError(dir, Options{FS: fs, SegmentBytes: 64}, saves)
+			if completed == len(saves) && fs.ops < failAt {
+				So(failAt, ShouldBeGreaterThan, 20)
 				return
 			}
-			got := read(t, dir)
-			before, after := expected(saves[:done]), expected(saves[:min(done+1, len(saves))])
-			whyOld, whyNew := differs(got, before), differs(got, after)
-			if done < len(saves) && saves[done].snap != nil && whyOld != "" {
-				before.HardState = saves[done].hard
-				whyOld = differs(got, before)
+			got := readState(t, dir)
+			before, after := stateAfter(saves[:completed]), stateAfter(saves[:min(completed+1, len(saves))])
+			diffBefore, diffAfter := diffStates(got, before), diffStates(got, after)
+			if completed < len(saves) && saves[completed].snapshot != nil && diffBefore != "" {
+				before.HardState = saves[completed].hardState
+				diffBefore = diffStates(got, before)
 			}
-			if whyOld != "" && whyNew != "" {
-				t.Fatalf("operation %d, in save %d: neither the state before (%s) nor after (%s)", at, done, whyOld, whyNew)
+			if diffBefore != "" && diffAfter != "" {
+				t.Fatalf("operation %d, in save %d: neither the state before (%s) nor after (%s)", failAt, completed, diffBefore, diffAfter)
 			}
 			next := got.Snapshot.GetIndex() + 1
 			if n := len(got.Entries); n > 0 {
 				next = got.Entries[n-1].Index + 1
 			}
-			more := save{hard: hard(9, 1), entries: entries(9, next, next)}
-			write(t, dir, Options{}, []save{more})
-			got.HardState, got.Entries = more.hard, append(got.Entries, more.entries...)
-			if why := differs(read(t, dir), got); why != "" {
-				t.Fatalf("operation %d, in save %d, after another save: %s", at, done, why)
+			extra := saveCall{hardState: makeHardState(9, 1), entries: makeEntries(9, next, next)}
+			writeSaves(t, dir, Options{}, []saveCall{extra})
+			got.HardState, got.Entries = extra.hardState, append(got.Entries, extra.entries...)
+			if why := diffStates(readState(t, dir), got); why != "" {
+				t.Fatalf("operation %d, in save %d, after another save: %s", failAt, completed, why)
 			}
 		}
 	})
 }
 
 // saveUntilError runs the saves until one fails and returns the number that succeeded.
-func run(dir string, o Options, saves []save) int {
+func saveUntilError(dir string, o Options, saves []saveCall) int {
 	j, _, err := Open(dir, o)
 	if err != nil {
 		return 0
 	}
 	defer func() { _ = j.Close() }()
 	for n, s := range saves {
-		if j.Save(s.snap, s.hard, s.entries, true) != nil {
+		if j.Save(s.snapshot, s.hardState, s.entries, true) != nil {
 			return n
 		}
 	}
@@ -258,8 +258,8 @@
 func TestFailedSyncIsNeverRetried(t *testing.T) {
 	Convey("After any failed sync of the log each later save fails with the same error", t, func() {
 		failed := 0
-		for at := 1; at < 40; at++ {
-			fs := &faultFS{at: at, fault: func(op string) error {
+		for failAt := 1; failAt < 40; failAt++ {
+			fs := &faultFS{failAt: failAt, opError: func(op string) error {
 				if op == "sync" {
 					return errInjected
 				}
@@ -267,8 +267,8 @@
 			}}
 			j, _, err := Open(t.TempDir(), Options{FS: fs, SegmentBytes: 64})
 			So(err, ShouldBeNil)
-			for _, s := range script() {
-				if err = j.Save(s.snap, s.hard, s.entries, true); err != nil {
+			for _, s := range testSaves() {
+				if err = j.Save(s.snapshot, s.hardState, s.entries, true); err != nil {
 					break
 				}
 			}
@@ -276,10 +276,10 @@
 				continue
 			}
 			failed++
-			var sync *SyncError
-			So(errors.As(err, &sync), ShouldBeTrue)
+			var syncErr *SyncError
+			So(errors.As(err, &syncErr), ShouldBeTrue)
 			for range 3 {
-				So(errors.As(j.Save(nil, hard(9, 9), entries(9, 90, 90), true), &sync), ShouldBeTrue)
+				So(errors.As(j.Save(nil, makeHardState(9, 9), makeEntries(9, 90, 90), true), &syncErr), ShouldBeTrue)
 			}
 			So(j.Close(), ShouldBeNil)
 		}
@@ -289,25 +289,25 @@
 
 // The disk is full during a save and then has space again. The failed save must leave
 // nothing behind, and a retry must succeed.
-func TestFullDiskRefusesAndRecovers(t *testing.T) {
+func TestSaveCanBeRetriedAfterFullDisk(t *testing.T) {
 	Convey("A save retried after ErrFull has the same result as a save without the error", t, func() {
-		saves := script()
+		saves := testSaves()
 		refused := 0
-		for at := 1; at < 60; at++ {
+		for failAt := 1; failAt < 60; failAt++ {
 			dir := t.TempDir()
-			fs := &faultFS{at: at, fault: diskFull}
+			fs := &faultFS{failAt: failAt, opError: failForSpace}
 			j, _, err := Open(dir, Options{FS: fs, SegmentBytes: 64})
 			So(err, ShouldBeNil)
 			for _, s := range saves {
-				err := j.Save(s.snap, s.hard, s.entries, true)
+				err := j.Save(s.snapshot, s.hardState, s.entries, true)
 				if errors.Is(err, ErrFull) {
 					refused++
-					err = j.Save(s.snap, s.hard, s.entries, true)
+					err = j.Save(s.snapshot, s.hardState, s.entries, true)
 				}
 				So(err, ShouldBeNil)
 			}
 			So(j.Close(), ShouldBeNil)
-			So(differs(read(t, dir), expected(saves)), ShouldBeEmpty)
+			So(diffStates(readState(t, dir), stateAfter(saves)), ShouldBeEmpty)
 		}
 		So(refused, ShouldBeGreaterThan, 10)
 	})
@@ -320,7 +320,7 @@
 		So(err, ShouldBeNil)
 		So(j.WriteIdentity(&wire.DiskIdentity{Disk: 9, Id: 1}), ShouldBeNil)
 		for i := uint64(1); i <= 100; i++ {
-			So(j.Save(nil, hard(1, 1), entries(1, i, i), true), ShouldBeNil)
+			So(j.Save(nil, makeHardState(1, 1), makeEntries(1, i, i), true), ShouldBeNil)
 		}
 		before := j.Size()
 
@@ -330,7 +330,7 @@
 			So(j.DropBelow(90), ShouldBeNil)
 			So(j.Size(), ShouldBeLessThan, before/2)
 			So(j.Close(), ShouldBeNil)
-			st := read(t, dir)
+			st := readState(t, dir)
 			So(proto.Equal(st.Snapshot, snap), ShouldBeTrue)
 			So(st.Entries[0].Index, ShouldBeLessThanOrEqualTo, 91)
 			So(st.Entries[len(st.Entries)-1].Index, ShouldEqual, 100)
@@ -347,7 +347,7 @@
 }
 
 // newestLogFile returns the newest log file.
-func lastFile(t *testing.T, dir string) os.FileInfo {
+func newestLogFile(t *testing.T, dir string) os.FileInfo {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(dir, logPrefix+"-*"))
 	if err != nil || len(names) == 0 {
--- a/internal/journal/replay.go
+++ b/internal/journal/replay.go
@@ -9,24 +9,24 @@
 )
 
 // replayState rebuilds the hard state and the entries from the batches of the log.
-type replay struct {
-	hard    *quorum.HardState
-	entries []*quorum.Entry
-	reset   uint64            // index of the last snapshot that replaced the log
-	last    map[uint64]uint64 // highest entry index by log file
+type replayState struct {
+	hardState   *quorum.HardState
+	entries     []*quorum.Entry
+	resetIndex  uint64            // index of the last snapshot that replaced the log
+	lastIndexes map[uint64]uint64 // highest entry index by log file
 }
 
-func (r *replay) visit(segment uint64, payload []byte) error {
+func (r *replayState) applyBatch(segment uint64, payload []byte) error {
 	var b wire.JournalBatch
 	if err := proto.Unmarshal(payload, &b); err != nil {
 		return err
 	}
 	if b.ResetIndex != 0 {
-		r.reset, r.entries = b.ResetIndex, nil
+		r.resetIndex, r.entries = b.ResetIndex, nil
 	}
 	if len(b.HardState) > 0 {
-		r.hard = &quorum.HardState{}
-		if err := proto.Unmarshal(b.HardState, r.hard); err != nil {
+		r.hardState = &quorum.HardState{}
+		if err := proto.Unmarshal(b.HardState, r.hardState); err != nil {
 			return err
 		}
 	}
@@ -36,19 +36,19 @@
 			return err
 		}
 		if i == 0 {
-			r.cut(e.Index)
+			r.truncateFrom(e.Index)
 		}
 		if n := len(r.entries); n > 0 && e.Index != r.entries[n-1].Index+1 {
 			return errors.Newf("entry %d follows entry %d, not consecutive", e.Index, r.entries[n-1].Index)
 		}
 		r.entries = append(r.entries, e)
-		r.last[segment] = max(r.last[segment], e.Index)
+		r.lastIndexes[segment] = max(r.lastIndexes[segment], e.Index)
 	}
 	return nil
 }
 
 // truncateFrom drops the entries at and above index.
-func (r *replay) cut(index uint64) {
+func (r *replayState) truncateFrom(index uint64) {
 	if len(r.entries) == 0 {
 		return
 	}
@@ -64,8 +64,8 @@
 
 // matchesSnapshot reports whether the entries belong to the snapshot: the log was
 // reset to it, or holds the entry with the index and term of the snapshot.
-func (r *replay) follows(snap *quorum.Snapshot) bool {
-	if r.reset == snap.Index {
+func (r *replayState) matchesSnapshot(snap *quorum.Snapshot) bool {
+	if r.resetIndex == snap.Index {
 		return true
 	}
 	for _, e := range r.entries {
--- a/internal/journal/segments.go
+++ b/internal/journal/segments.go
@@ -11,13 +11,13 @@
 // Segments is an append-only log of frames in several files. Only ReadSegment is safe
 // for concurrent use.
 type Segments struct {
-	fs     FS
-	dir    string
-	prefix string
-	list   []segment // oldest first
-	file   File      // the newest segment, open for appending; nil until there is one
-	seq    uint64    // sequence number of the last frame
-	failed error     // first write or sync failure; every later write returns it
+	fs       FS
+	dir      string
+	prefix   string
+	segments []segment // oldest first
+	file     File      // the newest segment, open for appending; nil until there is one
+	lastSeq  uint64    // sequence number of the last frame
+	failed   error     // first write or sync failure; every later write returns it
 }
 
 type segment struct {
@@ -38,26 +38,26 @@
 		return nil, err
 	}
 	for _, name := range names { // ReadDir sorts by name, and numbers have a fixed width
-		if n, ok := s.parse(name); ok {
-			s.list = append(s.list, segment{number: n})
+		if n, ok := s.parseName(name); ok {
+			s.segments = append(s.segments, segment{number: n})
 		}
 	}
-	for i := range s.list {
-		if err := s.load(i, visit); err != nil {
+	for i := range s.segments {
+		if err := s.loadSegment(i, visit); err != nil {
 			return nil, err
 		}
 	}
-	if len(s.list) == 0 {
+	if len(s.segments) == 0 {
 		return s, nil
 	}
-	return s, s.reopen()
+	return s, s.openLast()
 }
 
-func (s *Segments) name(number uint64) string { return fmt.Sprintf("%s-%016x", s.prefix, number) }
+func (s *Segments) fileName(number uint64) string { return fmt.Sprintf("%s-%016x", s.prefix, number) }
 
-func (s *Segments) path(number uint64) string { return filepath.Join(s.dir, s.name(number)) }
+func (s *Segments) path(number uint64) string { return filepath.Join(s.dir, s.fileName(number)) }
 
-func (s *Segments) parse(name string) (number uint64, ok bool) {
+func (s *Segments) parseName(name string) (number uint64, ok bool) {
 	hex, found := strings.CutPrefix(name, s.prefix+"-")
 	if !found || len(hex) != 16 {
 		return 0, false
@@ -70,8 +70,8 @@
 // a frame that was not synced before a crash. It was never acknowledged, and
 // openLast truncates it. A valid frame after the damage proves that the damaged frame
 // had been synced.
-func (s *Segments) load(i int, visit Visit) error {
-	seg := &s.list[i]
+func (s *Segments) loadSegment(i int, visit Visit) error {
+	seg := &s.segments[i]
 	path := s.path(seg.number)
 	b, err := s.fs.ReadFile(path)
 	if err != nil {
@@ -80,14 +80,14 @@
 	off := 0
 	for off < len(b) {
 		seq, payload, size, ok := readFrame(b[off:])
-		if ok && s.seq != 0 && seq != s.seq+1 {
-			return &CorruptError{path, int64(off), fmt.Sprintf("frame %d follows frame %d", seq, s.seq)}
+		if ok && s.lastSeq != 0 && seq != s.lastSeq+1 {
+			return &CorruptError{path, int64(off), fmt.Sprintf("frame %d follows frame %d", seq, s.lastSeq)}
 		}
 		if !ok {
-			if i < len(s.list)-1 {
+			if i < len(s.segments)-1 {
 				return &CorruptError{path, int64(off), "a later file exists, so this frame had been synced"}
 			}
-			if at, found := findFrame(b[off:], s.seq); found {
+			if at, found := findFrameAfter(b[off:], s.lastSeq); found {
 				return &CorruptError{path, int64(off), fmt.Sprintf("a valid frame follows at offset %d, so this one had been synced", off+at)}
 			}
 			break
@@ -95,15 +95,15 @@
 		if err := visit(seg.number, payload); err != nil {
 			return errors.Wrapf(err, "journal: %s, offset %d", path, off)
 		}
-		s.seq = seq
+		s.lastSeq = seq
 		off += size
 	}
 	seg.size = int64(off)
 	return nil
 }
 
-func (s *Segments) reopen() error {
-	last := s.list[len(s.list)-1]
+func (s *Segments) openLast() error {
+	last := s.segments[len(s.segments)-1]
 	path := s.path(last.number)
 	f, err := s.fs.Append(path, last.size)
 	if err != nil {
@@ -129,32 +129,32 @@
 			return err
 		}
 	}
-	cur := &s.list[len(s.list)-1]
-	frame := appendFrame(nil, s.seq+1, payload)
+	cur := &s.segments[len(s.segments)-1]
+	frame := appendFrame(nil, s.lastSeq+1, payload)
 	if _, err := s.file.Write(frame); err != nil {
-		return s.undo(cur, err)
+		return s.rollBackWrite(cur, err)
 	}
 	if err := s.file.Sync(); err != nil {
-		return s.fail(cur.number, err)
+		return s.setFailed(cur.number, err)
 	}
 	cur.size += int64(len(frame))
-	s.seq++
+	s.lastSeq++
 	return nil
 }
 
 // rollBackWrite handles a failed write. If the disk is full, it truncates the file to
 // its size before the write, which was not synced. Other errors are permanent.
-func (s *Segments) undo(cur *segment, cause error) error {
-	if !isFull(cause) {
-		return s.fail(cur.number, cause)
+func (s *Segments) rollBackWrite(cur *segment, cause error) error {
+	if !isNoSpace(cause) {
+		return s.setFailed(cur.number, cause)
 	}
 	if err := s.file.Truncate(cur.size); err != nil {
-		return s.fail(cur.number, err)
+		return s.setFailed(cur.number, err)
 	}
 	return ErrFull
 }
 
-func (s *Segments) fail(number uint64, cause error) error {
+func (s *Segments) setFailed(number uint64, cause error) error {
 	s.failed = &SyncError{s.path(number), cause}
 	return s.failed
 }
@@ -165,36 +165,36 @@
 		return s.failed
 	}
 	number := uint64(1)
-	if n := len(s.list); n > 0 {
-		number = s.list[n-1].number + 1
+	if n := len(s.segments); n > 0 {
+		number = s.segments[n-1].number + 1
 	}
 	f, err := s.fs.Create(s.path(number))
 	if err != nil {
-		if isFull(err) {
+		if isNoSpace(err) {
 			return ErrFull
 		}
-		return s.fail(number, err)
+		return s.setFailed(number, err)
 	}
 	if err := s.fs.SyncDir(s.dir); err != nil {
-		return s.fail(number, err)
+		return s.setFailed(number, err)
 	}
 	if s.file != nil {
 		if err := s.file.Close(); err != nil {
-			return s.fail(number-1, err)
+			return s.setFailed(number-1, err)
 		}
 	}
 	s.file = f
-	s.list = append(s.list, segment{number: number})
+	s.segments = append(s.segments, segment{number: number})
 	return nil
 }
 
 // RemoveBefore deletes the files with a smaller number, except the newest file.
 func (s *Segments) RemoveBefore(number uint64) error {
-	for len(s.list) > 1 && s.list[0].number < number {
-		if err := s.fs.Remove(s.path(s.list[0].number)); err != nil {
+	for len(s.segments) > 1 && s.segments[0].number < number {
+		if err := s.fs.Remove(s.path(s.segments[0].number)); err != nil {
 			return err
 		}
-		s.list = s.list[1:]
+		s.segments = s.segments[1:]
 	}
 	return nil
 }
@@ -202,17 +202,17 @@
 // Current returns the number and the size in bytes of the newest file, or zeros if
 // there is none.
 func (s *Segments) Current() (number uint64, size int64) {
-	if len(s.list) == 0 {
+	if len(s.segments) == 0 {
 		return 0, 0
 	}
-	last := s.list[len(s.list)-1]
+	last := s.segments[len(s.segments)-1]
 	return last.number, last.size
 }
 
 // Size returns the total size of all files in bytes.
 func (s *Segments) Size() int64 {
 	var sum int64
-	for _, seg := range s.list {
+	for _, seg := range s.segments {
 		sum += seg.size
 	}
 	return sum
--- a/internal/quorum/agreement_test.go
+++ b/internal/quorum/agreement_test.go
@@ -9,13 +9,13 @@
 
 // newElectedCluster returns a cluster whose disks are bound and whose first leader is
 // host 1.
-func formed(t *testing.T, n int) (*cluster, *host) {
+func newElectedCluster(t *testing.T, n int) (*cluster, *host) {
 	t.Helper()
 	c := newCluster(t, 7, n)
 	h := c.host(1)
-	h.m.timeoutAt = 1
-	c.rounds(20)
-	if h = c.mustLead(); h.id != 1 {
+	h.m.electionDeadline = 1
+	c.runTicks(20)
+	if h = c.waitForLeader(); h.id != 1 {
 		t.Fatalf("leader is %d: %s", h.id, c)
 	}
 	return c, h
@@ -24,40 +24,40 @@
 // A partition splits a group of even size into two halves with equal votes. If half
 // of the votes were enough, both halves would commit changes and one half's would be
 // lost. Neither half may elect a leader until the partition heals.
-func TestEqualVotesElectNobody(t *testing.T) {
+func TestEvenSplitElectsNoLeader(t *testing.T) {
 	for _, n := range []int{2, 4, 8} {
-		c, _ := formed(t, n)
-		for _, a := range c.up() {
-			for _, b := range c.up() {
-				c.cut[[2]uint64{a.disk, b.disk}] = a.id%2 != b.id%2
+		c, _ := newElectedCluster(t, n)
+		for _, a := range c.runningHosts() {
+			for _, b := range c.runningHosts() {
+				c.blockedLinks[[2]uint64{a.disk, b.disk}] = a.id%2 != b.id%2
 			}
 		}
-		term := c.host(1).m.hard.Term
-		c.rounds(200)
-		if h := c.leader(); h != nil || c.host(1).m.hard.Term != term {
+		term := c.host(1).m.hardState.Term
+		c.runTicks(200)
+		if h := c.leader(); h != nil || c.host(1).m.hardState.Term != term {
 			t.Fatalf("%d voters in two halves have a leader or a new term: %s", n, c)
 		}
-		c.calm(0)
-		c.mustCommit(c.mustLead())
+		c.healNetwork(0)
+		c.proposeAndWait(c.waitForLeader())
 	}
 }
 
 // Two candidates in the same term get half of the votes each. Neither becomes leader,
 // and an election in a later term succeeds.
-func TestSplitVoteIsDecidedLater(t *testing.T) {
-	c, h := formed(t, 4)
-	c.crash(h, wholly)
-	c.rounds(9)
+func TestSplitVoteIsResolvedInLaterTerm(t *testing.T) {
+	c, h := newElectedCluster(t, 4)
+	c.crash(h, afterAll)
+	c.runTicks(9)
 	for _, id := range []uint64{2, 3} {
 		o := c.host(id)
-		o.m.elect(false) // as if both passed the pre-vote at the same time
-		c.pump(o)
+		o.m.startElection(false) // as if both passed the pre-vote at the same time
+		c.processAllReady(o)
 	}
 	if l := c.leader(); l != nil {
 		t.Fatalf("%d leads with 2 of 4 votes", l.id)
 	}
-	c.rounds(60)
-	c.mustCommit(c.mustLead())
+	c.runTicks(60)
+	c.proposeAndWait(c.waitForLeader())
 }
 
 // A partition isolates a leader without closing its connections, so that it still
@@ -65,7 +65,7 @@
 // it must answer no read, and it must step down. When the partition heals, it must
 // not disturb the new leader, and its uncommitted entry is dropped.
 func TestLeaderCutOffSilently(t *testing.T) {
-	c, old := formed(t, 3)
+	c, old := newElectedCluster(t, 3)
 	c.isolate(old)
 	_, _, err := old.m.Propose(command(0, 9, 0))
 	if err != nil {
@@ -73,21 +73,21 @@
 	}
 	token := c.read(old)
 	for old.m.QuorumActive() {
-		c.rounds(1)
+		c.runTicks(1)
 		if l := c.leader(); l != old {
 			t.Fatalf("another member leads while QuorumActive of the old leader holds: %s", c)
 		}
 	}
-	c.rounds(60)
+	c.runTicks(60)
 	if r := c.reads[token]; r == nil || !r.Lost {
 		t.Fatalf("the isolated leader answered a read: %v", r)
 	}
-	l := c.mustLead()
-	c.mustCommit(l)
-	c.rounds(300)
-	term := l.m.hard.Term
-	c.calm(30)
-	if c.leader() != l || l.m.hard.Term != term {
+	l := c.waitForLeader()
+	c.proposeAndWait(l)
+	c.runTicks(300)
+	term := l.m.hardState.Term
+	c.healNetwork(30)
+	if c.leader() != l || l.m.hardState.Term != term {
 		t.Fatalf("the old leader disturbed the leader of term %d when it rejoined: %s", term, c)
 	}
 	if old.state != l.state || l.state.value != 1 {
@@ -98,48 +98,48 @@
 // Links fail in one direction only. A leader that receives nothing must step down, and
 // one whose messages are lost must be replaced. The other members elect a new leader
 // and commit.
-func TestLeaderCutOneWay(t *testing.T) {
-	for _, deaf := range []bool{true, false} {
-		c, old := formed(t, 3)
-		for _, o := range c.up() {
-			if deaf {
-				c.cut[[2]uint64{o.disk, old.disk}] = true
+func TestOneWayPartitionReplacesLeader(t *testing.T) {
+	for _, blockInbound := range []bool{true, false} {
+		c, old := newElectedCluster(t, 3)
+		for _, o := range c.runningHosts() {
+			if blockInbound {
+				c.blockedLinks[[2]uint64{o.disk, old.disk}] = true
 			} else {
-				c.cut[[2]uint64{old.disk, o.disk}] = true
+				c.blockedLinks[[2]uint64{old.disk, o.disk}] = true
 			}
 		}
-		c.rounds(60)
-		l := c.mustLead()
+		c.runTicks(60)
+		l := c.waitForLeader()
 		if l == old {
-			t.Fatalf("blockInbound=%v: the old leader still leads: %s", deaf, c)
+			t.Fatalf("blockInbound=%v: the old leader still leads: %s", blockInbound, c)
 		}
-		c.mustCommit(l)
+		c.proposeAndWait(l)
 	}
 }
 
 // A voter that answered its leader must grant no vote for an election timeout, because
 // the leader's QuorumActive relies on it. This must hold even if the voter restarts, and
 // so no longer knows the leader, or receives a newer term right after its reply.
-func TestPromiseOutlivesRestartAndTerm(t *testing.T) {
+func TestLeaderLeaseSurvivesVoterRestartAndNewTerm(t *testing.T) {
 	for _, restart := range []bool{true, false} {
-		c, l := formed(t, 3)
+		c, l := newElectedCluster(t, 3)
 		voter := c.host(2)
 		c.isolate(l)
 		if restart {
-			c.crash(voter, wholly)
+			c.crash(voter, afterAll)
 			c.start(voter)
 		} else {
 			err := voter.m.Step(&Message{
-				Kind: quorumpb.Kind_VOTE_REPLY, From: 3, FromDisk: 1003, To: 2, Term: l.m.hard.Term + 1, Reject: true,
+				Kind: quorumpb.Kind_VOTE_REPLY, From: 3, FromDisk: 1003, To: 2, Term: l.m.hardState.Term + 1, Reject: true,
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
 		}
 		for range voter.m.cfg.ElectionTicks - 1 {
-			c.host(3).m.elect(false)
-			c.pump(c.host(3))
-			c.rounds(1)
+			c.host(3).m.startElection(false)
+			c.processAllReady(c.host(3))
+			c.runTicks(1)
 			if c.host(3).m.role == Leader {
 				t.Fatalf("restart=%v: a vote was granted during the leader lease: %s", restart, c)
 			}
@@ -148,9 +148,9 @@
 }
 
 // The leader of term 4 has replicated an entry of term 2 to a majority. It must not
-// commit that entry by itself: a member whose log ends in term 3 could still be elected
-// and replace it. An entry of term 4 on a majority commits both.
-func TestOldTermIsCommittedOnlyByANewEntry(t *testing.T) {
+// commit that entry alone: a member whose log ends in term 3 could still be elected and
+// replace it. An entry of term 4 on a majority commits both.
+func TestOlderTermIsCommittedOnlyByEntryOfCurrentTerm(t *testing.T) {
 	boot, err := Bootstrap([]*Member{{Id: 1, Disk: 1}, {Id: 2, Disk: 2}, {Id: 3, Disk: 3}, {Id: 4, Disk: 4}, {Id: 5, Disk: 5}})
 	if err != nil {
 		t.Fatal(err)
@@ -172,7 +172,7 @@
 			m.Advance()
 		}
 	}
-	m.campaign()
+	m.startPreVote()
 	for _, kind := range []quorumpb.Kind{quorumpb.Kind_PRE_VOTE_REPLY, quorumpb.Kind_VOTE_REPLY} {
 		step(&Message{Kind: kind, From: 2})
 		step(&Message{Kind: kind, From: 3})
@@ -193,9 +193,9 @@
 // A leadership transfer, as at a planned stop, must elect the successor within a few
 // ticks, without an election timeout. Once TIMEOUT_NOW is sent, QuorumActive of the old
 // leader must be false.
-func TestHandOver(t *testing.T) {
+func TestLeadershipTransfer(t *testing.T) {
 	for _, pending := range []bool{false, true} {
-		c, l := formed(t, 3)
+		c, l := newElectedCluster(t, 3)
 		if pending {
 			if _, _, err := l.m.Propose(command(0, 1, 0)); err != nil {
 				t.Fatal(err)
@@ -210,35 +210,35 @@
 		if !pending && l.m.QuorumActive() {
 			t.Fatal("QuorumActive after TIMEOUT_NOW was sent to the successor")
 		}
-		c.pump(l)
-		c.rounds(3)
+		c.processAllReady(l)
+		c.runTicks(3)
 		if n := c.leader(); n == nil || n.id != 2 {
 			t.Fatalf("leadership was not transferred to member 2: %s", c)
 		}
-		c.mustCommit(c.host(2))
+		c.proposeAndWait(c.host(2))
 	}
 }
 
 // However much is proposed, a member must have at most MaxInflight entries sent to it
 // without a reply, and Propose must fail with ErrBusy at MaxUncommittedBytes.
-func TestReplicationIsBounded(t *testing.T) {
-	c, l := formed(t, 3)
+func TestInflightEntriesAndUncommittedBytesAreBounded(t *testing.T) {
+	c, l := newElectedCluster(t, 3)
 	c.isolate(c.host(3))
-	c.rounds(3)
-	pieces := map[uint64]int{}
+	c.runTicks(3)
+	entriesSent := map[uint64]int{}
 	for range 50 {
 		if _, _, err := l.m.Propose(make([]byte, 100)); err != nil {
 			t.Fatal(err)
 		}
 		rd := l.m.Ready()
-		l.sync(rd)
+		l.persist(rd)
 		for _, msg := range rd.Early {
-			pieces[msg.To] += len(msg.Entries)
+			entriesSent[msg.To] += len(msg.Entries)
 		}
 		l.m.Advance()
 	}
-	if pieces[2] > l.m.cfg.MaxInflight || pieces[3] > l.m.cfg.MaxInflight {
-		t.Fatalf("more than MaxInflight entries sent without a reply: %v", pieces)
+	if entriesSent[2] > l.m.cfg.MaxInflight || entriesSent[3] > l.m.cfg.MaxInflight {
+		t.Fatalf("more than MaxInflight entries sent without a reply: %v", entriesSent)
 	}
 	l.m.cfg.MaxUncommittedBytes = 1000
 	if _, _, err := l.m.Propose(nil); !errors.Is(err, ErrBusy) {
--- a/internal/quorum/app_test.go
+++ b/internal/quorum/app_test.go
@@ -8,16 +8,16 @@
 
 // appState is the replicated application: a hash over all commands and a register that
 // commands change by compare-and-set.
-type appState struct{ applied, chain, value uint64 }
+type appState struct{ applied, hash, value uint64 }
 
 func (s *appState) apply(e *Entry) (swapped bool) {
 	s.applied = e.Index
 	if e.Kind != quorumpb.EntryKind_COMMAND {
 		return false
 	}
-	s.chain = s.chain*1099511628211 + e.Index*31 + e.Term
+	s.hash = s.hash*1099511628211 + e.Index*31 + e.Term
 	for _, b := range e.Data {
-		s.chain = s.chain*1099511628211 + uint64(b)
+		s.hash = s.hash*1099511628211 + uint64(b)
 	}
 	if expect, next := binary.LittleEndian.Uint64(e.Data), binary.LittleEndian.Uint64(e.Data[8:]); s.value == expect {
 		s.value = next
@@ -28,7 +28,7 @@
 
 func (s *appState) encode() []byte {
 	b := binary.LittleEndian.AppendUint64(nil, s.applied)
-	b = binary.LittleEndian.AppendUint64(b, s.chain)
+	b = binary.LittleEndian.AppendUint64(b, s.hash)
 	b = binary.LittleEndian.AppendUint64(b, s.value)
 	return append(b, make([]byte, 300)...) // padded to several snapshot chunks
 }
--- a/internal/quorum/bench_test.go
+++ b/internal/quorum/bench_test.go
@@ -6,8 +6,8 @@
 // and committing a command of 300 bytes, including message encoding and decoding.
 func BenchmarkCommit(b *testing.B) {
 	c := newCluster(b, 7, 3)
-	l := c.mustLead()
-	for _, h := range c.up() {
+	l := c.waitForLeader()
+	for _, h := range c.runningHosts() {
 		h.m.cfg.MaxAppendBytes = 256 << 10
 	}
 	data := make([]byte, 300)
@@ -17,12 +17,12 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		for c.newest < index {
-			c.pump(l)
+		for c.newestCommitted < index {
+			c.processAllReady(l)
 			c.deliver()
 		}
 		if i%1000 == 999 {
-			for _, h := range c.up() {
+			for _, h := range c.runningHosts() {
 				c.compact(h, 10)
 			}
 		}
--- a/internal/quorum/chaos_test.go
+++ b/internal/quorum/chaos_test.go
@@ -7,10 +7,10 @@
 )
 
 // randomCluster is a cluster with the actions that rapid runs on it.
-type world struct {
+type randomCluster struct {
 	*cluster
-	nextID uint64
-	lost   int // number of voters' disks that were replaced
+	nextID    uint64
+	lostDisks int // number of voters' disks that were replaced
 }
 
 // Random sequences of commands, reads, membership changes and faults: VMs crash while
@@ -18,27 +18,27 @@
 // lost, duplicated and reordered. No term may have two leaders, no committed entry may be
 // lost or changed, and no read may be stale. When the faults end, the group must commit
 // again.
-func TestGroupSurvivesFaults(t *testing.T) {
+func TestSafetyUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{3, 3, 4, 5, 2, 1}).Draw(t, "voters")
-		w := &world{cluster: newCluster(t, rapid.Uint64().Draw(t, "seed"), n), nextID: uint64(n) + 1}
+		w := &randomCluster{cluster: newCluster(t, rapid.Uint64().Draw(t, "seed"), n), nextID: uint64(n) + 1}
 		if rapid.Bool().Draw(t, "formed") {
-			w.mustLead()
-			w.rounds(5)
+			w.waitForLeader()
+			w.runTicks(5)
 		}
-		w.fragile = rapid.SampledFrom([]float64{0, 0.01, 0.1}).Draw(t, "fragile")
+		w.crashRate = rapid.SampledFrom([]float64{0, 0.01, 0.1}).Draw(t, "fragile")
 		t.Repeat(map[string]func(*rapid.T){
-			"":         w.passTime, // runs after each of the other actions
+			"":         w.runRandomTicks, // runs after each of the other actions
 			"elect":    w.actElect,
 			"network":  w.actNetwork,
-			"cut":      w.actCut,
-			"split":    w.actSplit,
+			"cut":      w.actBlockLink,
+			"split":    w.actPartition,
 			"deliver":  w.actDeliver,
 			"propose":  w.actPropose,
 			"again":    w.actPropose, // twice as often as the rest
 			"revive":   w.actRestart,
-			"bounce":   w.actBounce,
-			"usurp":    w.actUsurp,
+			"bounce":   w.actCrashAndRestart,
+			"usurp":    w.actDeposeLeader,
 			"heal":     w.actHeal,
 			"read":     w.actRead,
 			"crash":    w.actCrash,
@@ -50,12 +50,12 @@
 			"replace":  w.actReplace,
 			"handOver": w.actTransfer,
 		})
-		w.finish()
+		w.healAndCheckProgress()
 	})
 }
 
-func (w *world) pick(t *rapid.T) *host {
-	hs := w.up()
+func (w *randomCluster) pickHost(t *rapid.T) *host {
+	hs := w.runningHosts()
 	if len(hs) == 0 {
 		t.Skip("all hosts are down")
 	}
@@ -63,9 +63,9 @@
 }
 
 // pickLeader returns a host in the Leader role, which may be a stale leader.
-func (w *world) pickLeader(t *rapid.T) *host {
+func (w *randomCluster) pickLeader(t *rapid.T) *host {
 	var hs []*host
-	for _, h := range w.up() {
+	for _, h := range w.runningHosts() {
 		if h.m.role == Leader {
 			hs = append(hs, h)
 		}
@@ -76,119 +76,119 @@
 	return hs[rapid.IntRange(0, len(hs)-1).Draw(t, "leader")]
 }
 
-func (w *world) passTime(t *rapid.T) {
-	w.rounds(rapid.SampledFrom([]int{0, 0, 1, 2, 5, 12, 30}).Draw(t, "rounds"))
-	for _, h := range w.up() {
+func (w *randomCluster) runRandomTicks(t *rapid.T) {
+	w.runTicks(rapid.SampledFrom([]int{0, 0, 1, 2, 5, 12, 30}).Draw(t, "rounds"))
+	for _, h := range w.runningHosts() {
 		w.checkConfs(h)
 	}
 }
 
 // actElect lets one VM's election timeout expire at once, to provoke split votes.
-func (w *world) actElect(t *rapid.T) {
-	h := w.pick(t)
+func (w *randomCluster) actElect(t *rapid.T) {
+	h := w.pickHost(t)
 	if h.m.role != Leader {
-		h.m.timeoutAt = h.m.tick
+		h.m.electionDeadline = h.m.tick
 		h.m.Tick()
-		w.pump(h)
+		w.processAllReady(h)
 	}
 }
 
-func (w *world) actNetwork(t *rapid.T) {
-	w.loss = rapid.SampledFrom([]float64{0, 0, 0.1, 0.4}).Draw(t, "loss")
-	w.repeat = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "repeat")
-	w.eager = rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "eager")
-	w.delay = rapid.SampledFrom([]float64{0, 0.3, 0.8}).Draw(t, "delay")
+func (w *randomCluster) actNetwork(t *rapid.T) {
+	w.lossRate = rapid.SampledFrom([]float64{0, 0, 0.1, 0.4}).Draw(t, "loss")
+	w.duplicateRate = rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "repeat")
+	w.deliverBeforeSyncRate = rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "eager")
+	w.delayRate = rapid.SampledFrom([]float64{0, 0.3, 0.8}).Draw(t, "delay")
 }
 
-func (w *world) actCut(t *rapid.T) {
-	a, b := w.pick(t), w.pick(t)
-	w.cut[[2]uint64{a.disk, b.disk}] = true
+func (w *randomCluster) actBlockLink(t *rapid.T) {
+	a, b := w.pickHost(t), w.pickHost(t)
+	w.blockedLinks[[2]uint64{a.disk, b.disk}] = true
 	if rapid.Bool().Draw(t, "both ways") {
-		w.cut[[2]uint64{b.disk, a.disk}] = true
+		w.blockedLinks[[2]uint64{b.disk, a.disk}] = true
 	}
 }
 
-func (w *world) actHeal(t *rapid.T) { clear(w.cut) }
+func (w *randomCluster) actHeal(t *rapid.T) { clear(w.blockedLinks) }
 
 // actPartition splits the VMs into two sides that can't reach each other.
-func (w *world) actSplit(t *rapid.T) {
+func (w *randomCluster) actPartition(t *rapid.T) {
 	side := rapid.Uint64().Draw(t, "side")
-	for i, a := range w.sorted() {
-		for j, b := range w.sorted() {
-			w.cut[[2]uint64{a.disk, b.disk}] = side>>i&1 != side>>j&1
+	for i, a := range w.sortedHosts() {
+		for j, b := range w.sortedHosts() {
+			w.blockedLinks[[2]uint64{a.disk, b.disk}] = side>>i&1 != side>>j&1
 		}
 	}
 }
 
 // actDeliver delivers some messages without any ticks.
-func (w *world) actDeliver(t *rapid.T) {
+func (w *randomCluster) actDeliver(t *rapid.T) {
 	for range rapid.IntRange(1, 10).Draw(t, "n") {
-		if n := len(w.wire); n > 0 {
+		if n := len(w.inFlight); n > 0 {
 			i := w.rng.IntN(n)
-			b := w.wire[i]
-			w.wire = append(w.wire[:i], w.wire[i+1:]...)
-			w.handOver(b)
+			b := w.inFlight[i]
+			w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
+			w.deliverMessage(b)
 		}
 	}
 }
 
-func (w *world) actPropose(t *rapid.T) {
+func (w *randomCluster) actPropose(t *rapid.T) {
 	w.actProposeAt(t, w.pickLeader(t))
 }
 
-func (w *world) actProposeAt(t *rapid.T, h *host) {
+func (w *randomCluster) actProposeAt(t *rapid.T, h *host) {
 	for range rapid.IntRange(1, 8).Draw(t, "n") {
 		_, _, _ = h.m.Propose(command(h.state.value, w.rng.Uint64N(5), 0))
 	}
 	if rapid.Bool().Draw(t, "pump") {
-		w.pump(h)
+		w.processAllReady(h)
 	}
 }
 
-func (w *world) actRead(t *rapid.T) {
+func (w *randomCluster) actRead(t *rapid.T) {
 	h := w.pickLeader(t)
 	w.read(h)
-	w.pump(h)
+	w.processAllReady(h)
 }
 
-func (w *world) actCrash(t *rapid.T) {
-	w.crash(w.pick(t), rapid.IntRange(afterEarly, wholly).Draw(t, "until"))
+func (w *randomCluster) actCrash(t *rapid.T) {
+	w.crash(w.pickHost(t), rapid.IntRange(afterEarly, afterAll).Draw(t, "until"))
 }
 
 // actCrashAndRestart crashes a VM, possibly while it processes a Ready, and restarts it
 // at once.
-func (w *world) actBounce(t *rapid.T) {
-	h := w.pick(t)
+func (w *randomCluster) actCrashAndRestart(t *rapid.T) {
+	h := w.pickHost(t)
 	if rapid.Bool().Draw(t, "vote") && h.m.role != Leader {
-		h.m.timeoutAt = h.m.tick
+		h.m.electionDeadline = h.m.tick
 		h.m.Tick()
 	}
-	w.crash(h, rapid.IntRange(afterEarly, wholly).Draw(t, "until"))
+	w.crash(h, rapid.IntRange(afterEarly, afterAll).Draw(t, "until"))
 	w.start(h)
 }
 
 // actDeposeLeader isolates the leader, lets it append entries that no other member
 // receives, and lets the other members elect a new leader and append entries of theirs.
-func (w *world) actUsurp(t *rapid.T) {
+func (w *randomCluster) actDeposeLeader(t *rapid.T) {
 	h := w.pickLeader(t)
 	w.isolate(h)
 	w.actProposeAt(t, h)
-	w.rounds(rapid.IntRange(15, 40).Draw(t, "n"))
+	w.runTicks(rapid.IntRange(15, 40).Draw(t, "n"))
 	if l := w.leader(); l != nil {
 		w.actProposeAt(t, l)
 	}
 }
 
-func (w *world) actRestart(t *rapid.T) {
-	for _, h := range w.sorted() {
-		if h.m == nil && !w.isLost(h) {
+func (w *randomCluster) actRestart(t *rapid.T) {
+	for _, h := range w.sortedHosts() {
+		if h.m == nil && !w.isDiskReplaced(h) {
 			w.start(h)
 		}
 	}
 }
 
 // isDiskReplaced reports whether a newer disk uses the id of h.
-func (w *world) isLost(h *host) bool {
+func (w *randomCluster) isDiskReplaced(h *host) bool {
 	for _, o := range w.hosts {
 		if o.id == h.id && o.disk > h.disk {
 			return true
@@ -197,11 +197,11 @@
 	return false
 }
 
-func (w *world) actCompact(t *rapid.T) {
-	w.compact(w.pick(t), rapid.Uint64Range(0, 5).Draw(t, "keep"))
+func (w *randomCluster) actCompact(t *rapid.T) {
+	w.compact(w.pickHost(t), rapid.Uint64Range(0, 5).Draw(t, "keep"))
 }
 
-func (w *world) actAdd(t *rapid.T) {
+func (w *randomCluster) actAdd(t *rapid.T) {
 	h := w.pickLeader(t)
 	if w.nextID > 9 {
 		t.Skip("enough VMs")
@@ -213,71 +213,71 @@
 		delete(w.hosts, n.disk) // no member knows of it
 		return
 	}
-	w.pump(h)
+	w.processAllReady(h)
 }
 
-func (w *world) actPromote(t *rapid.T) {
+func (w *randomCluster) actPromote(t *rapid.T) {
 	h := w.pickLeader(t)
-	for _, b := range h.m.conf().Members {
-		if b.Learner {
-			_, _, _ = h.m.ProposeConf(ConfChange{Promote, b})
+	for _, member := range h.m.conf().Members {
+		if member.Learner {
+			_, _, _ = h.m.ProposeConf(ConfChange{Promote, member})
 		}
 	}
-	w.pump(h)
+	w.processAllReady(h)
 }
 
-func (w *world) actRemove(t *rapid.T) {
+func (w *randomCluster) actRemove(t *rapid.T) {
 	h := w.pickLeader(t)
-	bs := h.m.conf().Members
-	b := bs[rapid.IntRange(0, len(bs)-1).Draw(t, "member")]
-	_, _, _ = h.m.ProposeConf(ConfChange{Remove, b})
-	w.pump(h)
+	members := h.m.conf().Members
+	member := members[rapid.IntRange(0, len(members)-1).Draw(t, "member")]
+	_, _, _ = h.m.ProposeConf(ConfChange{Remove, member})
+	w.processAllReady(h)
 }
 
 // actReplace replaces a VM's disk by a blank one and restarts the VM under the same id
 // with the same start-up flags, which is an operator error. The group must tolerate one
 // such loss at a time.
-func (w *world) actReplace(t *rapid.T) {
-	h := w.pick(t)
-	if w.lost > 0 {
+func (w *randomCluster) actReplace(t *rapid.T) {
+	h := w.pickHost(t)
+	if w.lostDisks > 0 {
 		t.Skip("one disk at a time")
 	}
-	for _, o := range w.up() {
+	for _, o := range w.runningHosts() {
 		if voterCount(o.m.conf()) == 1 {
 			t.Skip("the only copy may be on this disk")
 		}
 	}
-	w.lost++
-	genesis := h.stored.Snapshot
-	if genesis.GetIndex() != 0 || voterCount(genesis.GetConf()) == 1 {
-		genesis = nil // a single-member group must not be bootstrapped again, see Bootstrap
+	w.lostDisks++
+	bootSnapshot := h.persisted.Snapshot
+	if bootSnapshot.GetIndex() != 0 || voterCount(bootSnapshot.GetConf()) == 1 {
+		bootSnapshot = nil // a single-member group must not be bootstrapped again, see Bootstrap
 	}
 	h.m = nil
-	w.addHost(h.id, genesis)
+	w.addHost(h.id, bootSnapshot)
 }
 
-func (w *world) actTransfer(t *rapid.T) {
+func (w *randomCluster) actTransfer(t *rapid.T) {
 	h := w.pickLeader(t)
 	_ = h.m.Transfer(0)
-	w.pump(h)
+	w.processAllReady(h)
 }
 
 // healAndCheckProgress ends all faults. If a quorum of disks is left, the group must
 // elect a leader and commit an entry, and all members must apply it.
-func (w *world) finish() {
-	for _, h := range w.sorted() {
-		if h.m == nil && !w.isLost(h) {
+func (w *randomCluster) healAndCheckProgress() {
+	for _, h := range w.sortedHosts() {
+		if h.m == nil && !w.isDiskReplaced(h) {
 			w.start(h)
 		}
 	}
-	w.calm(150)
-	if !w.canDecide() {
+	w.healNetwork(150)
+	if !w.hasQuorumOfDisks() {
 		return
 	}
-	h := w.mustLead()
-	index := w.mustCommit(h)
-	for _, b := range h.m.conf().Members {
-		o := w.hosts[b.Disk]
+	h := w.waitForLeader()
+	index := w.proposeAndWait(h)
+	for _, member := range h.m.conf().Members {
+		o := w.hosts[member.Disk]
 		if o != nil && o.m != nil && o.state.applied < index {
 			w.t.Fatalf("member %d has applied %d of %d after the faults ended: %s", o.id, o.state.applied, index, w)
 		}
@@ -286,20 +286,20 @@
 
 // hasQuorumOfDisks reports whether a quorum of disks is left, both for the last committed
 // configuration and for every later one that a running VM uses.
-func (w *world) canDecide() bool {
-	if w.group == nil {
-		return w.lost == 0 // a group without bound disks needs all of its first disks
+func (w *randomCluster) hasQuorumOfDisks() bool {
+	if w.committedConf == nil {
+		return w.lostDisks == 0 // a group without bound disks needs all of its first disks
 	}
-	groups := []*Conf{w.group}
-	for _, h := range w.up() {
-		if h.m.confs.newest().index > w.groupAt {
-			groups = append(groups, h.m.conf())
+	confs := []*Conf{w.committedConf}
+	for _, h := range w.runningHosts() {
+		if h.m.confs.latest().index > w.committedConfIndex {
+			confs = append(confs, h.m.conf())
 		}
 	}
-	for _, c := range groups {
+	for _, c := range confs {
 		n := 0
-		for _, b := range c.Members {
-			if o := w.hosts[b.Disk]; !b.Learner && o != nil && o.m != nil {
+		for _, member := range c.Members {
+			if o := w.hosts[member.Disk]; !member.Learner && o != nil && o.m != nil {
 				n++
 			}
 		}
--- a/internal/quorum/cluster_test.go
+++ b/internal/quorum/cluster_test.go
@@ -24,76 +24,76 @@
 }
 
 // fataler is implemented by *testing.T, *testing.B and *rapid.T.
-type failer interface {
+type fataler interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
 // host is a control VM with its disk. Only id, disk and persisted survive a crash.
 type host struct {
-	id, disk uint64
-	m        *Machine // nil while down
-	stored   Stored   // state that was synced
-	state    appState
+	id, disk  uint64
+	m         *Machine // nil while down
+	persisted Stored   // state that was synced
+	state     appState
 }
 
-type position struct{ index, term uint64 }
+type entryID struct{ index, term uint64 }
 
 // cluster runs machines on a simulated network that can lose, delay, reorder and
 // duplicate messages, and checks the invariants of the group at every step.
 type cluster struct {
-	t     failer
-	rng   *rand.Rand
-	hosts map[uint64]*host // by disk
-	wire  [][]byte
-	cut   map[[2]uint64]bool // from disk, to disk
-	disks uint64
-
-	loss, repeat, delay float64 // probabilities per message
-	eager               float64 // probability that messages are delivered before a sync is complete
-	fragile             float64 // probability of a crash while a Ready is processed
-	nested              bool
-
-	leaders   map[uint64]uint64     // term -> disk
-	entries   map[position]string   // content and term of the predecessor
-	committed map[uint64]string     // index -> content
-	terms     map[uint64]uint64     // index -> term, committed
-	chains    map[uint64]uint64     // index -> hash of the application state
-	asked     map[uint64]uint64     // read token -> highest committed index at the time of the request
-	reads     map[uint64]*ReadState // finished
-	newest    uint64                // highest index in committed
-	group     *Conf                 // last committed one, from the entry at committedConfIndex
-	groupAt   uint64
-	tokens    uint64
-	onApply   func(h *host, e *Entry, swapped bool)
-	onRead    func(h *host, r ReadState)
+	t            fataler
+	rng          *rand.Rand
+	hosts        map[uint64]*host // by disk
+	inFlight     [][]byte
+	blockedLinks map[[2]uint64]bool // from disk, to disk
+	lastDisk     uint64
+
+	lossRate, duplicateRate, delayRate float64 // probabilities per message
+	deliverBeforeSyncRate              float64 // probability that messages are delivered before a sync is complete
+	crashRate                          float64 // probability of a crash while a Ready is processed
+	deliveringBeforeSync               bool
+
+	leaders            map[uint64]uint64     // term -> disk
+	entries            map[entryID]string    // content and term of the predecessor
+	committed          map[uint64]string     // index -> content
+	committedTerms     map[uint64]uint64     // index -> term, committed
+	stateHashes        map[uint64]uint64     // index -> hash of the application state
+	commitAtRead       map[uint64]uint64     // read token -> highest committed index at the time of the request
+	reads              map[uint64]*ReadState // finished
+	newestCommitted    uint64                // highest index in committed
+	committedConf      *Conf                 // last committed one, from the entry at committedConfIndex
+	committedConfIndex uint64
+	lastToken          uint64
+	onApply            func(h *host, e *Entry, swapped bool)
+	onRead             func(h *host, r ReadState)
 }
 
-func newCluster(t failer, seed uint64, n int) *cluster {
+func newCluster(t fataler, seed uint64, n int) *cluster {
 	c := &cluster{
-		t: t, rng: rand.New(rand.NewPCG(seed, 1)), hosts: map[uint64]*host{}, cut: map[[2]uint64]bool{},
-		leaders: map[uint64]uint64{}, entries: map[position]string{}, committed: map[uint64]string{},
-		terms: map[uint64]uint64{}, chains: map[uint64]uint64{}, asked: map[uint64]uint64{}, reads: map[uint64]*ReadState{},
+		t: t, rng: rand.New(rand.NewPCG(seed, 1)), hosts: map[uint64]*host{}, blockedLinks: map[[2]uint64]bool{},
+		leaders: map[uint64]uint64{}, entries: map[entryID]string{}, committed: map[uint64]string{},
+		committedTerms: map[uint64]uint64{}, stateHashes: map[uint64]uint64{}, commitAtRead: map[uint64]uint64{}, reads: map[uint64]*ReadState{},
 	}
 	var members []*Member
 	for id := 1; id <= n; id++ {
 		members = append(members, &Member{Id: uint64(id), Name: fmt.Sprint("vm", id)})
 	}
-	genesis, err := Bootstrap(members)
+	bootSnapshot, err := Bootstrap(members)
 	if err != nil {
 		t.Fatalf("bootstrap: %v", err)
 	}
 	for id := 1; id <= n; id++ {
-		c.addHost(uint64(id), genesis)
+		c.addHost(uint64(id), bootSnapshot)
 	}
 	return c
 }
 
 // addHost starts a VM on a new disk.
-func (c *cluster) addHost(id uint64, genesis *Snapshot) *host {
-	c.disks++
-	h := &host{id: id, disk: 1000 + c.disks}
-	h.stored = Stored{HardState: &HardState{Disk: h.disk}, Snapshot: genesis}
+func (c *cluster) addHost(id uint64, bootSnapshot *Snapshot) *host {
+	c.lastDisk++
+	h := &host{id: id, disk: 1000 + c.lastDisk}
+	h.persisted = Stored{HardState: &HardState{Disk: h.disk}, Snapshot: bootSnapshot}
 	c.hosts[h.disk] = h
 	c.start(h)
 	return h
@@ -102,14 +102,14 @@
 func (c *cluster) start(h *host) {
 	cfg := DefaultConfig(h.id, c.rng.Uint64())
 	cfg.MaxAppendBytes, cfg.MaxInflight = 120, 3
-	m, err := New(cfg, h.stored)
+	m, err := New(cfg, h.persisted)
 	if err != nil {
 		c.t.Fatalf("start of %d: %v", h.id, err)
 	}
-	h.m, h.state = m, decodeState(h.stored.Snapshot.GetData())
+	h.m, h.state = m, decodeState(h.persisted.Snapshot.GetData())
 }
 
-func (c *cluster) sorted() []*host {
+func (c *cluster) sortedHosts() []*host {
 	var hs []*host
 	for _, h := range c.hosts {
 		hs = append(hs, h)
@@ -119,12 +119,12 @@
 }
 
 // runningHosts returns the running hosts, ordered by disk.
-func (c *cluster) up() []*host {
-	return slices.DeleteFunc(c.sorted(), func(h *host) bool { return h.m == nil })
+func (c *cluster) runningHosts() []*host {
+	return slices.DeleteFunc(c.sortedHosts(), func(h *host) bool { return h.m == nil })
 }
 
 func (c *cluster) host(id uint64) *host {
-	for _, h := range c.up() {
+	for _, h := range c.runningHosts() {
 		if h.id == id {
 			return h
 		}
@@ -134,8 +134,8 @@
 
 func (c *cluster) leader() *host {
 	var best *host
-	for _, h := range c.up() {
-		if h.m.role == Leader && (best == nil || h.m.hard.Term > best.m.hard.Term) {
+	for _, h := range c.runningHosts() {
+		if h.m.role == Leader && (best == nil || h.m.hardState.Term > best.m.hardState.Term) {
 			best = h
 		}
 	}
@@ -147,41 +147,41 @@
 	afterEarly = iota
 	afterSync
 	afterSend
-	wholly
+	afterAll
 )
 
 // isolate blocks all links of a VM in both directions.
 func (c *cluster) isolate(h *host) {
-	for _, o := range c.sorted() {
-		c.cut[[2]uint64{h.disk, o.disk}] = true
-		c.cut[[2]uint64{o.disk, h.disk}] = true
+	for _, o := range c.sortedHosts() {
+		c.blockedLinks[[2]uint64{h.disk, o.disk}] = true
+		c.blockedLinks[[2]uint64{o.disk, h.disk}] = true
 	}
 }
 
 // processReady does the work of a Ready up to the given point.
-func (c *cluster) carryOut(h *host, until int) {
+func (c *cluster) processReady(h *host, until int) {
 	rd := h.m.Ready()
-	c.post(rd.Early)
-	if !c.nested && c.rng.Float64() < c.eager {
-		c.nested = true
+	c.enqueue(rd.Early)
+	if !c.deliveringBeforeSync && c.rng.Float64() < c.deliverBeforeSyncRate {
+		c.deliveringBeforeSync = true
 		c.deliver()
-		c.nested = false
+		c.deliveringBeforeSync = false
 	}
 	if until == afterEarly {
 		return
 	}
-	h.sync(rd)
+	h.persist(rd)
 	c.checkEntries(h, rd.Entries)
 	if until == afterSync {
 		return
 	}
-	c.post(rd.Messages)
+	c.enqueue(rd.Messages)
 	if until == afterSend {
 		return
 	}
 	if rd.Snapshot != nil {
 		h.state = decodeState(rd.Snapshot.Data)
-		c.checkChain(h)
+		c.checkStateHash(h)
 	}
 	for _, e := range rd.Committed {
 		c.apply(h, e)
@@ -193,42 +193,42 @@
 	c.checkLeader(h)
 }
 
-func (h *host) sync(rd Ready) {
+func (h *host) persist(rd Ready) {
 	if rd.Snapshot != nil {
-		h.stored.Snapshot, h.stored.Entries = rd.Snapshot, nil
+		h.persisted.Snapshot, h.persisted.Entries = rd.Snapshot, nil
 	}
 	if rd.HardState != nil {
-		h.stored.HardState = proto.CloneOf(rd.HardState)
+		h.persisted.HardState = proto.CloneOf(rd.HardState)
 	}
 	if len(rd.Entries) > 0 {
-		es := h.stored.Entries
+		es := h.persisted.Entries
 		for len(es) > 0 && es[len(es)-1].Index >= rd.Entries[0].Index {
 			es = es[:len(es)-1]
 		}
-		h.stored.Entries = append(es, rd.Entries...)
+		h.persisted.Entries = append(es, rd.Entries...)
 	}
 }
 
-func (c *cluster) pump(h *host) {
+func (c *cluster) processAllReady(h *host) {
 	for h.m != nil && h.m.HasReady() {
-		if c.rng.Float64() < c.fragile {
-			c.crash(h, c.rng.IntN(wholly))
+		if c.rng.Float64() < c.crashRate {
+			c.crash(h, c.rng.IntN(afterAll))
 			c.start(h)
 			return
 		}
-		c.carryOut(h, wholly)
+		c.processReady(h, afterAll)
 	}
 }
 
-func (c *cluster) post(msgs []*Message) {
+func (c *cluster) enqueue(msgs []*Message) {
 	for _, msg := range msgs {
 		b, err := Encode(msg)
 		if err != nil {
 			c.t.Fatalf("encode: %v", err)
 		}
 		for copies := 1; copies > 0; copies-- {
-			c.wire = append(c.wire, b)
-			if c.rng.Float64() < c.repeat {
+			c.inFlight = append(c.inFlight, b)
+			if c.rng.Float64() < c.duplicateRate {
 				copies++
 			}
 		}
@@ -238,45 +238,45 @@
 // deliver delivers every message that is in flight, in random order if delayRate is
 // set. Replies stay in flight until the next call.
 func (c *cluster) deliver() {
-	wire := c.wire
-	c.wire = nil
-	if c.delay > 0 {
-		c.rng.Shuffle(len(wire), func(i, j int) { wire[i], wire[j] = wire[j], wire[i] })
+	pending := c.inFlight
+	c.inFlight = nil
+	if c.delayRate > 0 {
+		c.rng.Shuffle(len(pending), func(i, j int) { pending[i], pending[j] = pending[j], pending[i] })
 	}
-	for _, b := range wire {
+	for _, b := range pending {
 		switch {
-		case c.rng.Float64() < c.loss:
-		case c.rng.Float64() < c.delay:
-			c.wire = append(c.wire, b)
+		case c.rng.Float64() < c.lossRate:
+		case c.rng.Float64() < c.delayRate:
+			c.inFlight = append(c.inFlight, b)
 		default:
-			c.handOver(b)
+			c.deliverMessage(b)
 		}
 	}
 }
 
-func (c *cluster) handOver(b []byte) {
+func (c *cluster) deliverMessage(b []byte) {
 	msg, err := Decode(b)
 	if err != nil {
 		c.t.Fatalf("decode: %v", err)
 	}
-	for _, h := range c.up() {
+	for _, h := range c.runningHosts() {
 		// A message for an id reaches every running disk with that id.
-		if h.id != msg.To || c.cut[[2]uint64{msg.FromDisk, h.disk}] {
+		if h.id != msg.To || c.blockedLinks[[2]uint64{msg.FromDisk, h.disk}] {
 			continue
 		}
 		_ = h.m.Step(msg)
 		c.checkLeader(h)
-		c.pump(h)
+		c.processAllReady(h)
 	}
 }
 
 // runTicks runs n ticks at every VM, with 3 deliveries after each.
-func (c *cluster) rounds(n int) {
+func (c *cluster) runTicks(n int) {
 	for range n {
-		for _, h := range c.up() {
+		for _, h := range c.runningHosts() {
 			h.m.Tick()
 			c.checkLeader(h)
-			c.pump(h)
+			c.processAllReady(h)
 		}
 		for range 3 {
 			c.deliver()
@@ -286,8 +286,8 @@
 
 // crash stops a VM after it has processed its next Ready up to the given point.
 func (c *cluster) crash(h *host, until int) {
-	if h.m.HasReady() && until != wholly {
-		c.carryOut(h, until)
+	if h.m.HasReady() && until != afterAll {
+		c.processReady(h, until)
 	}
 	h.m = nil
 }
@@ -297,50 +297,50 @@
 	if err != nil {
 		return // nothing was applied since the last snapshot
 	}
-	h.stored.Snapshot = s
-	h.stored.Entries = slices.DeleteFunc(slices.Clone(h.stored.Entries), func(e *Entry) bool { return e.Index <= s.Index })
+	h.persisted.Snapshot = s
+	h.persisted.Entries = slices.DeleteFunc(slices.Clone(h.persisted.Entries), func(e *Entry) bool { return e.Index <= s.Index })
 }
 
 func (c *cluster) read(h *host) uint64 {
-	c.tokens++
-	c.asked[c.tokens] = c.newest
-	if h.m.ReadIndex(c.tokens) != nil {
+	c.lastToken++
+	c.commitAtRead[c.lastToken] = c.newestCommitted
+	if h.m.ReadIndex(c.lastToken) != nil {
 		return 0
 	}
-	return c.tokens
+	return c.lastToken
 }
 
 // healNetwork ends all faults and then runs the given number of ticks.
-func (c *cluster) calm(rounds int) {
-	c.loss, c.repeat, c.delay, c.eager, c.fragile = 0, 0, 0, 0, 0
-	clear(c.cut)
-	c.rounds(rounds)
+func (c *cluster) healNetwork(ticks int) {
+	c.lossRate, c.duplicateRate, c.delayRate, c.deliverBeforeSyncRate, c.crashRate = 0, 0, 0, 0, 0
+	clear(c.blockedLinks)
+	c.runTicks(ticks)
 }
 
 // waitForLeader runs ticks until a leader with an active quorum has committed in its
 // term.
-func (c *cluster) mustLead() *host {
+func (c *cluster) waitForLeader() *host {
 	c.t.Helper()
 	for range 100 {
 		if h := c.leader(); h != nil && h.m.committedInTerm() && h.m.QuorumActive() {
 			return h
 		}
-		c.rounds(1)
+		c.runTicks(1)
 	}
 	c.t.Fatalf("no leader after 100 ticks: %s", c)
 	return nil
 }
 
 // proposeAndWait proposes a command, runs 20 ticks and checks that it is committed.
-func (c *cluster) mustCommit(h *host) uint64 {
+func (c *cluster) proposeAndWait(h *host) uint64 {
 	c.t.Helper()
 	index, term, err := h.m.Propose(command(h.state.value, h.state.value+1, 0))
 	if err != nil {
 		c.t.Fatalf("propose: %v", err)
 	}
-	c.pump(h)
-	c.rounds(20)
-	if c.terms[index] != term {
+	c.processAllReady(h)
+	c.runTicks(20)
+	if c.committedTerms[index] != term {
 		c.t.Fatalf("entry %d of term %d was not committed: %s", index, term, c)
 	}
 	return index
@@ -348,22 +348,22 @@
 
 // changeMembership proposes a membership change, runs 20 ticks and checks that it is
 // committed.
-func (c *cluster) mustChange(h *host, op ConfOp, b *Member) {
+func (c *cluster) changeMembership(h *host, op ConfOp, member *Member) {
 	c.t.Helper()
-	index, term, err := h.m.ProposeConf(ConfChange{op, b})
+	index, term, err := h.m.ProposeConf(ConfChange{op, member})
 	if err != nil {
-		c.t.Fatalf("%s member %d: %v", op, b.Id, err)
+		c.t.Fatalf("%s member %d: %v", op, member.Id, err)
 	}
-	c.pump(h)
-	c.rounds(20)
-	if c.terms[index] != term {
-		c.t.Fatalf("%s member %d was not committed: %s", op, b.Id, c)
+	c.processAllReady(h)
+	c.runTicks(20)
+	if c.committedTerms[index] != term {
+		c.t.Fatalf("%s member %d was not committed: %s", op, member.Id, c)
 	}
 }
 
 func (c *cluster) String() string {
 	s := ""
-	for _, h := range c.up() {
+	for _, h := range c.runningHosts() {
 		st := h.m.Status()
 		s += fmt.Sprintf("\n%d/%d %s term %d leader %d commit %d last %d members %v", h.id, h.disk, st.Role, st.Term,
 			st.Leader, st.Commit, st.LastIndex, st.Conf.GetMembers())
--- a/internal/quorum/conf.go
+++ b/internal/quorum/conf.go
@@ -20,21 +20,21 @@
 // bootstrap for one start of the process only, not by a permanent flag.
 func Bootstrap(members []*Member) (*Snapshot, error) {
 	c := &Conf{}
-	for _, b := range members {
-		if b.Learner {
-			return nil, errors.Newf("quorum: member %d is a learner; a new group starts with voters only", b.Id)
+	for _, member := range members {
+		if member.Learner {
+			return nil, errors.Newf("quorum: member %d is a learner; a new group starts with voters only", member.Id)
 		}
-		c.Members = append(c.Members, proto.CloneOf(b))
-		c.MaxId = max(c.MaxId, b.Id)
+		c.Members = append(c.Members, proto.CloneOf(member))
+		c.MaxId = max(c.MaxId, member.Id)
 	}
-	slices.SortFunc(c.Members, func(a, b *Member) int { return cmpID(a.Id, b.Id) })
+	slices.SortFunc(c.Members, func(a, member *Member) int { return compareIDs(a.Id, member.Id) })
 	if err := validateConf(c); err != nil {
 		return nil, err
 	}
 	return &Snapshot{Conf: c}, nil
 }
 
-func cmpID(a, b uint64) int {
+func compareIDs(a, b uint64) int {
 	switch {
 	case a < b:
 		return -1
@@ -54,33 +54,33 @@
 		return errors.New("quorum: a group has no voter; keep at least one")
 	}
 	prev := uint64(0)
-	for _, b := range c.Members {
-		if b.Id <= prev || b.Id > c.MaxId {
-			return errors.Newf("quorum: member id %d is 0, used twice, out of order or above %d", b.Id, c.MaxId)
+	for _, member := range c.Members {
+		if member.Id <= prev || member.Id > c.MaxId {
+			return errors.Newf("quorum: member id %d is 0, used twice, out of order or above %d", member.Id, c.MaxId)
 		}
-		prev = b.Id
+		prev = member.Id
 	}
 	return nil
 }
 
-func find(c *Conf, id uint64) *Member {
-	for _, b := range c.GetMembers() {
-		if b.Id == id {
-			return b
+func findMember(c *Conf, id uint64) *Member {
+	for _, member := range c.GetMembers() {
+		if member.Id == id {
+			return member
 		}
 	}
 	return nil
 }
 
 func isVoter(c *Conf, id uint64) bool {
-	b := find(c, id)
-	return b != nil && !b.Learner
+	member := findMember(c, id)
+	return member != nil && !member.Learner
 }
 
 func voterCount(c *Conf) int {
 	n := 0
-	for _, b := range c.GetMembers() {
-		if !b.Learner {
+	for _, member := range c.GetMembers() {
+		if !member.Learner {
 			n++
 		}
 	}
@@ -88,9 +88,9 @@
 }
 
 // allDisksBound reports whether the configuration names the disk of every member.
-func bound(c *Conf) bool {
-	for _, b := range c.GetMembers() {
-		if b.Disk == 0 {
+func allDisksBound(c *Conf) bool {
+	for _, member := range c.GetMembers() {
+		if member.Disk == 0 {
 			return false
 		}
 	}
@@ -102,14 +102,14 @@
 // a disk is not bound.
 func quorumSize(c *Conf) int {
 	n := voterCount(c)
-	if !bound(c) {
+	if !allDisksBound(c) {
 		return n
 	}
 	return n/2 + 1
 }
 
 // indexedConf is a configuration that takes effect with the entry at index.
-type confAt struct {
+type indexedConf struct {
 	index uint64
 	conf  *Conf
 }
@@ -118,9 +118,9 @@
 // first. A configuration takes effect when its entry is appended, committed or
 // not. Each differs from its predecessor by at most one voter, so any quorum of
 // one shares a voter with any quorum of the next.
-type confHistory []confAt
+type confHistory []indexedConf
 
-func (h confHistory) newest() confAt { return h[len(h)-1] }
+func (h confHistory) latest() indexedConf { return h[len(h)-1] }
 
 // at returns the configuration in effect after the entry at index.
 func (h confHistory) at(index uint64) *Conf {
@@ -133,12 +133,12 @@
 }
 
 // appendFrom appends the configurations among es, which checkEntries has validated.
-func (h confHistory) add(es []*Entry) confHistory {
+func (h confHistory) appendFrom(es []*Entry) confHistory {
 	for _, e := range es {
 		if e.Kind == quorumpb.EntryKind_CONF {
 			c := &Conf{}
 			if proto.Unmarshal(e.Data, c) == nil {
-				h = append(h, confAt{e.Index, c})
+				h = append(h, indexedConf{e.Index, c})
 			}
 		}
 	}
@@ -146,15 +146,15 @@
 }
 
 // truncateFrom drops the configurations at and above index.
-func (h confHistory) truncate(index uint64) confHistory {
-	for len(h) > 1 && h.newest().index >= index {
+func (h confHistory) truncateFrom(index uint64) confHistory {
+	for len(h) > 1 && h.latest().index >= index {
 		h = h[:len(h)-1]
 	}
 	return h
 }
 
 // compactTo drops the configurations that are superseded at index.
-func (h confHistory) compact(index uint64) confHistory {
+func (h confHistory) compactTo(index uint64) confHistory {
 	for len(h) > 1 && h[1].index <= index {
 		h = h[1:]
 	}
@@ -163,8 +163,8 @@
 
 // checkEntries returns an error if es does not continue the log after the entry at
 // index and term, has a term above maxTerm, or holds an invalid configuration.
-func checkEntries(es []*Entry, index, term, maxTerm uint64) error {
-	for _, e := range es {
+func checkEntries(entries []*Entry, index, term, maxTerm uint64) error {
+	for _, e := range entries {
 		index++
 		if e.Index != index || e.Term < term || e.Term > maxTerm {
 			return errors.Newf("entry %d of term %d does not follow entry %d of term %d", e.Index, e.Term, index-1, term)
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -5,18 +5,18 @@
 // startPreVote asks the voters whether they would grant a vote, without entering a
 // new term. A member that rejoins after a partition therefore can't depose a
 // leader that the other voters still hear from.
-func (m *Machine) campaign() {
-	if !m.mayLead() {
+func (m *Machine) startPreVote() {
+	if !m.canCampaign() {
 		return
 	}
-	m.becomeFollower(m.hard.Term, 0)
+	m.becomeFollower(m.hardState.Term, 0)
 	m.role = PreCandidate
-	m.countVote(m.cfg.ID, m.hard.Disk)
-	if m.won() {
-		m.elect(false)
+	m.countVote(m.cfg.ID, m.hardState.Disk)
+	if m.hasVoteQuorum() {
+		m.startElection(false)
 		return
 	}
-	m.askVotes(&Message{Kind: quorumpb.Kind_PRE_VOTE, Term: m.hard.Term + 1})
+	m.requestVotes(&Message{Kind: quorumpb.Kind_PRE_VOTE, Term: m.hardState.Term + 1})
 }
 
 // canCampaign reports whether this member may start an election. A member whose
@@ -24,41 +24,41 @@
 // configuration holds that entry, their logs are behind this one, and they can't
 // win this member's vote, which they may need. As leader it does not count itself
 // towards a quorum, and steps down when the removal is committed.
-func (m *Machine) mayLead() bool {
+func (m *Machine) canCampaign() bool {
 	return isVoter(m.conf(), m.cfg.ID) || isVoter(m.committedConf(), m.cfg.ID)
 }
 
 // startElection enters a new term as candidate. If transfer is set, the leader
 // requested the election, and voters ignore the leader lease.
-func (m *Machine) elect(transfer bool) {
-	m.becomeFollower(m.hard.Term+1, 0)
+func (m *Machine) startElection(transfer bool) {
+	m.becomeFollower(m.hardState.Term+1, 0)
 	m.role = Candidate
-	m.hard.Vote, m.hard.VoteDisk = m.cfg.ID, m.hard.Disk
+	m.hardState.Vote, m.hardState.VoteDisk = m.cfg.ID, m.hardState.Disk
 	m.resetTimeout()
-	m.countVote(m.cfg.ID, m.hard.Disk)
-	if m.won() {
+	m.countVote(m.cfg.ID, m.hardState.Disk)
+	if m.hasVoteQuorum() {
 		m.becomeLeader()
 		return
 	}
-	m.askVotes(&Message{Kind: quorumpb.Kind_VOTE, Transfer: transfer})
+	m.requestVotes(&Message{Kind: quorumpb.Kind_VOTE, Transfer: transfer})
 }
 
-func (m *Machine) askVotes(ask *Message) {
-	for _, b := range m.conf().Members {
-		if b.Learner || b.Id == m.cfg.ID {
+func (m *Machine) requestVotes(request *Message) {
+	for _, member := range m.conf().Members {
+		if member.Learner || member.Id == m.cfg.ID {
 			continue
 		}
-		m.send(b.Id, &Message{
-			Kind: ask.Kind, Term: ask.Term, Transfer: ask.Transfer,
-			Index: m.log.last(), LogTerm: m.log.lastTerm(),
+		m.send(member.Id, &Message{
+			Kind: request.Kind, Term: request.Term, Transfer: request.Transfer,
+			Index: m.log.lastIndex(), LogTerm: m.log.lastTerm(),
 		})
 	}
 }
 
 // countVote records the vote of a voter, if it comes from the disk bound to its id.
 func (m *Machine) countVote(id, disk uint64) {
-	b := find(m.conf(), id)
-	if b == nil || b.Learner || b.Disk != 0 && b.Disk != disk {
+	member := findMember(m.conf(), id)
+	if member == nil || member.Learner || member.Disk != 0 && member.Disk != disk {
 		return
 	}
 	if m.votes == nil {
@@ -67,23 +67,23 @@
 	m.votes[id] = disk
 }
 
-func (m *Machine) won() bool { return len(m.votes) >= quorumSize(m.conf()) }
+func (m *Machine) hasVoteQuorum() bool { return len(m.votes) >= quorumSize(m.conf()) }
 
 // inLeaderLease reports whether this member leads or received a message from a
 // leader within ElectionTicks. It grants no vote during that time, on which
 // QuorumActive relies. A higher term does not end the lease, because the leader
 // may not have seen that term.
-func (m *Machine) promised() bool {
-	return m.role == Leader || m.tick-m.heardTick < m.cfg.ElectionTicks
+func (m *Machine) inLeaderLease() bool {
+	return m.role == Leader || m.tick-m.leaderContactTick < m.cfg.ElectionTicks
 }
 
 func (m *Machine) onPreVote(msg *Message) {
-	ok := msg.Term > m.hard.Term && !m.promised() && m.log.upToDate(msg.Index, msg.LogTerm)
-	answer := &Message{Kind: quorumpb.Kind_PRE_VOTE_REPLY, Reject: !ok}
-	if ok {
-		answer.Term = msg.Term
+	granted := msg.Term > m.hardState.Term && !m.inLeaderLease() && m.log.upToDate(msg.Index, msg.LogTerm)
+	response := &Message{Kind: quorumpb.Kind_PRE_VOTE_REPLY, Reject: !granted}
+	if granted {
+		response.Term = msg.Term
 	}
-	m.reply(msg, answer)
+	m.reply(msg, response)
 }
 
 func (m *Machine) onPreVoteReply(msg *Message) {
@@ -91,37 +91,37 @@
 		return
 	}
 	if msg.Reject {
-		if msg.Term > m.hard.Term {
+		if msg.Term > m.hardState.Term {
 			m.becomeFollower(msg.Term, 0)
 		}
 		return
 	}
-	if msg.Term != m.hard.Term+1 {
+	if msg.Term != m.hardState.Term+1 {
 		return
 	}
 	m.countVote(msg.From, msg.FromDisk)
-	if m.won() {
-		m.elect(false)
+	if m.hasVoteQuorum() {
+		m.startElection(false)
 	}
 }
 
 // onVote grants at most one vote per term. The vote is for an id and a disk: until
 // the log binds the disks, two disks may use the same id.
 func (m *Machine) onVote(msg *Message) {
-	if msg.Term >= m.hard.Term && m.promised() && !msg.Transfer {
+	if msg.Term >= m.hardState.Term && m.inLeaderLease() && !msg.Transfer {
 		return // also if the term is already known: see inLeaderLease
 	}
-	if msg.Term > m.hard.Term {
+	if msg.Term > m.hardState.Term {
 		m.becomeFollower(msg.Term, 0)
 	}
-	free := m.hard.Vote == 0 && m.leader == 0
-	again := m.hard.Vote == msg.From && m.hard.VoteDisk == msg.FromDisk
-	ok := msg.Term == m.hard.Term && (free || again) && m.log.upToDate(msg.Index, msg.LogTerm)
-	if ok {
-		m.hard.Vote, m.hard.VoteDisk = msg.From, msg.FromDisk
+	voteAvailable := m.hardState.Vote == 0 && m.leader == 0
+	sameCandidate := m.hardState.Vote == msg.From && m.hardState.VoteDisk == msg.FromDisk
+	granted := msg.Term == m.hardState.Term && (voteAvailable || sameCandidate) && m.log.upToDate(msg.Index, msg.LogTerm)
+	if granted {
+		m.hardState.Vote, m.hardState.VoteDisk = msg.From, msg.FromDisk
 		m.resetTimeout()
 	}
-	m.reply(msg, &Message{Kind: quorumpb.Kind_VOTE_REPLY, Reject: !ok})
+	m.reply(msg, &Message{Kind: quorumpb.Kind_VOTE_REPLY, Reject: !granted})
 }
 
 func (m *Machine) onVoteReply(msg *Message) {
@@ -129,7 +129,7 @@
 		return
 	}
 	m.countVote(msg.From, msg.FromDisk)
-	if m.won() {
+	if m.hasVoteQuorum() {
 		m.becomeLeader()
 	}
 }
@@ -144,12 +144,12 @@
 	m.peers = make(map[uint64]*progress)
 	m.syncPeers()
 	m.uncommitted = 0
-	for _, e := range m.log.from(m.log.commit+1, m.log.last(), maxInt) {
+	for _, e := range m.log.slice(m.log.commit+1, m.log.lastIndex(), maxInt) {
 		m.uncommitted += commandSize(e)
 	}
-	if bound(m.conf()) {
-		m.appendOwn(quorumpb.EntryKind_EMPTY, nil)
+	if allDisksBound(m.conf()) {
+		m.appendEntry(quorumpb.EntryKind_EMPTY, nil)
 		return
 	}
-	m.appendConf(bind(m.conf(), votes))
+	m.appendConf(bindDisks(m.conf(), votes))
 }
--- a/internal/quorum/fuzz_test.go
+++ b/internal/quorum/fuzz_test.go
@@ -21,24 +21,24 @@
 		}
 		f.Add(b, b)
 	}
-	f.Fuzz(func(t *testing.T, one, two []byte) {
+	f.Fuzz(func(t *testing.T, first, second []byte) {
 		c := newCluster(t, 1, 3)
-		c.rounds(40)
-		for _, h := range c.up() {
-			for _, b := range [][]byte{one, two} {
+		c.runTicks(40)
+		for _, h := range c.runningHosts() {
+			for _, b := range [][]byte{first, second} {
 				msg, err := Decode(b)
 				if err != nil {
 					continue
 				}
-				term, commit := h.m.hard.Term, h.m.log.commit
+				term, commit := h.m.hardState.Term, h.m.log.commit
 				_ = h.m.Step(msg)
 				h.m.Tick()
 				for h.m.HasReady() {
 					h.m.Ready()
 					h.m.Advance()
 				}
-				if h.m.hard.Term < term || h.m.log.commit < commit {
-					t.Fatalf("term %d to %d, commit %d to %d", term, h.m.hard.Term, commit, h.m.log.commit)
+				if h.m.hardState.Term < term || h.m.log.commit < commit {
+					t.Fatalf("term %d to %d, commit %d to %d", term, h.m.hardState.Term, commit, h.m.log.commit)
 				}
 			}
 		}
--- a/internal/quorum/invariant_test.go
+++ b/internal/quorum/invariant_test.go
@@ -8,7 +8,7 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-func content(e *Entry) string { return fmt.Sprintf("%d %v %x", e.Term, e.Kind, e.Data) }
+func entryContent(e *Entry) string { return fmt.Sprintf("%d %v %x", e.Term, e.Kind, e.Data) }
 
 // checkLeader checks election safety and, when a term's leader is first seen, leader
 // completeness.
@@ -16,7 +16,7 @@
 	if h.m == nil || h.m.role != Leader {
 		return
 	}
-	term := h.m.hard.Term
+	term := h.m.hardState.Term
 	if disk, ok := c.leaders[term]; ok {
 		if disk != h.disk {
 			c.t.Fatalf("election safety: term %d is led by disks %d and %d", term, disk, h.disk)
@@ -24,8 +24,8 @@
 		return
 	}
 	c.leaders[term] = h.disk
-	for index, t := range c.terms {
-		if index >= h.m.log.first && !h.m.log.matches(index, t) {
+	for index, t := range c.committedTerms {
+		if index >= h.m.log.firstIndex && !h.m.log.matchTerm(index, t) {
 			c.t.Fatalf("leader completeness: leader %d of term %d lacks committed entry %d: %s", h.id, term, index, c)
 		}
 	}
@@ -33,8 +33,8 @@
 
 // checkConfs checks that a machine uses the latest configuration in its log.
 func (c *cluster) checkConfs(h *host) {
-	want := confHistory{{h.m.snap.Index, confOf(h.m.snap)}}.add(h.m.log.from(h.m.snap.Index+1, h.m.log.last(), maxInt)).newest()
-	if got := h.m.confs.newest(); !proto.Equal(got.conf, want.conf) {
+	want := confHistory{{h.m.snapshot.Index, confOrEmpty(h.m.snapshot)}}.appendFrom(h.m.log.slice(h.m.snapshot.Index+1, h.m.log.lastIndex(), maxInt)).latest()
+	if got := h.m.confs.latest(); !proto.Equal(got.conf, want.conf) {
 		c.t.Fatalf("member %d uses the configuration of entry %d, the latest in its log is %d", h.id, got.index, want.index)
 	}
 }
@@ -47,12 +47,12 @@
 		if !ok {
 			continue // already replaced or compacted
 		}
-		now := fmt.Sprintf("%s after term %d", content(e), prev)
-		at := position{e.Index, e.Term}
-		if was, ok := c.entries[at]; ok && was != now {
-			c.t.Fatalf("log matching: entry %d of term %d is %q and %q", e.Index, e.Term, was, now)
+		description := fmt.Sprintf("%s after term %d", entryContent(e), prev)
+		id := entryID{e.Index, e.Term}
+		if previous, ok := c.entries[id]; ok && previous != description {
+			c.t.Fatalf("log matching: entry %d of term %d is %q and %q", e.Index, e.Term, previous, description)
 		}
-		c.entries[at] = now
+		c.entries[id] = description
 	}
 }
 
@@ -62,16 +62,16 @@
 	if e.Index != h.state.applied+1 {
 		c.t.Fatalf("member %d applies entry %d after entry %d", h.id, e.Index, h.state.applied)
 	}
-	if was, ok := c.committed[e.Index]; ok && was != content(e) {
-		c.t.Fatalf("state machine safety: index %d is %q and %q", e.Index, was, content(e))
+	if previous, ok := c.committed[e.Index]; ok && previous != entryContent(e) {
+		c.t.Fatalf("state machine safety: index %d is %q and %q", e.Index, previous, entryContent(e))
 	}
-	c.committed[e.Index], c.terms[e.Index] = content(e), e.Term
-	c.newest = max(c.newest, e.Index)
-	if e.Kind == quorumpb.EntryKind_CONF && e.Index > c.groupAt {
-		c.groupAt, c.group = e.Index, h.m.confs.at(e.Index)
+	c.committed[e.Index], c.committedTerms[e.Index] = entryContent(e), e.Term
+	c.newestCommitted = max(c.newestCommitted, e.Index)
+	if e.Kind == quorumpb.EntryKind_CONF && e.Index > c.committedConfIndex {
+		c.committedConfIndex, c.committedConf = e.Index, h.m.confs.at(e.Index)
 	}
 	swapped := h.state.apply(e)
-	c.checkChain(h)
+	c.checkStateHash(h)
 	if c.onApply != nil {
 		c.onApply(h, e, swapped)
 	}
@@ -79,11 +79,11 @@
 
 // checkStateHash checks that all members have the same state at an index, also when it
 // comes from a snapshot.
-func (c *cluster) checkChain(h *host) {
-	if was, ok := c.chains[h.state.applied]; ok && was != h.state.chain {
+func (c *cluster) checkStateHash(h *host) {
+	if previous, ok := c.stateHashes[h.state.applied]; ok && previous != h.state.hash {
 		c.t.Fatalf("state machine safety: states differ at index %d", h.state.applied)
 	}
-	c.chains[h.state.applied] = h.state.chain
+	c.stateHashes[h.state.applied] = h.state.hash
 }
 
 // finishRead checks that the index of a read covers everything that was committed when
@@ -93,8 +93,8 @@
 		c.t.Fatalf("read %d finished twice", r.Token)
 	}
 	c.reads[r.Token] = &r
-	if !r.Lost && r.Index < c.asked[r.Token] {
-		c.t.Fatalf("linearizable read: got index %d, but %d was committed before the request", r.Index, c.asked[r.Token])
+	if !r.Lost && r.Index < c.commitAtRead[r.Token] {
+		c.t.Fatalf("linearizable read: got index %d, but %d was committed before the request", r.Index, c.commitAtRead[r.Token])
 	}
 	if c.onRead != nil {
 		c.onRead(h, r)
--- a/internal/quorum/machine.go
+++ b/internal/quorum/machine.go
@@ -13,40 +13,40 @@
 //   - two logs with an entry of the same index and term are identical up to it;
 //   - a committed entry is in the log of every later leader.
 type Machine struct {
-	cfg  Config
-	rng  *rand.Rand
-	hard HardState // current; savedHardState is what Ready last returned
+	cfg       Config
+	rng       *rand.Rand
+	hardState HardState // current; savedHardState is what Ready last returned
 
-	role   Role
-	leader uint64 // known leader of the term; 0 if unknown
-	log    entryLog
-	confs  confHistory
-	snap   *Snapshot // latest; sent to members that need entries already compacted
+	role     Role
+	leader   uint64 // known leader of the term; 0 if unknown
+	log      entryLog
+	confs    confHistory
+	snapshot *Snapshot // latest; sent to members that need entries already compacted
 
-	tick      int // number of ticks since New
-	heardTick int // tick of the last message from a leader of any term
-	timeoutAt int // tick at which to start a pre-vote
+	tick              int // number of ticks since New
+	leaderContactTick int // tick of the last message from a leader of any term
+	electionDeadline  int // tick at which to start a pre-vote
 
 	votes map[uint64]uint64 // granted votes: member id to disk
 
 	// Leader only.
-	peers       map[uint64]*progress
-	leaderSince int
-	round       uint64 // incremented for every batch of ReadIndex calls
-	reads       []pendingRead
-	readsUnsent bool
-	uncommitted int // bytes of uncommitted commands in the log
-	transfer    transfer
-
-	incoming incoming // snapshot of which not all chunks have arrived
-
-	outbox  []*Message
-	done    []ReadState
-	refused refusal
-
-	saved     HardState // returned by the last Ready that changed it
-	installed *Snapshot // received from the leader, not yet returned by Ready
-	given     *Ready    // returned by Ready, Advance not yet called
+	peers           map[uint64]*progress
+	leaderSince     int
+	round           uint64 // incremented for every batch of ReadIndex calls
+	reads           []pendingRead
+	readRoundUnsent bool
+	uncommitted     int // bytes of uncommitted commands in the log
+	transfer        leadershipTransfer
+
+	partialSnapshot partialSnapshot // snapshot of which not all chunks have arrived
+
+	outbox        []*Message
+	finishedReads []ReadState
+	lastRefusal   refusalNotice
+
+	savedHardState   HardState // returned by the last Ready that changed it
+	receivedSnapshot *Snapshot // received from the leader, not yet returned by Ready
+	readyInProgress  *Ready    // returned by Ready, Advance not yet called
 }
 
 // New returns a machine that continues from the state the driver stored.
@@ -57,29 +57,29 @@
 	if st.HardState.GetDisk() == 0 {
 		return nil, errors.New("quorum: HardState.Disk is not set; generate a random one when the data folder is created")
 	}
-	snap := st.Snapshot
-	if snap == nil {
-		snap = &Snapshot{}
+	snapshot := st.Snapshot
+	if snapshot == nil {
+		snapshot = &Snapshot{}
 	}
 	m := &Machine{
-		cfg: cfg, snap: snap,
+		cfg: cfg, snapshot: snapshot,
 		rng:   rand.New(rand.NewPCG(cfg.Seed, cfg.ID)),
-		confs: confHistory{{snap.Index, confOf(snap)}},
+		confs: confHistory{{snapshot.Index, confOrEmpty(snapshot)}},
 	}
-	proto.Merge(&m.hard, st.HardState)
+	proto.Merge(&m.hardState, st.HardState)
 	if err := m.restoreLog(st); err != nil {
 		return nil, err
 	}
-	proto.Merge(&m.saved, &m.hard)
+	proto.Merge(&m.savedHardState, &m.hardState)
 	// A restart loses the time of the last message from the leader. A vote right
 	// after it could elect a second leader during the lease of the first, so the
 	// restart counts as a message from the leader. A new disk has granted no lease.
-	if m.hard.Term == 0 {
-		m.heardTick = -cfg.ElectionTicks
+	if m.hardState.Term == 0 {
+		m.leaderContactTick = -cfg.ElectionTicks
 	}
 	m.resetTimeout()
-	if m.alone() {
-		m.timeoutAt = 0
+	if m.isSoleVoter() {
+		m.electionDeadline = 0
 	}
 	return m, nil
 }
@@ -88,12 +88,12 @@
 // configuration. It then need not wait for the election timeout, as no other member
 // can lead. An uncommitted configuration does not count: the leader that proposed it
 // may still hold a lease based on this member's reply.
-func (m *Machine) alone() bool {
-	c := m.confs.newest()
+func (m *Machine) isSoleVoter() bool {
+	c := m.confs.latest()
 	return c.index <= m.log.commit && voterCount(c.conf) == 1 && isVoter(c.conf, m.cfg.ID)
 }
 
-func confOf(s *Snapshot) *Conf {
+func confOrEmpty(s *Snapshot) *Conf {
 	if s.Conf == nil {
 		return &Conf{}
 	}
@@ -101,25 +101,25 @@
 }
 
 func (m *Machine) restoreLog(st Stored) error {
-	m.log.reset(m.snap.Index, m.snap.Term)
+	m.log.reset(m.snapshot.Index, m.snapshot.Term)
 	es := st.Entries
-	for len(es) > 0 && es[0].Index <= m.snap.Index {
+	for len(es) > 0 && es[0].Index <= m.snapshot.Index {
 		es = es[1:]
 	}
-	if err := checkEntries(es, m.snap.Index, m.snap.Term, m.hard.Term); err != nil {
+	if err := checkEntries(es, m.snapshot.Index, m.snapshot.Term, m.hardState.Term); err != nil {
 		return errors.Wrap(err, "quorum: the stored log is inconsistent")
 	}
 	m.log.append(es...)
-	m.log.stable = m.log.last()
+	m.log.stable = m.log.lastIndex()
 	// The stored commit index may be above the last entry if the end of the log
 	// was lost in a crash. The lost entries had not been acknowledged.
-	m.log.commitTo(m.hard.Commit)
-	m.hard.Commit = m.log.commit
-	m.confs = m.confs.add(es)
+	m.log.commitTo(m.hardState.Commit)
+	m.hardState.Commit = m.log.commit
+	m.confs = m.confs.appendFrom(es)
 	return nil
 }
 
-func (m *Machine) conf() *Conf { return m.confs.newest().conf }
+func (m *Machine) conf() *Conf { return m.confs.latest().conf }
 
 func (m *Machine) committedConf() *Conf { return m.confs.at(m.log.commit) }
 
@@ -131,9 +131,9 @@
 		m.tickLeader()
 		return
 	}
-	if m.tick >= m.timeoutAt {
+	if m.tick >= m.electionDeadline {
 		m.resetTimeout()
-		m.campaign()
+		m.startPreVote()
 	}
 }
 
@@ -141,7 +141,7 @@
 	if m.tick-max(m.quorumTick(), m.leaderSince) >= m.cfg.ElectionTicks {
 		// No contact with a quorum: another member may lead by now, and callers
 		// would wait for commits that can't happen.
-		m.becomeFollower(m.hard.Term, 0)
+		m.becomeFollower(m.hardState.Term, 0)
 		return
 	}
 	m.tickTransfer()
@@ -151,52 +151,52 @@
 }
 
 func (m *Machine) resetTimeout() {
-	m.timeoutAt = m.tick + m.cfg.ElectionTicks + m.rng.IntN(m.cfg.ElectionTicks)
+	m.electionDeadline = m.tick + m.cfg.ElectionTicks + m.rng.IntN(m.cfg.ElectionTicks)
 }
 
 // becomeFollower makes the member a follower in term, which may be its current one.
 // It fails pending reads and ends a leadership transfer.
 func (m *Machine) becomeFollower(term, leader uint64) {
-	if term > m.hard.Term {
-		m.hard.Term, m.hard.Vote, m.hard.VoteDisk = term, 0, 0
+	if term > m.hardState.Term {
+		m.hardState.Term, m.hardState.Vote, m.hardState.VoteDisk = term, 0, 0
 	}
 	if m.role != Follower {
 		m.resetTimeout()
 	}
-	m.loseReads()
+	m.failReads()
 	m.role, m.leader = Follower, leader
 	m.peers, m.votes = nil, nil
-	m.transfer = transfer{}
+	m.transfer = leadershipTransfer{}
 }
 
 // onLeaderContact records a message from the leader of the current term.
-func (m *Machine) heard(leader uint64) {
+func (m *Machine) onLeaderContact(leader uint64) {
 	if m.role != Follower || m.leader != leader {
-		m.becomeFollower(m.hard.Term, leader)
+		m.becomeFollower(m.hardState.Term, leader)
 	}
-	m.heardTick = m.tick
-	m.refused = refusal{}
+	m.leaderContactTick = m.tick
+	m.lastRefusal = refusalNotice{}
 	m.resetTimeout()
 }
 
 // Status returns the current state of the machine.
 func (m *Machine) Status() Status {
 	s := Status{
-		ID: m.cfg.ID, Term: m.hard.Term, Leader: m.leader, Role: m.role,
-		Commit: m.log.commit, Applied: m.log.applied, LastIndex: m.log.last(), First: m.log.first,
-		Conf: m.conf(), ConfCommitted: m.confs.newest().index <= m.log.commit,
-		Refused: m.refused.why,
+		ID: m.cfg.ID, Term: m.hardState.Term, Leader: m.leader, Role: m.role,
+		Commit: m.log.commit, Applied: m.log.applied, LastIndex: m.log.lastIndex(), First: m.log.firstIndex,
+		Conf: m.conf(), ConfCommitted: m.confs.latest().index <= m.log.commit,
+		Refused: m.lastRefusal.reason,
 	}
-	for _, b := range s.Conf.GetMembers() {
-		p := m.peers[b.Id]
+	for _, member := range s.Conf.GetMembers() {
+		p := m.peers[member.Id]
 		if p == nil {
 			continue
 		}
-		age := notHeard
-		if p.ackedTick != notHeard {
-			age = m.tick - p.ackedTick
+		ackAge := neverAcked
+		if p.ackedSentTick != neverAcked {
+			ackAge = m.tick - p.ackedSentTick
 		}
-		s.Peers = append(s.Peers, PeerStatus{ID: b.Id, Match: p.match, Age: age, CaughtUp: p.match >= m.log.commit})
+		s.Peers = append(s.Peers, PeerStatus{ID: member.Id, Match: p.match, Age: ackAge, CaughtUp: p.match >= m.log.commit})
 	}
 	return s
 }
--- a/internal/quorum/membership.go
+++ b/internal/quorum/membership.go
@@ -58,10 +58,10 @@
 	if !m.committedInTerm() {
 		return 0, 0, ErrNotReady
 	}
-	if m.confs.newest().index > m.log.commit {
+	if m.confs.latest().index > m.log.commit {
 		return 0, 0, ErrConfPending
 	}
-	next, err := m.changed(c)
+	next, err := m.confAfter(c)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -75,11 +75,11 @@
 		// Only invalid UTF-8 in a name can fail here, and addLearner rejects it.
 		panic("quorum: encode configuration: " + err.Error())
 	}
-	return m.appendOwn(quorumpb.EntryKind_CONF, data)
+	return m.appendEntry(quorumpb.EntryKind_CONF, data)
 }
 
 // confAfter returns the configuration after c, or an error if c is not allowed.
-func (m *Machine) changed(c ConfChange) (*Conf, error) {
+func (m *Machine) confAfter(c ConfChange) (*Conf, error) {
 	next := proto.CloneOf(m.conf())
 	var err error
 	switch c.Op {
@@ -88,41 +88,41 @@
 	case Promote:
 		err = m.promote(next, c.Member.GetId())
 	case Remove:
-		err = remove(next, c.Member.GetId())
+		err = removeMember(next, c.Member.GetId())
 	default:
 		err = &ConfError{c.Op, c.Member.GetId(), "the operation is unknown", "use add, promote or remove"}
 	}
 	if err != nil {
 		return nil, err
 	}
-	if !m.activeQuorum(next) {
+	if !m.hasActiveQuorum(next) {
 		return nil, &ConfError{c.Op, c.Member.GetId(), "fewer than a majority of the voters after it answer now",
 			"bring back or remove a silent member first"}
 	}
 	return next, nil
 }
 
-func addLearner(c *Conf, b *Member) error {
-	id := b.GetId()
+func addLearner(c *Conf, member *Member) error {
+	id := member.GetId()
 	switch {
 	case id <= c.MaxId:
 		return &ConfError{AddLearner, id, "the id was used before", fmt.Sprintf("use an id above %d", c.MaxId)}
-	case b.Disk == 0:
+	case member.Disk == 0:
 		return &ConfError{AddLearner, id, "its disk identity is not known", "start the VM and take the identity it reports"}
 	case len(c.Members) >= MaxMembers:
 		return &ConfError{AddLearner, id, fmt.Sprintf("the group has %d members", MaxMembers), "remove one first"}
 	}
-	for _, o := range c.Members {
-		if o.Disk == b.Disk {
-			return &ConfError{AddLearner, id, fmt.Sprintf("its disk is member %d's", o.Id), "use an empty data folder"}
+	for _, other := range c.Members {
+		if other.Disk == member.Disk {
+			return &ConfError{AddLearner, id, fmt.Sprintf("its disk is member %d's", other.Id), "use an empty data folder"}
 		}
 	}
-	b = proto.CloneOf(b)
-	b.Learner = true
-	if _, err := proto.Marshal(b); err != nil {
+	member = proto.CloneOf(member)
+	member.Learner = true
+	if _, err := proto.Marshal(member); err != nil {
 		return &ConfError{AddLearner, id, err.Error(), "use a valid name and address"}
 	}
-	c.Members, c.MaxId = append(c.Members, b), id
+	c.Members, c.MaxId = append(c.Members, member), id
 	return nil
 }
 
@@ -130,19 +130,19 @@
 // committed entry: once it counts towards a quorum, the loss of another voter must
 // neither lose an entry nor block commits until the learner has caught up.
 func (m *Machine) promote(c *Conf, id uint64) error {
-	b := find(c, id)
-	if b == nil || !b.Learner {
+	member := findMember(c, id)
+	if member == nil || !member.Learner {
 		return &ConfError{Promote, id, "it is not a learner", "add it first"}
 	}
-	if p := m.peers[id]; p == nil || p.match < m.log.commit || !m.answers(p) {
+	if p := m.peers[id]; p == nil || p.match < m.log.commit || !m.recentlyActive(p) {
 		return ErrNotCaughtUp
 	}
-	b.Learner = false
+	member.Learner = false
 	return nil
 }
 
-func remove(c *Conf, id uint64) error {
-	if find(c, id) == nil {
+func removeMember(c *Conf, id uint64) error {
+	if findMember(c, id) == nil {
 		return &ConfError{Remove, id, "it is not a member", "see the list of members"}
 	}
 	c.Members = slices.DeleteFunc(c.Members, func(b *Member) bool { return b.Id == id })
@@ -154,10 +154,10 @@
 
 // hasActiveQuorum reports whether a quorum of c is active. Without this check, the
 // removal of a live member while another is down would block the group permanently.
-func (m *Machine) activeQuorum(c *Conf) bool {
+func (m *Machine) hasActiveQuorum(c *Conf) bool {
 	n := 0
-	for _, b := range c.Members {
-		if !b.Learner && (b.Id == m.cfg.ID || m.answers(m.peers[b.Id])) {
+	for _, member := range c.Members {
+		if !member.Learner && (member.Id == m.cfg.ID || m.recentlyActive(m.peers[member.Id])) {
 			n++
 		}
 	}
@@ -166,27 +166,27 @@
 
 // recentlyActive reports whether the member answered a message that was sent within
 // the last ElectionTicks.
-func (m *Machine) answers(p *progress) bool {
-	return p != nil && p.ackedTick != notHeard && m.tick-p.ackedTick < m.cfg.ElectionTicks
+func (m *Machine) recentlyActive(p *progress) bool {
+	return p != nil && p.ackedSentTick != neverAcked && m.tick-p.ackedSentTick < m.cfg.ElectionTicks
 }
 
 // bindDisks returns a copy of c with the disk of each member set.
-func bind(c *Conf, disks map[uint64]uint64) *Conf {
+func bindDisks(c *Conf, disks map[uint64]uint64) *Conf {
 	c = proto.CloneOf(c)
-	for _, b := range c.Members {
-		b.Disk = disks[b.Id]
+	for _, member := range c.Members {
+		member.Disk = disks[member.Id]
 	}
 	return c
 }
 
 // stepDownIfRemoved ends the leadership of a member whose removal is committed. The
 // most up-to-date voter starts an election at once, without an election timeout.
-func (m *Machine) leaveIfRemoved() {
-	if m.confs.newest().index > m.log.commit || isVoter(m.conf(), m.cfg.ID) {
+func (m *Machine) stepDownIfRemoved() {
+	if m.confs.latest().index > m.log.commit || isVoter(m.conf(), m.cfg.ID) {
 		return
 	}
 	if id := m.successor(); id != 0 {
 		m.send(id, &Message{Kind: quorumpb.Kind_TIMEOUT_NOW})
 	}
-	m.becomeFollower(m.hard.Term, 0)
+	m.becomeFollower(m.hardState.Term, 0)
 }
--- a/internal/quorum/message.go
+++ b/internal/quorum/message.go
@@ -24,7 +24,7 @@
 
 // isLeaderMessage reports whether msg is of a kind that only the leader of msg.Term
 // sends.
-func fromLeader(msg *Message) bool {
+func isLeaderMessage(msg *Message) bool {
 	switch msg.Kind {
 	case quorumpb.Kind_APPEND, quorumpb.Kind_HEARTBEAT, quorumpb.Kind_SNAPSHOT, quorumpb.Kind_TIMEOUT_NOW:
 		return true
@@ -34,7 +34,7 @@
 
 // safeBeforeSync reports whether msg may be sent before the journal is synced: it
 // acknowledges neither a vote nor an entry of the sender.
-func promisesNothing(msg *Message) bool {
+func safeBeforeSync(msg *Message) bool {
 	switch msg.Kind {
 	case quorumpb.Kind_APPEND, quorumpb.Kind_HEARTBEAT, quorumpb.Kind_SNAPSHOT:
 		return true
@@ -44,23 +44,23 @@
 
 // send queues msg for a member. An unset Term becomes the current term.
 func (m *Machine) send(to uint64, msg *Message) {
-	msg.From, msg.FromDisk = m.cfg.ID, m.hard.Disk
+	msg.From, msg.FromDisk = m.cfg.ID, m.hardState.Disk
 	msg.To = to
 	if msg.ToDisk == 0 {
-		msg.ToDisk = find(m.conf(), to).GetDisk()
+		msg.ToDisk = findMember(m.conf(), to).GetDisk()
 	}
 	if msg.Term == 0 {
-		msg.Term = m.hard.Term
+		msg.Term = m.hardState.Term
 	}
-	if fromLeader(msg) {
+	if isLeaderMessage(msg) {
 		msg.Round, msg.SentTick = m.round, uint64(m.tick)
 	}
 	m.outbox = append(m.outbox, msg)
 }
 
 // reply queues a response to msg, addressed to the disk that sent it.
-func (m *Machine) reply(msg, answer *Message) {
-	answer.ToDisk = msg.FromDisk
-	answer.Round, answer.SentTick = msg.Round, msg.SentTick
-	m.send(msg.From, answer)
+func (m *Machine) reply(msg, response *Message) {
+	response.ToDisk = msg.FromDisk
+	response.Round, response.SentTick = msg.Round, msg.SentTick
+	m.send(msg.From, response)
 }
--- a/internal/quorum/readindex.go
+++ b/internal/quorum/readindex.go
@@ -9,8 +9,8 @@
 	if m.role != Leader {
 		return &NotLeaderError{m.leader}
 	}
-	if !m.readsUnsent {
-		m.readsUnsent = true
+	if !m.readRoundUnsent {
+		m.readRoundUnsent = true
 		m.round++
 	}
 	m.reads = append(m.reads, pendingRead{token, m.round})
@@ -20,43 +20,43 @@
 // flushReads sends one round of heartbeats for all reads requested since the last
 // round.
 func (m *Machine) flushReads() {
-	if !m.readsUnsent {
+	if !m.readRoundUnsent {
 		return
 	}
-	m.readsUnsent = false
+	m.readRoundUnsent = false
 	m.broadcastHeartbeat()
-	m.releaseReads()
+	m.finishReads()
 }
 
 // finishReads finishes the reads whose round a quorum has answered: no other member
 // led when they were requested, so no later entry was committed. An entry of the
 // current term must be committed first, as the leader may not know the latest commit
 // index until then.
-func (m *Machine) releaseReads() {
+func (m *Machine) finishReads() {
 	if m.role != Leader || len(m.reads) == 0 || !m.committedInTerm() {
 		return
 	}
 	round := m.quorumValue(func(p *progress) uint64 { return p.ackedRound }, m.round)
 	for len(m.reads) > 0 && m.reads[0].round <= round {
-		m.done = append(m.done, ReadState{Token: m.reads[0].token, Index: m.log.commit})
+		m.finishedReads = append(m.finishedReads, ReadState{Token: m.reads[0].token, Index: m.log.commit})
 		m.reads = m.reads[1:]
 	}
 }
 
-func (m *Machine) loseReads() {
+func (m *Machine) failReads() {
 	for _, r := range m.reads {
-		m.done = append(m.done, ReadState{Token: r.token, Lost: true})
+		m.finishedReads = append(m.finishedReads, ReadState{Token: r.token, Lost: true})
 	}
-	m.reads, m.readsUnsent = nil, false
+	m.reads, m.readRoundUnsent = nil, false
 }
 
-func (m *Machine) committedInTerm() bool { return m.log.matches(m.log.commit, m.hard.Term) }
+func (m *Machine) committedInTerm() bool { return m.log.matchTerm(m.log.commit, m.hardState.Term) }
 
 // quorumTick returns the latest tick such that a quorum has answered messages sent
 // at or after it, or neverAcked.
 func (m *Machine) quorumTick() int {
-	of := func(p *progress) uint64 { return uint64(p.ackedTick + 1) }
-	return int(m.quorumValue(of, uint64(m.tick+1))) - 1
+	sentTick := func(p *progress) uint64 { return uint64(p.ackedSentTick + 1) }
+	return int(m.quorumValue(sentTick, uint64(m.tick+1))) - 1
 }
 
 // QuorumActive reports whether this member leads and a quorum of the voters answered
@@ -65,9 +65,9 @@
 // vote for ElectionTicks. The remaining quarter allows for the length of a tick and
 // for clock drift. The driver must deliver all due ticks before the call.
 func (m *Machine) QuorumActive() bool {
-	if m.role != Leader || m.transfer.sent {
+	if m.role != Leader || m.transfer.timeoutNowSent {
 		return false
 	}
 	t := m.quorumTick()
-	return t != notHeard && m.tick-t < m.cfg.ElectionTicks*3/4
+	return t != neverAcked && m.tick-t < m.cfg.ElectionTicks*3/4
 }
--- a/internal/quorum/ready.go
+++ b/internal/quorum/ready.go
@@ -7,41 +7,41 @@
 // HasReady reports whether Ready would return work.
 func (m *Machine) HasReady() bool {
 	m.flushReads()
-	return m.given == nil && (len(m.outbox) > 0 || len(m.done) > 0 || m.installed != nil ||
-		m.log.stable < m.log.last() || m.log.applied < m.log.commit || m.hardChanged())
+	return m.readyInProgress == nil && (len(m.outbox) > 0 || len(m.finishedReads) > 0 || m.receivedSnapshot != nil ||
+		m.log.stable < m.log.lastIndex() || m.log.applied < m.log.commit || m.hardStateChanged())
 }
 
-func (m *Machine) hardChanged() bool {
-	return m.promiseChanged() || m.hard.Commit != m.saved.Commit || m.hard.Commit != m.log.commit
+func (m *Machine) hardStateChanged() bool {
+	return m.termOrVoteChanged() || m.hardState.Commit != m.savedHardState.Commit || m.hardState.Commit != m.log.commit
 }
 
-func (m *Machine) promiseChanged() bool {
-	return m.hard.Term != m.saved.Term || m.hard.Vote != m.saved.Vote || m.hard.VoteDisk != m.saved.VoteDisk
+func (m *Machine) termOrVoteChanged() bool {
+	return m.hardState.Term != m.savedHardState.Term || m.hardState.Vote != m.savedHardState.Vote || m.hardState.VoteDisk != m.savedHardState.VoteDisk
 }
 
 // Ready returns the work for the driver. Advance must be called before the next
 // Ready; Tick and Step may be called in between.
 func (m *Machine) Ready() Ready {
-	if m.given != nil {
+	if m.readyInProgress != nil {
 		panic("quorum: Ready called again before Advance")
 	}
 	m.flushReads()
 	rd := Ready{
-		Snapshot:  m.installed,
-		Entries:   m.log.from(m.log.stable+1, m.log.last(), maxInt),
-		Committed: m.log.from(m.log.applied+1, m.log.commit, maxInt),
-		Reads:     m.done,
+		Snapshot:  m.receivedSnapshot,
+		Entries:   m.log.slice(m.log.stable+1, m.log.lastIndex(), maxInt),
+		Committed: m.log.slice(m.log.applied+1, m.log.commit, maxInt),
+		Reads:     m.finishedReads,
 	}
-	rd.MustSync = rd.Snapshot != nil || len(rd.Entries) > 0 || m.promiseChanged()
+	rd.MustSync = rd.Snapshot != nil || len(rd.Entries) > 0 || m.termOrVoteChanged()
 	m.splitOutbox(&rd)
-	m.hard.Commit = m.log.commit
-	if m.hardChanged() {
-		rd.HardState = proto.CloneOf(&m.hard)
-		proto.Reset(&m.saved)
-		proto.Merge(&m.saved, &m.hard)
+	m.hardState.Commit = m.log.commit
+	if m.hardStateChanged() {
+		rd.HardState = proto.CloneOf(&m.hardState)
+		proto.Reset(&m.savedHardState)
+		proto.Merge(&m.savedHardState, &m.hardState)
 	}
-	m.installed, m.done, m.outbox = nil, nil, nil
-	m.given = &rd
+	m.receivedSnapshot, m.finishedReads, m.outbox = nil, nil, nil
+	m.readyInProgress = &rd
 	return rd
 }
 
@@ -50,9 +50,9 @@
 // may be sent before: after a crash this member could lead the same term again with
 // different entries.
 func (m *Machine) splitOutbox(rd *Ready) {
-	wait := m.promiseChanged()
+	unsynced := m.termOrVoteChanged()
 	for _, msg := range m.outbox {
-		if promisesNothing(msg) && !wait {
+		if safeBeforeSync(msg) && !unsynced {
 			rd.Early = append(rd.Early, msg)
 		} else {
 			rd.Messages = append(rd.Messages, msg)
@@ -63,11 +63,11 @@
 // Advance reports that the work of the last Ready is done: stored, synced, sent and
 // applied.
 func (m *Machine) Advance() {
-	rd := m.given
+	rd := m.readyInProgress
 	if rd == nil {
 		return
 	}
-	m.given = nil
+	m.readyInProgress = nil
 	if n := len(rd.Entries); n > 0 {
 		m.log.stableTo(rd.Entries[n-1].Index, rd.Entries[n-1].Term)
 	}
--- a/internal/quorum/replicate.go
+++ b/internal/quorum/replicate.go
@@ -19,7 +19,7 @@
 	if m.uncommitted > 0 && m.uncommitted+len(data) > m.cfg.MaxUncommittedBytes {
 		return 0, 0, ErrBusy
 	}
-	e := m.appendOwn(quorumpb.EntryKind_COMMAND, data)
+	e := m.appendEntry(quorumpb.EntryKind_COMMAND, data)
 	return e.Index, e.Term, nil
 }
 
@@ -41,12 +41,12 @@
 }
 
 // appendEntry appends an entry to the leader's log and sends it to the other members.
-func (m *Machine) appendOwn(kind quorumpb.EntryKind, data []byte) *Entry {
-	e := &Entry{Index: m.log.last() + 1, Term: m.hard.Term, Kind: kind, Data: data}
+func (m *Machine) appendEntry(kind quorumpb.EntryKind, data []byte) *Entry {
+	e := &Entry{Index: m.log.lastIndex() + 1, Term: m.hardState.Term, Kind: kind, Data: data}
 	m.log.append(e)
 	m.uncommitted += commandSize(e)
 	if kind == quorumpb.EntryKind_CONF {
-		m.confs = m.confs.add([]*Entry{e})
+		m.confs = m.confs.appendFrom([]*Entry{e})
 		m.syncPeers()
 	}
 	m.broadcastAppend()
@@ -55,13 +55,13 @@
 
 // syncPeers adds and removes progress records to match the latest configuration.
 func (m *Machine) syncPeers() {
-	for _, b := range m.conf().Members {
-		if b.Id != m.cfg.ID && m.peers[b.Id] == nil {
-			m.peers[b.Id] = newProgress(m.log.last())
+	for _, member := range m.conf().Members {
+		if member.Id != m.cfg.ID && m.peers[member.Id] == nil {
+			m.peers[member.Id] = newProgress(m.log.lastIndex())
 		}
 	}
 	for id := range m.peers {
-		if find(m.conf(), id) == nil {
+		if findMember(m.conf(), id) == nil {
 			delete(m.peers, id)
 		}
 	}
@@ -69,41 +69,41 @@
 
 // forEachPeer calls f for each other member in ascending order of id, so that runs
 // are deterministic.
-func (m *Machine) eachPeer(f func(id uint64, p *progress)) {
-	for _, b := range m.conf().Members {
-		if p := m.peers[b.Id]; p != nil {
-			f(b.Id, p)
+func (m *Machine) forEachPeer(f func(id uint64, p *progress)) {
+	for _, member := range m.conf().Members {
+		if p := m.peers[member.Id]; p != nil {
+			f(member.Id, p)
 		}
 	}
 }
 
-func (m *Machine) broadcastAppend() { m.eachPeer(m.sendEntries) }
+func (m *Machine) broadcastAppend() { m.forEachPeer(m.sendEntries) }
 
 // sendEntries sends the entries that the member lacks until its progress is paused.
 func (m *Machine) sendEntries(id uint64, p *progress) {
-	if p.resting() {
-		p.movedTick = m.tick
+	if p.idle() {
+		p.lastProgressTick = m.tick
 	}
-	for !p.blocked(m.cfg.MaxInflight) {
-		if p.flow == installing {
-			m.sendPiece(id, p)
+	for !p.paused(m.cfg.MaxInflight) {
+		if p.state == stateSnapshot {
+			m.sendSnapshotChunk(id, p)
 			return
 		}
 		prevTerm, ok := m.log.term(p.next - 1)
 		if !ok {
-			p.install(m.snap)
+			p.becomeSnapshot(m.snapshot)
 			continue
 		}
-		es := m.log.from(p.next, m.log.last(), m.cfg.MaxAppendBytes)
-		if len(es) == 0 && p.flow == replicating {
+		es := m.log.slice(p.next, m.log.lastIndex(), m.cfg.MaxAppendBytes)
+		if len(es) == 0 && p.state == stateReplicate {
 			return
 		}
 		m.send(id, &Message{
 			Kind: quorumpb.Kind_APPEND, Index: p.next - 1, LogTerm: prevTerm,
 			Entries: es, Commit: m.log.commit,
 		})
-		if p.flow == probing {
-			p.waiting = true
+		if p.state == stateProbe {
+			p.awaitingReply = true
 			return
 		}
 		p.next += uint64(len(es))
@@ -114,13 +114,13 @@
 // broadcastHeartbeat sends a heartbeat to each other member. Its commit index is at
 // most the member's match index, as the log above it may differ from the leader's.
 func (m *Machine) broadcastHeartbeat() {
-	m.eachPeer(func(id uint64, p *progress) {
+	m.forEachPeer(func(id uint64, p *progress) {
 		m.send(id, &Message{Kind: quorumpb.Kind_HEARTBEAT, Commit: min(m.log.commit, p.match)})
 	})
 }
 
 func (m *Machine) onHeartbeat(msg *Message) {
-	m.heard(msg.From)
+	m.onLeaderContact(msg.From)
 	m.log.commitTo(msg.Commit)
 	m.reply(msg, &Message{Kind: quorumpb.Kind_HEARTBEAT_REPLY})
 }
@@ -132,13 +132,13 @@
 	if err := checkEntries(msg.Entries, msg.Index, msg.LogTerm, msg.Term); err != nil {
 		return &RefusedError{msg.From, err.Error()}
 	}
-	m.heard(msg.From)
+	m.onLeaderContact(msg.From)
 	if msg.Index < m.log.commit {
-		m.replyAppended(msg, m.log.commit)
+		m.replyAppend(msg, m.log.commit)
 		return nil
 	}
-	if !m.log.matches(msg.Index, msg.LogTerm) {
-		index, term := m.log.hint(msg.Index, msg.LogTerm)
+	if !m.log.matchTerm(msg.Index, msg.LogTerm) {
+		index, term := m.log.findConflictByTerm(msg.Index, msg.LogTerm)
 		m.reply(msg, &Message{
 			Kind: quorumpb.Kind_APPEND_REPLY, Reject: true,
 			Index: msg.Index, HintIndex: index, HintTerm: term,
@@ -146,31 +146,31 @@
 		return nil
 	}
 	es := msg.Entries
-	for len(es) > 0 && m.log.matches(es[0].Index, es[0].Term) {
+	for len(es) > 0 && m.log.matchTerm(es[0].Index, es[0].Term) {
 		es = es[1:]
 	}
 	if len(es) > 0 {
-		m.replaceFrom(es)
+		m.truncateAndAppend(es)
 	}
-	held := msg.Index + uint64(len(msg.Entries))
-	m.log.commitTo(min(msg.Commit, held))
-	m.replyAppended(msg, held)
+	matchIndex := msg.Index + uint64(len(msg.Entries))
+	m.log.commitTo(min(msg.Commit, matchIndex))
+	m.replyAppend(msg, matchIndex)
 	return nil
 }
 
 // truncateAndAppend replaces the entries at and above es[0].Index by es. The entry
 // before es is at or above the commit index, so no committed entry is replaced.
-func (m *Machine) replaceFrom(es []*Entry) {
-	if index := es[0].Index; index <= m.log.last() {
+func (m *Machine) truncateAndAppend(es []*Entry) {
+	if index := es[0].Index; index <= m.log.lastIndex() {
 		m.log.truncate(index)
-		m.confs = m.confs.truncate(index)
+		m.confs = m.confs.truncateFrom(index)
 	}
 	m.log.append(es...)
-	m.confs = m.confs.add(es)
+	m.confs = m.confs.appendFrom(es)
 }
 
-func (m *Machine) replyAppended(msg *Message, held uint64) {
-	m.reply(msg, &Message{Kind: quorumpb.Kind_APPEND_REPLY, Index: held})
+func (m *Machine) replyAppend(msg *Message, matchIndex uint64) {
+	m.reply(msg, &Message{Kind: quorumpb.Kind_APPEND_REPLY, Index: matchIndex})
 }
 
 func (m *Machine) onAppendReply(p *progress, msg *Message) {
@@ -178,30 +178,30 @@
 		m.onAppendReject(p, msg)
 		return
 	}
-	if msg.Index > m.log.last() {
+	if msg.Index > m.log.lastIndex() {
 		return
 	}
-	p.acked(msg.Index, m.tick)
+	p.updateMatch(msg.Index, m.tick)
 	m.maybeCommit()
 	if m.role == Leader {
 		m.sendEntries(msg.From, p)
-		m.maybeHandOver()
+		m.maybeSendTimeoutNow()
 	}
 }
 
 func (m *Machine) onAppendReject(p *progress, msg *Message) {
-	switch p.flow {
-	case replicating:
+	switch p.state {
+	case stateReplicate:
 		if msg.Index <= p.match {
 			return // stale
 		}
-		p.probe(p.match + 1)
-	case probing:
+		p.becomeProbe(p.match + 1)
+	case stateProbe:
 		if msg.Index != p.next-1 {
 			return // stale
 		}
-		index, _ := m.log.hint(msg.HintIndex, msg.HintTerm)
-		p.probe(max(min(index+1, msg.Index), p.match+1))
+		index, _ := m.log.findConflictByTerm(msg.HintIndex, msg.HintTerm)
+		p.becomeProbe(max(min(index+1, msg.Index), p.match+1))
 	default:
 		return
 	}
@@ -213,14 +213,14 @@
 // leader then probes and sends again. A member that does not answer gets only
 // heartbeats.
 func (m *Machine) onHeartbeatReply(p *progress, msg *Message) {
-	if int(msg.SentTick) < p.movedTick+2*m.cfg.HeartbeatTicks {
+	if int(msg.SentTick) < p.lastProgressTick+2*m.cfg.HeartbeatTicks {
 		return
 	}
-	p.waiting = false
-	if p.flow == replicating && len(p.inflight) > 0 {
-		p.probe(p.match + 1)
+	p.awaitingReply = false
+	if p.state == stateReplicate && len(p.inflight) > 0 {
+		p.becomeProbe(p.match + 1)
 	}
-	if p.match < m.log.last() {
+	if p.match < m.log.lastIndex() {
 		m.sendEntries(msg.From, p)
 	}
 }
@@ -230,28 +230,28 @@
 // still be replaced by a leader whose last entry has a term in between.
 func (m *Machine) maybeCommit() {
 	index := m.quorumValue(func(p *progress) uint64 { return p.match }, m.log.stable)
-	if index <= m.log.commit || !m.log.matches(index, m.hard.Term) {
+	if index <= m.log.commit || !m.log.matchTerm(index, m.hardState.Term) {
 		return
 	}
-	for _, e := range m.log.from(m.log.commit+1, index, maxInt) {
+	for _, e := range m.log.slice(m.log.commit+1, index, maxInt) {
 		m.uncommitted -= commandSize(e)
 	}
 	m.log.commitTo(index)
-	m.releaseReads()
-	m.leaveIfRemoved()
+	m.finishReads()
+	m.stepDownIfRemoved()
 }
 
 // quorumValue returns the highest value that a quorum of the voters has reached. own
 // is the value of this member.
-func (m *Machine) quorumValue(of func(*progress) uint64, own uint64) uint64 {
+func (m *Machine) quorumValue(value func(*progress) uint64, own uint64) uint64 {
 	var values []uint64
-	for _, b := range m.conf().Members {
-		switch p := m.peers[b.Id]; {
-		case b.Learner:
-		case b.Id == m.cfg.ID:
+	for _, member := range m.conf().Members {
+		switch p := m.peers[member.Id]; {
+		case member.Learner:
+		case member.Id == m.cfg.ID:
 			values = append(values, own)
 		case p != nil:
-			values = append(values, of(p))
+			values = append(values, value(p))
 		}
 	}
 	slices.Sort(values)
--- a/internal/quorum/step.go
+++ b/internal/quorum/step.go
@@ -3,7 +3,7 @@
 import "pearmoor/internal/quorum/quorumpb"
 
 // refusalNotice is another member's notice that it refuses this VM as a member.
-type refusal struct{ why quorumpb.Refusal }
+type refusalNotice struct{ reason quorumpb.Refusal }
 
 // Step processes a message. If it returns a *MessageRefusedError, the message was
 // not processed; the driver logs the error and continues.
@@ -11,7 +11,7 @@
 	if _, ok := quorumpb.Kind_name[int32(msg.Kind)]; !ok || msg.Kind == quorumpb.Kind_UNKNOWN {
 		return &RefusedError{msg.From, "its kind is unknown"}
 	}
-	if err := m.checkAddress(msg); err != nil {
+	if err := m.checkSenderAndRecipient(msg); err != nil {
 		return err
 	}
 	switch msg.Kind {
@@ -22,7 +22,7 @@
 	case quorumpb.Kind_VOTE:
 		m.onVote(msg)
 	case quorumpb.Kind_REFUSED:
-		m.refused = refusal{msg.Refusal}
+		m.lastRefusal = refusalNotice{msg.Refusal}
 	default:
 		return m.stepInTerm(msg)
 	}
@@ -34,21 +34,21 @@
 // and entries that it acknowledged: under the old id it could help to elect a second
 // leader in a term, or a leader without all committed entries. Ids are never reused,
 // so a removed member stays refused.
-func (m *Machine) checkAddress(msg *Message) error {
-	if msg.To != m.cfg.ID || msg.ToDisk != 0 && msg.ToDisk != m.hard.Disk {
+func (m *Machine) checkSenderAndRecipient(msg *Message) error {
+	if msg.To != m.cfg.ID || msg.ToDisk != 0 && msg.ToDisk != m.hardState.Disk {
 		return &RefusedError{msg.From, "it is addressed to another member or to a replaced disk"}
 	}
 	if msg.From == 0 || msg.From == m.cfg.ID || msg.FromDisk == 0 {
 		return &RefusedError{msg.From, "it does not name its sender"}
 	}
-	why := m.refusalOf(msg)
-	if why == quorumpb.Refusal_NONE {
+	reason := m.refusalReason(msg)
+	if reason == quorumpb.Refusal_NONE {
 		return nil
 	}
 	if msg.Kind != quorumpb.Kind_REFUSED {
-		m.reply(msg, &Message{Kind: quorumpb.Kind_REFUSED, Refusal: why})
+		m.reply(msg, &Message{Kind: quorumpb.Kind_REFUSED, Refusal: reason})
 	}
-	if why == quorumpb.Refusal_WRONG_DISK {
+	if reason == quorumpb.Refusal_WRONG_DISK {
 		return &RefusedError{msg.From, "its disk was replaced; remove the member and add the VM under a new id"}
 	}
 	return &RefusedError{msg.From, "it was removed from the group"}
@@ -57,13 +57,13 @@
 // refusalReason returns why the sender of msg is refused, by the committed
 // configuration: an uncommitted one may be rolled back, and a member that it removes
 // may still be needed to elect a leader.
-func (m *Machine) refusalOf(msg *Message) quorumpb.Refusal {
+func (m *Machine) refusalReason(msg *Message) quorumpb.Refusal {
 	c := m.committedConf()
-	b := find(c, msg.From)
+	member := findMember(c, msg.From)
 	switch {
-	case b == nil && msg.From <= c.MaxId:
+	case member == nil && msg.From <= c.MaxId:
 		return quorumpb.Refusal_REMOVED
-	case b != nil && b.Disk != 0 && b.Disk != msg.FromDisk:
+	case member != nil && member.Disk != 0 && member.Disk != msg.FromDisk:
 		return quorumpb.Refusal_WRONG_DISK
 	}
 	return quorumpb.Refusal_NONE
@@ -71,17 +71,17 @@
 
 // stepInTerm processes the messages that are valid only in their own term.
 func (m *Machine) stepInTerm(msg *Message) error {
-	if msg.Term < m.hard.Term {
-		if fromLeader(msg) {
+	if msg.Term < m.hardState.Term {
+		if isLeaderMessage(msg) {
 			// The sender is a superseded leader; it steps down on the newer term.
 			m.reply(msg, &Message{Kind: quorumpb.Kind_APPEND_REPLY, Reject: true})
 		}
 		return nil
 	}
-	if msg.Term > m.hard.Term {
+	if msg.Term > m.hardState.Term {
 		m.becomeFollower(msg.Term, 0)
 	}
-	if fromLeader(msg) && m.role == Leader {
+	if isLeaderMessage(msg) && m.role == Leader {
 		return &RefusedError{msg.From, "it claims leadership of the term that this member leads"}
 	}
 	switch msg.Kind {
@@ -104,13 +104,13 @@
 // onPeerReply processes a member's reply to its leader, if it comes from the disk
 // bound to the member's id.
 func (m *Machine) onPeerReply(msg *Message) {
-	b := find(m.conf(), msg.From)
+	member := findMember(m.conf(), msg.From)
 	p := m.peers[msg.From]
-	if m.role != Leader || p == nil || b == nil || b.Disk != msg.FromDisk {
+	if m.role != Leader || p == nil || member == nil || member.Disk != msg.FromDisk {
 		return
 	}
 	if msg.SentTick > 0 && msg.SentTick <= uint64(m.tick) && msg.Round <= m.round {
-		p.contact(int(msg.SentTick), msg.Round)
+		p.recordReply(int(msg.SentTick), msg.Round)
 	}
 	switch msg.Kind {
 	case quorumpb.Kind_APPEND_REPLY:
@@ -120,5 +120,5 @@
 	case quorumpb.Kind_SNAPSHOT_REPLY:
 		m.onSnapshotReply(p, msg)
 	}
-	m.releaseReads()
+	m.finishReads()
 }
