--- a/internal/journal/faultydisk/faultydisk.go
+++ b/internal/journal/faultydisk/faultydisk.go
@@ -1,6 +1,7 @@
-// Package faultydisk is a file system that is slow, stands still or is full while a file
-// beside the data folder says so. Only a build for tests uses it: nothing outside a process
-// can feign such a disk without rights over the machine.
+// Package faultydisk implements a journal.FS that injects disk faults: slow syncs, stalled
+// writes, or a full disk. The fault is read from a file next to the data folder. Only test
+// builds use it, because simulating such a disk from outside the process needs privileges on
+// the machine.
 package faultydisk
 
 import (
@@ -12,71 +13,72 @@
 	"pearmoor/internal/journal"
 )
 
-// Fault is what is wrong with the disk.
+// Fault is a simulated disk fault.
 type Fault string
 
 // The faults.
 const (
 	Well   Fault = ""
-	Slow   Fault = "slow"   // each sync takes slowSync
-	Stalls Fault = "stalls" // nothing is written or synced until it is over
-	Full   Fault = "full"   // every write is refused
+	Slow   Fault = "slow"   // each sync is delayed by slowSyncDelay
+	Stalls Fault = "stalls" // writes and syncs block until the fault is changed
+	Full   Fault = "full"   // writes fail with ENOSPC
 )
 
 const (
-	slowSync = 150 * time.Millisecond
-	pollEach = 5 * time.Millisecond
+	slowSyncDelay = 150 * time.Millisecond
+	pollInterval  = 5 * time.Millisecond
 )
 
-// FS is the machine's file system with the faults that its file states.
+// FS is the operating system's file system with the fault stated in the file at
+// faultPath.
 type FS struct {
 	journal.OS
-	file string
+	faultPath string
 }
 
-// New returns the file system of a data folder.
-func New(dir string) FS { return FS{file: faultFile(dir)} }
+// New returns the file system for the data folder dir.
+func New(dir string) FS { return FS{faultPath: faultPath(dir)} }
 
-func faultFile(dir string) string { return dir + ".fault" }
+func faultPath(dir string) string { return dir + ".fault" }
 
-// Set states what is wrong with the disk of a data folder from now on.
+// Set replaces the current fault of the data folder dir.
 func Set(dir string, f Fault) error {
-	fresh := faultFile(dir) + ".new"
-	if err := os.WriteFile(fresh, []byte(f), 0o600); err != nil {
+	temp := faultPath(dir) + ".new"
+	if err := os.WriteFile(temp, []byte(f), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(fresh, faultFile(dir))
+	return os.Rename(temp, faultPath(dir))
 }
 
-func (fs FS) fault() Fault {
-	text, err := os.ReadFile(fs.file)
+func (fs FS) currentFault() Fault {
+	text, err := os.ReadFile(fs.faultPath)
 	if err != nil {
-		return Well // nobody has stated one
+		return Well // no fault was set
 	}
 	return Fault(strings.TrimSpace(string(text)))
 }
 
-// wait returns when the disk takes something, or ENOSPC.
-func (fs FS) wait() error {
-	for fs.fault() == Stalls {
-		time.Sleep(pollEach)
+// waitWritable blocks while the disk is stalled. It returns ENOSPC if the disk is full.
+func (fs FS) waitWritable() error {
+	for fs.currentFault() == Stalls {
+		time.Sleep(pollInterval)
 	}
-	if fs.fault() == Full {
+	if fs.currentFault() == Full {
 		return syscall.ENOSPC
 	}
 	return nil
 }
 
 func (fs FS) sync() {
-	_ = fs.wait() // a full disk still syncs what it holds
-	if fs.fault() == Slow {
-		time.Sleep(slowSync)
+	_ = fs.waitWritable() // a full disk can still sync
+	if fs.currentFault() == Slow {
+		time.Sleep(slowSyncDelay)
 	}
 }
 
 // Create implements journal.FS.
 func (fs FS) Create(path string) (journal.File, error) {
-	if err := fs.wait(); err != nil {
+	if err := fs.waitWritable(); err != nil {
 		return nil, err
 	}
 	f, err := fs.OS.Create(path)
@@ -97,7 +99,7 @@
 
 // Free implements journal.FS.
 func (fs FS) Free(dir string) (uint64, error) {
-	if fs.fault() == Full {
+	if fs.currentFault() == Full {
 		return 0, nil
 	}
 	return fs.OS.Free(dir)
@@ -110,7 +112,7 @@
 
 // Write implements io.Writer.
 func (f file) Write(b []byte) (int, error) {
-	if err := f.fs.wait(); err != nil {
+	if err := f.fs.waitWritable(); err != nil {
 		return 0, err
 	}
 	return f.File.Write(b)
--- a/internal/journal/segments.go
+++ b/internal/journal/segments.go
@@ -8,16 +8,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Segments is an append-only log of frames over several files. It is not safe
-// for concurrent use, but for ReadSegment.
+// Segments is an append-only log of frames in several files. Only ReadSegment is safe
+// for concurrent use.
 type Segments struct {
-	fs     FS
-	dir    string
-	prefix string
-	list   []segment // oldest first
-	file   File      // the last of list; nil before the first frame after Open without one
-	seq    uint64    // of the last frame
-	failed error     // sticky: set by the first failed sync
+	fs       FS
+	dir      string
+	prefix   string
+	segments []segment // oldest first
+	file     File      // the newest segment, open for appending; nil until there is one
+	lastSeq  uint64    // sequence number of the last frame
+	failed   error     // first write or sync failure; every later write returns it
 }
 
 type segment struct {
@@ -25,38 +25,39 @@
 	size   int64
 }
 
-// Visit is called for each frame found by OpenSegments, oldest first.
+// VisitFunc is called for each frame that OpenSegments or ReadSegment reads, oldest
+// first.
 type Visit func(segment uint64, payload []byte) error
 
-// OpenSegments reads the files of that prefix in dir, cuts off a damaged end, and
-// opens the last one for appending.
+// OpenSegments reads the files in dir whose names start with prefix, truncates a
+// damaged tail, and opens the last file for appending.
 func OpenSegments(fs FS, dir, prefix string, visit Visit) (*Segments, error) {
 	s := &Segments{fs: fs, dir: dir, prefix: prefix}
 	names, err := fs.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range names { // ReadDir sorts; numbers have a fixed width
-		if n, ok := s.parse(name); ok {
-			s.list = append(s.list, segment{number: n})
+	for _, name := range names { // ReadDir sorts by name, and numbers have a fixed width
+		if n, ok := s.parseName(name); ok {
+			s.segments = append(s.segments, segment{number: n})
 		}
 	}
-	for i := range s.list {
-		if err := s.load(i, visit); err != nil {
+	for i := range s.segments {
+		if err := s.loadSegment(i, visit); err != nil {
 			return nil, err
 		}
 	}
-	if len(s.list) == 0 {
+	if len(s.segments) == 0 {
 		return s, nil
 	}
-	return s, s.reopen()
+	return s, s.openLast()
 }
 
-func (s *Segments) name(number uint64) string { return fmt.Sprintf("%s-%016x", s.prefix, number) }
+func (s *Segments) fileName(number uint64) string { return fmt.Sprintf("%s-%016x", s.prefix, number) }
 
-func (s *Segments) path(number uint64) string { return filepath.Join(s.dir, s.name(number)) }
+func (s *Segments) path(number uint64) string { return filepath.Join(s.dir, s.fileName(number)) }
 
-func (s *Segments) parse(name string) (number uint64, ok bool) {
+func (s *Segments) parseName(name string) (number uint64, ok bool) {
 	hex, found := strings.CutPrefix(name, s.prefix+"-")
 	if !found || len(hex) != 16 {
 		return 0, false
@@ -65,11 +66,12 @@
 	return number, err == nil
 }
 
-// load reads segment i. In the last one a damaged end is what a crash left of a
-// frame that was never synced: nobody was told of it, and it is cut off. A whole
-// frame after the damage proves that the damaged one had been synced before.
-func (s *Segments) load(i int, visit Visit) error {
-	seg := &s.list[i]
+// loadSegment reads segment i. In the last segment, a damaged tail is the remainder of
+// a frame that was not synced before a crash. It was never acknowledged, and
+// openLast truncates it. A valid frame after the damage proves that the damaged frame
+// had been synced.
+func (s *Segments) loadSegment(i int, visit Visit) error {
+	seg := &s.segments[i]
 	path := s.path(seg.number)
 	b, err := s.fs.ReadFile(path)
 	if err != nil {
@@ -78,37 +80,37 @@
 	off := 0
 	for off < len(b) {
 		seq, payload, size, ok := readFrame(b[off:])
-		if ok && s.seq != 0 && seq != s.seq+1 {
-			return &CorruptError{path, int64(off), fmt.Sprintf("frame %d follows frame %d", seq, s.seq)}
+		if ok && s.lastSeq != 0 && seq != s.lastSeq+1 {
+			return &CorruptError{path, int64(off), fmt.Sprintf("frame %d follows frame %d", seq, s.lastSeq)}
 		}
 		if !ok {
-			if i < len(s.list)-1 {
+			if i < len(s.segments)-1 {
 				return &CorruptError{path, int64(off), "a later file exists, so this frame had been synced"}
 			}
-			if at, found := findFrame(b[off:], s.seq); found {
-				return &CorruptError{path, int64(off), fmt.Sprintf("a whole frame follows at offset %d, so this one had been synced", off+at)}
+			if at, found := findFrameAfter(b[off:], s.lastSeq); found {
+				return &CorruptError{path, int64(off), fmt.Sprintf("a valid frame follows at offset %d, so this one had been synced", off+at)}
 			}
 			break
 		}
 		if err := visit(seg.number, payload); err != nil {
 			return errors.Wrapf(err, "journal: %s, offset %d", path, off)
 		}
-		s.seq = seq
+		s.lastSeq = seq
 		off += size
 	}
 	seg.size = int64(off)
 	return nil
 }
 
-func (s *Segments) reopen() error {
-	last := s.list[len(s.list)-1]
+func (s *Segments) openLast() error {
+	last := s.segments[len(s.segments)-1]
 	path := s.path(last.number)
 	f, err := s.fs.Append(path, last.size)
 	if err != nil {
 		return err
 	}
 	s.file = f
-	if err := f.Sync(); err != nil { // the cut must not come undone
+	if err := f.Sync(); err != nil { // makes the truncation durable
 		return &SyncError{path, err}
 	}
 	return nil
@@ -127,97 +129,97 @@
 			return err
 		}
 	}
-	cur := &s.list[len(s.list)-1]
-	frame := appendFrame(nil, s.seq+1, payload)
+	cur := &s.segments[len(s.segments)-1]
+	frame := appendFrame(nil, s.lastSeq+1, payload)
 	if _, err := s.file.Write(frame); err != nil {
-		return s.undo(cur, err)
+		return s.rollBackWrite(cur, err)
 	}
 	if err := s.file.Sync(); err != nil {
-		return s.fail(cur.number, err)
+		return s.setFailed(cur.number, err)
 	}
 	cur.size += int64(len(frame))
-	s.seq++
+	s.lastSeq++
 	return nil
 }
 
-// undo takes back a write that the disk had no room for. It was not synced yet,
-// so cutting it off leaves the file as it was.
-func (s *Segments) undo(cur *segment, cause error) error {
-	if !isFull(cause) {
-		return s.fail(cur.number, cause)
+// rollBackWrite handles a failed write. If the disk is full, it truncates the file to
+// its size before the write, which was not synced. Other errors are permanent.
+func (s *Segments) rollBackWrite(cur *segment, cause error) error {
+	if !isNoSpace(cause) {
+		return s.setFailed(cur.number, cause)
 	}
 	if err := s.file.Truncate(cur.size); err != nil {
-		return s.fail(cur.number, err)
+		return s.setFailed(cur.number, err)
 	}
 	return ErrFull
 }
 
-func (s *Segments) fail(number uint64, cause error) error {
+func (s *Segments) setFailed(number uint64, cause error) error {
 	s.failed = &SyncError{s.path(number), cause}
 	return s.failed
 }
 
-// Rotate starts a new file; the frames before it keep their files.
+// Rotate starts a new file. Existing files are not changed.
 func (s *Segments) Rotate() error {
 	if s.failed != nil {
 		return s.failed
 	}
 	number := uint64(1)
-	if n := len(s.list); n > 0 {
-		number = s.list[n-1].number + 1
+	if n := len(s.segments); n > 0 {
+		number = s.segments[n-1].number + 1
 	}
 	f, err := s.fs.Create(s.path(number))
 	if err != nil {
-		if isFull(err) {
+		if isNoSpace(err) {
 			return ErrFull
 		}
-		return s.fail(number, err)
+		return s.setFailed(number, err)
 	}
 	if err := s.fs.SyncDir(s.dir); err != nil {
-		return s.fail(number, err)
+		return s.setFailed(number, err)
 	}
 	if s.file != nil {
 		if err := s.file.Close(); err != nil {
-			return s.fail(number-1, err)
+			return s.setFailed(number-1, err)
 		}
 	}
 	s.file = f
-	s.list = append(s.list, segment{number: number})
+	s.segments = append(s.segments, segment{number: number})
 	return nil
 }
 
-// RemoveBefore deletes the files before that number; the newest one stays.
+// RemoveBefore deletes the files with a smaller number, except the newest file.
 func (s *Segments) RemoveBefore(number uint64) error {
-	for len(s.list) > 1 && s.list[0].number < number {
-		if err := s.fs.Remove(s.path(s.list[0].number)); err != nil {
+	for len(s.segments) > 1 && s.segments[0].number < number {
+		if err := s.fs.Remove(s.path(s.segments[0].number)); err != nil {
 			return err
 		}
-		s.list = s.list[1:]
+		s.segments = s.segments[1:]
 	}
 	return nil
 }
 
-// Current returns the number and size in bytes of the file being written; 0
-// before the first.
+// Current returns the number and the size in bytes of the newest file, or zeros if
+// there is none.
 func (s *Segments) Current() (number uint64, size int64) {
-	if len(s.list) == 0 {
+	if len(s.segments) == 0 {
 		return 0, 0
 	}
-	last := s.list[len(s.list)-1]
+	last := s.segments[len(s.segments)-1]
 	return last.number, last.size
 }
 
-// Size returns the bytes of all files.
+// Size returns the total size of all files in bytes.
 func (s *Segments) Size() int64 {
 	var sum int64
-	for _, seg := range s.list {
+	for _, seg := range s.segments {
 		sum += seg.size
 	}
 	return sum
 }
 
-// ReadSegment visits the whole frames of one file again. It may run beside
-// Append: a frame that is just being written is left out.
+// ReadSegment visits the complete frames of a file. It may run concurrently with
+// Append; a frame that is not completely written is skipped.
 func (s *Segments) ReadSegment(number uint64, visit Visit) error {
 	b, err := s.fs.ReadFile(s.path(number))
 	if err != nil {
@@ -236,7 +238,7 @@
 	return nil
 }
 
-// Close closes the file being written.
+// Close closes the newest file.
 func (s *Segments) Close() error {
 	if s.file == nil {
 		return nil
--- a/internal/quorum/conf.go
+++ b/internal/quorum/conf.go
@@ -9,32 +9,32 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// Bootstrap returns the snapshot with which every first member of a new group
-// starts. Members need not have their Disk set: until the disks of all members
-// are bound by the group's first entry, votes and commits need all members, not
-// a majority, so that a member whose disk was lost in between can't be mistaken
-// for its old self. The driver stores the snapshot on a new disk before New.
+// Bootstrap returns the initial snapshot for every founding member of a new
+// group. The driver stores it on a new disk before it calls New. Member.Disk may
+// be unset: the first entry of the group binds the disk of each member to its id.
+// Until then, votes and commits need all members instead of a majority, because a
+// member whose disk was replaced in the meantime can't be told from the original.
 //
-// A group founded by a single member has nobody to object when that member's
-// disk is replaced and it founds the group once more. Founding must therefore be
-// an act of the operator's on that one start, never a standing start-up flag.
+// If the disk of a single-member group is replaced, no other member can prevent a
+// second bootstrap of the same group. The operator must therefore request the
+// bootstrap for one start of the process only, not by a permanent flag.
 func Bootstrap(members []*Member) (*Snapshot, error) {
 	c := &Conf{}
-	for _, b := range members {
-		if b.Learner {
-			return nil, errors.Newf("quorum: member %d is a learner; a new group starts with voters only", b.Id)
+	for _, member := range members {
+		if member.Learner {
+			return nil, errors.Newf("quorum: member %d is a learner; a new group starts with voters only", member.Id)
 		}
-		c.Members = append(c.Members, proto.CloneOf(b))
-		c.MaxId = max(c.MaxId, b.Id)
+		c.Members = append(c.Members, proto.CloneOf(member))
+		c.MaxId = max(c.MaxId, member.Id)
 	}
-	slices.SortFunc(c.Members, func(a, b *Member) int { return cmpID(a.Id, b.Id) })
+	slices.SortFunc(c.Members, func(a, member *Member) int { return compareIDs(a.Id, member.Id) })
 	if err := validateConf(c); err != nil {
 		return nil, err
 	}
 	return &Snapshot{Conf: c}, nil
 }
 
-func cmpID(a, b uint64) int {
+func compareIDs(a, b uint64) int {
 	switch {
 	case a < b:
 		return -1
@@ -44,7 +44,8 @@
 	return 0
 }
 
-// validateConf checks what every stored or received Conf must satisfy.
+// validateConf checks a stored or received Conf: the number of members, at least
+// one voter, and member ids that are unique, ascending and at most MaxId.
 func validateConf(c *Conf) error {
 	if n := len(c.Members); n == 0 || n > MaxMembers {
 		return errors.Newf("quorum: a group has %d members; use 1 to %d", n, MaxMembers)
@@ -53,74 +54,75 @@
 		return errors.New("quorum: a group has no voter; keep at least one")
 	}
 	prev := uint64(0)
-	for _, b := range c.Members {
-		if b.Id <= prev || b.Id > c.MaxId {
-			return errors.Newf("quorum: member id %d is 0, used twice, out of order or above %d", b.Id, c.MaxId)
+	for _, member := range c.Members {
+		if member.Id <= prev || member.Id > c.MaxId {
+			return errors.Newf("quorum: member id %d is 0, used twice, out of order or above %d", member.Id, c.MaxId)
 		}
-		prev = b.Id
+		prev = member.Id
 	}
 	return nil
 }
 
-func find(c *Conf, id uint64) *Member {
-	for _, b := range c.GetMembers() {
-		if b.Id == id {
-			return b
+func findMember(c *Conf, id uint64) *Member {
+	for _, member := range c.GetMembers() {
+		if member.Id == id {
+			return member
 		}
 	}
 	return nil
 }
 
 func isVoter(c *Conf, id uint64) bool {
-	b := find(c, id)
-	return b != nil && !b.Learner
+	member := findMember(c, id)
+	return member != nil && !member.Learner
 }
 
 func voterCount(c *Conf) int {
 	n := 0
-	for _, b := range c.GetMembers() {
-		if !b.Learner {
+	for _, member := range c.GetMembers() {
+		if !member.Learner {
 			n++
 		}
 	}
 	return n
 }
 
-// bound reports whether the disks of all members are known to the group.
-func bound(c *Conf) bool {
-	for _, b := range c.GetMembers() {
-		if b.Disk == 0 {
+// allDisksBound reports whether the configuration names the disk of every member.
+func allDisksBound(c *Conf) bool {
+	for _, member := range c.GetMembers() {
+		if member.Disk == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// quorumSize returns how many voters must agree: a strict majority, so that two
-// halves of an even group can't both decide; all of them while disks are unbound.
+// quorumSize returns the number of voters that must agree: a strict majority, so
+// that two halves of a group of even size can't both decide, or all voters while
+// a disk is not bound.
 func quorumSize(c *Conf) int {
 	n := voterCount(c)
-	if !bound(c) {
+	if !allDisksBound(c) {
 		return n
 	}
 	return n/2 + 1
 }
 
-// confAt is the group in effect from the entry at index on.
-type confAt struct {
+// indexedConf is a configuration that takes effect with the entry at index.
+type indexedConf struct {
 	index uint64
 	conf  *Conf
 }
 
-// confHistory lists the groups stated by the snapshot and by the log, oldest
-// first. A group is in effect as soon as its entry is in the log, committed or
-// not: each differs by at most one voter from the one before, so that any
-// two quorums of neighbours share a voter.
-type confHistory []confAt
+// confHistory lists the configurations in the snapshot and in the log, oldest
+// first. A configuration takes effect when its entry is appended, committed or
+// not. Each differs from its predecessor by at most one voter, so any quorum of
+// one shares a voter with any quorum of the next.
+type confHistory []indexedConf
 
-func (h confHistory) newest() confAt { return h[len(h)-1] }
+func (h confHistory) latest() indexedConf { return h[len(h)-1] }
 
-// at returns the group in effect after the entry at index.
+// at returns the configuration in effect after the entry at index.
 func (h confHistory) at(index uint64) *Conf {
 	for i := len(h) - 1; i > 0; i-- {
 		if h[i].index <= index {
@@ -130,38 +132,39 @@
 	return h[0].conf
 }
 
-// add takes in the groups among entries; each was checked by decodeConfs.
-func (h confHistory) add(es []*Entry) confHistory {
+// appendFrom appends the configurations among es, which checkEntries has validated.
+func (h confHistory) appendFrom(es []*Entry) confHistory {
 	for _, e := range es {
 		if e.Kind == quorumpb.EntryKind_CONF {
 			c := &Conf{}
 			if proto.Unmarshal(e.Data, c) == nil {
-				h = append(h, confAt{e.Index, c})
+				h = append(h, indexedConf{e.Index, c})
 			}
 		}
 	}
 	return h
 }
 
-// truncate forgets the groups stated from index on.
-func (h confHistory) truncate(index uint64) confHistory {
-	for len(h) > 1 && h.newest().index >= index {
+// truncateFrom drops the configurations at and above index.
+func (h confHistory) truncateFrom(index uint64) confHistory {
+	for len(h) > 1 && h.latest().index >= index {
 		h = h[:len(h)-1]
 	}
 	return h
 }
 
-// compact forgets the groups that are superseded at index.
-func (h confHistory) compact(index uint64) confHistory {
+// compactTo drops the configurations that are superseded at index.
+func (h confHistory) compactTo(index uint64) confHistory {
 	for len(h) > 1 && h[1].index <= index {
 		h = h[1:]
 	}
 	return h
 }
 
-// checkEntries refuses entries that don't follow index or state a broken group.
-func checkEntries(es []*Entry, index, term, maxTerm uint64) error {
-	for _, e := range es {
+// checkEntries returns an error if es does not continue the log after the entry at
+// index and term, has a term above maxTerm, or holds an invalid configuration.
+func checkEntries(entries []*Entry, index, term, maxTerm uint64) error {
+	for _, e := range entries {
 		index++
 		if e.Index != index || e.Term < term || e.Term > maxTerm {
 			return errors.Newf("entry %d of term %d does not follow entry %d of term %d", e.Index, e.Term, index-1, term)
--- a/internal/quorum/message.go
+++ b/internal/quorum/message.go
@@ -7,13 +7,13 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// Encode returns the bytes of a message.
+// Encode marshals a message.
 func Encode(msg *Message) ([]byte, error) {
 	b, err := proto.Marshal(msg)
 	return b, errors.Wrap(err, "quorum: encode message")
 }
 
-// Decode reads the bytes of a message. Whether it makes sense is checked by Step.
+// Decode unmarshals a message. Step validates its content.
 func Decode(b []byte) (*Message, error) {
 	msg := &Message{}
 	if err := proto.Unmarshal(b, msg); err != nil {
@@ -22,8 +22,9 @@
 	return msg, nil
 }
 
-// fromLeader reports whether only the leader of msg.Term sends messages of its kind.
-func fromLeader(msg *Message) bool {
+// isLeaderMessage reports whether msg is of a kind that only the leader of msg.Term
+// sends.
+func isLeaderMessage(msg *Message) bool {
 	switch msg.Kind {
 	case quorumpb.Kind_APPEND, quorumpb.Kind_HEARTBEAT, quorumpb.Kind_SNAPSHOT, quorumpb.Kind_TIMEOUT_NOW:
 		return true
@@ -31,9 +32,9 @@
 	return false
 }
 
-// promisesNothing reports whether msg may be sent before the journal is synced:
-// it tells of no vote cast and no entry held by the sender.
-func promisesNothing(msg *Message) bool {
+// safeBeforeSync reports whether msg may be sent before the journal is synced: it
+// acknowledges neither a vote nor an entry of the sender.
+func safeBeforeSync(msg *Message) bool {
 	switch msg.Kind {
 	case quorumpb.Kind_APPEND, quorumpb.Kind_HEARTBEAT, quorumpb.Kind_SNAPSHOT:
 		return true
@@ -41,25 +42,25 @@
 	return false
 }
 
-// send addresses msg to a member and queues it. Term is the sender's unless set.
+// send queues msg for a member. An unset Term becomes the current term.
 func (m *Machine) send(to uint64, msg *Message) {
-	msg.From, msg.FromDisk = m.cfg.ID, m.hard.Disk
+	msg.From, msg.FromDisk = m.cfg.ID, m.hardState.Disk
 	msg.To = to
 	if msg.ToDisk == 0 {
-		msg.ToDisk = find(m.conf(), to).GetDisk()
+		msg.ToDisk = findMember(m.conf(), to).GetDisk()
 	}
 	if msg.Term == 0 {
-		msg.Term = m.hard.Term
+		msg.Term = m.hardState.Term
 	}
-	if fromLeader(msg) {
+	if isLeaderMessage(msg) {
 		msg.Round, msg.SentTick = m.round, uint64(m.tick)
 	}
 	m.outbox = append(m.outbox, msg)
 }
 
-// reply queues an answer to msg, which goes to the very disk that asked.
-func (m *Machine) reply(msg, answer *Message) {
-	answer.ToDisk = msg.FromDisk
-	answer.Round, answer.SentTick = msg.Round, msg.SentTick
-	m.send(msg.From, answer)
+// reply queues a response to msg, addressed to the disk that sent it.
+func (m *Machine) reply(msg, response *Message) {
+	response.ToDisk = msg.FromDisk
+	response.Round, response.SentTick = msg.Round, msg.SentTick
+	m.send(msg.From, response)
 }
