--- a/internal/control/presence/doc.go
+++ b/internal/control/presence/doc.go
@@ -1,5 +1,6 @@
-// Package presence is the leader's table of the daemons it has heard: their
-// leases, and what they have confirmed. It is kept in memory only; a new leader
-// starts with every member just heard and under a grace that outlasts any lease
-// its predecessor may have granted.
+// Package presence holds the leader's in-memory table of the daemons that send it
+// heartbeats: their leases, and the configuration versions and epochs they have
+// confirmed. The table is not persisted. A new leader records every member as having
+// just sent a heartbeat, with a lease that ends no earlier than any lease the previous
+// leader may have granted.
 package presence
--- a/internal/control/presence/member.go
+++ b/internal/control/presence/member.go
@@ -9,9 +9,10 @@
 	"pearmoor/internal/vm"
 )
 
-// Want returns the changes that turn the settled membership into the daemons
-// that are there now. A member leaves when its lease has run out, when it says
-// that it is gone, or when a newer run of it is heard.
+// MembershipChanges returns the upserts and removals that turn the settled membership
+// into the set of daemons that are running now. A member is removed when its lease has
+// expired, when it reports phase Gone, or when a newer run of the same name has sent a
+// heartbeat.
 func (t *Table) Want(settled *vm.Membership, now vm.Instant) (upserts []*wire.Vm, removes []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,7 +37,7 @@
 	return upserts, removes
 }
 
-// joining returns the serving daemons that are no members.
+// joiningMembers returns the serving daemons that are not in the settled membership.
 func (t *Table) joining(settled *vm.Membership, now vm.Instant) []*wire.Vm {
 	var out []*wire.Vm
 	for name := range t.newest {
@@ -50,7 +51,7 @@
 	return out
 }
 
-// wanted returns the newest run of a name if it should be a member.
+// desiredMember returns the newest run of a daemon if it should be a member.
 func (t *Table) wanted(name string, now vm.Instant) (vm.Member, bool) {
 	r := t.runs[key{name, t.newest[name]}]
 	if r == nil || !r.mayWork(now) || !takesWork(r.member.Phase) {
@@ -59,9 +60,9 @@
 	return r.member, true
 }
 
-// Respected reports whether every member of the memberships respects the epoch's
-// smaller shares: it has acknowledged the epoch, is gone, or its lease has
-// provably run out. A run that is no longer known has run out.
+// EpochAcknowledged reports whether no member of the memberships can still use shares
+// larger than those of the epoch: each has acknowledged the epoch, has reported Gone,
+// or its lease has expired. A run that is not in the table has no lease.
 func (t *Table) Respected(epoch uint64, now vm.Instant, memberships ...*vm.Membership) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,8 +77,8 @@
 	return true
 }
 
-// Confirmed returns the newest version, at most newest, that every daemon which
-// may take work has confirmed.
+// ConfirmedVersion returns the highest version, at most newest, that every active
+// daemon with a lease has confirmed.
 func (t *Table) Confirmed(newest uint64, now vm.Instant) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,7 +90,8 @@
 	return newest
 }
 
-// Unconfirmed returns the names of the daemons that hold up a version, sorted.
+// UnconfirmedDaemons returns the names of the active daemons with a lease that have
+// not confirmed the version, sorted.
 func (t *Table) Unconfirmed(version uint64, now vm.Instant) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,7 +105,8 @@
 	return out
 }
 
-// Daemons returns what is known of each run, sorted by name.
+// DaemonStatuses returns the status of each run in the table, sorted by name, then
+// incarnation.
 func (t *Table) Daemons(now vm.Instant) []*wire.DaemonStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,15 +124,16 @@
 	return out
 }
 
-// Len returns the number of runs known.
+// Len returns the number of runs in the table.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.runs)
 }
 
-// Quiet returns the names of the members of any of the memberships that have not been
-// heard for that long, sorted. nil memberships have none.
+// SilentMembers returns the names of the members of any of the memberships that have
+// sent no heartbeat for longer than threshold, sorted. A nil membership has no
+// members.
 func (t *Table) Quiet(now vm.Instant, after time.Duration, of ...*vm.Membership) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/control/presence/table.go
+++ b/internal/control/presence/table.go
@@ -8,8 +8,9 @@
 	"pearmoor/internal/vm"
 )
 
-// key names one run of a daemon: a paused run that resumes must not keep the
-// lease of the run that replaced it alive, nor the other way round.
+// runID identifies one run of a daemon. Leases are kept by run, so that a paused run
+// that resumes does not extend the lease of the run that replaced it, nor the other
+// way round.
 type key struct {
 	name        string
 	incarnation uint64
@@ -17,30 +18,31 @@
 
 func keyOf(m *vm.Member) key { return key{m.Name, m.Incarnation} }
 
-// run is what is known of one run of a daemon.
+// run is the state of one run of a daemon.
 type run struct {
 	member vm.Member
-	config uint64     // newest version confirmed
+	config uint64     // newest configuration version confirmed
 	acked  uint64     // newest epoch acknowledged
-	first  vm.Instant // first heard by this leader
+	first  vm.Instant // first heartbeat received by this leader
 	heard  vm.Instant
-	until  vm.Instant // no lease it may hold lasts longer
+	until  vm.Instant // no lease granted to the run ends later
 }
 
-// gone reports whether the run has said that it holds nothing any more.
+// gone reports whether the run has stopped and holds no shares.
 func (r *run) gone() bool { return r.member.Phase == vm.Gone }
 
-// mayWork reports whether the run may hold a lease at now.
+// mayHoldLease reports whether the run may hold a lease at now.
 func (r *run) mayWork(now vm.Instant) bool { return !r.gone() && now < r.until }
 
-// takesWork reports whether the phase lets a daemon take or finish work.
+// isActive reports whether a daemon in this phase accepts new requests or finishes
+// requests in flight.
 func takesWork(p vm.Phase) bool { return p == vm.Serving || p == vm.Draining }
 
-// Table is the leader's table. It may be used by several goroutines.
+// Table is the leader's table of daemons. It is safe for concurrent use.
 type Table struct {
 	mu     sync.Mutex
 	runs   map[key]*run
-	newest map[string]uint64 // newest incarnation heard, by name
+	newest map[string]uint64 // by name
 }
 
 // New returns an empty table.
@@ -48,8 +50,9 @@
 	return &Table{runs: make(map[key]*run), newest: make(map[string]uint64)}
 }
 
-// Reset starts the table anew for a new leader: the members may hold leases of
-// its predecessor until that instant, and have confirmed nothing yet.
+// Reset initializes the table for a new leader. The members of the memberships may
+// hold leases of the previous leader until leaseEnd and have confirmed nothing to this
+// leader yet.
 func (t *Table) Reset(now, until vm.Instant, memberships ...*vm.Membership) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -67,20 +70,22 @@
 	}
 }
 
-// Terms are what a heartbeat has to meet to be granted a lease.
+// LeaseRequirements are the conditions that a heartbeat must meet for a lease to be
+// granted.
 type Terms struct {
 	Lease time.Duration
-	// Config and Epoch are what a daemon must have confirmed by now. A daemon
-	// that is heard but does not follow would otherwise hold up a change, or a
-	// hand-over of shares, for ever; without a lease it holds it up no longer
-	// than the lease lasts.
+	// MinConfigVersion and MinEpoch are what a daemon must have confirmed after its
+	// grace period. A daemon that sends heartbeats but confirms nothing new would
+	// otherwise block a configuration change, or a transfer of shares, indefinitely.
+	// Without a new lease it blocks them no longer than its current lease lasts.
 	Config   uint64
 	Epoch    uint64
-	Patience time.Duration // a daemon heard first more recently is let off
+	Patience time.Duration // time after the first heartbeat in which the minimums do not apply
 }
 
-// Beat records heartbeats. It returns the names that are not granted a lease,
-// and whether anything besides the time of the heartbeat is new.
+// RecordHeartbeats records heartbeats. It returns the names of the daemons that are
+// not granted a lease, and whether anything but the time of the last heartbeat has
+// changed.
 func (t *Table) Beat(hbs []*wire.Heartbeat, now vm.Instant, terms *Terms) (refused []string, news bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +109,7 @@
 		news = true
 	}
 	if r.gone() && !news {
-		return false, false // a late heartbeat of a run that has ended
+		return false, false // a delayed heartbeat of a run that has ended
 	}
 	if m != r.member {
 		r.member, news = m, true
@@ -129,7 +134,8 @@
 	return r.config >= terms.Config && r.acked >= terms.Epoch
 }
 
-// Sweep forgets runs whose lease has run out.
+// DeleteExpired deletes the runs whose lease has expired and that have sent no
+// heartbeat for expiredRunRetention.
 func (t *Table) Sweep(now vm.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -144,5 +150,5 @@
 	}
 }
 
-// forgetAfter keeps a run that ended in sight of operators for a while.
+// expiredRunRetention keeps an ended run visible to operators for a while.
 const forgetAfter = 10 * time.Second
--- a/internal/control/presence/table_test.go
+++ b/internal/control/presence/table_test.go
@@ -25,29 +25,30 @@
 	return vm.Member{Identity: vm.Identity{Name: name, Incarnation: incarnation}, Phase: vm.Serving}
 }
 
-// daemon is one run as it sees itself.
+// daemon is one run with the state that it knows itself.
 type daemon struct {
 	key
-	lease         vm.Instant // by its own count: from the instant its request was sent
+	lease         vm.Instant // as the daemon computes it, from the time it sent the request
 	config, acked uint64
 	paused        bool
 	grantedBy     int // the leader that granted the lease
 }
 
-// request is a heartbeat on its way.
+// request is a heartbeat in flight.
 type request struct {
 	of   *daemon
 	hb   *wire.Heartbeat
 	sent vm.Instant
 }
 
-// Heartbeats are delayed, reordered and lost, daemons pause, are replaced by a
-// new run under the same name and come back, while leaders change. Whenever the
-// table says that an epoch is respected, or a version confirmed, every run of a
-// member has acknowledged or confirmed it or counts its own lease as run out: no
-// share is handed on, and no version is called in force, while somebody still
-// works under the old one. The same holds of runs that are no members yet, as
-// long as the leader that granted their lease leads; they take no work before.
+// Guards against shares being handed on, or a version being reported in force, while a
+// daemon still works under the old epoch or version. Heartbeats are delayed, reordered
+// and lost, daemons pause, are replaced by a new run of the same name and resume, and
+// leaders change. Whenever the table reports an epoch as acknowledged or a version as
+// confirmed, every run of a member has acknowledged or confirmed it, or regards its
+// own lease as expired. The same holds for the versions of runs that are not members
+// yet while the leader that granted their lease is in office; such runs accept no
+// requests before they are members.
 func TestTableNeverRunsAheadOfTheDaemons(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(time.Hour)
@@ -109,22 +110,22 @@
 					continue
 				}
 				if _, isMember := ms.Find(d.name); respected && isMember && d.incarnation == 1 && d.acked < epoch {
-					t.Fatalf("epoch called respected, %v holds a lease and has not acknowledged it", d.key)
+					t.Fatalf("epoch reported as acknowledged, but %v holds a lease and has not acknowledged it", d.key)
 				}
 				if confirmed && d.config < version && (d.incarnation == 1 || d.grantedBy == leader) {
-					t.Fatalf("version called confirmed, %v holds a lease and has not confirmed it", d.key)
+					t.Fatalf("version reported as confirmed, but %v holds a lease and has not confirmed it", d.key)
 				}
 			}
 		}
 	})
 }
 
-// A daemon is killed and restarted at once under its name. The old run's requests
-// may still be with the leaves, so its share stays bound until its lease has run
-// out, however lively the new run is; and the old one, had it only been paused,
-// gets no lease any more.
+// A daemon is killed and restarted immediately under the same name. Requests of the
+// old run may still be running on the leaves, so its share must stay reserved until
+// its lease expires, whatever the new run sends. If the old run was only paused, it
+// must not get another lease.
 func TestRestartedDaemonWaitsForItsOldRun(t *testing.T) {
-	Convey("The new run's heartbeats neither free the old run's share nor renew its lease", t, func() {
+	Convey("The new run's heartbeats neither release the old run's share nor renew its lease", t, func() {
 		now := vm.Instant(time.Hour)
 		terms := &Terms{Lease: lease}
 		table := New()
@@ -145,11 +146,11 @@
 	})
 }
 
-// A VM loses power and is let go. Daemons that are cut off before they know the
-// membership without it would send callers to it again, were it taken off the list of
-// silent ones when the new membership is only pending.
+// A VM loses power and is removed from the membership. If it left the list of silent
+// members while the new membership is only pending, daemons that do not know the new
+// membership yet would direct callers to it again.
 func TestLetGoMemberIsSilentUntilAllKnow(t *testing.T) {
-	Convey("A lost member is silent while the membership that holds it is the settled one", t, func() {
+	Convey("A lost member is silent while the settled membership contains it", t, func() {
 		now := vm.Instant(time.Hour)
 		table := New()
 		settled := &vm.Membership{Epoch: 1, Members: []vm.Member{member("a", 1), member("lost", 1)}}
@@ -163,10 +164,10 @@
 	})
 }
 
-// A daemon stops in good order. Its share must move on at once instead of after a
-// lease, and a heartbeat of it that comes late must not bring it back.
+// A daemon shuts down cleanly. Its share must be released immediately instead of when
+// its lease expires, and a delayed heartbeat must not make it a member again.
 func TestGoneDaemonFreesItsShareAtOnce(t *testing.T) {
-	Convey("After its last word a daemon holds nothing up", t, func() {
+	Convey("A daemon blocks nothing after it has reported Gone", t, func() {
 		now := vm.Instant(time.Hour)
 		terms := &Terms{Lease: lease}
 		table := New()
@@ -183,11 +184,11 @@
 	})
 }
 
-// A daemon is alive but stuck on an old version. Were it granted leases for ever,
-// no change would come into force any more; without one it holds the change up
-// no longer than its lease lasts.
+// A daemon sends heartbeats but is stuck on an old version. If its lease were renewed,
+// no change would come into force again. Without renewal it blocks the change no
+// longer than its current lease lasts.
 func TestDaemonThatDoesNotFollowLosesItsLease(t *testing.T) {
-	Convey("The change is confirmed once the lease of the stuck daemon has run out", t, func() {
+	Convey("The change is confirmed once the lease of the stuck daemon has expired", t, func() {
 		now := vm.Instant(time.Hour)
 		table := New()
 		table.Beat([]*wire.Heartbeat{beatOf("d", 1, vm.Serving, 4, 0)}, now, &Terms{Lease: lease})
@@ -218,8 +219,8 @@
 	return batches, table, now
 }
 
-// BenchmarkBeat records the heartbeats of one relay's exchange, 70 daemons, in a
-// table of 3,600.
+// BenchmarkRecordHeartbeats records the heartbeats of one relay's exchange, 70
+// daemons, in a table of 3,600 daemons.
 func BenchmarkBeat(b *testing.B) {
 	batches, table, now := benchmarkBeats(3600, 70)
 	terms := &Terms{Lease: lease}
@@ -229,8 +230,8 @@
 	}
 }
 
-// BenchmarkConfirmed looks through a table of 3,600 daemons, as the leader does
-// after news.
+// BenchmarkConfirmedVersion scans a table of 3,600 daemons, as the leader does after a
+// heartbeat that changes the table.
 func BenchmarkConfirmed(b *testing.B) {
 	_, table, now := benchmarkBeats(3600, 70)
 	b.ReportAllocs()
@@ -239,7 +240,8 @@
 	}
 }
 
-// BenchmarkWant compares a table of 3,600 daemons with the settled membership.
+// BenchmarkMembershipChanges compares a table of 3,600 daemons with the settled
+// membership.
 func BenchmarkWant(b *testing.B) {
 	_, table, now := benchmarkBeats(3600, 70)
 	upserts, _ := table.Want(&vm.Membership{}, now)
--- a/internal/control/state/change.go
+++ b/internal/control/state/change.go
@@ -11,16 +11,16 @@
 	"pearmoor/internal/settings"
 )
 
-// applyChange accepts a change, or recognises that it was accepted before or
-// lost a race. Whether its edits are valid was decided by Check on the tree of
-// the same base version, before it was proposed: were it decided here, two
-// control VMs with different schemas would come to hold different trees.
+// applyChange accepts a change, unless it was accepted before or its base version is
+// not the newest. It does not validate the edits: Check does so before the change is
+// proposed, on the tree of the same base version. If applyChange validated them,
+// control VMs with different schemas would build different trees from the same log.
 //
-// Only accepted changes are remembered by their id. A resend of any other one
-// gets the same answer without being remembered: its base version is either
-// still not the newest, or the tree it was checked against is unchanged. When
-// an accepted change has been forgotten, its base version is long past and the
-// resend is a conflict, so it can't be accepted twice.
+// Only accepted changes are remembered by their id. A resend of a change that was not
+// accepted gets the same answer: either its base version is still not the newest, or
+// the tree that it was checked against is unchanged. By the time an accepted change is
+// evicted, its base version is old, so a resend is a conflict and is not accepted
+// twice.
 func (s *State) applyChange(c *wire.ChangeCommand) Result {
 	if r := s.Known(c.ChangeId, c.BaseVersion, c.Edits); r != nil {
 		return Result{Reply: r}
@@ -38,8 +38,9 @@
 		AcceptedUnixMs:  s.advanceClock(c.UnixMs),
 		BaseVersion:     c.BaseVersion,
 		Edits:           c.Edits,
-		// What undoes the change, from the two trees: replaying it once more to find out
-		// took half of the time in which a control VM that applies a long change stands still.
+		// The reverse edits come from comparing the two trees. Replaying the change a
+		// second time to find them took half of the time for which applying a long
+		// change blocks a control VM.
 		Before: settings.EditsToWire(settings.Diff(tree, s.tree)),
 	}
 	s.tree, s.version = tree, rec.Version
@@ -48,7 +49,7 @@
 	return Result{Reply: &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: rec.Version}, Accepted: rec, Moved: true}
 }
 
-// Check returns the outcome that a change would have now, without making it.
+// Check returns the outcome that a change would have now, without applying it.
 func (s *State) Check(r *wire.ChangeRequest) *wire.ChangeReply {
 	if known := s.Settle(r); known != nil {
 		return known
@@ -59,8 +60,9 @@
 	return &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: s.version + 1}
 }
 
-// Settle returns the outcome of a change that no later entry can alter: it was
-// accepted before, or it lost a race. Otherwise it returns nil.
+// FinalOutcome returns the outcome of a change if no later log entry can alter it: the
+// change was accepted before, or its base version is not the newest. Otherwise it
+// returns nil.
 func (s *State) Settle(r *wire.ChangeRequest) *wire.ChangeReply {
 	if known := s.Known(r.ChangeId, r.BaseVersion, r.Edits); known != nil {
 		return known
@@ -68,7 +70,8 @@
 	return s.conflict(r.BaseVersion)
 }
 
-// Known returns the first outcome of a change accepted before, or nil.
+// PriorOutcome returns the reply to a change whose id an accepted change has used, or
+// nil if there is none among the recent changes.
 func (s *State) Known(id string, base uint64, edits []*wire.Edit) *wire.ChangeReply {
 	rec := s.steps.byID(id)
 	if rec == nil {
@@ -77,7 +80,8 @@
 	return Resend(rec, id, base, edits)
 }
 
-// Resend returns the outcome of a request whose change id rec has already used.
+// ResendReply returns the reply to a request whose change id is already used by rec:
+// accepted if the request is the same, otherwise invalid.
 func Resend(rec *wire.AuditRecord, id string, base uint64, edits []*wire.Edit) *wire.ChangeReply {
 	if rec.BaseVersion == base && slices.EqualFunc(rec.Edits, edits, func(a, b *wire.Edit) bool { return proto.Equal(a, b) }) {
 		return &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: rec.Version, Resend: true}
--- a/internal/control/state/epoch.go
+++ b/internal/control/state/epoch.go
@@ -5,8 +5,8 @@
 	"pearmoor/internal/vm"
 )
 
-// applyEpoch makes a pending epoch, unless one is under way or the proposer saw
-// another settled one.
+// applyEpoch creates a pending membership, unless one is already pending or the
+// proposer based it on another settled epoch.
 func (s *State) applyEpoch(c *wire.EpochCommand) bool {
 	if s.pending != nil || c.BaseSettled != s.settled.Epoch {
 		return false
@@ -16,13 +16,13 @@
 	}
 	pending, err := vm.Apply(s.settled, delta)
 	if err != nil {
-		return false // the delta was made from the settled epoch just now
+		return false // unreachable: the delta starts at the settled epoch
 	}
 	s.lastEpoch, s.pending = delta.ToEpoch, pending
 	return true
 }
 
-// applySettle puts the pending epoch's shares into use.
+// applySettle makes the pending membership the settled one.
 func (s *State) applySettle(epoch uint64) bool {
 	if s.pending == nil || s.pending.Epoch != epoch {
 		return false
--- a/internal/control/state/read.go
+++ b/internal/control/state/read.go
@@ -2,7 +2,7 @@
 
 import "pearmoor/internal/link/wire"
 
-// Deltas returns the kept changes after a version, oldest first.
+// Deltas returns the recent changes after a version, oldest first.
 func (s *State) Deltas(after uint64) []*wire.TreeDelta {
 	var out []*wire.TreeDelta
 	for v := max(after+1, s.steps.first()); v <= s.version; v++ {
@@ -15,8 +15,10 @@
 	return out
 }
 
-// Record returns the audit record of an accepted change, nil if it is no longer kept.
+// Record returns the audit record of an accepted change, or nil if it has been
+// evicted.
 func (s *State) Record(version uint64) *wire.AuditRecord { return s.steps.at(version) }
 
-// FirstRecord returns the oldest version that Record still returns; 0 if none.
+// FirstRecord returns the oldest version that Record still returns, or 0 if there is
+// none.
 func (s *State) FirstRecord() uint64 { return s.steps.first() }
--- a/internal/control/state/snapshot.go
+++ b/internal/control/state/snapshot.go
@@ -11,7 +11,7 @@
 	"pearmoor/internal/vm"
 )
 
-// Encode returns the whole state.
+// Encode returns a snapshot of the state.
 func (s *State) Encode() ([]byte, error) {
 	out := &wire.ControlState{
 		Version: s.version, Tree: s.tree.Encode(), Digest: s.tree.Digest(),
@@ -26,8 +26,8 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(out)
 }
 
-// Decode reads what Encode returned; no bytes at all are the state before the
-// first entry.
+// Decode decodes a snapshot made by Encode. Empty input decodes to the state before
+// the first entry.
 func Decode(b []byte) (*State, error) {
 	s := New()
 	if len(b) == 0 {
@@ -35,14 +35,14 @@
 	}
 	var in wire.ControlState
 	if err := proto.Unmarshal(b, &in); err != nil {
-		return nil, errors.Wrap(err, "state: snapshot can't be read")
+		return nil, errors.Wrap(err, "state: cannot decode snapshot")
 	}
 	tree, err := settings.Decode(in.Tree)
 	if err != nil {
-		return nil, errors.Wrap(err, "state: settings tree of the snapshot can't be read")
+		return nil, errors.Wrap(err, "state: cannot decode the settings tree of the snapshot")
 	}
 	if got := tree.Digest(); got != in.Digest {
-		return nil, errors.Newf("state: settings tree of the snapshot has digest %x, expected %x; this program reads the tree differently from the one that wrote it", got, in.Digest)
+		return nil, errors.Newf("state: settings tree of the snapshot has digest %x, expected %x; this program decodes the tree differently from the one that wrote it", got, in.Digest)
 	}
 	s.tree, s.version, s.inForce = tree, in.Version, in.InForce
 	if in.Settled != nil {
--- a/internal/control/state/state.go
+++ b/internal/control/state/state.go
@@ -11,7 +11,7 @@
 	"pearmoor/internal/vm"
 )
 
-// State is the replicated state after some entry of the log.
+// State is the replicated state after an entry of the log.
 type State struct {
 	tree    *settings.Tree
 	version uint64
@@ -19,7 +19,7 @@
 	steps   steps
 
 	settled   *vm.Membership
-	pending   *vm.Membership // nil when none
+	pending   *vm.Membership // nil if there is none
 	lastEpoch uint64
 
 	leaseBound time.Duration
@@ -33,21 +33,22 @@
 	return s
 }
 
-// Result tells what one entry did.
+// Result is the effect of one entry.
 type Result struct {
 	Reply         *wire.ChangeReply // outcome of a change; nil for other entries
-	Accepted      *wire.AuditRecord // set when a change was accepted by this very entry
-	InForce       uint64            // set when versions up to it came into force everywhere
+	Accepted      *wire.AuditRecord // set if this entry accepted a change
+	InForce       uint64            // set if versions up to this one came into force everywhere
 	InForceUnixMS int64
-	Moved         bool // whether daemons or waiting operators have something new to learn
+	Moved         bool // whether daemons or waiting operators have to be notified
 }
 
-// Apply applies one entry. An error means that this program can't tell what the
-// entry does: going on would make this VM's state differ from the others'.
+// Apply applies one entry. It returns an error if this program cannot decode the
+// entry; skipping the entry would make this VM's state differ from that of the other
+// control VMs.
 func (s *State) Apply(data []byte) (Result, error) {
 	var c wire.Command
 	if err := proto.Unmarshal(data, &c); err != nil {
-		return Result{}, errors.Wrap(err, "state: entry can't be read")
+		return Result{}, errors.Wrap(err, "state: cannot decode entry")
 	}
 	switch b := c.Body.(type) {
 	case *wire.Command_Change:
@@ -68,7 +69,7 @@
 // Tree returns the newest settings tree.
 func (s *State) Tree() *settings.Tree { return s.tree }
 
-// Version returns the number of the newest accepted change; 0 before the first.
+// Version returns the number of the newest accepted change, or 0 before the first.
 func (s *State) Version() uint64 { return s.version }
 
 // InForce returns the newest version that is in force everywhere.
@@ -77,11 +78,11 @@
 // Settled returns the membership whose shares are in use.
 func (s *State) Settled() *vm.Membership { return s.settled }
 
-// Pending returns the membership under way, or nil.
+// Pending returns the membership that daemons are changing to, or nil.
 func (s *State) Pending() *vm.Membership { return s.pending }
 
-// LeaseBound returns the longest lease that any daemon may still hold. It
-// outlasts a change that shortens the lease, until LeaseBoundCommand.
+// LeaseBound returns the longest lease that any daemon may still hold. After a change
+// that shortens the lease, the bound stays until a LeaseBoundCommand lowers it.
 func (s *State) LeaseBound() time.Duration { return s.leaseBound }
 
 func (s *State) applyInForce(c *wire.InForceCommand) Result {
@@ -98,8 +99,8 @@
 	s.leaseBound = max(d, s.tree.Tier().DaemonLease)
 }
 
-// advanceClock keeps recorded times in the order of the log when the wall clock
-// of a new leader is behind its predecessor's or was stepped back.
+// advanceClock keeps recorded times in the order of the log when a new leader's wall
+// clock is behind its predecessor's, or was set back.
 func (s *State) advanceClock(unixMS int64) int64 {
 	s.lastUnixMS = max(s.lastUnixMS, unixMS)
 	return s.lastUnixMS
--- a/internal/control/state/state_test.go
+++ b/internal/control/state/state_test.go
@@ -32,16 +32,17 @@
 	return &wire.Edit{Path: "/", Name: "daemon-lease", Value: value}
 }
 
-// model is what the state must amount to, kept in the plainest way.
+// model is a minimal implementation of the state that Apply is compared with.
 type model struct {
-	accepted  []*wire.ChangeCommand // by version, from 1
+	accepted  []*wire.ChangeCommand // index is version - 1
 	inForce   uint64
 	settled   uint64
 	pending   uint64
 	lastEpoch uint64
 }
 
-// drawCommand draws a command that may be stale, a resend, or in a race.
+// drawCommand draws a command, which may be stale, a resend, or in conflict with
+// another.
 func drawCommand(t *rapid.T, m *model) *wire.Command {
 	version := uint64(len(m.accepted))
 	switch rapid.IntRange(0, 6).Draw(t, "kind") {
@@ -73,7 +74,8 @@
 	return &wire.Command{Body: &wire.Command_LeaseBound{LeaseBound: &wire.LeaseBoundCommand{LeaseMs: 1000}}}
 }
 
-// step tells what the model expects of a command and carries it out.
+// apply checks the result of a command against the model and applies the command to
+// the model.
 func (m *model) step(t *rapid.T, c *wire.Command, res Result) {
 	version := uint64(len(m.accepted))
 	switch b := c.Body.(type) {
@@ -102,7 +104,7 @@
 		}
 		same := old.BaseVersion == c.BaseVersion && proto.Equal(old.Edits[0], c.Edits[0])
 		if same != (res.Reply.Outcome == wire.Outcome_ACCEPTED && res.Reply.Resend && res.Reply.Version == uint64(i)+1) {
-			t.Fatalf("change id %s again: %v", c.ChangeId, res.Reply)
+			t.Fatalf("change id %s resent: %v", c.ChangeId, res.Reply)
 		}
 		if res.Accepted != nil {
 			t.Fatalf("change id %s accepted twice", c.ChangeId)
@@ -113,7 +115,7 @@
 		t.Fatalf("base %d at version %d: %v", c.BaseVersion, version, res.Reply)
 	}
 	if c.BaseVersion < version && res.Reply.Conflict.GetChangeId() != m.accepted[c.BaseVersion].ChangeId {
-		t.Fatalf("conflict names %v", res.Reply.Conflict)
+		t.Fatalf("conflict with %v, want the change after the base version", res.Reply.Conflict)
 	}
 	if res.Accepted != nil {
 		m.accepted = append(m.accepted, c)
@@ -141,11 +143,12 @@
 	}
 }
 
-// Operators race, resend changes whose replies were lost, and reuse change ids;
-// leaders propose epochs and marks on what they saw last, in any order. One of
-// several changes on the same version wins, none is accepted twice, versions and
-// epochs only grow, and a VM that restarted from a snapshot at any moment goes on
-// exactly like one that did not.
+// Operators send conflicting changes, resend changes whose replies were lost, and
+// reuse change ids; leaders propose epochs and versions in force based on outdated
+// state, in any order. Exactly one of several changes with the same base version must
+// be accepted, none may be accepted twice, and versions and epochs must only increase.
+// A VM that restarts from a snapshot at any point must continue exactly like one that
+// did not restart.
 func TestApplyAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, m := New(), &model{}
@@ -166,7 +169,8 @@
 	})
 }
 
-// restart returns the state read back from its snapshot, which must be the same.
+// restoreFromSnapshot returns the state decoded from its snapshot and checks that
+// encoding it again gives the same bytes.
 func restart(t *rapid.T, s *State) *State {
 	before, err := s.Encode()
 	if err != nil {
@@ -181,7 +185,7 @@
 		t.Fatal(err)
 	}
 	if string(before) != string(after) {
-		t.Fatal("the state changes by being stored and read back")
+		t.Fatal("state differs after encoding and decoding")
 	}
 	return again
 }
@@ -195,11 +199,11 @@
 	return res
 }
 
-// An operator's reply is lost, and thousands of other changes are accepted before
-// the tool sends the change again. Its id is forgotten by then; the change must
-// still not be accepted a second time.
+// The reply to an operator is lost, and thousands of other changes are accepted before
+// the operator's tool resends the change. Its id has been evicted by then; the change
+// must still not be accepted a second time.
 func TestForgottenChangeIsNotAcceptedAgain(t *testing.T) {
-	Convey("A resend after its id was forgotten is a conflict", t, func() {
+	Convey("A resend after its id was evicted is a conflict", t, func() {
 		s := New()
 		first := changeCommand("first", 0, 1, setLease("10s"))
 		So(mustApply(t, s, first).Accepted, ShouldNotBeNil)
@@ -215,10 +219,10 @@
 	})
 }
 
-// An operator shortens the lease and the leader is lost. Daemons may still hold
-// leases of the old length, so the successor has to wait for the long one.
+// An operator shortens the lease and then the leader is lost. Daemons may still hold
+// leases of the old length, so the new leader must wait for the longer one.
 func TestShorterLeaseKeepsTheLongBound(t *testing.T) {
-	Convey("The bound outlasts the change until it is lowered, and then follows the setting", t, func() {
+	Convey("The bound stays after the change until it is lowered, and then follows the setting", t, func() {
 		s := New()
 		mustApply(t, s, changeCommand("a", 0, 1, setLease("60s")))
 		mustApply(t, s, changeCommand("b", 1, 1, setLease("7s")))
@@ -229,8 +233,8 @@
 	})
 }
 
-// A leader of a newer release proposes an entry that this one can't read. Going
-// on without it would make this VM's tree differ silently.
+// A leader of a newer release proposes an entry that this release cannot decode.
+// Skipping it would silently make this VM's tree differ from the leader's.
 func TestUnknownCommandStops(t *testing.T) {
 	Convey("An entry of an unknown kind is an error", t, func() {
 		_, err := New().Apply(nil)
@@ -239,10 +243,10 @@
 	})
 }
 
-// A setting is refused by this release's schema but was accepted by the leader's.
-// Both VMs must come to hold the same tree.
+// A leader accepts a setting that this release's schema refuses. Both VMs must build
+// the same tree.
 func TestAcceptedChangeIsNeverRefusedByAFollower(t *testing.T) {
-	Convey("A change of a setting that this release does not know is applied all the same", t, func() {
+	Convey("A change of a setting that is unknown to this release is applied", t, func() {
 		s := New()
 		res := mustApply(t, s, changeCommand("a", 0, 1, &wire.Edit{Path: "/", Name: "of-a-later-release", Value: "x"}))
 		So(res.Accepted, ShouldNotBeNil)
--- a/internal/control/state/steps.go
+++ b/internal/control/state/steps.go
@@ -6,24 +6,24 @@
 	"pearmoor/internal/link/wire"
 )
 
-// Bounds of the changes kept in memory and in snapshots. A connected daemon is
-// never this far behind; older changes are in the audit trail's files.
+// Limits of the changes kept in memory and in snapshots. A connected daemon is never
+// this many changes behind; older changes are in the files of the audit trail.
 const (
 	maxSteps     = 10_000
 	maxStepBytes = 8 << 20
 )
 
-// step is one accepted change; both parts are immutable.
+// recentChange is one accepted change. The record and the digest are immutable.
 type step struct {
 	rec    *wire.AuditRecord
 	digest uint64
 	size   int
 }
 
-// steps holds the newest accepted changes, consecutive by version.
+// recentChanges holds the newest accepted changes, with consecutive versions.
 type steps struct {
 	list  []step
-	ids   map[string]uint64 // change id to version
+	ids   map[string]uint64 // by change id
 	bytes int
 }
 
@@ -51,7 +51,7 @@
 	}
 }
 
-// first returns the oldest version kept, 0 when there is none.
+// oldestVersion returns the oldest version kept, or 0 if there is none.
 func (s *steps) first() uint64 {
 	if len(s.list) == 0 {
 		return 0
@@ -82,7 +82,8 @@
 	return s.at(v)
 }
 
-// markInForce replaces the records from..to by ones that carry the time.
+// markInForce replaces the records of the versions from..to by copies with the time at
+// which they came into force.
 func (s *steps) markInForce(from, to uint64, unixMS int64) {
 	for v := max(from, s.first()); v <= to; v++ {
 		st := s.find(v)
--- a/internal/relay/advance.go
+++ b/internal/relay/advance.go
@@ -8,19 +8,20 @@
 	"pearmoor/internal/vm"
 )
 
-// The reasons for which a reply's state is not taken.
+// Errors for a reply whose state is rejected.
 var (
-	errDigest = errors.New("relay: the tree's digest differs from the one stated")
-	errGap    = errors.New("relay: the reply's state does not continue what is known")
+	errDigest = errors.New("relay: settings tree digest mismatch")
+	errGap    = errors.New("relay: reply does not continue the known state")
 )
 
-// advance returns the view that a reply makes of v; v itself when the reply holds
-// nothing newer. A reply whose state can't be joined to v is an error, and the
-// whole state has to be asked for.
+// mergeReply returns the view that results from applying the state in a reply to v, or
+// v itself if the reply has nothing newer. If the state cannot be applied to v, it
+// returns an error and the caller must request the full state.
 //
-// Replies cross, and a source may lag behind one asked before. Every part of the
-// state is ordered by a number that only the agreed log raises, and a part that
-// is not newer is left out, so a daemon never goes back whatever it is sent.
+// Replies may arrive out of order, and one upstream may lag behind another that was
+// contacted earlier. Every part of the state is ordered by a number that only the
+// replicated log increases. A part that is not newer is ignored, so a daemon's state
+// never goes back.
 func advance(v *View, r *wire.SyncReply) (*View, error) {
 	next := *v
 	if err := advanceConfig(&next, r); err != nil {
@@ -40,7 +41,7 @@
 	return &next, nil
 }
 
-// covers reports whether v is at least as new as the state a reply states.
+// covers reports whether v is at least as new as the state described by a reply.
 func covers(v *View, r *wire.SyncReply) bool {
 	return v.Tree != nil && v.ConfigVersion >= r.GetConfigVersion() &&
 		epochOf(v.Settled) >= r.GetSettledEpoch() &&
@@ -62,15 +63,15 @@
 	if r.GetConfigVersion() > v.ConfigVersion {
 		return errors.Wrapf(errGap, "version %d is stated, %d is reached", r.GetConfigVersion(), v.ConfigVersion)
 	}
-	statesTree := r.GetConfigDigest() != 0 // a VM that does not lead states none
+	statesTree := r.GetConfigDigest() != 0 // a control VM that is not the leader sends no digest
 	if statesTree && r.GetConfigVersion() == v.ConfigVersion && v.Tree != nil && r.GetConfigDigest() != v.ConfigDigest {
 		return errors.Wrapf(errDigest, "version %d", v.ConfigVersion)
 	}
 	return nil
 }
 
-// takeSnapshot replaces the tree. The versions between are not known, so shares
-// stay 0 until InForce has reached the snapshot's version; see View.Share.
+// applySnapshot replaces the tree. The versions in between are unknown, so View.Share
+// returns 0 until InForce has reached the version of the snapshot.
 func takeSnapshot(v *View, r *wire.SyncReply) error {
 	same := r.GetConfigVersion() == v.ConfigVersion && r.GetConfigDigest() == v.ConfigDigest
 	if r.GetConfigVersion() < v.ConfigVersion || (same && v.Tree != nil) {
@@ -102,9 +103,9 @@
 	return nil
 }
 
-// advanceMembers takes a newer settled or pending membership. A pending one is
-// given up only for a settled one that is at least as new: the daemon has
-// promised its smaller shares.
+// mergeMembership applies a newer settled or pending membership. The daemon has
+// acknowledged the smaller shares of a pending membership, so only a settled
+// membership that is at least as new replaces it.
 func advanceMembers(v *View, r *wire.SyncReply) error {
 	if settled := r.GetSettledEpoch(); settled > epochOf(v.Settled) {
 		m, err := settle(v, r)
@@ -125,7 +126,7 @@
 		return err
 	}
 	if m.Epoch != r.GetPendingEpoch() {
-		return errors.Wrapf(errGap, "pending epoch %d is stated, the delta leads to %d", r.GetPendingEpoch(), m.Epoch)
+		return errors.Wrapf(errGap, "reply is for pending epoch %d, its delta leads to %d", r.GetPendingEpoch(), m.Epoch)
 	}
 	v.Pending = m
 	return nil
@@ -140,12 +141,13 @@
 		return nil, err
 	}
 	if m.Epoch != r.GetSettledEpoch() {
-		return nil, errors.Wrapf(errGap, "settled epoch %d is stated, the delta leads to %d", r.GetSettledEpoch(), m.Epoch)
+		return nil, errors.Wrapf(errGap, "reply is for settled epoch %d, its delta leads to %d", r.GetSettledEpoch(), m.Epoch)
 	}
 	return m, nil
 }
 
-// dropBefore returns the versions from number on; vs stays unchanged.
+// versionsFrom returns the versions that are not lower than number. It does not modify
+// vs.
 func dropBefore(vs []Version, number uint64) []Version {
 	for len(vs) > 0 && vs[0].Number < number {
 		vs = vs[1:]
--- a/internal/relay/advance_test.go
+++ b/internal/relay/advance_test.go
@@ -12,8 +12,8 @@
 	"pearmoor/internal/vm"
 )
 
-// states draws a line of agreed states, each one step after the one before, and
-// what a source that stopped at each of them would answer from.
+// drawSources draws a sequence of agreed states, each one step after the one before,
+// and returns for each a History that holds it.
 func drawSources(t *rapid.T) []*History {
 	s := State{Tree: settings.New()}
 	s.ConfigDigest = s.Tree.Digest()
@@ -39,7 +39,7 @@
 		}
 		h := NewHistory()
 		h.Advance(s, deltas[:len(deltas):len(deltas)])
-		if rapid.Bool().Draw(t, "forgot") { // a source that can send no deltas
+		if rapid.Bool().Draw(t, "forgot") { // a source that has no deltas
 			h.deltas = nil
 		}
 		out = append(out, h)
@@ -47,10 +47,10 @@
 	return out
 }
 
-// A daemon asks sources in any order, old ones after new ones, and reads replies
-// late: to a request it made long before. Were an older version or epoch taken, a
-// change that the operator was told is in force would be undone. Nothing goes
-// back, and what the daemon has is always one of the states there were.
+// A daemon asks sources in any order, older ones after newer ones, and reads replies
+// late, to requests that it sent long before. If it applied an older version or epoch,
+// a change that was reported to the operator as in force would be undone. Versions and
+// epochs must never decrease, and the view must always be one of the agreed states.
 func TestViewNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sources := drawSources(t)
@@ -65,12 +65,12 @@
 				whole := &wire.SyncReply{}
 				h.Fill(&wire.SyncRequest{}, whole)
 				if next, err = advance(v, whole); err != nil {
-					t.Fatalf("whole state refused: %v", err)
+					t.Fatalf("full state rejected: %v", err)
 				}
 			}
 			if next.ConfigVersion < v.ConfigVersion || epochOf(next.Settled) < epochOf(v.Settled) ||
 				next.Epoch() < v.Epoch() || next.InForce < v.InForce {
-				t.Fatalf("from %+v back to %+v", v, next)
+				t.Fatalf("view went back from %+v to %+v", v, next)
 			}
 			checkReal(t, sources, next)
 			v = next
@@ -86,10 +86,11 @@
 	}
 }
 
-// checkReal holds that tree and memberships are ones that were agreed on.
+// checkAgreed checks that the tree and the memberships of v are among those of the
+// sources.
 func checkReal(t *rapid.T, sources []*History, v *View) {
 	if v.Tree == nil || v.Tree.Digest() != v.ConfigDigest {
-		t.Fatalf("tree and digest differ at version %d", v.ConfigVersion)
+		t.Fatalf("tree does not match its digest at version %d", v.ConfigVersion)
 	}
 	for _, h := range sources {
 		s, _ := h.State()
@@ -104,10 +105,10 @@
 	}
 }
 
-// A daemon that was far behind jumps to version 9 by a snapshot while others may
-// still use version 5, under which a leaf had other homes. It does not know that
-// version, so any share it took could be one that is in use elsewhere: it takes
-// none until version 9 is in force everywhere.
+// A daemon that is far behind gets a snapshot of version 9 while others may still use
+// version 5, under which a leaf had other homes. The daemon does not know version 5,
+// so any share it used could also be in use on another daemon. It must use none until
+// version 9 is in force everywhere.
 func TestSnapshotJumpHoldsNoShare(t *testing.T) {
 	self := identity("d1", 1)
 	source := NewHistory()
@@ -128,11 +129,11 @@
 	}
 	v, slots := slotsAfter(&View{})
 	if slots != 0 || len(v.HomesOf(service, mustEffective(v))) != 0 {
-		t.Fatalf("%d slots while version 5 may be in use", slots)
+		t.Fatalf("%d slots while version 5 may be in use, want 0", slots)
 	}
 	state.InForce = 9
 	if _, slots = slotsAfter(v); slots != 2 {
-		t.Fatalf("%d slots once version 9 is in force", slots)
+		t.Fatalf("%d slots once version 9 is in force, want 2", slots)
 	}
 }
 
@@ -141,8 +142,8 @@
 	return e
 }
 
-// A heartbeat in the short form must name its daemon exactly, and one that says
-// anything else than what was agreed on must not be short.
+// A heartbeat in the short form must identify its daemon exactly, and one that differs
+// from the agreed membership in any way must not be sent in the short form.
 func TestShortHeartbeats(t *testing.T) {
 	agreed := &vm.Membership{Epoch: 7, Members: []vm.Member{
 		{Identity: identity("a", 1), Phase: vm.Serving}, {Identity: identity("b", 1), Phase: vm.Serving}}}
@@ -168,14 +169,15 @@
 		t.Fatalf("expanded to %v, unknown %v", hbs, unknown)
 	}
 	if _, unknown = x.Expand(req, nil, nil); !unknown {
-		t.Fatal("short heartbeats were read without the membership")
+		t.Fatal("short heartbeats were expanded without the membership")
 	}
 }
 
-// A tier is founded, and daemons ask several control VMs beside one another. One knows the
-// new group's empty tree; the others, which do not lead, name the leader and state no
-// tree. Taken for the word of a group with another tree, each such reply made its daemon
-// ask for the whole state once more, and say so as an error, on 12 of 50 daemons.
+// A new tier starts, and daemons contact several control VMs in parallel. One control
+// VM has the empty tree of the new group; the others are not the leader, so they name
+// the leader and send no digest. If a missing digest counted as a mismatch, each such
+// reply would make the daemon log an error and request the full state again, as
+// happened on 12 of 50 daemons.
 func TestReplyWithoutStateContradictsNone(t *testing.T) {
 	source := NewHistory()
 	tree := settings.New()
@@ -185,13 +187,13 @@
 	source.Fill(requestOf(&View{}), reply)
 	v, err := advance(&View{}, reply)
 	if err != nil || v.Tree == nil {
-		t.Fatalf("the empty tree is not taken: %v", err)
+		t.Fatalf("the empty tree was not applied: %v", err)
 	}
 	if again, err := advance(v, &wire.SyncReply{Redirect: "10.0.0.1:7000"}); err != nil || again != v {
-		t.Errorf("a reply that states no tree: %v", err)
+		t.Errorf("reply without a digest changed the view: %v", err)
 	}
 	other := settings.New().Replay(0, []settings.Edit{set(service, "leaf-slots", "3")})
 	if _, err := advance(v, &wire.SyncReply{ConfigDigest: other.Digest(), SettledEpoch: 1}); err == nil {
-		t.Error("another tree of the same version is taken for the same")
+		t.Error("a different tree of the same version was accepted")
 	}
 }
--- a/internal/relay/children.go
+++ b/internal/relay/children.go
@@ -11,42 +11,42 @@
 	"pearmoor/internal/vm"
 )
 
-// maxRetake is how long a heartbeat that could not be passed up is tried again.
-// An older one would make the leader believe that a lost daemon lives.
+// heartbeatRetryPeriod is how long a relay tries to forward a heartbeat. Forwarding an
+// older one would make the leader treat a lost daemon as alive.
 const maxRetake = 2 * time.Second
 
-// forget is after how long without a heartbeat a child is dropped.
+// childTimeout is the time without a heartbeat after which a child is removed.
 const forget = 30 * time.Second
 
-// maxChildren bounds what a relay takes on; a daemon that is refused asks the
-// next relay, or control.
+// maxChildren limits the daemons that a relay accepts. A daemon that is refused
+// contacts the next relay or a control VM.
 const maxChildren = 256
 
 var childCount = metrics.GetOrRegisterGauge("relay.children", nil)
 
-// run identifies one run of a daemon.
+// runID identifies one run of a daemon.
 type run struct {
 	name        string
 	incarnation uint64
 }
 
-// child is a snapshot of one daemon below this relay.
+// child is the state of one daemon that syncs through this relay.
 type child struct {
 	run
 	heartbeat *wire.Heartbeat
 	arrived   vm.Instant
-	seq       uint64 // counts heartbeats
+	seq       uint64 // number of heartbeats received
 	passed    uint64 // seq of the newest heartbeat that the leader has answered
 	grant     grant
 }
 
-// grant is the leader's newest confirmation of a child.
+// grant is the newest lease that the leader has granted to a child.
 type grant struct {
-	base  vm.Instant // send instant of the exchange that carried the heartbeat, less its age
+	base  vm.Instant // when the exchange with the heartbeat was sent, minus the age of the grant
 	lease time.Duration
 }
 
-// left is how long the grant goes on for one who counts it from now on.
+// remaining returns how long the lease of the grant lasts from now on.
 func (g grant) left(now vm.Instant) time.Duration {
 	if g.lease == 0 {
 		return 0
@@ -54,7 +54,7 @@
 	return g.base.Add(g.lease).Sub(now)
 }
 
-// children are the daemons that sync with this one.
+// children holds the daemons that sync through this one.
 type children struct {
 	mu      sync.Mutex
 	byRun   map[run]*child
@@ -65,9 +65,9 @@
 	return &children{byRun: make(map[run]*child), granted: make(chan struct{})}
 }
 
-// heard records a heartbeat. It reports whether it has to be passed up at once:
-// it says something new, or the child's grant is getting old. It is false for ok
-// when there are too many children.
+// recordHeartbeat records a heartbeat. Urgent reports whether it must be forwarded
+// immediately, because it has changed or because less than half of the child's lease
+// is left. Ok is false if there are too many children.
 func (cs *children) heard(hb *wire.Heartbeat, now vm.Instant) (urgent, ok bool) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -88,10 +88,10 @@
 	return news || k.grant.left(now) < k.grant.lease/2, true
 }
 
-// newestOf joins two heartbeats of one run. A held call and a push of one daemon
-// may arrive crossed, the older word after the newer one: were it to replace
-// that, an ack would be unheard until the next call, an interval later. What a
-// run has confirmed never shrinks, and its phase only advances.
+// mergeHeartbeats merges two heartbeats of one run. A held call and a push of one
+// daemon may arrive out of order. If the older heartbeat replaced the newer one, an
+// acknowledgement would be lost until the next call, one interval later. The version
+// and epoch that a run has confirmed never decrease, and its phase only advances.
 func newestOf(old, hb *wire.Heartbeat) *wire.Heartbeat {
 	if old == nil || !saysNew(hb, old) {
 		return hb
@@ -112,8 +112,8 @@
 		old.GetVm().GetPhase() != hb.GetVm().GetPhase()
 }
 
-// take returns the children whose newest heartbeat the leader has not answered,
-// and drops those not heard of for long.
+// pending returns copies of the children whose newest heartbeat the leader has not
+// answered, and removes those that have sent no heartbeat for childTimeout.
 func (cs *children) take(now vm.Instant) []*child {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -141,7 +141,7 @@
 	return k.seq > k.passed && now.Sub(k.arrived) <= maxRetake
 }
 
-// waiting reports whether take would return any.
+// hasPending reports whether pending would return any child.
 func (cs *children) waiting(now vm.Instant) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -159,8 +159,8 @@
 	return len(cs.byRun) == 0
 }
 
-// grant records the leader's answer to an exchange that carried these children
-// and was sent at that instant.
+// recordGrant records the leader's answer to an exchange that carried the heartbeats
+// of the forwarded children. Sent is when the exchange was sent.
 func (cs *children) grant(kids []*child, r *wire.SyncReply, sent vm.Instant) {
 	if len(kids) == 0 {
 		return
@@ -182,8 +182,8 @@
 	cs.granted = make(chan struct{})
 }
 
-// grantsOf returns the grants of the given heartbeats and a channel closed at the
-// next grant to any child.
+// grantsOf returns the grants for the given heartbeats and a channel that is closed at
+// the next grant to any child.
 func (cs *children) grantsOf(hbs []*wire.Heartbeat) ([]grant, <-chan struct{}) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -16,30 +16,32 @@
 )
 
 const (
-	// startJitter spreads the first call of daemons that start together; eagerJitter
-	// does so beside what their VMs' own starts spread it.
+	// startJitter spreads the first calls of daemons that start together.
+	// eagerStartJitter does the same for daemons with EagerStart, in addition to the
+	// spread of their VMs' own start times.
 	startJitter = 250 * time.Millisecond
 	eagerJitter = 60 * time.Millisecond
-	// firstAskEvery is the time after which an eager daemon without state asks one
-	// address more. After a restart of everything some of those it knows are not up
-	// yet, and a call to a VM without power ends only with its time.
+	// initialQueryInterval is the time after which a daemon with EagerStart and no
+	// state contacts one more address. After a restart of all VMs some of the
+	// addresses are not up yet, and a call to a VM without power ends only at its
+	// timeout.
 	firstAskEvery = 50 * time.Millisecond
-	// minGap is the shortest time between two calls of one kind, so that a burst
-	// of changes costs a daemon a bounded number of calls.
+	// minCallInterval is the shortest time between two calls of one kind. It limits
+	// the number of calls that a burst of changes causes.
 	minGap = 20 * time.Millisecond
-	// batchDelay gathers what a relay's children report at one moment, such as a
-	// new configuration in force, into one call.
+	// batchDelay is how long a relay collects simultaneous reports of its children,
+	// such as confirmations of a new configuration, to send them in one call.
 	batchDelay = 20 * time.Millisecond
-	// pushRetry bounds the pause after a push that failed.
+	// maxPushRetryDelay limits the delay after a failed push.
 	pushRetry = 200 * time.Millisecond
-	// leaseParts is how many intervals fit a lease at least. Through a relay a
-	// lease is up to two intervals and a call old when it is renewed, which leaves
-	// time to find another relay when this one is lost.
+	// intervalsPerLease is the minimum number of heartbeat intervals in a lease.
+	// Through a relay a lease is up to two intervals and one call old when it is
+	// renewed, which leaves time to find another relay when this one is lost.
 	leaseParts = 6
 )
 
-// SupersededError ends Run: the membership holds a later run of this daemon. Its
-// shares are the later run's, so this one must stop.
+// SupersededError is returned by Run when the membership contains a later run of this
+// daemon. The shares belong to the later run, so this one must stop.
 type SupersededError struct {
 	Self  vm.Identity
 	Known uint64 // incarnation of the later run
@@ -51,34 +53,34 @@
 		"stop one of the two, or start again with an incarnation above the known one", e.Self.Name, e.Known, e.Self.Incarnation)
 }
 
-// Client keeps a daemon's view of the agreed state up to date, its lease renewed
-// and its own word known to the leader. It implements Source.
+// Client keeps a daemon's view of the agreed state up to date, renews its lease, and
+// reports its phase and acknowledgements to the leader. It implements Source.
 type Client struct {
 	cfg      Config
 	history  *History
 	children *children
-	urgent   chan struct{} // holds a token when something has to be said at once
-	found    chan struct{} // holds a token when there are new addresses to ask
+	urgent   chan struct{} // signals that a heartbeat must be sent immediately
+	found    chan struct{} // signals that there are new addresses to contact
 
 	mu         sync.Mutex
 	view       *View
 	changed    chan struct{}
 	phase      vm.Phase
-	config     uint64 // newest version acked
-	epoch      uint64 // newest epoch acked
-	whole      bool   // ask for the whole state
-	resend     bool   // send heartbeats in full
+	config     uint64 // newest version acknowledged
+	epoch      uint64 // newest epoch acknowledged
+	whole      bool   // request the full state
+	resend     bool   // send no heartbeat in the short form
 	lease      time.Duration
-	until      vm.Instant // end of the lease, usable once the membership holds this run
-	confirmed  vm.Instant // send instant of the last call that was granted
+	until      vm.Instant // used once the membership contains this run
+	confirmed  vm.Instant // send time of the last call that was granted
 	up         *upstreams
 	superseded error
-	joined     bool       // the membership has held this run
+	joined     bool       // the membership has contained this run
 	started    vm.Instant // when Run was called
-	reported   vm.Instant // of the last line on state that was refused
+	reported   vm.Instant // when rejected state was last logged
 }
 
-// NewClient returns a client that does nothing until Run.
+// NewClient returns a client. It does nothing until Run is called.
 func NewClient(cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	return &Client{
@@ -93,10 +95,11 @@
 	}
 }
 
-// SetSeeds names other control addresses to fall back to when none of those
-// learned from the group answers. A daemon that no leader has confirmed asks them at
-// once: after a restart of everything with seeds that are not of the group, the pause
-// it was in made its callers wait up to 0.2 s more.
+// SetSeeds sets further control addresses, to use when none of those learned from the
+// control group answers. A daemon that no leader has confirmed contacts them
+// immediately: after a restart of all VMs with seeds that are not in the group,
+// waiting for the end of the current retry delay made its callers wait up to 0.2 s
+// longer.
 func (c *Client) SetSeeds(addrs []string) {
 	c.mu.Lock()
 	c.up.setSeeds(addrs)
@@ -107,7 +110,7 @@
 	}
 }
 
-// token leaves one token in a channel that holds one at most.
+// signal puts a token into a channel of capacity 1, unless it already holds one.
 func token(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -115,22 +118,22 @@
 	}
 }
 
-// ControlGroup returns the peer addresses that the control group named last.
+// ControlGroup returns the peer addresses that the control group last reported.
 func (c *Client) ControlGroup() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.up.control)
 }
 
-// Upstreams returns the peer addresses that this daemon would sync with, best first.
+// Upstreams returns the peer addresses that this daemon may sync with, best first.
 func (c *Client) Upstreams() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.up.candidates()
 }
 
-// ControlVMs returns the peer addresses where control VMs may be, best first. Unlike
-// Upstreams it names no relay for being one.
+// ControlVMs returns the peer addresses that may be control VMs, best first. Unlike
+// Upstreams, it does not include relays that are not control VMs.
 func (c *Client) ControlVMs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +154,7 @@
 	return c.changed
 }
 
-// SetPhase states the daemon's own phase and sends it at once.
+// SetPhase sets the daemon's phase and reports it immediately.
 func (c *Client) SetPhase(p vm.Phase) {
 	c.mu.Lock()
 	news := p != c.phase
@@ -162,9 +165,9 @@
 	}
 }
 
-// Ack states that what is in flight fits the daemon's shares under the given
-// configuration version and epoch, and sends it at once. Lower numbers than
-// before are left out.
+// Ack reports immediately that the requests in flight fit the daemon's shares under
+// the given configuration version and epoch. Numbers lower than those already
+// acknowledged are ignored.
 func (c *Client) Ack(config, epoch uint64) {
 	c.mu.Lock()
 	news := config > c.config || epoch > c.epoch
@@ -177,7 +180,7 @@
 
 func (c *Client) pushNow() { token(c.urgent) }
 
-// Run syncs until ctx is done or a later run of the daemon is known.
+// Run syncs until ctx is done or the membership contains a later run of the daemon.
 func (c *Client) Run(ctx context.Context) error {
 	c.mu.Lock()
 	c.started = c.cfg.Clock()
@@ -198,8 +201,8 @@
 	return g.Wait()
 }
 
-// first asks for the state that a daemon starts with, at one address more every
-// firstAskEvery, until it has come.
+// fetchInitialState requests the first state of a daemon from one more address every
+// initialQueryInterval, until the state is known.
 func (c *Client) first(ctx context.Context) {
 	var asked work.Each
 	known := func() bool { return c.Current().Tree != nil || c.supersededBy() != nil }
@@ -208,8 +211,8 @@
 	})
 }
 
-// poll asks for news, again and again. The upstream holds each call until there
-// is some or the interval is over.
+// poll requests newer state in a loop. The upstream holds each call until there is
+// newer state or the interval ends.
 func (c *Client) poll(ctx context.Context) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -224,8 +227,8 @@
 	return nil
 }
 
-// rest waits that long, or until there are new addresses to ask. A d that is not
-// positive does not wait.
+// waitBeforePoll waits for d or until there are new addresses to contact. It returns
+// immediately if d is not positive.
 func (c *Client) rest(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
@@ -239,9 +242,9 @@
 	}
 }
 
-// holdAfter is how long the next poll may be held. After a failure the lease has
-// to be renewed before anything else, so the reply is wanted at once. A relay
-// first has to ask the leader, and replies when that has answered.
+// holdTime returns how long the upstream may hold the next poll. After a failure the
+// lease must be renewed first, so the reply is wanted immediately. A relay is exempt,
+// as it replies only when the leader has answered it.
 func (c *Client) holdAfter(failures int) time.Duration {
 	if failures > 0 && !c.picksRelay() {
 		return 0
@@ -256,8 +259,8 @@
 	return c.up.isRelay(addr)
 }
 
-// push sends at once what can't wait for the next poll, and what children of this
-// relay have said, at least every interval.
+// push sends heartbeats that cannot wait for the next poll, and forwards the
+// heartbeats of children at least once per interval.
 func (c *Client) push(ctx context.Context) error {
 	for {
 		timer := time.NewTimer(c.interval())
@@ -274,14 +277,14 @@
 			}
 		}
 		if ctx.Err() == nil && c.exchange(ctx, 0, true) == callFailed {
-			// What had to be said at once was not heard.
+			// The heartbeat that could not wait was not delivered.
 			vm.Sleep(ctx, c.randomUpTo(pushRetry))
 			c.pushNow()
 		}
 	}
 }
 
-// batching is how long a push waits for others to join it.
+// pushDelay returns how long a push waits for further heartbeats to send with it.
 func (c *Client) batching() time.Duration {
 	if c.children.empty() {
 		return minGap / 4
@@ -289,7 +292,7 @@
 	return batchDelay
 }
 
-// interval is the time between two heartbeats.
+// heartbeatInterval returns the time between two heartbeats.
 func (c *Client) interval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -305,7 +308,8 @@
 	return c.superseded
 }
 
-// checkSuperseded notes a later run of this daemon in the membership.
+// checkSuperseded checks whether the membership contains a later run of this daemon.
+// The caller holds mu.
 func (c *Client) checkSuperseded(v *View) {
 	m := v.Members()
 	if m == nil || c.superseded != nil {
@@ -317,7 +321,7 @@
 	}
 	if ok && known.Incarnation > c.cfg.Self.Incarnation {
 		if c.cfg.Restarts && !c.joined {
-			klog.Warningf("relay: an earlier run has incarnation %d, this one %d; the clock was set back, it goes on as %d",
+			klog.Warningf("relay: incarnation %d of an earlier run is above this run's %d, the clock was set back; continuing as %d",
 				known.Incarnation, c.cfg.Self.Incarnation, known.Incarnation+1)
 			c.cfg.Self.Incarnation = known.Incarnation + 1
 			c.resend = true
@@ -328,7 +332,7 @@
 	}
 }
 
-// ownHeartbeat is the daemon's own word. The caller holds mu.
+// ownHeartbeat returns the daemon's own heartbeat. The caller holds mu.
 func (c *Client) ownHeartbeat() *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Vm:            vm.ToWire(vm.Member{Identity: c.cfg.Self, Phase: c.phase}),
--- a/internal/relay/client_test.go
+++ b/internal/relay/client_test.go
@@ -15,7 +15,7 @@
 	"pearmoor/internal/vm"
 )
 
-// inWorld runs f in virtual time and ends everything it started.
+// runInCluster runs f in virtual time and stops everything it started.
 func inWorld(t *testing.T, f func(w *world)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -28,7 +28,7 @@
 	})
 }
 
-// startMany runs n daemons of one failure domain and waits until all serve.
+// startDaemons starts n daemons of one failure domain and waits until all are serving.
 func (w *world) startMany(n, direct, fanout int) []*daemon {
 	out := make([]*daemon, n)
 	for i := range out {
@@ -38,8 +38,8 @@
 	return out
 }
 
-// unconfirmedFor lets d pass and returns the longest time that a daemon was
-// without a lease in it.
+// longestWithoutLease waits for d and returns the longest time for which any of the
+// daemons had no lease.
 func (w *world) unconfirmedFor(d time.Duration, ds ...*daemon) time.Duration {
 	const step = 10 * time.Millisecond
 	var longest time.Duration
@@ -58,7 +58,8 @@
 	return longest
 }
 
-// busiestRelay returns the relay that most daemons use first, and how many.
+// busiestRelay returns the relay that is the first choice of most daemons, and their
+// number.
 func busiestRelay(ds []*daemon) (busiest *daemon, children int) {
 	uses := make(map[string]int)
 	for _, d := range ds {
@@ -78,9 +79,9 @@
 	return slices.DeleteFunc(slices.Clone(ds), func(d *daemon) bool { return d == one })
 }
 
-// The address that a daemon syncs with stops answering without closing anything.
-// Callers see no refusal: the daemon gives the call up, asks the other control
-// address, and has its lease renewed long before it runs out.
+// The upstream of a daemon stops answering without closing connections. The daemon
+// must abandon the call, contact the other control address and renew its lease long
+// before it expires, so that no caller is refused.
 func TestSilentCutOfUpstream(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.fabric.serve("control-2", w.leader)
@@ -100,9 +101,9 @@
 	})
 }
 
-// Everything was restarted, and a daemon is told of another one that has only just
-// started too and knows nothing. Held there for an interval, it would turn its callers
-// away all the while, though the leader beside it could tell it everything.
+// After a restart of all VMs a daemon contacts another one that has just started and
+// has no state. If the call were held there for a whole interval, the daemon would
+// refuse its callers for that time although the leader could answer it.
 func TestRelayWithoutStateSaysSoSoon(t *testing.T) {
 	inWorld(t, func(w *world) {
 		lost := w.startDaemon(identity("d1", 1), 64, 8)
@@ -113,7 +114,7 @@
 			Heartbeats: []*wire.Heartbeat{{Vm: vm.ToWire(vm.Member{Identity: identity("d2", 1)})}},
 		})
 		took := w.clock().Sub(began)
-		Convey("it answers long before an interval is over and grants nothing", t, func() {
+		Convey("it replies long before an interval is over and grants nothing", t, func() {
 			So(err, ShouldBeNil)
 			So(reply.Granted, ShouldBeFalse)
 			So(reply.ConfigVersion, ShouldEqual, 0)
@@ -122,9 +123,9 @@
 	})
 }
 
-// A daemon starts and is told of VMs that are not of the group; it hears where the
-// group is while it waits to ask again. It asks at once: callers are turned away until
-// it has an answer.
+// A daemon starts with addresses that are not in the control group and learns the
+// right ones while it waits for its next retry. It must contact them immediately, as
+// it refuses callers until it has a configuration.
 func TestNewSeedsAreAskedAtOnce(t *testing.T) {
 	inWorld(t, func(w *world) {
 		d := w.startDaemon(identity("d1", 1), 64, 8)
@@ -139,8 +140,9 @@
 	})
 }
 
-// A relay dies with all its children attached. They see silence, choose another
-// relay or control, and no lease runs out, so no caller is refused.
+// A relay fails with all its children connected. They must detect the silence and
+// switch to another relay or to control before their leases expire, so that no caller
+// is refused.
 func TestRelayLost(t *testing.T) {
 	inWorld(t, func(w *world) {
 		ds := w.startMany(24, 1, 6)
@@ -155,9 +157,9 @@
 	})
 }
 
-// Both relays of a daemon are cut off silently while the leader answers. Callers would be
-// served by an older configuration for as long as the two are asked in turn, each while
-// the pause of the other ends.
+// Both relays of a daemon stop answering while the leader is reachable. If the daemon
+// only alternated between the two, each while the backoff of the other ends, it would
+// serve callers with an outdated configuration.
 func TestBothRelaysLost(t *testing.T) {
 	inWorld(t, func(w *world) {
 		ds := w.startMany(24, 1, 6)
@@ -183,14 +185,14 @@
 			longest = max(longest, time.Since(began))
 			time.Sleep(700 * time.Millisecond)
 		}
-		Convey("the daemon asks the leader between them and hears of every change soon", t, func() {
+		Convey("the daemon contacts the leader between the two and gets every change soon", t, func() {
 			So(len(lost), ShouldEqual, maxRelays)
 			So(longest, ShouldBeLessThan, 3*time.Second)
 		})
 	})
 }
 
-// naming is a control VM that does not lead and names the one that does.
+// redirectingControlVM is a control VM that is not the leader and names the leader.
 type naming struct {
 	*modelLeader
 	leader string
@@ -200,9 +202,10 @@
 	return &wire.SyncReply{Redirect: n.leader}, nil
 }
 
-// A daemon is cut off, and meanwhile a relay of it that is a control VM is elected. The
-// other control VMs name that one. Callers would be served by an older configuration
-// until it is no longer passed over, as relays are for up to half a minute.
+// While a daemon is cut off, one of its relays, which is a control VM, is elected as
+// the leader. The other control VMs name it. If the daemon still applied the relay
+// backoff of up to half a minute to it, callers would be served with an outdated
+// configuration for as long.
 func TestRelayElectedWhileCutOff(t *testing.T) {
 	inWorld(t, func(w *world) {
 		ds := w.startMany(24, 1, 6)
@@ -223,15 +226,15 @@
 			synctest.Wait()
 		}
 		took := time.Since(began)
-		Convey("the daemon hears of a change soon after the cut", t, func() {
+		Convey("the daemon gets a change soon after the cut ends", t, func() {
 			So(took, ShouldBeLessThan, 3*time.Second)
 		})
 	})
 }
 
-// A relay loses the leader but not its children. It has nothing to grant, says
-// so, and the children go elsewhere before their leases run out; meanwhile no
-// child believes a lease that the leader has given up.
+// A relay loses the leader but not its children. It must stop granting leases and say
+// so, so that the children switch to another upstream before their leases expire. No
+// child may believe that it holds a lease that the leader regards as expired.
 func TestRelayCutOffStopsGranting(t *testing.T) {
 	inWorld(t, func(w *world) {
 		ds := w.startMany(24, 1, 6)
@@ -239,7 +242,7 @@
 		w.fabric.cutBetween(relay.client.cfg.Self.PeerAddr, leaderAddr, true)
 		longest := w.unconfirmedFor(20*time.Second, without(ds, relay)...)
 		worst := w.checkLeases()
-		Convey("children keep leases that the leader knows, the relay loses its own", t, func() {
+		Convey("children keep leases that the leader granted, the relay loses its own", t, func() {
 			So(worst, ShouldBeNil)
 			So(longest, ShouldEqual, 0)
 			So(relay.client.Current().Confirmed(w.clock()), ShouldBeFalse)
@@ -247,9 +250,9 @@
 	})
 }
 
-// A daemon is stopped for 30 s with a reply on its way and runs on. The reply is
-// read as if it had just come, but it answers a request of long ago: the daemon
-// has no lease, and callers are told that nothing was run.
+// A daemon is paused for 30 s with a reply in flight and then resumes. It reads the
+// reply as if it had just arrived, but the reply answers a request of long ago. The
+// daemon must not regard its lease as renewed.
 func TestPausedDaemonHasNoLease(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.fabric.late = true
@@ -258,18 +261,18 @@
 		resume := w.fabric.pause(d.client.cfg.Self.PeerAddr)
 		time.Sleep(30 * time.Second)
 		before := d.client.Current().Lease
-		w.fabric.setCut(leaderAddr, true) // only what was on its way arrives
+		w.fabric.setCut(leaderAddr, true) // only messages already in flight arrive
 		resume()
 		time.Sleep(time.Second)
-		Convey("what was on its way renews nothing", t, func() {
+		Convey("the messages in flight renew no lease", t, func() {
 			So(d.client.Current().Confirmed(w.clock()), ShouldBeFalse)
 			So(d.client.Current().Lease.Sub(before), ShouldBeLessThan, 2*time.Second)
 		})
 	})
 }
 
-// A second run of a daemon starts while the first still lives. The first one's
-// Run ends with an error that names both, as its shares are the second one's.
+// A second run of a daemon starts while the first is still running. Run of the first
+// must return an error that names both, as the shares belong to the second.
 func TestSuperseded(t *testing.T) {
 	inWorld(t, func(w *world) {
 		first := w.startDaemon(identity("d1", 1), 64, 8)
@@ -287,9 +290,9 @@
 	})
 }
 
-// A change on its way is damaged, or made on another tree: the digest after it is
-// not the one stated. The daemon neither takes it nor counts the grant that came
-// with it, asks for the whole state, and is right again with the next reply.
+// A delta is corrupted in transit or was made on another tree, so the digest of the
+// result does not match. The daemon must apply neither the delta nor the grant that
+// came with it, must request the full state, and must recover with the next reply.
 func TestDigestMismatch(t *testing.T) {
 	inWorld(t, func(w *world) {
 		_ = w.leader.edit(set(service, "leaf-slots", "4"))
@@ -304,7 +307,7 @@
 		unharmed := d.client.Current() == v && d.client.whole
 		_ = w.leader.edit(set(service, "leaf-slots", "3"))
 		time.Sleep(3 * time.Second)
-		Convey("nothing of it is taken, and the next reply mends it", t, func() {
+		Convey("nothing in the reply is applied, and the daemon recovers with the next reply", t, func() {
 			So(granted, ShouldBeFalse)
 			So(out, ShouldEqual, changed)
 			So(unharmed, ShouldBeTrue)
@@ -314,10 +317,10 @@
 	})
 }
 
-// 300 daemons restart together, with relays among them, while the leader keeps
-// the membership they had. Were they to retry in step, the leader would drown
-// and no lease would be renewed. Its calls stay near one per daemon in the worst
-// second and fall to those of the relays.
+// 300 daemons, relays among them, restart together while the leader keeps their
+// previous membership. If they retried in step, the leader would be overloaded and no
+// lease renewed. The leader's calls must stay near one per daemon in the worst second
+// and then fall to those of the relays.
 func TestRestartOfAllMakesNoHerd(t *testing.T) {
 	const n = 300
 	inWorld(t, func(w *world) {
@@ -347,7 +350,7 @@
 		for _, c := range perSecond {
 			worst = max(worst, c)
 		}
-		t.Logf("calls per second at the leader: %v; relays: %d", perSecond, relays)
+		t.Logf("calls per second to the leader: %v; relays: %d", perSecond, relays)
 		Convey("the leader's calls are bounded, and all are confirmed", t, func() {
 			So(worst, ShouldBeLessThanOrEqualTo, 2*n)
 			So(perSecond[len(perSecond)-1], ShouldBeLessThanOrEqualTo, 3*relays)
@@ -360,7 +363,7 @@
 	})
 }
 
-// leaderless is a control VM that knows no leader until one is elected.
+// controlVMWithoutLeader is a control VM that knows no leader before electedAt.
 type leaderless struct {
 	*modelLeader
 	clock   vm.Clock
@@ -374,9 +377,9 @@
 	return l.modelLeader.Sync(ctx, req)
 }
 
-// Everything starts anew and it takes the control group a good second to elect a leader.
-// A daemon without a configuration turns its callers away; it must have one soon after
-// there is a leader, and not when a pause that has grown meanwhile ends.
+// All VMs restart, and the control group takes more than a second to elect a leader. A
+// daemon without a configuration refuses its callers, so it must get one soon after
+// the election and not when a retry delay that has grown in the meantime ends.
 func TestStartingDaemonsDoNotWaitLong(t *testing.T) {
 	inWorld(t, func(w *world) {
 		w.fabric.serve(leaderAddr, leaderless{w.leader, w.clock, w.clock().Add(1800 * time.Millisecond)})
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -16,27 +16,29 @@
 	DefaultFanout   = 5
 )
 
-// Conns gives connections to other daemons; Close of one hands it back.
+// Conns provides connections to other daemons. Closing a connection releases it.
 type Conns interface {
 	Conn(ctx context.Context, addr string) (drpc.Conn, error)
 }
 
-// Config is what a Client needs.
+// Config configures a Client.
 type Config struct {
 	Self     vm.Identity
 	Control  []string      // peer addresses of control VMs; one that works is enough
-	Conns    Conns         // how to reach control VMs and relays
+	Conns    Conns         // connections to control VMs and relays
 	Clock    vm.Clock      // nil: vm.Now
 	Interval time.Duration // longest time between two heartbeats; 0: DefaultInterval
-	Direct   int           // most members that all sync with the leader; 0: DefaultDirect
+	Direct   int           // most members that all sync with the leader; 0: DefaultMaxDirect
 	Fanout   int           // daemons per relay when there are more members; 0: DefaultFanout
-	// Eager makes a daemon without state ask several addresses beside one another, and
-	// soon after its start. In a restart of everything each of 300 daemons makes two to
-	// three calls more at the leader's than one that asks them in turn.
+	// EagerStart makes a daemon without state contact several addresses in parallel,
+	// and soon after its start. In a restart of all VMs each of 300 daemons makes two
+	// to three calls more to the leader than a daemon that contacts the addresses one
+	// by one.
 	Eager bool
-	// Restarts says that no two runs of this daemon are ever alive together. One
-	// that finds an earlier run with a higher incarnation, since the wall clock was
-	// set back in between, then takes a higher one in place of ending.
+	// ExclusiveRuns says that two runs of this daemon never exist at the same time. If
+	// the membership then contains an earlier run with a higher incarnation, because
+	// the wall clock was set back in between, the client takes a higher incarnation
+	// instead of stopping.
 	Restarts bool
 }
 
--- a/internal/relay/daemon_test.go
+++ b/internal/relay/daemon_test.go
@@ -14,30 +14,29 @@
 const (
 	leaderAddr  = "leader"
 	service     = "/desk/s1"
-	drainedNote = 300 * time.Millisecond // longest that work in flight takes
+	drainedNote = 300 * time.Millisecond // longest time that requests in flight take
 )
 
-// daemon is a client with the greediest query path there can be: it always has
-// as much in flight as its shares allow, and what is in flight goes on when the
-// shares shrink.
+// daemon is a client with a query path that always has as many requests in flight as
+// its shares allow. Requests in flight continue when the shares shrink.
 type daemon struct {
 	client *Client
 	cancel context.CancelFunc
 
 	mu       sync.Mutex
 	inFlight map[string]int // by leaf address
-	until    vm.Instant     // no attempt's deadline is later
-	ended    error          // what Run returned
+	until    vm.Instant     // no attempt has a later deadline
+	ended    error          // returned by Run
 }
 
-// world is a leader, daemons and what lies between them.
+// cluster is a leader, its daemons and the network between them.
 type world struct {
 	ctx     context.Context
 	start   time.Time
 	fabric  *fabric
 	leader  *modelLeader
 	mu      sync.Mutex
-	daemons []*daemon // all that ever ran
+	daemons []*daemon // all daemons ever started
 	running sync.WaitGroup
 }
 
@@ -49,7 +48,7 @@
 	return w
 }
 
-// clock counts from one second, as instant 0 means never.
+// clock starts at one second, as instant 0 means never.
 func (w *world) clock() vm.Instant { return vm.Instant(time.Second + time.Since(w.start)) }
 
 func identity(name string, incarnation uint64) vm.Identity {
@@ -58,7 +57,7 @@
 	}
 }
 
-// startDaemon runs one; direct and fanout as in Config.
+// startDaemon starts a daemon. For direct and fanout see Config.
 func (w *world) startDaemon(id vm.Identity, direct, fanout int) *daemon {
 	ctx, cancel := context.WithCancel(w.ctx)
 	d := &daemon{cancel: cancel, inFlight: make(map[string]int)}
@@ -77,7 +76,7 @@
 	return d
 }
 
-// upstreams looks at whom the daemon syncs with, or changes it, beside its client.
+// upstreams calls f with the upstreams of the daemon's client, under its lock.
 func (d *daemon) upstreams(f func(u *upstreams)) {
 	d.client.mu.Lock()
 	defer d.client.mu.Unlock()
@@ -97,8 +96,9 @@
 	d.ended = err
 }
 
-// work fills the shares of each view, lets what exceeds them end, and acks. What
-// is in flight when the daemon is killed goes on at the leaf until its deadline.
+// useShares uses the shares of each view: it waits until requests that exceed them
+// have ended, fills them again, and acknowledges the view. Requests in flight when the
+// daemon is killed continue on the leaf until their deadline.
 func (d *daemon) work(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := d.client.Changed()
@@ -151,8 +151,8 @@
 	}
 }
 
-// using returns what the daemon has in flight at a leaf: nothing after its lease,
-// which no attempt outlives.
+// inFlightAt returns the number of requests that the daemon has in flight at a leaf.
+// It is 0 after the lease, which no attempt outlives.
 func (d *daemon) using(addr string, now vm.Instant) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -162,7 +162,8 @@
 	return d.inFlight[addr]
 }
 
-// used sums what all daemons have in flight at a leaf.
+// totalInFlight returns the number of requests that all daemons have in flight at a
+// leaf.
 func (w *world) used(addr string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -13,24 +13,28 @@
 )
 
 const (
-	// callMargin is how long a reply may take beyond the time it is held. A silent
-	// cut shows no other sign, so this and the hold bound what it costs.
+	// replyMargin is how long a reply may take in addition to the time for which it is
+	// held. A silently dropped connection shows no other sign, so this margin and the
+	// hold time limit how long it goes unnoticed.
 	callMargin = 500 * time.Millisecond
-	// maxCallMargin lets a slow upstream answer after several calls ran out. Beside a
-	// relay there are others to ask, and what is new is unheard while it is waited for.
+	// maxReplyMargin gives a slow upstream more time after several calls have timed
+	// out. The limit for a relay is lower, as there are other upstreams to contact and
+	// newer state is missed during the wait.
 	maxCallMargin  = 3 * time.Second
 	maxRelayMargin = time.Second
-	// driftParts takes 1% off a lease: the clocks of two VMs may run that far apart
-	// before the daemon believes its lease longer than the leader does.
+	// clockDriftDivisor takes 1% off a lease. The clocks of two VMs may differ in rate
+	// by that much before the daemon believes that its lease lasts longer than the
+	// leader does.
 	driftParts = 100
-	// firstRetry and maxRetry bound the pause between calls that fail in a row.
+	// minRetryDelay and maxRetryDelay limit the delay between consecutive failed
+	// calls.
 	firstRetry = 20 * time.Millisecond
 	maxRetry   = time.Second
-	// A daemon that no leader has confirmed yet has no configuration, or one that may
-	// be old. For startTime it asks at least every startRetry: after a restart of
-	// everything the leader is elected within a second, and pauses that had grown
-	// meanwhile cost half of one more. Of 3,600 daemons that is 18,000 short calls a
-	// second, for some seconds.
+	// startupMaxRetryDelay replaces maxRetryDelay during startupPeriod for a daemon
+	// that no leader has confirmed, which has no configuration, or one that may be
+	// outdated. After a restart of all VMs the leader is elected within a second, and
+	// delays that had grown in the meantime cost half a second more. With 3,600
+	// daemons this makes 18,000 short calls a second for some seconds.
 	startRetry = 200 * time.Millisecond
 	startTime  = 5 * time.Second
 )
@@ -42,18 +46,19 @@
 	version   = metrics.GetOrRegisterGauge("relay.config.version", nil)
 )
 
-// outcome is how an exchange went.
+// outcome is the result of an exchange.
 type outcome uint8
 
 const (
 	callFailed  outcome = iota // no reply
-	unconfirmed                // a reply that renews no lease
+	unconfirmed                // a reply that does not renew the lease
 	redirected                 // the leader is known now
 	unchanged                  // the lease is renewed
-	changed                    // the lease is renewed, and there was news
+	changed                    // the lease is renewed, and there was newer state
 )
 
-// failures counts the exchanges in a row that were of no use.
+// countFailures returns the number of consecutive failed exchanges after an exchange
+// with outcome o.
 func (o outcome) failures(before int) int {
 	if o == callFailed || o == unconfirmed {
 		return before + 1
@@ -64,7 +69,7 @@
 	return 0
 }
 
-// pause returns how long poll waits before its next exchange.
+// pollDelay returns how long poll waits before its next exchange.
 func (c *Client) pause(o outcome, failures int, took time.Duration) time.Duration {
 	switch {
 	case o == changed || o == redirected:
@@ -94,8 +99,9 @@
 	return wait > 0
 }
 
-// exchange sends one Sync and takes in the reply. A push carries the heartbeats
-// of children; a poll carries only the daemon's own, as it may be held.
+// exchange sends one Sync request to the best upstream and handles the reply. A push
+// carries the heartbeats of children; a poll carries only the daemon's own, as it may
+// be held.
 func (c *Client) exchange(ctx context.Context, hold time.Duration, push bool) outcome {
 	c.mu.Lock()
 	addr, _ := c.up.pick(c.cfg.Clock())
@@ -136,14 +142,14 @@
 	}
 	agreed := v.Members()
 	addHeartbeat(req, c.ownHeartbeat(), agreed, c.resend)
-	full := len(req.GetSteady()) == 0 // see Sender
+	full := len(req.GetSteady()) == 0 // see SenderHeartbeat
 	for _, k := range kids {
 		addHeartbeat(req, k.heartbeat, agreed, full)
 	}
 	return req
 }
 
-// call is bounded in time as a whole, connecting included.
+// call sends the request. The timeout covers connecting, too.
 func (c *Client) call(ctx context.Context, addr string, req *wire.SyncRequest, hold time.Duration) (*wire.SyncReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, hold+c.margin(addr))
 	defer cancel()
@@ -159,8 +165,8 @@
 	return reply, unpackState(reply)
 }
 
-// margin grows with the failures of addr, so that an upstream that is slow, and
-// not lost, is reached in the end.
+// replyMarginFor returns the reply margin for addr. It grows with consecutive failures
+// of addr, so that an upstream that is slow but not lost is eventually reached.
 func (c *Client) margin(addr string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +189,7 @@
 	return callFailed
 }
 
-// passOver leaves addr alone for a while. The caller holds mu.
+// backOff excludes addr from use for a while. The caller holds mu.
 func (c *Client) passOver(addr string, now vm.Instant, why string) {
 	if !c.up.fails(addr) {
 		klog.Infof("relay: upstream lost addr=%s config=%d: %s", addr, c.view.ConfigVersion, why)
@@ -191,8 +197,8 @@
 	c.up.failed(addr, now)
 }
 
-// receive takes in a reply to a request sent at that instant. Granted reports
-// whether the leader confirmed what the request carried.
+// handleReply processes the reply to a request that was sent at sent. Granted reports
+// whether the leader confirmed the heartbeats in the request.
 func (c *Client) receive(addr string, sent vm.Instant, req *wire.SyncRequest, r *wire.SyncReply, push bool) (out outcome, granted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,18 +208,19 @@
 	c.up.setControl(r.GetControl())
 	now := c.cfg.Clock()
 	if leader := r.GetRedirect(); leader != "" && leader != addr {
-		// A relay on a control VM that does not lead has nothing to pass on. Tried
-		// first again and again, it would keep this daemon from the leader it names.
+		// A relay on a control VM that is not the leader has no state to forward. If
+		// it stayed the first choice, this daemon would never reach the leader that it
+		// names.
 		if c.up.isRelay(addr) {
-			c.passOver(addr, now, "it names another as the leader")
+			c.passOver(addr, now, "it names another VM as the leader")
 		}
 		c.publish(before)
 		return c.follow(addr, leader, now), false
 	}
-	// A grant says that the leader counts on this daemon knowing the state that
-	// comes with it. Without that state the daemon could use shares that the
-	// leader has since given to others. A reply that asks for full heartbeats does
-	// not tell which of the short ones it could not read, so it grants none.
+	// With a grant the leader relies on this daemon knowing the state in the reply.
+	// Without that state the daemon could use shares that the leader has since given
+	// to others. A reply that requests full heartbeats does not say which of the short
+	// ones were unknown, so it grants none.
 	granted = r.GetGranted() && covers(c.view, r) && !partly
 	if granted {
 		c.confirmed = max(c.confirmed, sent)
@@ -224,10 +231,11 @@
 	case again:
 		return changed, granted
 	case !granted || !c.renewed(now, r):
-		// One that answers, but is itself cut off from the leader, is passed
-		// over like a lost one. A push is not held until the leader has answered.
+		// An upstream that answers but is itself cut off from the leader is backed off
+		// like a lost one. The reply to a push says nothing about this, as it is not
+		// held until the leader has answered.
 		if !push {
-			c.passOver(addr, now, "it renews no lease")
+			c.passOver(addr, now, "it does not renew the lease")
 		}
 		return unconfirmed, granted
 	}
@@ -235,41 +243,42 @@
 		klog.Infof("relay: upstream back addr=%s config=%d", addr, c.view.ConfigVersion)
 	}
 	c.up.worked(addr)
-	// A reply may bring what a reply to the other lane has just brought. It came
-	// early all the same: waiting for the rest of the interval would leave no call
-	// held, and the next change unheard for as long.
+	// The reply may contain state that the reply to the concurrent poll or push has
+	// just delivered. It still came before the end of the interval. Waiting for the
+	// rest of the interval would leave no call held at the upstream, and the next
+	// change would be noticed that much later.
 	if hasNews(req, r) {
 		return changed, granted
 	}
 	return unchanged, granted
 }
 
-// hasNews reports whether a reply holds something that the request said was not
-// known.
+// replyHasNews reports whether a reply contains state that the sender of the request
+// did not have.
 func hasNews(req *wire.SyncRequest, r *wire.SyncReply) bool {
 	return r.GetConfigVersion() > req.GetHaveConfig() || r.GetInForce() > req.GetHaveInForce() ||
 		r.GetSettledEpoch() > req.GetHaveSettled() ||
 		r.GetPendingEpoch() > max(req.GetHavePending(), req.GetHaveSettled())
 }
 
-// follow takes the leader that the daemon at addr named.
+// followRedirect switches to the leader that the daemon at addr named.
 func (c *Client) follow(addr, leader string, now vm.Instant) outcome {
 	if c.up.redirected(leader, now) {
 		return redirected
 	}
-	c.passOver(addr, now, "it names a leader that was just lost")
+	c.passOver(addr, now, "it names a leader that failed recently")
 	return unconfirmed
 }
 
-// renewed reports whether the lease is as long as a working upstream keeps it, or
-// the leader itself declines to confirm this daemon.
+// leaseSufficient reports whether the lease is as long as a working upstream keeps it,
+// or the leader itself refuses a lease to this daemon.
 func (c *Client) renewed(now vm.Instant, r *wire.SyncReply) bool {
 	return c.until.Sub(now) >= c.lease/2 || slices.Contains(r.GetRefused(), c.cfg.Self.Name)
 }
 
-// install joins the reply's state to the view. Again reports that the request has
-// to be made once more in another form: for the whole state, or with full
-// heartbeats. It is false when that was the form already.
+// applyState merges the reply's state into the view. Retry reports whether the request
+// must be repeated in another form, for the full state or with full heartbeats. It is
+// false if the request already had that form.
 func (c *Client) install(req *wire.SyncRequest, r *wire.SyncReply) (again bool) {
 	c.resend = r.GetResend()
 	again = c.resend && len(req.GetSteady()) > 0
@@ -302,9 +311,9 @@
 	return again
 }
 
-// refusedEvery is the least time between two lines on state that was refused. A
-// daemon beside one that sends broken state meets it with every call; the counter
-// relay.state.refused has them all.
+// refusalLogInterval is the least time between two log lines about rejected state. An
+// upstream that sends invalid state does so with every call; the counter
+// relay.state.refused counts each one.
 const refusedEvery = 10 * time.Second
 
 func (c *Client) reportRefused(err error) {
@@ -313,12 +322,12 @@
 		return
 	}
 	c.reported = now
-	klog.Errorf("relay: state refused, asking for all of it: %v", err)
+	klog.Errorf("relay: state rejected, requesting the full state: %v", err)
 }
 
-// renew extends the lease by a grant. It counts from the instant the request was
-// sent, which is before the leader handled it, less the grant's age, so that it
-// ends here before the leader takes it for ended.
+// extendLease extends the lease by a grant. The lease counts from the time the request
+// was sent, which is before the leader handled it, minus the age of the grant, so that
+// it expires here before the leader regards it as expired.
 func (c *Client) renew(sent vm.Instant, r *wire.SyncReply) {
 	if slices.Contains(r.GetRefused(), c.cfg.Self.Name) {
 		return
@@ -335,9 +344,10 @@
 	}
 }
 
-// isMember reports whether the agreed membership holds this run. Control does not
-// wait for other runs before it says that a configuration is in force everywhere,
-// so one that took work on its lease alone might still go by an older one.
+// isMember reports whether the agreed membership contains this run. Control does not
+// wait for other runs before it reports a configuration as in force everywhere, so a
+// run that accepted requests on its lease alone could still use an older
+// configuration.
 func (c *Client) isMember() bool {
 	members := c.view.Members()
 	if members == nil {
@@ -347,7 +357,7 @@
 	return ok && m.Same(c.cfg.Self) && m.Phase != vm.Gone
 }
 
-// publish wakes those who wait for a view newer than before.
+// notifyChanged wakes those who wait for a view newer than before.
 func (c *Client) publish(before *View) {
 	if c.view == before {
 		return
--- a/internal/relay/fabric_test.go
+++ b/internal/relay/fabric_test.go
@@ -13,18 +13,18 @@
 	"pearmoor/internal/link/wire"
 )
 
-// fabric carries Sync calls between daemons in this process. Each address can be
-// cut off silently or hold back what it sends and receives.
+// testNetwork carries Sync calls between daemons in this process. Each address can be
+// cut off silently, or paused so that its messages are delayed.
 type fabric struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	servers map[string]wire.DRPCSpreadServer
-	cut     map[string]bool          // silent: calls to and from it hang
-	between map[[2]string]bool       // silent between two addresses, asked for by the first
-	held    map[string]chan struct{} // paused: nothing passes until it is closed
+	cut     map[string]bool          // calls to and from the address hang
+	between map[[2]string]bool       // calls from the first to the second address hang
+	held    map[string]chan struct{} // nothing passes until the channel is closed
 	calls   map[string]int
-	delay   time.Duration // most one-way delay
-	late    bool          // deliver replies after the caller has given up, too
+	delay   time.Duration // maximum one-way delay
+	late    bool          // also deliver replies after the caller's deadline
 }
 
 func newFabric(seed uint64) *fabric {
@@ -96,7 +96,7 @@
 func (l *link) Closed() <-chan struct{} { return nil }
 
 func (l *link) NewStream(context.Context, string, drpc.Encoding) (drpc.Stream, error) {
-	return nil, errors.New("no streams here")
+	return nil, errors.New("streams are not supported")
 }
 
 func (l *link) Invoke(ctx context.Context, _ string, _ drpc.Encoding, in, out drpc.Message) error {
@@ -133,7 +133,7 @@
 	return s, f.late && f.rng.IntN(2) == 0, ctx.Err()
 }
 
-// travel is one way between the two ends.
+// deliver simulates the transit of one message between the two ends.
 func (l *link) travel(ctx context.Context) error {
 	f := l.fabric
 	f.mu.Lock()
@@ -148,7 +148,8 @@
 		held, cut := f.held[end], f.cut[end] || f.between[[2]string{l.from, l.to}]
 		f.mu.Unlock()
 		if cut {
-			// What is cut off silently is lost; only the caller's deadline ends it.
+			// A message on a cut connection is lost; the call ends at the caller's
+			// deadline.
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
--- a/internal/relay/heartbeat.go
+++ b/internal/relay/heartbeat.go
@@ -7,11 +7,11 @@
 	"pearmoor/internal/vm"
 )
 
-// Expander looks up short heartbeats. The zero value is ready; it may be used by
-// several goroutines.
+// HeartbeatExpander expands short heartbeats. The zero value is ready for use. It is
+// safe for concurrent use.
 type Expander struct {
 	mu      sync.Mutex
-	indexes [2]digestIndex // of the memberships asked for last
+	indexes [2]digestIndex // of the two memberships used last
 }
 
 // digestIndex finds the members of one membership by Member.Digest.
@@ -20,10 +20,10 @@
 	byDigest map[uint64]int
 }
 
-// Expand returns every heartbeat of a request in full, the short ones looked up
-// in the pending membership, then in the settled one (each may be nil). Unknown
-// reports that a short one was not found; the reply then has to ask for full
-// ones (resend).
+// Expand returns every heartbeat of a request in full. The short ones are looked up in
+// the pending membership, then in the settled one; each may be nil. Unknown reports
+// that a short one was not found; the reply must then request full heartbeats
+// (resend).
 func (x *Expander) Expand(req *wire.SyncRequest, settled, pending *vm.Membership) (hbs []*wire.Heartbeat, unknown bool) {
 	hbs = req.GetHeartbeats()
 	if len(req.GetSteady()) == 0 {
@@ -43,9 +43,10 @@
 	return hbs, unknown
 }
 
-// Sender returns the sender's own among the heartbeats that Expand returned: the
-// first short one, or, as a sender whose own is in full sends none short, the
-// first. It is nil when there is none, or when short ones were unknown.
+// SenderHeartbeat returns the sender's own heartbeat among those that Expand returned.
+// It is the first short one, or the first of all if there is no short one, as a sender
+// whose own heartbeat is in full sends the others in full, too. It returns nil if
+// there is no heartbeat or a short one was unknown.
 func Sender(req *wire.SyncRequest, hbs []*wire.Heartbeat) *wire.Heartbeat {
 	short := len(hbs) - len(req.GetHeartbeats())
 	switch {
@@ -93,8 +94,9 @@
 	return vm.Member{}, false
 }
 
-// addHeartbeat puts hb into req, in the short form where it says no more than
-// that the daemon is as agreed and has confirmed what the request states.
+// addHeartbeat adds hb to req. It uses the short form, a digest of the member, if the
+// daemon is unchanged from the agreed membership and has confirmed exactly the version
+// and epoch that the request states.
 func addHeartbeat(req *wire.SyncRequest, hb *wire.Heartbeat, agreed *vm.Membership, full bool) {
 	member := vm.FromWire(hb.GetVm())
 	confirmed := hb.GetConfigVersion() == req.GetHaveConfig() &&
--- a/internal/relay/history.go
+++ b/internal/relay/history.go
@@ -11,17 +11,17 @@
 	"pearmoor/internal/vm"
 )
 
-// What a History keeps, so that a daemon that asks now and then never needs the
-// whole state: at 1,900 changes a day, several days of changes.
+// Limits of a History. They let a daemon that syncs only now and then avoid a full
+// snapshot: at 1,900 changes a day they cover several days of changes.
 const (
 	maxDeltas      = 10_000
 	maxMemberships = 64
-	// maxDeltaBytes bounds the changes kept, in bytes of their messages. One that
-	// adds thousands of routes is a megabyte, on every daemon.
+	// maxDeltaBytes limits the total encoded size of the deltas. A change that adds
+	// thousands of routes is a megabyte, on every daemon.
 	maxDeltaBytes = 1 << 20
 )
 
-// State is the agreed state as far as it is known at one place.
+// State is the agreed state as far as it is known locally.
 type State struct {
 	ConfigVersion uint64
 	ConfigDigest  uint64
@@ -31,25 +31,25 @@
 	Pending       *vm.Membership
 }
 
-// History answers what others ask for: the changes and memberships that lead
-// from what they have to the newest state. It may be used by several goroutines.
+// History keeps the newest state and the recent deltas and memberships, and fills
+// replies with what the requester does not have. It is safe for concurrent use.
 type History struct {
 	mu          sync.Mutex
 	state       State
-	deltas      []*wire.TreeDelta // consecutive, the last leads to state.ConfigVersion
-	memberships []*vm.Membership  // oldest first; settled and pending ones
+	deltas      []*wire.TreeDelta // consecutive; the last leads to state.ConfigVersion
+	memberships []*vm.Membership  // settled and pending ones, oldest first
 	deltaBytes  int
-	snapshot    []byte            // encoded state.Tree, nil until asked for
-	packed      map[uint64][]byte // long state after a version, as it is sent; 0: the snapshot
+	snapshot    []byte            // encoded state.Tree; nil until requested
+	packed      map[uint64][]byte // compressed state by the requester's version; 0: the snapshot
 	changed     chan struct{}
 }
 
 // NewHistory returns an empty history.
 func NewHistory() *History { return &History{changed: make(chan struct{})} }
 
-// Advance replaces the state. Deltas are the changes that lead to it; those that
-// are already kept are left out, and a gap drops what was kept before it. A state
-// with a lower version or epoch is left out.
+// Update replaces the state. Deltas are the changes that lead to it; those that are
+// already kept are ignored, and a gap discards the ones kept before it. A state with a
+// lower version or epoch is ignored.
 func (h *History) Advance(s State, deltas []*wire.TreeDelta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -81,7 +81,7 @@
 	if h.lastDelta() != version {
 		h.deltas, h.deltaBytes = nil, 0
 	}
-	// The newest is kept however long it is: every daemon asks for it.
+	// The newest delta is kept whatever its size, as every daemon requests it.
 	for len(h.deltas) > 1 && (len(h.deltas) > maxDeltas || h.deltaBytes > maxDeltaBytes) {
 		h.deltaBytes -= proto.Size(h.deltas[0])
 		h.deltas[0] = nil
@@ -115,14 +115,14 @@
 	return nil
 }
 
-// State returns the newest state and a channel closed at the next Advance.
+// State returns the newest state and a channel that is closed at the next Update.
 func (h *History) State() (State, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.state, h.changed
 }
 
-// HasNews reports whether the state holds something that the sender of req does
+// NewerThan reports whether the state contains anything that the sender of req does
 // not have.
 func (s *State) HasNews(req *wire.SyncRequest) bool {
 	return s.hasConfigNews(req) ||
@@ -138,7 +138,8 @@
 	return s.ConfigVersion > req.GetHaveConfig() || s.ConfigDigest != req.GetHaveDigest()
 }
 
-// Fill writes the newest state into reply, leaving out what req says is there.
+// FillReply writes the newest state into reply, except for what the requester already
+// has according to req.
 func (h *History) Fill(req *wire.SyncRequest, reply *wire.SyncReply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -175,8 +176,8 @@
 	}
 }
 
-// pack replaces long state in reply by its packed form, which is made once and kept
-// until the state changes: all daemons ask for the same at the same moment.
+// compress replaces large state in reply by its compressed form, which is cached until
+// the state changes, as all daemons request the same state at the same time.
 func (h *History) pack(key uint64, reply *wire.SyncReply) {
 	state := &wire.SyncReply{Deltas: reply.Deltas, Snapshot: reply.Snapshot}
 	packed, known := h.packed[key]
@@ -186,7 +187,7 @@
 		}
 		var err error
 		if packed, err = packState(state); err != nil {
-			klog.Errorf("relay: state is sent unpacked: %v", err)
+			klog.Errorf("relay: compressing state failed, sending it uncompressed: %v", err)
 			return
 		}
 		if h.packed == nil {
@@ -197,8 +198,8 @@
 	reply.Deltas, reply.Snapshot, reply.Packed = nil, nil, packed
 }
 
-// deltasAfter returns the changes after version, if they are kept and the sender's
-// tree of that version is the one they were made on.
+// deltasAfter returns the changes after version. It reports false if they are not kept
+// or were made on another tree than the requester's tree of that version.
 func (h *History) deltasAfter(version, digest uint64) ([]*wire.TreeDelta, bool) {
 	if version == 0 || len(h.deltas) == 0 {
 		return nil, false
--- a/internal/relay/leader_test.go
+++ b/internal/relay/leader_test.go
@@ -14,8 +14,8 @@
 
 const modelLease = 6 * time.Second
 
-// modelLeader is the leader as daemons see it: it agrees with itself at once, and
-// hands shares on only as package relay is promised it does.
+// modelLeader is a leader as daemons see it. It agrees on state without other control
+// VMs, and it hands shares on only under the conditions that package relay relies on.
 type modelLeader struct {
 	clock    vm.Clock
 	history  *History
@@ -24,7 +24,7 @@
 	mu     sync.Mutex
 	state  State
 	heard  map[run]*heardRun
-	since  vm.Instant // of its election: everyone counts as heard then
+	since  vm.Instant // every run counts as having sent a heartbeat then
 	quorum bool
 }
 
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// restart is an election won by another control VM with the same agreed state.
+// restart simulates the election of another control VM with the same agreed state.
 func (l *modelLeader) restart() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +124,7 @@
 	return unknown
 }
 
-// run steps the leader until ctx is done.
+// run runs the leader's periodic work until ctx is done.
 func (l *modelLeader) run(ctx context.Context) {
 	for vm.Sleep(ctx, 50*time.Millisecond) {
 		l.mu.Lock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// alive reports whether a run may still hold a lease.
+// mayHoldLease reports whether a run may still hold a lease.
 func (l *modelLeader) alive(key run) (*heardRun, bool) {
 	h, ok := l.heard[key]
 	if !ok {
@@ -180,7 +180,8 @@
 	l.state.Settled, l.state.Pending = l.state.Pending, nil
 }
 
-// propose makes the membership that heartbeats call for the pending one.
+// proposeMembership makes a membership of the daemons that sent a heartbeat recently
+// the pending one.
 func (l *modelLeader) propose() {
 	if l.state.Pending != nil {
 		return
@@ -208,7 +209,7 @@
 	}
 }
 
-// confirm raises the version in force.
+// updateInForce raises the version in force.
 func (l *modelLeader) confirm() {
 	lowest := l.state.ConfigVersion
 	for key := range l.members() {
--- a/internal/relay/pack.go
+++ b/internal/relay/pack.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// packAbove is the size from which state is packed. Paths and names of settings
-	// repeat, so that 2,000 routes of 1.2 MB come to 90 KB; a daemon with a link of
-	// 14 Mbit/s takes 50 ms for those, and 700 ms for the whole.
+	// compressThreshold is the size from which state is compressed. Paths and names of
+	// settings repeat, so that 2,000 routes of 1.2 MB compress to 90 KB. Over a link
+	// of 14 Mbit/s that takes 50 ms instead of 700 ms.
 	packAbove = 4 << 10
-	// maxState bounds unpacked state, in bytes.
+	// maxStateBytes limits the size of decompressed state.
 	maxState = 64 << 20
 )
 
@@ -39,18 +39,18 @@
 	return out.Bytes(), nil
 }
 
-// unpackState puts packed state in its place in r.
+// decompressState replaces the compressed state in r by its decompressed form.
 func unpackState(r *wire.SyncReply) error {
 	if len(r.GetPacked()) == 0 {
 		return nil
 	}
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Packed)), maxState))
 	if err != nil {
-		return errors.Wrap(err, "relay: packed state")
+		return errors.Wrap(err, "relay: decompressing the packed field")
 	}
 	state := &wire.SyncReply{}
 	if err := proto.Unmarshal(raw, state); err != nil {
-		return errors.Wrap(err, "relay: packed state")
+		return errors.Wrap(err, "relay: decoding the packed field")
 	}
 	r.Deltas, r.Snapshot, r.Packed = state.Deltas, state.Snapshot, nil
 	return nil
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -6,16 +6,17 @@
 	"pearmoor/internal/vm"
 )
 
-// Placed is a group of a service's leaves with the daemons that hold a share of
-// at least one of them now, best first.
+// GroupHomes is a group of a service's leaves with its homes: the daemons that
+// currently have a share of at least one leaf of the group, best first.
 type Placed struct {
 	domain.Group
 	Homes []vm.Member
 }
 
-// Placement returns the groups of a service's leaves and the homes of each that
-// hold a share now. A group may have no home for as long as a transition lasts.
-// E is the service's own; its path is the key, however the caller spells it.
+// LeafGroups returns the groups of a service's leaves, each with the homes that
+// currently have a share. During a membership transition a group may have no home. The
+// result is cached by e, whose path is canonical; the caller's spelling of the path is
+// not used.
 func (v *View) Placement(_ string, e *settings.Effective) []Placed {
 	if v.placements == nil {
 		return v.usable(e)
@@ -28,8 +29,8 @@
 	return got
 }
 
-// HomesOf returns the daemons that hold a share of at least one leaf of the
-// service now, best first.
+// HomesOf returns the daemons that currently have a share of at least one leaf of the
+// service, best first.
 func (v *View) HomesOf(service string, e *settings.Effective) []vm.Member {
 	groups := v.Placement(service, e)
 	if len(groups) == 1 {
@@ -48,7 +49,8 @@
 	return homes
 }
 
-// usable keeps the homes of the settled membership that hold a share of a leaf.
+// shareHolders returns the groups with those homes of the settled membership that have
+// a share of a leaf.
 func (v *View) usable(e *settings.Effective) []Placed {
 	settled := v.placed(e, v.Settled)
 	out := make([]Placed, len(settled))
@@ -72,7 +74,7 @@
 	return false
 }
 
-// placed returns the groups and homes that one membership alone gives.
+// membershipHomes returns the groups and homes under one membership alone.
 func (v *View) placed(e *settings.Effective, m *vm.Membership) []Placed {
 	if m == nil || len(e.Leaves) == 0 {
 		return nil
@@ -92,13 +94,14 @@
 	return out
 }
 
-// homeCount is the number of homes of a service. A home without a slot or
-// connection of its own could send nothing, so there are at most as many.
+// homeCount returns the number of homes of a service. A home without a slot and a
+// connection could send no request, so there are no more homes than slots or
+// connections of a leaf.
 func homeCount(e *settings.Effective) int {
 	return max(1, min(e.Homes, e.LeafSlots, e.LeafConnections))
 }
 
-// ownerIn returns the service that declares the leaf address in a tree.
+// serviceOf returns the service that declares the leaf address in a tree.
 func (v *View) ownerIn(t *settings.Tree, addr string) (string, bool) {
 	if v.placements == nil {
 		service, ok := ownersOf(t)[addr]
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -8,30 +8,30 @@
 	"pearmoor/internal/vm"
 )
 
-// placements caches what rendezvous hashing gives for the services asked for. The
-// views of one tree and memberships share one.
+// placementCache caches the results of rendezvous hashing for the services asked for.
+// The views with the same tree and memberships share one cache.
 //
-// Every member counts in the choice of every home. Were all homes chosen anew
-// with each epoch and each change of the tree, a daemon of a large tier would
-// spend more on that than on all else that control costs it. So a new placements
-// takes over what the old one knows of services whose settings are the same, and
-// under a new epoch chooses anew only where the members that differ matter.
+// The choice of every home depends on every member. Recomputing all homes with each
+// epoch and each change of the tree would cost a daemon of a large tier more than
+// everything else it does for control. A new cache therefore keeps the entries of
+// services whose settings are unchanged, and under a new epoch it recomputes only the
+// groups that the changed members affect.
 type placements struct {
-	byEpoch sync.Map // epochKey -> []Placed: homes by one membership alone
-	usable  sync.Map // *settings.Effective -> []Placed: homes that hold a share
-	owners  sync.Map // *settings.Tree -> map[string]string: leaf address to service
+	byEpoch sync.Map // epochKey -> []GroupHomes: homes under one membership alone
+	usable  sync.Map // *settings.Effective -> []GroupHomes: homes that have a share
+	owners  sync.Map // *settings.Tree -> map[string]string: service by leaf address
 	base    *vm.Membership
 	changes sync.Map // epoch -> []domain.Change: from base to that epoch
 }
 
-// epochKey keeps the trees of different versions apart by their Effective, which
-// is one pointer per node and tree.
+// epochKey identifies a service's settings and an epoch. Each tree has its own
+// Effective for a node, so the keys of different versions differ.
 type epochKey struct {
 	effective *settings.Effective
 	epoch     uint64
 }
 
-// follow returns the placements of next, which replaces v.
+// successor returns the cache for next, which replaces v.
 func (p *placements) follow(v, next *View) *placements {
 	out := &placements{base: v.Members()}
 	if p == nil || out.base == nil {
@@ -60,7 +60,7 @@
 	return got
 }
 
-// derive works out the homes under m from those under the base.
+// deriveHomes computes the homes under m from those under the base membership.
 func (p *placements) derive(e *settings.Effective, m *vm.Membership) []Placed {
 	if p.base == nil {
 		return place(e, m)
--- a/internal/relay/placements_test.go
+++ b/internal/relay/placements_test.go
@@ -34,7 +34,7 @@
 	return m
 }
 
-// changeOne gives one member another phase or incarnation in the next epoch.
+// changeMember gives one member another phase and incarnation in the next epoch.
 func changeOne(m *vm.Membership, i int, p vm.Phase) *vm.Membership {
 	next := &vm.Membership{Epoch: m.Epoch + 1, Members: slices.Clone(m.Members)}
 	next.Members[i].Phase = p
@@ -42,8 +42,8 @@
 	return next
 }
 
-// A daemon that was told of each epoch must choose the same homes as one that
-// starts now: two that differ would both send to a leaf, each with a full share.
+// A daemon that received each epoch must compute the same homes as one that starts
+// now. If they differed, both would send to the same leaf, each with a full share.
 func TestDerivedHomesAreTheSame(t *testing.T) {
 	tree := largeTree(3, 45)
 	rapid.Check(t, func(t *rapid.T) {
@@ -53,7 +53,7 @@
 			for _, path := range tree.Services("") {
 				e, _ := tree.Effective(path)
 				if got, want := v.placed(e, v.Settled), place(e, v.Settled); !reflect.DeepEqual(got, want) {
-					t.Fatalf("epoch %d: %+v, chosen anew: %+v", v.Settled.Epoch, got, want)
+					t.Fatalf("epoch %d: derived %+v, computed %+v", v.Settled.Epoch, got, want)
 				}
 			}
 			who := rapid.IntRange(0, len(m.Members)-1).Draw(t, "who")
@@ -67,7 +67,7 @@
 	})
 }
 
-// heap returns the bytes in use.
+// heapInUse returns the heap size in bytes after a garbage collection.
 func heap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -75,8 +75,8 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkEpoch gives the time to know all homes after one member has changed,
-// and the memory of tree, membership and all homes.
+// BenchmarkMembershipChange reports the time to compute all homes after one member has
+// changed, and the memory used by the tree, the membership and all homes.
 func BenchmarkEpoch(b *testing.B) {
 	before := heap()
 	tree := largeTree(49, 470)
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -11,22 +11,22 @@
 	"pearmoor/internal/vm"
 )
 
-// The reasons for which a relay takes no more on.
+// Errors for a request that a relay refuses.
 var (
 	errNoHeartbeat = errors.New("relay: a sync request needs a heartbeat; send the daemon's own first")
 	errBusy        = errors.New("relay: too many daemons sync here; use another relay or control")
 )
 
-// statelessHold is how long a call is held at a daemon that knows no state itself.
-// In a restart of everything a daemon may ask one that has only just started too;
-// held there for an interval of 0.5 s, it learns of the leader that much later. With
-// a shorter hold children turn to the leader before their relay has heard it: of 300
-// daemons 585 calls in the first second with 200 ms or an interval, 639 with 100 ms,
-// 801 with none.
+// statelessHoldTime is how long a call is held by a daemon that has no state itself.
+// In a restart of all VMs a daemon may contact another one that has just started, too;
+// if its call were held there for an interval of 0.5 s, it would learn of the leader
+// that much later. With a shorter hold time children contact the leader before their
+// relay has an answer: 300 daemons made 585 calls in the first second with 200 ms or
+// an interval, 639 with 100 ms, 801 with none.
 const statelessHold = 200 * time.Millisecond
 
-// Server returns the server that answers the daemons for which this one is a
-// relay. It passes their heartbeats up and grants nothing of its own.
+// Server returns the server for the daemons that use this one as a relay. It forwards
+// their heartbeats and grants no leases of its own.
 func (c *Client) Server() wire.DRPCSpreadServer { return &server{client: c} }
 
 type server struct {
@@ -67,16 +67,16 @@
 	}
 	s.hold(ctx, req, hbs, arrived, hold)
 	reply := &wire.SyncReply{}
-	// Grants before state: a grant must never be newer than the state that goes
-	// with it, or the child would use shares that are no longer its own.
+	// Fill in the grants before the state. A grant must never be newer than the state
+	// sent with it, or the child would use shares that it no longer has.
 	s.fillGrants(reply, hbs, arrived)
 	c.history.Fill(req, reply)
 	return reply, nil
 }
 
-// hold waits until there is something to say: newer state, a grant for one who
-// has none to speak of, the loss of this relay's own upstream, or the end of the
-// time asked for.
+// waitForNews waits until there is something to reply: newer state, a grant for a
+// sender whose grant has expired or is about to, the loss of this relay's own
+// upstream, or the end of the requested hold time.
 func (s *server) hold(ctx context.Context, req *wire.SyncRequest, hbs []*wire.Heartbeat, arrived vm.Instant, d time.Duration) {
 	c := s.client
 	timer := time.NewTimer(d)
@@ -109,8 +109,8 @@
 	return false
 }
 
-// cutOff reports whether no leader has confirmed this daemon for two intervals
-// and the longest that a lost call goes unnoticed.
+// isCutOff reports whether no leader has confirmed this daemon for two intervals plus
+// the longest time for which a lost call goes unnoticed.
 func (c *Client) cutOff() bool {
 	limit := 2*c.interval() + callMargin
 	c.mu.Lock()
@@ -118,9 +118,9 @@
 	return c.confirmed != 0 && c.cfg.Clock().Sub(c.confirmed) > limit
 }
 
-// fillGrants passes on the leader's answers. The child counts its lease from when
-// it sent the request, which was before it arrived here; what a grant was older
-// than that at arrival is its age.
+// fillGrants adds the leader's grants to the reply. The child counts its lease from
+// when it sent the request, which was before the request arrived here. The age of a
+// grant is the time from its start to the arrival of the request.
 func (s *server) fillGrants(r *wire.SyncReply, hbs []*wire.Heartbeat, arrived vm.Instant) {
 	grants, _ := s.client.children.grantsOf(hbs)
 	for i, g := range grants {
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -8,23 +8,23 @@
 	"pearmoor/internal/vm"
 )
 
-// share is a daemon's part of one leaf.
+// share is the part of one leaf's slots and connections that a daemon may use.
 type share struct{ slots, conns int }
 
 func (s share) min(o share) share {
 	return share{slots: min(s.slots, o.slots), conns: min(s.conns, o.conns)}
 }
 
-// Share returns how many slots and connections of the leaf at leafIndex of a
-// service the daemon self may use under this view.
+// Share returns how many slots and connections of the leaf at leafIndex of a service
+// the daemon self may use under this view.
 //
-// Daemons learn a new membership or configuration at different moments. If each
-// used its newest share at once, the shares of a leaf could sum to more than its
-// slots until the last daemon had followed, and the leaf would be overloaded. A
-// daemon therefore uses the least of its shares over every membership and
-// configuration that some daemon may still go by. The settled epoch and the
-// version in force everywhere are among these for every daemon with a lease, so
-// the sum over all of them stays within that version's total.
+// Daemons learn of a new membership or configuration at different times. If each used
+// its newest share immediately, the shares of a leaf could add up to more than its
+// slots until the last daemon had caught up, and the leaf would be overloaded. A
+// daemon therefore uses the smallest of its shares over every membership and
+// configuration that any daemon may still use. These include the settled epoch and the
+// version in force everywhere on every daemon with a lease, so the sum over all
+// daemons stays within the limits of that version.
 func (v *View) Share(_ string, e *settings.Effective, leafIndex int, self vm.Identity) (slots, conns int) {
 	if v.Settled == nil || leafIndex < 0 || leafIndex >= len(e.Leaves) || !v.knowsOlder() {
 		return 0, 0
@@ -38,8 +38,8 @@
 	return least.slots, least.conns
 }
 
-// find returns where an older tree declares the leaf at leafIndex of e. A leaf
-// that it does not declare is used by nobody who goes by that tree.
+// locateLeaf returns where the older tree t declares the leaf at leafIndex of e. A
+// leaf that t does not declare is not used by any daemon on that tree.
 func (v *View) find(t *settings.Tree, e *settings.Effective, leafIndex int) (*settings.Effective, int, bool) {
 	addr := e.Leaves[leafIndex].Addr
 	older, ok := t.Effective(e.Path)
@@ -69,7 +69,7 @@
 	return 0, false
 }
 
-// shareUnder is the daemon's share under one configuration.
+// configShare returns the daemon's share under one configuration.
 func (v *View) shareUnder(e *settings.Effective, leafIndex int, self vm.Identity) share {
 	least := v.epochShare(e, leafIndex, self, v.Settled)
 	if v.Pending != nil && least != (share{}) {
@@ -93,7 +93,7 @@
 	return share{}
 }
 
-// rotation decides which homes get the remainder of a leaf's slots. It is a hash
-// of the leaf's name and not its place in the list, where a leaf added before it
-// would move the remainder to another home.
+// remainderOffset determines which homes get the remainder of a leaf's slots. It is a
+// hash of the leaf's name instead of its position in the list, as a leaf inserted
+// before it would move the remainder to another home.
 func rotation(leaf string) int { return int(xxhash.Sum64String(leaf) >> 33) }
--- a/internal/relay/shares_test.go
+++ b/internal/relay/shares_test.go
@@ -37,13 +37,13 @@
 	}), 1, 25).Draw(t, "faults")
 }
 
-// The caller's target is overloaded when daemons that know different memberships
-// or configurations each use the share that theirs gives them. Daemons here join,
-// crash, drain, pause, are cut off, get replies late and crossed, and follow
-// changes of homes, slots and leaves, through relays or not; each fills its
-// shares whenever it may. What all have in flight at a leaf never exceeds its
-// slots under the version that is in force everywhere, and no daemon believes
-// its lease longer than the leader does.
+// A leaf is overloaded if daemons that know different memberships or configurations
+// each use their full share under what they know. Daemons join, crash, drain, pause,
+// are cut off, get replies late and out of order, and apply changes of homes, slots
+// and leaves, with and without relays; each uses its full shares whenever it may. The
+// requests of all daemons in flight at a leaf must never exceed its slots under the
+// version that is in force everywhere, and no daemon may believe that its lease lasts
+// longer than the leader does.
 func TestSharesNeverExceedSlots(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -58,7 +58,7 @@
 			broken = w.play(direct, faults)
 			cancel()
 			w.running.Wait()
-			time.Sleep(2 * time.Minute) // calls that hang end
+			time.Sleep(2 * time.Minute) // lets hanging calls time out
 		})
 		if broken != nil {
 			rt.Fatal(broken)
@@ -66,7 +66,7 @@
 	})
 }
 
-// play runs a schedule and returns the first overload seen.
+// runSchedule runs a schedule of faults and returns the first violation.
 func (w *world) play(direct int, faults []fault) error {
 	_ = w.leader.edit(
 		set(service, "leaf-slots", "4"),
@@ -147,7 +147,7 @@
 	}
 }
 
-// move puts leaf b into the one or the other service.
+// moveLeaf moves leaf b to the first service if value is odd, otherwise to the second.
 func (w *world) move(value int) {
 	first, second := "a=127.0.0.1:1@hall-0,b=127.0.0.1:2@hall-1", "c=127.0.0.1:3@hall-1"
 	if value%2 == 0 {
@@ -156,7 +156,7 @@
 	_ = w.leader.edit(set(service, "leaves", first), set("/desk/s2", "leaves", second))
 }
 
-// watch looks at every leaf every few milliseconds for a while.
+// checkFor checks leases and leaves every few milliseconds for d.
 func (w *world) watch(d time.Duration) error {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(7 * time.Millisecond)
@@ -179,25 +179,25 @@
 	w.leader.mu.Unlock()
 	slots, used := w.slotsAt(inForce, addr), w.used(addr)
 	if used > slots {
-		return fmt.Errorf("%d in flight at %s, which has %d slots under version %d", used, addr, slots, inForce)
+		return fmt.Errorf("%d requests in flight at %s, which has %d slots under version %d", used, addr, slots, inForce)
 	}
 	return nil
 }
 
-// checkLeases compares each daemon's lease with the leader's account of it.
+// checkLeases compares each daemon's lease with the leader's record of it.
 func (w *world) checkLeases() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, d := range w.daemons {
 		self, until := d.client.cfg.Self, d.client.Current().Lease
 		if last := w.leader.leaseEnd(run{name: self.Name, incarnation: self.Incarnation}); until > last {
-			return fmt.Errorf("%s believes its lease %v longer than the leader", self.Name, until.Sub(last))
+			return fmt.Errorf("%s believes its lease lasts %v longer than the leader does", self.Name, until.Sub(last))
 		}
 	}
 	return nil
 }
 
-// slotsAt returns a leaf's slots under a configuration version.
+// slotsAt returns the slots of a leaf under a configuration version.
 func (w *world) slotsAt(version uint64, addr string) int {
 	w.leader.history.mu.Lock()
 	deltas := w.leader.history.deltas
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -12,13 +12,13 @@
 	"pearmoor/internal/vm"
 )
 
-// maxRelays is how many relays a daemon tries before it asks control directly.
+// maxRelays is how many relays a daemon tries before it contacts control directly.
 const maxRelays = 2
 
-// How long an upstream that failed is passed over: doubled with each failure in
-// a row, and jittered, so that daemons that lost one upstream together don't come
-// back together. Control addresses are few and the new leader is one of them, so
-// they are tried again sooner.
+// Limits of the backoff of a failed upstream. It doubles with each consecutive failure
+// and is jittered, so that daemons that lost one upstream together do not return
+// together. Control addresses are few and the new leader is one of them, so their
+// backoff is shorter.
 const (
 	firstControlPause = 100 * time.Millisecond
 	maxControlPause   = time.Second
@@ -26,17 +26,17 @@
 	maxRelayPause     = 30 * time.Second
 )
 
-// upstreams chooses whom to sync with. It is not safe for concurrent use.
+// upstreams selects the address to sync with. It is not safe for concurrent use.
 type upstreams struct {
 	self    vm.Identity
 	control []string // peer addresses of the control group
-	named   bool     // the group itself has named them
-	seeds   []string // peer addresses given at start or since, which may be out of date
-	leader  string   // who was last said to lead, empty if not known
+	named   bool     // control was reported by the group itself
+	seeds   []string // configured peer addresses, which may be outdated
+	leader  string   // last reported leader; empty if unknown
 	paused  map[string]pause
 	rng     *rand.Rand
 
-	relaysFor *vm.Membership // membership that relays were worked out from
+	relaysFor *vm.Membership // membership that relays were selected from
 	relays    []string
 	direct    bool // a relay has failed, and no control VM has answered since
 }
@@ -58,16 +58,16 @@
 	return u
 }
 
-// setControl takes the control group's addresses, as the group names them.
+// setControl sets the control group's addresses as reported by the group.
 func (u *upstreams) setControl(addrs []string) {
 	if len(addrs) > 0 {
 		u.control, u.named = u.spread(addrs), true
 	}
 }
 
-// setSeeds takes addresses to fall back to. Those not known before come first: an
-// earlier one that is no control VM holds a call for statelessHold before it says that
-// it knows nothing.
+// setSeeds sets fallback addresses. Addresses not known before come first: an earlier
+// one that is not a control VM holds a call for statelessHoldTime before it replies
+// without state.
 func (u *upstreams) setSeeds(addrs []string) {
 	var fresh, known []string
 	for _, a := range addrs {
@@ -80,8 +80,8 @@
 	u.seeds = append(u.spread(fresh), known...)
 }
 
-// spread returns the addresses in an order of this daemon's own, so that none is asked
-// first by all.
+// orderForSelf returns the addresses sorted and rotated by a hash of this daemon's
+// name, so that the daemons do not all contact the same one first.
 func (u *upstreams) spread(addrs []string) []string {
 	sorted := slices.Compact(slices.Sorted(slices.Values(addrs)))
 	if len(sorted) == 0 {
@@ -91,9 +91,10 @@
 	return slices.Concat(sorted[first:], sorted[:first])
 }
 
-// candidates lists the addresses to sync with, best first. After a relay has failed a
-// control VM is asked before any relay: two that are lost would else be asked in turn,
-// each while the pause of the other ends, beside a leader that answers.
+// candidates lists the addresses to sync with, best first. After a relay has failed,
+// control VMs come before relays. Otherwise, with two lost relays, the daemon would
+// alternate between them, each while the backoff of the other ends, although the
+// leader answers.
 func (u *upstreams) candidates() []string {
 	relays := slices.DeleteFunc(slices.Clone(u.relays), func(a string) bool { return !u.isRelay(a) })
 	if u.direct {
@@ -102,17 +103,17 @@
 	return slices.Concat(relays, u.controlVMs())
 }
 
-// controlVMs lists the addresses where control VMs may be, best first. The one that
-// failed longest ago comes first: in a fixed order two dead ones, whose
-// pauses end as fast as calls are repeated, would be asked in turn for ever, and
-// the daemon would lose its lease beside a third one that works.
+// controlVMs lists the addresses that may be control VMs, best first: the leader, then
+// the others by the end of their backoff, earliest first. In a fixed order a daemon
+// would alternate between two lost ones forever, as their backoffs end as fast as
+// calls are repeated, and would lose its lease although a third one works.
 func (u *upstreams) controlVMs() []string {
 	var list []string
 	if u.leader != "" {
 		list = append(list, u.leader)
 	}
-	// All that were learned may have been replaced while this daemon was cut off,
-	// and those named at its start may never have been of the group.
+	// The learned addresses may all have been replaced while this daemon was cut off,
+	// and the configured ones may never have been in the group.
 	first, last := u.control, u.seeds
 	if !u.named {
 		first, last = u.seeds, u.control
@@ -134,8 +135,8 @@
 	return list
 }
 
-// pick returns the best candidate that is not passed over at now. When all are,
-// it returns the first to become free and how long that takes.
+// pick returns the best candidate that is not backed off at now. If all are, it
+// returns the one whose backoff ends first and the time until then.
 func (u *upstreams) pick(now vm.Instant) (addr string, wait time.Duration) {
 	var soonest vm.Instant
 	for _, candidate := range u.candidates() {
@@ -150,7 +151,7 @@
 	return addr, soonest.Sub(now)
 }
 
-// failed passes addr over for a while.
+// markFailed backs off addr.
 func (u *upstreams) failed(addr string, now vm.Instant) {
 	first, most := firstControlPause, maxControlPause
 	if u.isRelay(addr) {
@@ -164,23 +165,24 @@
 	}
 }
 
-// fails reports whether addr has failed and not worked since.
+// hasFailed reports whether addr has failed and not worked since.
 func (u *upstreams) fails(addr string) bool { return u.paused[addr].last > 0 }
 
-// worked forgets earlier failures of addr.
+// markWorking clears the failures of addr.
 func (u *upstreams) worked(addr string) {
 	delete(u.paused, addr)
 	u.direct = u.direct && u.isRelay(addr)
 }
 
-// isRelay reports whether addr is asked as a relay. A control VM is not: it passes
-// nothing on, and passed over as long as a relay it could not be followed once it leads.
+// isRelay reports whether addr is used as a relay. A control VM is not: it forwards
+// nothing, and with the longer backoff of a relay the daemon could not follow it once
+// it is elected.
 func (u *upstreams) isRelay(addr string) bool {
 	return slices.Contains(u.relays, addr) && !slices.Contains(u.control, addr)
 }
 
-// redirected takes addr as the leader. It reports false when addr was just found
-// not to work: the one who names it has not noticed yet.
+// setLeader sets the leader. It returns false if addr is backed off: the daemon that
+// named it has not noticed yet that it is lost.
 func (u *upstreams) redirected(addr string, now vm.Instant) bool {
 	if u.paused[addr].until > now {
 		return false
@@ -189,12 +191,12 @@
 	return true
 }
 
-// jitter returns a time between half of d and d.
+// jitter returns a random duration between d/2 and d.
 func (u *upstreams) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(u.rng.Int64N(int64(d/2)+1))
 }
 
-// members works out the relays of this daemon from a new membership.
+// updateRelays selects the relays of this daemon from a new membership.
 func (u *upstreams) members(m *vm.Membership, direct, fanout int) {
 	if m == u.relaysFor {
 		return
@@ -203,14 +205,14 @@
 	u.relays = relaysOf(m, u.self, direct, fanout)
 }
 
-// relaysOf returns the peer addresses of the relays that self should use, best
-// first. There are none when the leader can take all members, and for a relay,
-// which syncs with the leader.
+// selectRelays returns the peer addresses of the relays that self should use, best
+// first. There are none if the leader can serve all members directly, or if self is a
+// relay, which syncs with the leader.
 //
-// Relays are the members of a failure domain that rendezvous hashing chooses, one
-// for each fanout members and one more, so that the loss of one leaves enough.
-// Each daemon ranks them by a hash of its own, so that the daemons of a lost
-// relay spread over all that are left.
+// The relays of a failure domain are members of it chosen by rendezvous hashing, one
+// for each fanout members plus one, so that enough are left if one is lost. Each
+// daemon ranks them by a hash of its own name, so that the daemons of a lost relay
+// spread over all remaining ones.
 func relaysOf(m *vm.Membership, self vm.Identity, direct, fanout int) []string {
 	if m == nil || len(m.Members) <= direct {
 		return nil
--- a/internal/relay/upstream_test.go
+++ b/internal/relay/upstream_test.go
@@ -11,16 +11,16 @@
 	"pearmoor/internal/vm"
 )
 
-// Two of three control VMs are lost, and the daemon's pauses between calls are as
-// long as those after which a lost address is tried again. Callers would be told
-// unconfirmed for as long as the two are lost: asked in a fixed order, they take
-// turns and the third, which works, is never asked.
+// Two of three control VMs are lost, and the daemon's delays between calls are as long
+// as the backoff of a lost address. In a fixed order the daemon would alternate
+// between the two and never contact the third, which works, and callers would be told
+// unconfirmed until one of the two returns.
 func TestLivingControlIsNotStarved(t *testing.T) {
 	Convey("Given three control addresses of which two fail every time", t, func() {
 		u := newUpstreams(identity("d1", 1), []string{"a", "b", "c"})
 		works := u.control[2]
 		now := vm.Instant(time.Second)
-		Convey("the third is asked within three calls", func() {
+		Convey("the third is contacted within three calls", func() {
 			for range 3 {
 				addr, _ := u.pick(now)
 				if addr == works {
@@ -29,9 +29,9 @@
 				u.failed(addr, now)
 				now = now.Add(2 * maxControlPause)
 			}
-			So("never asked", ShouldEqual, works)
+			So("never contacted", ShouldEqual, works)
 		})
-		Convey("it is asked as long as the others' failures are remembered", func() {
+		Convey("it is contacted as long as the others are backed off", func() {
 			for range 8 {
 				u.failed(u.control[0], now)
 				u.failed(u.control[1], now)
@@ -45,9 +45,10 @@
 }
 
 // A daemon has just started and control has confirmed its configuration, but the
-// agreed membership does not hold this run yet. It must not take work: control
-// says "in force everywhere" without waiting for it, so callers could be answered
-// under an older configuration. With the membership the same lease counts.
+// agreed membership does not contain this run yet. Control reports a version as in
+// force everywhere without waiting for this run, so the run must not accept requests:
+// it could answer callers under an older configuration. The same lease counts once the
+// membership contains the run.
 func TestLeaseCountsFromMembershipOn(t *testing.T) {
 	Convey("Given a daemon whose lease is granted before it is a member", t, func() {
 		self := identity("d1", 2)
@@ -60,7 +61,7 @@
 		c.renew(now, reply)
 		So(c.Current().Confirmed(now), ShouldBeFalse)
 
-		Convey("the lease counts once its own run is agreed on", func() {
+		Convey("the lease counts once the membership contains its own run", func() {
 			reply.PendingEpoch = 2
 			reply.Pending = &wire.MembershipDelta{FromEpoch: 1, ToEpoch: 2,
 				Upserts: []*wire.Vm{vm.ToWire(vm.Member{Identity: self, Phase: vm.Serving})}}
@@ -71,10 +72,10 @@
 	})
 }
 
-// The addresses named at a daemon's start are of VMs that do not belong to the
-// control group; where the group is, it hears from others a moment later. Asked in
-// a fixed order, the three useless ones would be free again, one after the other,
-// each time the daemon looks, and the group would never be asked.
+// A daemon starts with addresses of VMs that are not in the control group and learns
+// the group's address a moment later. In a fixed order the backoff of one of the three
+// wrong addresses would have ended at each retry, and the group would never be
+// contacted.
 func TestSeedsHeardLaterAreAsked(t *testing.T) {
 	useless := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	u := newUpstreams(vm.Identity{Name: "vm"}, useless)
@@ -86,21 +87,21 @@
 			return
 		}
 		u.failed(addr, now)
-		now = now.Add(600 * time.Millisecond) // a call that was held and confirmed nothing
+		now = now.Add(600 * time.Millisecond) // a held call that confirmed nothing
 	}
-	t.Fatal("the address heard later was never asked")
+	t.Fatal("the address added later was never contacted")
 }
 
-// The same, but the useless ones answer: each holds a call before it says that it knows
-// nothing, and callers are turned away meanwhile.
+// As above, but the wrong addresses answer: each holds a call before it replies
+// without state, and callers are refused in the meantime.
 func TestSeedsHeardLaterAreAskedFirst(t *testing.T) {
 	u := newUpstreams(vm.Identity{Name: "vm"}, []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	u.setSeeds([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.9:1"})
 	if addr, _ := u.pick(0); addr != "10.0.0.9:1" {
-		t.Fatalf("%s is asked first, not the address heard last", addr)
+		t.Fatalf("%s is contacted first, not the address added last", addr)
 	}
 	u.setControl([]string{"10.0.0.4:1"})
 	if addr, _ := u.pick(0); addr != "10.0.0.4:1" {
-		t.Fatalf("%s is asked first, not the one that the group has named", addr)
+		t.Fatalf("%s is contacted first, not the address reported by the group", addr)
 	}
 }
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -5,32 +5,32 @@
 	"pearmoor/internal/vm"
 )
 
-// View is what a daemon knows of the agreed state. A View is immutable; a newer
-// one replaces it and never has a lower ConfigVersion, InForce or epoch.
+// View is a daemon's local copy of the agreed state. A View is immutable; a newer one
+// replaces it and never has a lower ConfigVersion, InForce or epoch.
 type View struct {
 	ConfigVersion uint64
 	ConfigDigest  uint64
 	Tree          *settings.Tree
 	InForce       uint64         // every daemon with a lease has confirmed this version or a newer one
-	Older         []Version      // the versions from InForce up to the one before ConfigVersion, as far as known
+	Older         []Version      // known versions from InForce up to, but not including, ConfigVersion
 	Settled       *vm.Membership // shares of this epoch may be used
-	Pending       *vm.Membership // nil when no transition is under way
-	Lease         vm.Instant     // new work is allowed strictly before this instant
+	Pending       *vm.Membership // nil if no transition is in progress
+	Lease         vm.Instant     // new requests are accepted strictly before this instant
 
-	placements *placements // shared by the views of one tree and membership; nil: not cached
+	placements *placements // shared by the views of one tree and membership; nil: no caching
 }
 
-// Version is the settings tree of one configuration version.
+// VersionedTree is the settings tree of one configuration version.
 type Version struct {
 	Number uint64
 	Tree   *settings.Tree
 }
 
-// Confirmed reports whether the daemon's lease covers now: its configuration is
-// the one in force and its shares are its own.
+// HoldsLease reports whether the daemon's lease is valid at now. Its configuration is
+// then the one in force, and no other daemon uses its shares.
 func (v *View) Confirmed(now vm.Instant) bool { return now < v.Lease }
 
-// Members returns the newest membership known: the pending one, else the settled
+// Membership returns the newest membership known: the pending one, else the settled
 // one, else nil.
 func (v *View) Members() *vm.Membership {
 	if v.Pending != nil {
@@ -39,11 +39,11 @@
 	return v.Settled
 }
 
-// Epoch returns the newest epoch known, 0 for none.
+// Epoch returns the newest epoch known, or 0 if there is none.
 func (v *View) Epoch() uint64 { return epochOf(v.Members()) }
 
-// knowsOlder reports whether the tree of every version that another daemon may
-// still use is known. Version 0 is the empty tree, under which nothing is shared.
+// knowsOlderVersions reports whether the tree of every version that another daemon may
+// still use is known. Version 0 is the empty tree, under which there are no shares.
 func (v *View) knowsOlder() bool {
 	oldest := max(v.InForce, 1)
 	if v.ConfigVersion <= oldest {
@@ -59,8 +59,8 @@
 	return m.Epoch
 }
 
-// Source gives the newest view. Changed returns a channel that is closed when
-// a view newer than the one last returned by Current may be read.
+// Source provides the newest view. Changed returns a channel that is closed when a
+// view newer than the one last returned by Current may be available.
 type Source interface {
 	Current() *View
 	Changed() <-chan struct{}
