--- a/internal/control/presence/member.go
+++ b/internal/control/presence/member.go
@@ -16,13 +16,13 @@
 func (t *Table) Want(settled *vm.Membership, now vm.Instant) (upserts []*wire.Vm, removes []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	heard := 0 // members that are in the table
+	known := 0 // members that are in the table
 	for i := range settled.Members {
 		old := &settled.Members[i]
-		if _, ok := t.newest[old.Name]; ok {
-			heard++
+		if _, ok := t.newestIncarnation[old.Name]; ok {
+			known++
 		}
-		m, ok := t.wanted(old.Name, now)
+		m, ok := t.desiredMember(old.Name, now)
 		switch {
 		case !ok:
 			removes = append(removes, old.Name)
@@ -30,21 +30,21 @@
 			upserts = append(upserts, vm.ToWire(m))
 		}
 	}
-	if heard < len(t.newest) {
-		upserts = append(upserts, t.joining(settled, now)...)
+	if known < len(t.newestIncarnation) {
+		upserts = append(upserts, t.joiningMembers(settled, now)...)
 	}
 	sort.Slice(upserts, func(i, j int) bool { return upserts[i].Name < upserts[j].Name })
 	return upserts, removes
 }
 
 // joiningMembers returns the serving daemons that are not in the settled membership.
-func (t *Table) joining(settled *vm.Membership, now vm.Instant) []*wire.Vm {
+func (t *Table) joiningMembers(settled *vm.Membership, now vm.Instant) []*wire.Vm {
 	var out []*wire.Vm
-	for name := range t.newest {
+	for name := range t.newestIncarnation {
 		if _, ok := settled.Find(name); ok {
 			continue
 		}
-		if m, ok := t.wanted(name, now); ok && m.Phase == vm.Serving {
+		if m, ok := t.desiredMember(name, now); ok && m.Phase == vm.Serving {
 			out = append(out, vm.ToWire(m))
 		}
 	}
@@ -52,9 +52,9 @@
 }
 
 // desiredMember returns the newest run of a daemon if it should be a member.
-func (t *Table) wanted(name string, now vm.Instant) (vm.Member, bool) {
-	r := t.runs[key{name, t.newest[name]}]
-	if r == nil || !r.mayWork(now) || !takesWork(r.member.Phase) {
+func (t *Table) desiredMember(name string, now vm.Instant) (vm.Member, bool) {
+	r := t.runs[runID{name, t.newestIncarnation[name]}]
+	if r == nil || !r.mayHoldLease(now) || !isActive(r.member.Phase) {
 		return vm.Member{}, false
 	}
 	return r.member, true
@@ -68,8 +68,8 @@
 	defer t.mu.Unlock()
 	for _, ms := range memberships {
 		for i := range ms.Members {
-			r := t.runs[keyOf(&ms.Members[i])]
-			if r != nil && r.mayWork(now) && r.acked < epoch {
+			r := t.runs[runIDOf(&ms.Members[i])]
+			if r != nil && r.mayHoldLease(now) && r.ackedEpoch < epoch {
 				return false
 			}
 		}
@@ -83,8 +83,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.runs {
-		if r.config < newest && r.mayWork(now) && takesWork(r.member.Phase) {
-			newest = r.config
+		if r.confirmedVersion < newest && r.mayHoldLease(now) && isActive(r.member.Phase) {
+			newest = r.confirmedVersion
 		}
 	}
 	return newest
@@ -97,7 +97,7 @@
 	defer t.mu.Unlock()
 	var out []string
 	for _, r := range t.runs {
-		if r.config < version && r.mayWork(now) && takesWork(r.member.Phase) {
+		if r.confirmedVersion < version && r.mayHoldLease(now) && isActive(r.member.Phase) {
 			out = append(out, r.member.Name)
 		}
 	}
@@ -113,8 +113,8 @@
 	out := make([]*wire.DaemonStatus, 0, len(t.runs))
 	for _, r := range t.runs {
 		out = append(out, &wire.DaemonStatus{
-			Vm: vm.ToWire(r.member), ConfigVersion: r.config, AckedEpoch: r.acked,
-			LeaseLeftMs: uint32(max(r.until.Sub(now), 0).Milliseconds()),
+			Vm: vm.ToWire(r.member), ConfigVersion: r.confirmedVersion, AckedEpoch: r.ackedEpoch,
+			LeaseLeftMs: uint32(max(r.leaseEnd.Sub(now), 0).Milliseconds()),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool {
@@ -134,18 +134,18 @@
 // SilentMembers returns the names of the members of any of the memberships that have
 // sent no heartbeat for longer than threshold, sorted. A nil membership has no
 // members.
-func (t *Table) Quiet(now vm.Instant, after time.Duration, of ...*vm.Membership) []string {
+func (t *Table) Quiet(now vm.Instant, threshold time.Duration, memberships ...*vm.Membership) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
-	for _, members := range of {
+	for _, members := range memberships {
 		if members == nil {
 			continue
 		}
 		for i := range members.Members {
 			name := members.Members[i].Name
-			r := t.runs[key{name, t.newest[name]}]
-			if r == nil || now.Sub(r.heard) > after {
+			r := t.runs[runID{name, t.newestIncarnation[name]}]
+			if r == nil || now.Sub(r.lastHeard) > threshold {
 				out = append(out, name)
 			}
 		}
--- a/internal/control/presence/table.go
+++ b/internal/control/presence/table.go
@@ -11,61 +11,61 @@
 // runID identifies one run of a daemon. Leases are kept by run, so that a paused run
 // that resumes does not extend the lease of the run that replaced it, nor the other
 // way round.
-type key struct {
+type runID struct {
 	name        string
 	incarnation uint64
 }
 
-func keyOf(m *vm.Member) key { return key{m.Name, m.Incarnation} }
+func runIDOf(m *vm.Member) runID { return runID{m.Name, m.Incarnation} }
 
 // run is the state of one run of a daemon.
 type run struct {
-	member vm.Member
-	config uint64     // newest configuration version confirmed
-	acked  uint64     // newest epoch acknowledged
-	first  vm.Instant // first heartbeat received by this leader
-	heard  vm.Instant
-	until  vm.Instant // no lease granted to the run ends later
+	member           vm.Member
+	confirmedVersion uint64     // newest configuration version confirmed
+	ackedEpoch       uint64     // newest epoch acknowledged
+	firstHeard       vm.Instant // first heartbeat received by this leader
+	lastHeard        vm.Instant
+	leaseEnd         vm.Instant // no lease granted to the run ends later
 }
 
 // gone reports whether the run has stopped and holds no shares.
 func (r *run) gone() bool { return r.member.Phase == vm.Gone }
 
 // mayHoldLease reports whether the run may hold a lease at now.
-func (r *run) mayWork(now vm.Instant) bool { return !r.gone() && now < r.until }
+func (r *run) mayHoldLease(now vm.Instant) bool { return !r.gone() && now < r.leaseEnd }
 
 // isActive reports whether a daemon in this phase accepts new requests or finishes
 // requests in flight.
-func takesWork(p vm.Phase) bool { return p == vm.Serving || p == vm.Draining }
+func isActive(p vm.Phase) bool { return p == vm.Serving || p == vm.Draining }
 
 // Table is the leader's table of daemons. It is safe for concurrent use.
 type Table struct {
-	mu     sync.Mutex
-	runs   map[key]*run
-	newest map[string]uint64 // by name
+	mu                sync.Mutex
+	runs              map[runID]*run
+	newestIncarnation map[string]uint64 // by name
 }
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{runs: make(map[key]*run), newest: make(map[string]uint64)}
+	return &Table{runs: make(map[runID]*run), newestIncarnation: make(map[string]uint64)}
 }
 
 // Reset initializes the table for a new leader. The members of the memberships may
 // hold leases of the previous leader until leaseEnd and have confirmed nothing to this
 // leader yet.
-func (t *Table) Reset(now, until vm.Instant, memberships ...*vm.Membership) {
+func (t *Table) Reset(now, leaseEnd vm.Instant, memberships ...*vm.Membership) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clear(t.runs)
-	clear(t.newest)
+	clear(t.newestIncarnation)
 	for _, ms := range memberships {
 		if ms == nil {
 			continue
 		}
 		for i := range ms.Members {
 			m := ms.Members[i]
-			t.runs[keyOf(&m)] = &run{member: m, first: now, heard: now, until: until}
-			t.newest[m.Name] = max(t.newest[m.Name], m.Incarnation)
+			t.runs[runIDOf(&m)] = &run{member: m, firstHeard: now, lastHeard: now, leaseEnd: leaseEnd}
+			t.newestIncarnation[m.Name] = max(t.newestIncarnation[m.Name], m.Incarnation)
 		}
 	}
 }
@@ -86,52 +86,52 @@
 // RecordHeartbeats records heartbeats. It returns the names of the daemons that are
 // not granted a lease, and whether anything but the time of the last heartbeat has
 // changed.
-func (t *Table) Beat(hbs []*wire.Heartbeat, now vm.Instant, terms *Terms) (refused []string, news bool) {
+func (t *Table) Beat(hbs []*wire.Heartbeat, now vm.Instant, requirements *Terms) (refused []string, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, hb := range hbs {
-		granted, fresh := t.beat(hb, now, terms)
+		granted, runChanged := t.recordHeartbeat(hb, now, requirements)
 		if !granted {
 			refused = append(refused, hb.GetVm().GetName())
 		}
-		news = news || fresh
+		changed = changed || runChanged
 	}
-	return refused, news
+	return refused, changed
 }
 
-func (t *Table) beat(hb *wire.Heartbeat, now vm.Instant, terms *Terms) (granted, news bool) {
+func (t *Table) recordHeartbeat(hb *wire.Heartbeat, now vm.Instant, requirements *Terms) (granted, changed bool) {
 	m := vm.FromWire(hb.GetVm())
-	r := t.runs[keyOf(&m)]
+	r := t.runs[runIDOf(&m)]
 	if r == nil {
-		r = &run{member: m, first: now}
-		t.runs[keyOf(&m)] = r
-		t.newest[m.Name] = max(t.newest[m.Name], m.Incarnation)
-		news = true
+		r = &run{member: m, firstHeard: now}
+		t.runs[runIDOf(&m)] = r
+		t.newestIncarnation[m.Name] = max(t.newestIncarnation[m.Name], m.Incarnation)
+		changed = true
 	}
-	if r.gone() && !news {
+	if r.gone() && !changed {
 		return false, false // a delayed heartbeat of a run that has ended
 	}
 	if m != r.member {
-		r.member, news = m, true
+		r.member, changed = m, true
 	}
-	news = news || hb.ConfigVersion > r.config || hb.AckedEpoch > r.acked
-	r.config, r.acked = max(r.config, hb.ConfigVersion), max(r.acked, hb.AckedEpoch)
-	r.heard = now
-	if !t.grantable(r, now, terms) {
-		return false, news
+	changed = changed || hb.ConfigVersion > r.confirmedVersion || hb.AckedEpoch > r.ackedEpoch
+	r.confirmedVersion, r.ackedEpoch = max(r.confirmedVersion, hb.ConfigVersion), max(r.ackedEpoch, hb.AckedEpoch)
+	r.lastHeard = now
+	if !t.mayGrant(r, now, requirements) {
+		return false, changed
 	}
-	r.until = max(r.until, now.Add(terms.Lease))
-	return true, news
+	r.leaseEnd = max(r.leaseEnd, now.Add(requirements.Lease))
+	return true, changed
 }
 
-func (t *Table) grantable(r *run, now vm.Instant, terms *Terms) bool {
-	if r.gone() || r.member.Incarnation < t.newest[r.member.Name] {
+func (t *Table) mayGrant(r *run, now vm.Instant, requirements *Terms) bool {
+	if r.gone() || r.member.Incarnation < t.newestIncarnation[r.member.Name] {
 		return false
 	}
-	if now.Sub(r.first) < terms.Patience {
+	if now.Sub(r.firstHeard) < requirements.Patience {
 		return true
 	}
-	return r.config >= terms.Config && r.acked >= terms.Epoch
+	return r.confirmedVersion >= requirements.Config && r.ackedEpoch >= requirements.Epoch
 }
 
 // DeleteExpired deletes the runs whose lease has expired and that have sent no
@@ -139,16 +139,16 @@
 func (t *Table) Sweep(now vm.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for k, r := range t.runs {
-		if now < r.until || now.Sub(r.heard) < forgetAfter {
+	for id, r := range t.runs {
+		if now < r.leaseEnd || now.Sub(r.lastHeard) < expiredRunRetention {
 			continue
 		}
-		delete(t.runs, k)
-		if t.newest[k.name] == k.incarnation {
-			delete(t.newest, k.name)
+		delete(t.runs, id)
+		if t.newestIncarnation[id.name] == id.incarnation {
+			delete(t.newestIncarnation, id.name)
 		}
 	}
 }
 
 // expiredRunRetention keeps an ended run visible to operators for a while.
-const forgetAfter = 10 * time.Second
+const expiredRunRetention = 10 * time.Second
--- a/internal/control/presence/table_test.go
+++ b/internal/control/presence/table_test.go
@@ -14,21 +14,21 @@
 
 const lease = 6 * time.Second
 
-func beatOf(name string, incarnation uint64, phase vm.Phase, config, acked uint64) *wire.Heartbeat {
+func newHeartbeat(name string, incarnation uint64, phase vm.Phase, config, acked uint64) *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Vm:            &wire.Vm{Name: name, Incarnation: incarnation, Phase: uint32(phase)},
 		ConfigVersion: config, AckedEpoch: acked,
 	}
 }
 
-func member(name string, incarnation uint64) vm.Member {
+func newMember(name string, incarnation uint64) vm.Member {
 	return vm.Member{Identity: vm.Identity{Name: name, Incarnation: incarnation}, Phase: vm.Serving}
 }
 
 // daemon is one run with the state that it knows itself.
 type daemon struct {
-	key
-	lease         vm.Instant // as the daemon computes it, from the time it sent the request
+	runID
+	leaseEnd      vm.Instant // as the daemon computes it, from the time it sent the request
 	config, acked uint64
 	paused        bool
 	grantedBy     int // the leader that granted the lease
@@ -36,9 +36,9 @@
 
 // request is a heartbeat in flight.
 type request struct {
-	of   *daemon
-	hb   *wire.Heartbeat
-	sent vm.Instant
+	sender *daemon
+	hb     *wire.Heartbeat
+	sent   vm.Instant
 }
 
 // Guards against shares being handed on, or a version being reported in force, while a
@@ -49,43 +49,43 @@
 // own lease as expired. The same holds for the versions of runs that are not members
 // yet while the leader that granted their lease is in office; such runs accept no
 // requests before they are members.
-func TestTableNeverRunsAheadOfTheDaemons(t *testing.T) {
+func TestTableWaitsForEveryLeaseholder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := vm.Instant(time.Hour)
 		table := New()
 		var runs []*daemon
-		var flying []request
+		var inFlight []request
 		ms := &vm.Membership{Epoch: 1}
 		const epoch, version = 2, 5
 		leader, incarnation := 1, uint64(1)
 		for i := range rapid.IntRange(1, 4).Draw(t, "daemons") {
-			d := &daemon{key: key{fmt.Sprint("d", i), 1}, lease: now.Add(lease)}
+			d := &daemon{runID: runID{fmt.Sprint("d", i), 1}, leaseEnd: now.Add(lease)}
 			runs = append(runs, d)
-			ms.Members = append(ms.Members, member(d.name, d.incarnation))
+			ms.Members = append(ms.Members, newMember(d.name, d.incarnation))
 		}
 		table.Reset(now, now.Add(lease), ms)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			terms := &Terms{Lease: lease, Patience: time.Second}
+			requirements := &Terms{Lease: lease, Patience: time.Second}
 			if rapid.Bool().Draw(t, "strict") {
-				terms.Config, terms.Epoch = version, epoch
+				requirements.Config, requirements.Epoch = version, epoch
 			}
 			d := rapid.SampledFrom(runs).Draw(t, "daemon")
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1:
 				if !d.paused {
-					flying = append(flying, request{d, beatOf(d.name, d.incarnation, vm.Serving, d.config, d.acked), now})
+					inFlight = append(inFlight, request{d, newHeartbeat(d.name, d.incarnation, vm.Serving, d.config, d.acked), now})
 				}
 			case 2, 3:
-				if len(flying) == 0 {
+				if len(inFlight) == 0 {
 					continue
 				}
-				i := rapid.IntRange(0, len(flying)-1).Draw(t, "request")
-				r := flying[i]
-				flying = append(flying[:i], flying[i+1:]...)
-				refused, _ := table.Beat([]*wire.Heartbeat{r.hb}, now, terms)
+				i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "request")
+				r := inFlight[i]
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
+				refused, _ := table.Beat([]*wire.Heartbeat{r.hb}, now, requirements)
 				if len(refused) == 0 && rapid.Bool().Draw(t, "reply arrives") {
-					r.of.lease = max(r.of.lease, r.sent.Add(lease))
-					r.of.grantedBy = leader
+					r.sender.leaseEnd = max(r.sender.leaseEnd, r.sent.Add(lease))
+					r.sender.grantedBy = leader
 				}
 			case 4:
 				d.acked, d.config = epoch, version
@@ -94,7 +94,7 @@
 			case 6:
 				if rapid.IntRange(0, 4).Draw(t, "replace") == 0 {
 					incarnation++
-					runs = append(runs, &daemon{key: key{d.name, incarnation}})
+					runs = append(runs, &daemon{runID: runID{d.name, incarnation}})
 				} else if rapid.IntRange(0, 4).Draw(t, "leader") == 0 {
 					leader++
 					table.Reset(now, now.Add(lease), ms)
@@ -103,17 +103,17 @@
 				now = now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
 				table.Sweep(now)
 			}
-			respected := table.Respected(epoch, now, ms)
+			acknowledged := table.Respected(epoch, now, ms)
 			confirmed := table.Confirmed(version, now) == version
 			for _, d := range runs {
-				if now >= d.lease {
+				if now >= d.leaseEnd {
 					continue
 				}
-				if _, isMember := ms.Find(d.name); respected && isMember && d.incarnation == 1 && d.acked < epoch {
-					t.Fatalf("epoch reported as acknowledged, but %v holds a lease and has not acknowledged it", d.key)
+				if _, isMember := ms.Find(d.name); acknowledged && isMember && d.incarnation == 1 && d.acked < epoch {
+					t.Fatalf("epoch reported as acknowledged, but %v holds a lease and has not acknowledged it", d.runID)
 				}
 				if confirmed && d.config < version && (d.incarnation == 1 || d.grantedBy == leader) {
-					t.Fatalf("version reported as confirmed, but %v holds a lease and has not confirmed it", d.key)
+					t.Fatalf("version reported as confirmed, but %v holds a lease and has not confirmed it", d.runID)
 				}
 			}
 		}
@@ -124,18 +124,18 @@
 // old run may still be running on the leaves, so its share must stay reserved until
 // its lease expires, whatever the new run sends. If the old run was only paused, it
 // must not get another lease.
-func TestRestartedDaemonWaitsForItsOldRun(t *testing.T) {
+func TestRestartedDaemonWaitsForOldLease(t *testing.T) {
 	Convey("The new run's heartbeats neither release the old run's share nor renew its lease", t, func() {
 		now := vm.Instant(time.Hour)
-		terms := &Terms{Lease: lease}
+		requirements := &Terms{Lease: lease}
 		table := New()
-		ms := &vm.Membership{Epoch: 1, Members: []vm.Member{member("d", 1)}}
-		refused, _ := table.Beat([]*wire.Heartbeat{beatOf("d", 1, vm.Serving, 0, 0)}, now, terms)
+		ms := &vm.Membership{Epoch: 1, Members: []vm.Member{newMember("d", 1)}}
+		refused, _ := table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, now, requirements)
 		So(refused, ShouldBeEmpty)
 		later := now.Add(lease - 1)
-		refused, _ = table.Beat([]*wire.Heartbeat{beatOf("d", 2, vm.Serving, 0, 2)}, later, terms)
+		refused, _ = table.Beat([]*wire.Heartbeat{newHeartbeat("d", 2, vm.Serving, 0, 2)}, later, requirements)
 		So(refused, ShouldBeEmpty)
-		refused, _ = table.Beat([]*wire.Heartbeat{beatOf("d", 1, vm.Serving, 0, 0)}, later, terms)
+		refused, _ = table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, later, requirements)
 		So(refused, ShouldResemble, []string{"d"})
 		So(table.Respected(2, later, ms), ShouldBeFalse)
 		So(table.Respected(2, now.Add(lease), ms), ShouldBeTrue)
@@ -149,15 +149,15 @@
 // A VM loses power and is removed from the membership. If it left the list of silent
 // members while the new membership is only pending, daemons that do not know the new
 // membership yet would direct callers to it again.
-func TestLetGoMemberIsSilentUntilAllKnow(t *testing.T) {
+func TestRemovedMemberIsSilentUntilSettled(t *testing.T) {
 	Convey("A lost member is silent while the settled membership contains it", t, func() {
 		now := vm.Instant(time.Hour)
 		table := New()
-		settled := &vm.Membership{Epoch: 1, Members: []vm.Member{member("a", 1), member("lost", 1)}}
-		pending := &vm.Membership{Epoch: 2, Members: []vm.Member{member("a", 1)}}
+		settled := &vm.Membership{Epoch: 1, Members: []vm.Member{newMember("a", 1), newMember("lost", 1)}}
+		pending := &vm.Membership{Epoch: 2, Members: []vm.Member{newMember("a", 1)}}
 		table.Reset(now, now.Add(lease), settled)
 		now = now.Add(lease)
-		table.Beat([]*wire.Heartbeat{beatOf("a", 1, vm.Serving, 0, 0)}, now, &Terms{Lease: lease})
+		table.Beat([]*wire.Heartbeat{newHeartbeat("a", 1, vm.Serving, 0, 0)}, now, &Terms{Lease: lease})
 		So(table.Quiet(now, time.Second, settled, nil), ShouldResemble, []string{"lost"})
 		So(table.Quiet(now, time.Second, settled, pending), ShouldResemble, []string{"lost"})
 		So(table.Quiet(now, time.Second, pending, nil), ShouldBeEmpty)
@@ -166,16 +166,16 @@
 
 // A daemon shuts down cleanly. Its share must be released immediately instead of when
 // its lease expires, and a delayed heartbeat must not make it a member again.
-func TestGoneDaemonFreesItsShareAtOnce(t *testing.T) {
+func TestGoneDaemonReleasesShareImmediately(t *testing.T) {
 	Convey("A daemon blocks nothing after it has reported Gone", t, func() {
 		now := vm.Instant(time.Hour)
-		terms := &Terms{Lease: lease}
+		requirements := &Terms{Lease: lease}
 		table := New()
-		ms := &vm.Membership{Epoch: 1, Members: []vm.Member{member("d", 1)}}
-		table.Beat([]*wire.Heartbeat{beatOf("d", 1, vm.Serving, 0, 0)}, now, terms)
+		ms := &vm.Membership{Epoch: 1, Members: []vm.Member{newMember("d", 1)}}
+		table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, now, requirements)
 		So(table.Respected(2, now, ms), ShouldBeFalse)
-		table.Beat([]*wire.Heartbeat{beatOf("d", 1, vm.Gone, 0, 0)}, now, terms)
-		refused, _ := table.Beat([]*wire.Heartbeat{beatOf("d", 1, vm.Serving, 0, 0)}, now, terms)
+		table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Gone, 0, 0)}, now, requirements)
+		refused, _ := table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, now, requirements)
 		So(refused, ShouldResemble, []string{"d"})
 		So(table.Respected(2, now, ms), ShouldBeTrue)
 		So(table.Confirmed(5, now), ShouldEqual, 5)
@@ -187,28 +187,28 @@
 // A daemon sends heartbeats but is stuck on an old version. If its lease were renewed,
 // no change would come into force again. Without renewal it blocks the change no
 // longer than its current lease lasts.
-func TestDaemonThatDoesNotFollowLosesItsLease(t *testing.T) {
+func TestDaemonStuckOnOldVersionLosesLease(t *testing.T) {
 	Convey("The change is confirmed once the lease of the stuck daemon has expired", t, func() {
 		now := vm.Instant(time.Hour)
 		table := New()
-		table.Beat([]*wire.Heartbeat{beatOf("d", 1, vm.Serving, 4, 0)}, now, &Terms{Lease: lease})
+		table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 4, 0)}, now, &Terms{Lease: lease})
 		strict := &Terms{Lease: lease, Config: 5, Patience: time.Second}
 		for range 5 {
 			now = now.Add(2 * time.Second)
-			refused, _ := table.Beat([]*wire.Heartbeat{beatOf("d", 1, vm.Serving, 4, 0)}, now, strict)
+			refused, _ := table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 4, 0)}, now, strict)
 			So(refused, ShouldResemble, []string{"d"})
 		}
 		So(table.Confirmed(5, now), ShouldEqual, 5)
 	})
 }
 
-func benchmarkBeats(n, batch int) ([][]*wire.Heartbeat, *Table, vm.Instant) {
+func newBenchmarkTable(n, batch int) ([][]*wire.Heartbeat, *Table, vm.Instant) {
 	table, now := New(), vm.Instant(time.Hour)
 	var batches [][]*wire.Heartbeat
 	for i := 0; i < n; i += batch {
 		var hbs []*wire.Heartbeat
 		for j := i; j < min(i+batch, n); j++ {
-			hb := beatOf(fmt.Sprintf("entry-vm-%05d", j), 1700000000000, vm.Serving, 5, 2)
+			hb := newHeartbeat(fmt.Sprintf("entry-vm-%05d", j), 1700000000000, vm.Serving, 5, 2)
 			hb.Vm.Domain, hb.Vm.Region = "lalitpur-hall", "kathmandu-valley"
 			hb.Vm.PeerAddr, hb.Vm.CallerAddr = "10.12.134.21:7301", "http://10.12.134.21:8080"
 			hbs = append(hbs, hb)
@@ -221,19 +221,19 @@
 
 // BenchmarkRecordHeartbeats records the heartbeats of one relay's exchange, 70
 // daemons, in a table of 3,600 daemons.
-func BenchmarkBeat(b *testing.B) {
-	batches, table, now := benchmarkBeats(3600, 70)
-	terms := &Terms{Lease: lease}
+func BenchmarkRecordHeartbeats(b *testing.B) {
+	batches, table, now := newBenchmarkTable(3600, 70)
+	requirements := &Terms{Lease: lease}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		table.Beat(batches[i%len(batches)], now, terms)
+		table.Beat(batches[i%len(batches)], now, requirements)
 	}
 }
 
 // BenchmarkConfirmedVersion scans a table of 3,600 daemons, as the leader does after a
 // heartbeat that changes the table.
-func BenchmarkConfirmed(b *testing.B) {
-	_, table, now := benchmarkBeats(3600, 70)
+func BenchmarkConfirmedVersion(b *testing.B) {
+	_, table, now := newBenchmarkTable(3600, 70)
 	b.ReportAllocs()
 	for b.Loop() {
 		table.Confirmed(5, now)
@@ -242,8 +242,8 @@
 
 // BenchmarkMembershipChanges compares a table of 3,600 daemons with the settled
 // membership.
-func BenchmarkWant(b *testing.B) {
-	_, table, now := benchmarkBeats(3600, 70)
+func BenchmarkMembershipChanges(b *testing.B) {
+	_, table, now := newBenchmarkTable(3600, 70)
 	upserts, _ := table.Want(&vm.Membership{}, now)
 	settled := &vm.Membership{Epoch: 1}
 	for _, u := range upserts {
--- a/internal/control/state/change.go
+++ b/internal/control/state/change.go
@@ -25,7 +25,7 @@
 	if r := s.Known(c.ChangeId, c.BaseVersion, c.Edits); r != nil {
 		return Result{Reply: r}
 	}
-	if r := s.conflict(c.BaseVersion); r != nil {
+	if r := s.conflictReply(c.BaseVersion); r != nil {
 		return Result{Reply: r}
 	}
 	tree := s.tree.Replay(s.version+1, settings.EditsFromWire(c.Edits))
@@ -44,18 +44,18 @@
 		Before: settings.EditsToWire(settings.Diff(tree, s.tree)),
 	}
 	s.tree, s.version = tree, rec.Version
-	s.steps.add(rec, tree.Digest())
+	s.recent.add(rec, tree.Digest())
 	s.leaseBound = max(s.leaseBound, tree.Tier().DaemonLease)
 	return Result{Reply: &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: rec.Version}, Accepted: rec, Moved: true}
 }
 
 // Check returns the outcome that a change would have now, without applying it.
 func (s *State) Check(r *wire.ChangeRequest) *wire.ChangeReply {
-	if known := s.Settle(r); known != nil {
-		return known
+	if outcome := s.Settle(r); outcome != nil {
+		return outcome
 	}
 	if _, err := s.tree.Apply(s.version+1, settings.EditsFromWire(r.Edits)); err != nil {
-		return invalid(s.version, err)
+		return invalidReply(s.version, err)
 	}
 	return &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: s.version + 1}
 }
@@ -64,16 +64,16 @@
 // change was accepted before, or its base version is not the newest. Otherwise it
 // returns nil.
 func (s *State) Settle(r *wire.ChangeRequest) *wire.ChangeReply {
-	if known := s.Known(r.ChangeId, r.BaseVersion, r.Edits); known != nil {
-		return known
+	if outcome := s.Known(r.ChangeId, r.BaseVersion, r.Edits); outcome != nil {
+		return outcome
 	}
-	return s.conflict(r.BaseVersion)
+	return s.conflictReply(r.BaseVersion)
 }
 
 // PriorOutcome returns the reply to a change whose id an accepted change has used, or
 // nil if there is none among the recent changes.
 func (s *State) Known(id string, base uint64, edits []*wire.Edit) *wire.ChangeReply {
-	rec := s.steps.byID(id)
+	rec := s.recent.recordByID(id)
 	if rec == nil {
 		return nil
 	}
@@ -86,27 +86,27 @@
 	if rec.BaseVersion == base && slices.EqualFunc(rec.Edits, edits, func(a, b *wire.Edit) bool { return proto.Equal(a, b) }) {
 		return &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: rec.Version, Resend: true}
 	}
-	return invalid(rec.Version, contract.Faults{{
+	return invalidReply(rec.Version, contract.Faults{{
 		Field: "change_id", Value: id,
 		Why: fmt.Sprintf("it already names another change, version %d", rec.Version),
 		Fix: "choose a new change id for a new change",
 	}})
 }
 
-func (s *State) conflict(base uint64) *wire.ChangeReply {
+func (s *State) conflictReply(base uint64) *wire.ChangeReply {
 	if base == s.version {
 		return nil
 	}
 	if base > s.version {
-		return invalid(s.version, contract.Faults{{
+		return invalidReply(s.version, contract.Faults{{
 			Field: "base_version", Value: fmt.Sprint(base),
 			Why: fmt.Sprintf("the newest version is %d", s.version),
 			Fix: "read the tree again and base the change on the version read",
 		}})
 	}
-	return &wire.ChangeReply{Outcome: wire.Outcome_CONFLICT, Version: s.version, Conflict: s.steps.at(base + 1)}
+	return &wire.ChangeReply{Outcome: wire.Outcome_CONFLICT, Version: s.version, Conflict: s.recent.record(base + 1)}
 }
 
-func invalid(version uint64, err error) *wire.ChangeReply {
+func invalidReply(version uint64, err error) *wire.ChangeReply {
 	return &wire.ChangeReply{Outcome: wire.Outcome_INVALID, Version: version, Faults: settings.FaultsToWire(err)}
 }
--- a/internal/control/state/snapshot.go
+++ b/internal/control/state/snapshot.go
@@ -20,8 +20,8 @@
 		InForce:   s.inForce, LeaseBoundMs: uint32(s.leaseBound / time.Millisecond),
 		LastUnixMs: s.lastUnixMS,
 	}
-	for _, st := range s.steps.list {
-		out.Steps = append(out.Steps, &wire.ChangeStep{Record: st.rec, Digest: st.digest})
+	for _, change := range s.recent.list {
+		out.Steps = append(out.Steps, &wire.ChangeStep{Record: change.record, Digest: change.digest})
 	}
 	return proto.MarshalOptions{Deterministic: true}.Marshal(out)
 }
@@ -50,8 +50,8 @@
 	}
 	s.pending = vm.MembershipFromWire(in.Pending)
 	s.lastEpoch = in.LastEpoch
-	for _, st := range in.Steps {
-		s.steps.add(st.Record, st.Digest)
+	for _, change := range in.Steps {
+		s.recent.add(change.Record, change.Digest)
 	}
 	s.leaseBound = max(time.Duration(in.LeaseBoundMs)*time.Millisecond, tree.Tier().DaemonLease)
 	s.lastUnixMS = in.LastUnixMs
--- a/internal/control/state/state.go
+++ b/internal/control/state/state.go
@@ -16,7 +16,7 @@
 	tree    *settings.Tree
 	version uint64
 	inForce uint64
-	steps   steps
+	recent  recentChanges
 
 	settled   *vm.Membership
 	pending   *vm.Membership // nil if there is none
@@ -28,7 +28,7 @@
 
 // New returns the state before the first entry.
 func New() *State {
-	s := &State{tree: settings.New(), settled: &vm.Membership{}, steps: newSteps()}
+	s := &State{tree: settings.New(), settled: &vm.Membership{}, recent: newRecentChanges()}
 	s.leaseBound = s.tree.Tier().DaemonLease
 	return s
 }
@@ -90,7 +90,7 @@
 		return Result{}
 	}
 	ms := s.advanceClock(c.UnixMs)
-	s.steps.markInForce(s.inForce+1, c.Version, ms)
+	s.recent.markInForce(s.inForce+1, c.Version, ms)
 	s.inForce = c.Version
 	return Result{InForce: c.Version, InForceUnixMS: ms, Moved: true}
 }
--- a/internal/control/state/state_test.go
+++ b/internal/control/state/state_test.go
@@ -14,7 +14,7 @@
 	"pearmoor/internal/vm"
 )
 
-func encode(t interface{ Fatal(...any) }, c *wire.Command) []byte {
+func mustMarshal(t interface{ Fatal(...any) }, c *wire.Command) []byte {
 	b, err := proto.Marshal(c)
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	}}}
 }
 
-func setLease(value string) *wire.Edit {
+func leaseEdit(value string) *wire.Edit {
 	return &wire.Edit{Path: "/", Name: "daemon-lease", Value: value}
 }
 
@@ -54,7 +54,7 @@
 		base := rapid.Uint64Range(max(version, 2)-2, version+1).Draw(t, "base")
 		id := fmt.Sprintf("c%d", rapid.IntRange(0, 50).Draw(t, "id"))
 		lease := fmt.Sprintf("%ds", rapid.IntRange(7, 60).Draw(t, "lease"))
-		return changeCommand(id, base, rapid.Int64Range(0, 1000).Draw(t, "ms"), setLease(lease))
+		return changeCommand(id, base, rapid.Int64Range(0, 1000).Draw(t, "ms"), leaseEdit(lease))
 	case 3:
 		name := fmt.Sprintf("entry-%d", rapid.IntRange(0, 4).Draw(t, "vm"))
 		c := &wire.EpochCommand{BaseSettled: rapid.SampledFrom([]uint64{m.settled, m.pending, 0}).Draw(t, "base")}
@@ -76,11 +76,11 @@
 
 // apply checks the result of a command against the model and applies the command to
 // the model.
-func (m *model) step(t *rapid.T, c *wire.Command, res Result) {
+func (m *model) apply(t *rapid.T, c *wire.Command, res Result) {
 	version := uint64(len(m.accepted))
 	switch b := c.Body.(type) {
 	case *wire.Command_Change:
-		m.stepChange(t, b.Change, res, version)
+		m.applyChange(t, b.Change, res, version)
 	case *wire.Command_Epoch:
 		if m.pending == 0 && b.Epoch.BaseSettled == m.settled {
 			m.lastEpoch++
@@ -97,13 +97,13 @@
 	}
 }
 
-func (m *model) stepChange(t *rapid.T, c *wire.ChangeCommand, res Result, version uint64) {
+func (m *model) applyChange(t *rapid.T, c *wire.ChangeCommand, res Result, version uint64) {
 	for i, old := range m.accepted {
 		if old.ChangeId != c.ChangeId {
 			continue
 		}
-		same := old.BaseVersion == c.BaseVersion && proto.Equal(old.Edits[0], c.Edits[0])
-		if same != (res.Reply.Outcome == wire.Outcome_ACCEPTED && res.Reply.Resend && res.Reply.Version == uint64(i)+1) {
+		sameChange := old.BaseVersion == c.BaseVersion && proto.Equal(old.Edits[0], c.Edits[0])
+		if sameChange != (res.Reply.Outcome == wire.Outcome_ACCEPTED && res.Reply.Resend && res.Reply.Version == uint64(i)+1) {
 			t.Fatalf("change id %s resent: %v", c.ChangeId, res.Reply)
 		}
 		if res.Accepted != nil {
@@ -111,7 +111,7 @@
 		}
 		return
 	}
-	if wins := c.BaseVersion == version; wins != (res.Accepted != nil) || wins != (res.Reply.Outcome == wire.Outcome_ACCEPTED) {
+	if wantAccepted := c.BaseVersion == version; wantAccepted != (res.Accepted != nil) || wantAccepted != (res.Reply.Outcome == wire.Outcome_ACCEPTED) {
 		t.Fatalf("base %d at version %d: %v", c.BaseVersion, version, res.Reply)
 	}
 	if c.BaseVersion < version && res.Reply.Conflict.GetChangeId() != m.accepted[c.BaseVersion].ChangeId {
@@ -154,15 +154,15 @@
 		s, m := New(), &model{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			c := drawCommand(t, m)
-			b := encode(t, c)
+			b := mustMarshal(t, c)
 			res, err := s.Apply(b)
 			if err != nil {
 				t.Fatal(err)
 			}
-			m.step(t, c, res)
+			m.apply(t, c, res)
 			m.check(t, s)
 			if rapid.IntRange(0, 9).Draw(t, "restart") == 0 {
-				s = restart(t, s)
+				s = restoreFromSnapshot(t, s)
 				m.check(t, s)
 			}
 		}
@@ -171,28 +171,28 @@
 
 // restoreFromSnapshot returns the state decoded from its snapshot and checks that
 // encoding it again gives the same bytes.
-func restart(t *rapid.T, s *State) *State {
+func restoreFromSnapshot(t *rapid.T, s *State) *State {
 	before, err := s.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Decode(before)
+	restored, err := Decode(before)
 	if err != nil {
 		t.Fatal(err)
 	}
-	after, err := again.Encode()
+	after, err := restored.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(before) != string(after) {
 		t.Fatal("state differs after encoding and decoding")
 	}
-	return again
+	return restored
 }
 
 func mustApply(t *testing.T, s *State, c *wire.Command) Result {
 	t.Helper()
-	res, err := s.Apply(encode(t, c))
+	res, err := s.Apply(mustMarshal(t, c))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,30 +202,30 @@
 // The reply to an operator is lost, and thousands of other changes are accepted before
 // the operator's tool resends the change. Its id has been evicted by then; the change
 // must still not be accepted a second time.
-func TestForgottenChangeIsNotAcceptedAgain(t *testing.T) {
+func TestResendAfterEvictionIsNotAccepted(t *testing.T) {
 	Convey("A resend after its id was evicted is a conflict", t, func() {
 		s := New()
-		first := changeCommand("first", 0, 1, setLease("10s"))
+		first := changeCommand("first", 0, 1, leaseEdit("10s"))
 		So(mustApply(t, s, first).Accepted, ShouldNotBeNil)
-		for v := uint64(1); v <= maxSteps; v++ {
-			mustApply(t, s, changeCommand(fmt.Sprint("c", v), v, 1, setLease(fmt.Sprintf("%ds", 10+v%50))))
+		for v := uint64(1); v <= maxRecentChanges; v++ {
+			mustApply(t, s, changeCommand(fmt.Sprint("c", v), v, 1, leaseEdit(fmt.Sprintf("%ds", 10+v%50))))
 		}
 		So(s.Record(1), ShouldBeNil)
 		res := mustApply(t, s, first)
 		So(res.Accepted, ShouldBeNil)
 		So(res.Reply.Outcome, ShouldEqual, wire.Outcome_CONFLICT)
-		So(len(s.steps.list), ShouldEqual, maxSteps)
-		So(len(s.steps.ids), ShouldEqual, maxSteps)
+		So(len(s.recent.list), ShouldEqual, maxRecentChanges)
+		So(len(s.recent.versionByID), ShouldEqual, maxRecentChanges)
 	})
 }
 
 // An operator shortens the lease and then the leader is lost. Daemons may still hold
 // leases of the old length, so the new leader must wait for the longer one.
-func TestShorterLeaseKeepsTheLongBound(t *testing.T) {
+func TestShorterLeaseKeepsLongerBound(t *testing.T) {
 	Convey("The bound stays after the change until it is lowered, and then follows the setting", t, func() {
 		s := New()
-		mustApply(t, s, changeCommand("a", 0, 1, setLease("60s")))
-		mustApply(t, s, changeCommand("b", 1, 1, setLease("7s")))
+		mustApply(t, s, changeCommand("a", 0, 1, leaseEdit("60s")))
+		mustApply(t, s, changeCommand("b", 1, 1, leaseEdit("7s")))
 		So(s.Tree().Tier().DaemonLease, ShouldEqual, 7*time.Second)
 		So(s.LeaseBound(), ShouldEqual, time.Minute)
 		mustApply(t, s, &wire.Command{Body: &wire.Command_LeaseBound{LeaseBound: &wire.LeaseBoundCommand{LeaseMs: 7000}}})
@@ -235,7 +235,7 @@
 
 // A leader of a newer release proposes an entry that this release cannot decode.
 // Skipping it would silently make this VM's tree differ from the leader's.
-func TestUnknownCommandStops(t *testing.T) {
+func TestUnknownCommandIsAnError(t *testing.T) {
 	Convey("An entry of an unknown kind is an error", t, func() {
 		_, err := New().Apply(nil)
 		So(err, ShouldNotBeNil)
@@ -245,7 +245,7 @@
 
 // A leader accepts a setting that this release's schema refuses. Both VMs must build
 // the same tree.
-func TestAcceptedChangeIsNeverRefusedByAFollower(t *testing.T) {
+func TestFollowerAppliesChangeWithUnknownSetting(t *testing.T) {
 	Convey("A change of a setting that is unknown to this release is applied", t, func() {
 		s := New()
 		res := mustApply(t, s, changeCommand("a", 0, 1, &wire.Edit{Path: "/", Name: "of-a-later-release", Value: "x"}))
--- a/internal/relay/advance.go
+++ b/internal/relay/advance.go
@@ -10,8 +10,8 @@
 
 // Errors for a reply whose state is rejected.
 var (
-	errDigest = errors.New("relay: settings tree digest mismatch")
-	errGap    = errors.New("relay: reply does not continue the known state")
+	errDigestMismatch = errors.New("relay: settings tree digest mismatch")
+	errStateGap       = errors.New("relay: reply does not continue the known state")
 )
 
 // mergeReply returns the view that results from applying the state in a reply to v, or
@@ -22,22 +22,22 @@
 // contacted earlier. Every part of the state is ordered by a number that only the
 // replicated log increases. A part that is not newer is ignored, so a daemon's state
 // never goes back.
-func advance(v *View, r *wire.SyncReply) (*View, error) {
+func mergeReply(v *View, r *wire.SyncReply) (*View, error) {
 	next := *v
-	if err := advanceConfig(&next, r); err != nil {
+	if err := mergeConfig(&next, r); err != nil {
 		return v, err
 	}
-	if err := advanceMembers(&next, r); err != nil {
+	if err := mergeMembership(&next, r); err != nil {
 		return v, err
 	}
 	next.InForce = max(next.InForce, r.GetInForce())
-	next.Older = dropBefore(next.Older, next.InForce)
+	next.Older = versionsFrom(next.Older, next.InForce)
 	sameTree := next.ConfigVersion == v.ConfigVersion && next.ConfigDigest == v.ConfigDigest
 	sameMembers := next.Settled == v.Settled && next.Pending == v.Pending
 	if sameTree && sameMembers && next.InForce == v.InForce {
 		return v, nil
 	}
-	next.placements = v.placements.follow(v, &next)
+	next.cache = v.cache.successor(v, &next)
 	return &next, nil
 }
 
@@ -48,31 +48,31 @@
 		v.Epoch() >= max(r.GetSettledEpoch(), r.GetPendingEpoch())
 }
 
-func advanceConfig(v *View, r *wire.SyncReply) error {
+func mergeConfig(v *View, r *wire.SyncReply) error {
 	if len(r.GetSnapshot()) > 0 {
-		return takeSnapshot(v, r)
+		return applySnapshot(v, r)
 	}
 	for _, d := range r.GetDeltas() {
 		if d.GetVersion() <= v.ConfigVersion {
 			continue
 		}
-		if err := takeDelta(v, d); err != nil {
+		if err := applyDelta(v, d); err != nil {
 			return err
 		}
 	}
 	if r.GetConfigVersion() > v.ConfigVersion {
-		return errors.Wrapf(errGap, "version %d is stated, %d is reached", r.GetConfigVersion(), v.ConfigVersion)
+		return errors.Wrapf(errStateGap, "version %d is stated, %d is reached", r.GetConfigVersion(), v.ConfigVersion)
 	}
-	statesTree := r.GetConfigDigest() != 0 // a control VM that is not the leader sends no digest
-	if statesTree && r.GetConfigVersion() == v.ConfigVersion && v.Tree != nil && r.GetConfigDigest() != v.ConfigDigest {
-		return errors.Wrapf(errDigest, "version %d", v.ConfigVersion)
+	hasDigest := r.GetConfigDigest() != 0 // a control VM that is not the leader sends no digest
+	if hasDigest && r.GetConfigVersion() == v.ConfigVersion && v.Tree != nil && r.GetConfigDigest() != v.ConfigDigest {
+		return errors.Wrapf(errDigestMismatch, "version %d", v.ConfigVersion)
 	}
 	return nil
 }
 
 // applySnapshot replaces the tree. The versions in between are unknown, so View.Share
 // returns 0 until InForce has reached the version of the snapshot.
-func takeSnapshot(v *View, r *wire.SyncReply) error {
+func applySnapshot(v *View, r *wire.SyncReply) error {
 	same := r.GetConfigVersion() == v.ConfigVersion && r.GetConfigDigest() == v.ConfigDigest
 	if r.GetConfigVersion() < v.ConfigVersion || (same && v.Tree != nil) {
 		return nil
@@ -82,19 +82,19 @@
 		return errors.Wrapf(err, "relay: snapshot of version %d", r.GetConfigVersion())
 	}
 	if t.Digest() != r.GetConfigDigest() {
-		return errors.Wrapf(errDigest, "snapshot of version %d", r.GetConfigVersion())
+		return errors.Wrapf(errDigestMismatch, "snapshot of version %d", r.GetConfigVersion())
 	}
 	v.Tree, v.ConfigVersion, v.ConfigDigest, v.Older = t, r.GetConfigVersion(), r.GetConfigDigest(), nil
 	return nil
 }
 
-func takeDelta(v *View, d *wire.TreeDelta) error {
+func applyDelta(v *View, d *wire.TreeDelta) error {
 	if v.Tree == nil || d.GetVersion() != v.ConfigVersion+1 {
-		return errors.Wrapf(errGap, "change %d after version %d", d.GetVersion(), v.ConfigVersion)
+		return errors.Wrapf(errStateGap, "change %d after version %d", d.GetVersion(), v.ConfigVersion)
 	}
 	t := v.Tree.Replay(d.GetVersion(), settings.EditsFromWire(d.GetEdits()))
 	if t.Digest() != d.GetDigest() {
-		return errors.Wrapf(errDigest, "change %d", d.GetVersion())
+		return errors.Wrapf(errDigestMismatch, "change %d", d.GetVersion())
 	}
 	older := make([]Version, len(v.Older), len(v.Older)+1)
 	copy(older, v.Older)
@@ -106,9 +106,9 @@
 // mergeMembership applies a newer settled or pending membership. The daemon has
 // acknowledged the smaller shares of a pending membership, so only a settled
 // membership that is at least as new replaces it.
-func advanceMembers(v *View, r *wire.SyncReply) error {
+func mergeMembership(v *View, r *wire.SyncReply) error {
 	if settled := r.GetSettledEpoch(); settled > epochOf(v.Settled) {
-		m, err := settle(v, r)
+		m, err := settledMembership(v, r)
 		if err != nil {
 			return err
 		}
@@ -126,13 +126,13 @@
 		return err
 	}
 	if m.Epoch != r.GetPendingEpoch() {
-		return errors.Wrapf(errGap, "reply is for pending epoch %d, its delta leads to %d", r.GetPendingEpoch(), m.Epoch)
+		return errors.Wrapf(errStateGap, "reply is for pending epoch %d, its delta leads to %d", r.GetPendingEpoch(), m.Epoch)
 	}
 	v.Pending = m
 	return nil
 }
 
-func settle(v *View, r *wire.SyncReply) (*vm.Membership, error) {
+func settledMembership(v *View, r *wire.SyncReply) (*vm.Membership, error) {
 	if v.Pending != nil && v.Pending.Epoch == r.GetSettledEpoch() {
 		return v.Pending, nil
 	}
@@ -141,14 +141,14 @@
 		return nil, err
 	}
 	if m.Epoch != r.GetSettledEpoch() {
-		return nil, errors.Wrapf(errGap, "reply is for settled epoch %d, its delta leads to %d", r.GetSettledEpoch(), m.Epoch)
+		return nil, errors.Wrapf(errStateGap, "reply is for settled epoch %d, its delta leads to %d", r.GetSettledEpoch(), m.Epoch)
 	}
 	return m, nil
 }
 
 // versionsFrom returns the versions that are not lower than number. It does not modify
 // vs.
-func dropBefore(vs []Version, number uint64) []Version {
+func versionsFrom(vs []Version, number uint64) []Version {
 	for len(vs) > 0 && vs[0].Number < number {
 		vs = vs[1:]
 	}
--- a/internal/relay/advance_test.go
+++ b/internal/relay/advance_test.go
@@ -22,7 +22,7 @@
 	for i := range rapid.IntRange(2, 12).Draw(t, "steps") {
 		switch rapid.SampledFrom([]string{"edit", "epoch", "force"}).Draw(t, "step") {
 		case "edit":
-			edits := []settings.Edit{set(service, "leaf-slots", strconv.Itoa(2+i))}
+			edits := []settings.Edit{setEdit(service, "leaf-slots", strconv.Itoa(2+i))}
 			s.ConfigVersion++
 			s.Tree = s.Tree.Replay(s.ConfigVersion, edits)
 			s.ConfigDigest = s.Tree.Digest()
@@ -51,7 +51,7 @@
 // late, to requests that it sent long before. If it applied an older version or epoch,
 // a change that was reported to the operator as in force would be undone. Versions and
 // epochs must never decrease, and the view must always be one of the agreed states.
-func TestViewNeverGoesBack(t *testing.T) {
+func TestViewNeverRegresses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sources := drawSources(t)
 		v := &View{}
@@ -60,11 +60,11 @@
 			h := rapid.SampledFrom(sources).Draw(t, "source")
 			reply := &wire.SyncReply{}
 			h.Fill(rapid.SampledFrom(requests).Draw(t, "request"), reply)
-			next, err := advance(v, reply)
+			next, err := mergeReply(v, reply)
 			if err != nil {
-				whole := &wire.SyncReply{}
-				h.Fill(&wire.SyncRequest{}, whole)
-				if next, err = advance(v, whole); err != nil {
+				full := &wire.SyncReply{}
+				h.Fill(&wire.SyncRequest{}, full)
+				if next, err = mergeReply(v, full); err != nil {
 					t.Fatalf("full state rejected: %v", err)
 				}
 			}
@@ -72,7 +72,7 @@
 				next.Epoch() < v.Epoch() || next.InForce < v.InForce {
 				t.Fatalf("view went back from %+v to %+v", v, next)
 			}
-			checkReal(t, sources, next)
+			checkAgreed(t, sources, next)
 			v = next
 			requests = append(requests, requestOf(v))
 		}
@@ -88,7 +88,7 @@
 
 // checkAgreed checks that the tree and the memberships of v are among those of the
 // sources.
-func checkReal(t *rapid.T, sources []*History, v *View) {
+func checkAgreed(t *rapid.T, sources []*History, v *View) {
 	if v.Tree == nil || v.Tree.Digest() != v.ConfigDigest {
 		t.Fatalf("tree does not match its digest at version %d", v.ConfigVersion)
 	}
@@ -109,17 +109,17 @@
 // version 5, under which a leaf had other homes. The daemon does not know version 5,
 // so any share it used could also be in use on another daemon. It must use none until
 // version 9 is in force everywhere.
-func TestSnapshotJumpHoldsNoShare(t *testing.T) {
+func TestSnapshotGivesNoShareUntilInForce(t *testing.T) {
 	self := identity("d1", 1)
 	source := NewHistory()
-	tree := settings.New().Replay(9, []settings.Edit{set(service, "leaves", "a=127.0.0.1:1@hall-0")})
+	tree := settings.New().Replay(9, []settings.Edit{setEdit(service, "leaves", "a=127.0.0.1:1@hall-0")})
 	members := &vm.Membership{Epoch: 3, Members: []vm.Member{{Identity: self, Phase: vm.Serving}}}
 	state := State{ConfigVersion: 9, ConfigDigest: tree.Digest(), Tree: tree, InForce: 5, Settled: members}
-	slotsAfter := func(v *View) (*View, int) {
+	mergeAndCountSlots := func(v *View) (*View, int) {
 		source.Advance(state, nil)
 		reply := &wire.SyncReply{}
 		source.Fill(requestOf(v), reply)
-		next, err := advance(v, reply)
+		next, err := mergeReply(v, reply)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -127,34 +127,34 @@
 		slots, _ := next.Share(service, e, 0, self)
 		return next, slots
 	}
-	v, slots := slotsAfter(&View{})
-	if slots != 0 || len(v.HomesOf(service, mustEffective(v))) != 0 {
+	v, slots := mergeAndCountSlots(&View{})
+	if slots != 0 || len(v.HomesOf(service, effectiveOf(v))) != 0 {
 		t.Fatalf("%d slots while version 5 may be in use, want 0", slots)
 	}
 	state.InForce = 9
-	if _, slots = slotsAfter(v); slots != 2 {
+	if _, slots = mergeAndCountSlots(v); slots != 2 {
 		t.Fatalf("%d slots once version 9 is in force, want 2", slots)
 	}
 }
 
-func mustEffective(v *View) *settings.Effective {
+func effectiveOf(v *View) *settings.Effective {
 	e, _ := v.Tree.Effective(service)
 	return e
 }
 
 // A heartbeat in the short form must identify its daemon exactly, and one that differs
 // from the agreed membership in any way must not be sent in the short form.
-func TestShortHeartbeats(t *testing.T) {
+func TestShortHeartbeatsMatchMembership(t *testing.T) {
 	agreed := &vm.Membership{Epoch: 7, Members: []vm.Member{
 		{Identity: identity("a", 1), Phase: vm.Serving}, {Identity: identity("b", 1), Phase: vm.Serving}}}
-	beat := func(name string, incarnation uint64, p vm.Phase, config, epoch uint64) *wire.Heartbeat {
+	heartbeat := func(name string, incarnation uint64, p vm.Phase, config, epoch uint64) *wire.Heartbeat {
 		m := vm.Member{Identity: identity(name, incarnation), Phase: p}
 		return &wire.Heartbeat{Vm: vm.ToWire(m), ConfigVersion: config, AckedEpoch: epoch}
 	}
-	steady := []*wire.Heartbeat{beat("a", 1, vm.Serving, 4, 7), beat("b", 1, vm.Serving, 4, 7)}
+	steady := []*wire.Heartbeat{heartbeat("a", 1, vm.Serving, 4, 7), heartbeat("b", 1, vm.Serving, 4, 7)}
 	other := []*wire.Heartbeat{
-		beat("a", 2, vm.Serving, 4, 7), beat("a", 1, vm.Draining, 4, 7), beat("a", 1, vm.Serving, 3, 7),
-		beat("a", 1, vm.Serving, 4, 6), beat("c", 1, vm.Serving, 4, 7),
+		heartbeat("a", 2, vm.Serving, 4, 7), heartbeat("a", 1, vm.Draining, 4, 7), heartbeat("a", 1, vm.Serving, 3, 7),
+		heartbeat("a", 1, vm.Serving, 4, 6), heartbeat("c", 1, vm.Serving, 4, 7),
 	}
 	req := &wire.SyncRequest{HaveConfig: 4, HaveSettled: 7}
 	for _, hb := range append(steady, other...) {
@@ -178,22 +178,22 @@
 // the leader and send no digest. If a missing digest counted as a mismatch, each such
 // reply would make the daemon log an error and request the full state again, as
 // happened on 12 of 50 daemons.
-func TestReplyWithoutStateContradictsNone(t *testing.T) {
+func TestReplyWithoutTreeIsNoDigestMismatch(t *testing.T) {
 	source := NewHistory()
 	tree := settings.New()
 	members := &vm.Membership{Epoch: 1, Members: []vm.Member{{Identity: identity("d1", 1), Phase: vm.Serving}}}
 	source.Advance(State{ConfigDigest: tree.Digest(), Tree: tree, Settled: members}, nil)
 	reply := &wire.SyncReply{}
 	source.Fill(requestOf(&View{}), reply)
-	v, err := advance(&View{}, reply)
+	v, err := mergeReply(&View{}, reply)
 	if err != nil || v.Tree == nil {
 		t.Fatalf("the empty tree was not applied: %v", err)
 	}
-	if again, err := advance(v, &wire.SyncReply{Redirect: "10.0.0.1:7000"}); err != nil || again != v {
+	if next, err := mergeReply(v, &wire.SyncReply{Redirect: "10.0.0.1:7000"}); err != nil || next != v {
 		t.Errorf("reply without a digest changed the view: %v", err)
 	}
-	other := settings.New().Replay(0, []settings.Edit{set(service, "leaf-slots", "3")})
-	if _, err := advance(v, &wire.SyncReply{ConfigDigest: other.Digest(), SettledEpoch: 1}); err == nil {
+	other := settings.New().Replay(0, []settings.Edit{setEdit(service, "leaf-slots", "3")})
+	if _, err := mergeReply(v, &wire.SyncReply{ConfigDigest: other.Digest(), SettledEpoch: 1}); err == nil {
 		t.Error("a different tree of the same version was accepted")
 	}
 }
--- a/internal/relay/children.go
+++ b/internal/relay/children.go
@@ -13,87 +13,87 @@
 
 // heartbeatRetryPeriod is how long a relay tries to forward a heartbeat. Forwarding an
 // older one would make the leader treat a lost daemon as alive.
-const maxRetake = 2 * time.Second
+const heartbeatRetryPeriod = 2 * time.Second
 
 // childTimeout is the time without a heartbeat after which a child is removed.
-const forget = 30 * time.Second
+const childTimeout = 30 * time.Second
 
 // maxChildren limits the daemons that a relay accepts. A daemon that is refused
 // contacts the next relay or a control VM.
 const maxChildren = 256
 
-var childCount = metrics.GetOrRegisterGauge("relay.children", nil)
+var childrenGauge = metrics.GetOrRegisterGauge("relay.children", nil)
 
 // runID identifies one run of a daemon.
-type run struct {
+type runID struct {
 	name        string
 	incarnation uint64
 }
 
 // child is the state of one daemon that syncs through this relay.
 type child struct {
-	run
-	heartbeat *wire.Heartbeat
-	arrived   vm.Instant
-	seq       uint64 // number of heartbeats received
-	passed    uint64 // seq of the newest heartbeat that the leader has answered
-	grant     grant
+	runID
+	heartbeat   *wire.Heartbeat
+	receivedAt  vm.Instant
+	seq         uint64 // number of heartbeats received
+	answeredSeq uint64 // seq of the newest heartbeat that the leader has answered
+	grant       grant
 }
 
 // grant is the newest lease that the leader has granted to a child.
 type grant struct {
-	base  vm.Instant // when the exchange with the heartbeat was sent, minus the age of the grant
+	start vm.Instant // when the exchange with the heartbeat was sent, minus the age of the grant
 	lease time.Duration
 }
 
 // remaining returns how long the lease of the grant lasts from now on.
-func (g grant) left(now vm.Instant) time.Duration {
+func (g grant) remaining(now vm.Instant) time.Duration {
 	if g.lease == 0 {
 		return 0
 	}
-	return g.base.Add(g.lease).Sub(now)
+	return g.start.Add(g.lease).Sub(now)
 }
 
 // children holds the daemons that sync through this one.
 type children struct {
-	mu      sync.Mutex
-	byRun   map[run]*child
-	granted chan struct{} // closed at the next grant
+	mu           sync.Mutex
+	byRun        map[runID]*child
+	grantChanged chan struct{} // closed at the next grant
 }
 
 func newChildren() *children {
-	return &children{byRun: make(map[run]*child), granted: make(chan struct{})}
+	return &children{byRun: make(map[runID]*child), grantChanged: make(chan struct{})}
 }
 
 // recordHeartbeat records a heartbeat. Urgent reports whether it must be forwarded
 // immediately, because it has changed or because less than half of the child's lease
 // is left. Ok is false if there are too many children.
-func (cs *children) heard(hb *wire.Heartbeat, now vm.Instant) (urgent, ok bool) {
+func (cs *children) recordHeartbeat(hb *wire.Heartbeat, now vm.Instant) (urgent, ok bool) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	key := run{name: hb.GetVm().GetName(), incarnation: hb.GetVm().GetIncarnation()}
-	k := cs.byRun[key]
-	if k == nil {
+	key := runID{name: hb.GetVm().GetName(), incarnation: hb.GetVm().GetIncarnation()}
+	c := cs.byRun[key]
+	if c == nil {
 		if len(cs.byRun) >= maxChildren {
 			return false, false
 		}
-		k = &child{run: key}
-		cs.byRun[key] = k
-		childCount.Update(int64(len(cs.byRun)))
+		c = &child{runID: key}
+		cs.byRun[key] = c
+		childrenGauge.Update(int64(len(cs.byRun)))
 	}
-	newest := newestOf(k.heartbeat, hb)
-	news := k.heartbeat == nil || saysNew(k.heartbeat, newest)
-	k.heartbeat, k.arrived = newest, now
-	k.seq++
-	return news || k.grant.left(now) < k.grant.lease/2, true
+	newest := mergeHeartbeats(c.heartbeat, hb)
+	changed := c.heartbeat == nil || heartbeatChanged(c.heartbeat, newest)
+	c.heartbeat, c.receivedAt = newest, now
+	c.seq++
+	return changed || c.grant.remaining(now) < c.grant.lease/2, true
 }
 
 // mergeHeartbeats merges two heartbeats of one run. A held call and a push of one
 // daemon may arrive out of order. If the older heartbeat replaced the newer one, an
 // acknowledgement would be lost until the next call, one interval later. The version
 // and epoch that a run has confirmed never decrease, and its phase only advances.
-func newestOf(old, hb *wire.Heartbeat) *wire.Heartbeat {
-	if old == nil || !saysNew(hb, old) {
+func mergeHeartbeats(old, hb *wire.Heartbeat) *wire.Heartbeat {
+	if old == nil || !heartbeatChanged(hb, old) {
 		return hb
 	}
 	newest := hb.GetVm()
@@ -107,24 +107,24 @@
 	}
 }
 
-func saysNew(old, hb *wire.Heartbeat) bool {
+func heartbeatChanged(old, hb *wire.Heartbeat) bool {
 	return old.GetConfigVersion() != hb.GetConfigVersion() || old.GetAckedEpoch() != hb.GetAckedEpoch() ||
 		old.GetVm().GetPhase() != hb.GetVm().GetPhase()
 }
 
 // pending returns copies of the children whose newest heartbeat the leader has not
 // answered, and removes those that have sent no heartbeat for childTimeout.
-func (cs *children) take(now vm.Instant) []*child {
+func (cs *children) pending(now vm.Instant) []*child {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	var out []*child
-	for key, k := range cs.byRun {
-		if now.Sub(k.arrived) > forget {
+	for key, c := range cs.byRun {
+		if now.Sub(c.receivedAt) > childTimeout {
 			delete(cs.byRun, key)
-			childCount.Update(int64(len(cs.byRun)))
+			childrenGauge.Update(int64(len(cs.byRun)))
 		}
-		if k.toPass(now) {
-			snapshot := *k
+		if c.needsForwarding(now) {
+			snapshot := *c
 			out = append(out, &snapshot)
 		}
 	}
@@ -137,16 +137,16 @@
 	return out
 }
 
-func (k *child) toPass(now vm.Instant) bool {
-	return k.seq > k.passed && now.Sub(k.arrived) <= maxRetake
+func (c *child) needsForwarding(now vm.Instant) bool {
+	return c.seq > c.answeredSeq && now.Sub(c.receivedAt) <= heartbeatRetryPeriod
 }
 
 // hasPending reports whether pending would return any child.
-func (cs *children) waiting(now vm.Instant) bool {
+func (cs *children) hasPending(now vm.Instant) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	for _, k := range cs.byRun {
-		if k.toPass(now) {
+	for _, c := range cs.byRun {
+		if c.needsForwarding(now) {
 			return true
 		}
 	}
@@ -161,25 +161,25 @@
 
 // recordGrant records the leader's answer to an exchange that carried the heartbeats
 // of the forwarded children. Sent is when the exchange was sent.
-func (cs *children) grant(kids []*child, r *wire.SyncReply, sent vm.Instant) {
-	if len(kids) == 0 {
+func (cs *children) recordGrant(forwarded []*child, r *wire.SyncReply, sent vm.Instant) {
+	if len(forwarded) == 0 {
 		return
 	}
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	base := sent.Add(-time.Duration(r.GetAgeMs()) * time.Millisecond)
-	for _, kid := range kids {
-		k := cs.byRun[kid.run]
-		if k == nil || slices.Contains(r.GetRefused(), kid.name) {
+	start := sent.Add(-time.Duration(r.GetAgeMs()) * time.Millisecond)
+	for _, fwd := range forwarded {
+		c := cs.byRun[fwd.runID]
+		if c == nil || slices.Contains(r.GetRefused(), fwd.name) {
 			continue
 		}
-		k.passed = max(k.passed, kid.seq)
-		if base > k.grant.base || k.grant.lease == 0 {
-			k.grant = grant{base: base, lease: time.Duration(r.GetLeaseMs()) * time.Millisecond}
+		c.answeredSeq = max(c.answeredSeq, fwd.seq)
+		if start > c.grant.start || c.grant.lease == 0 {
+			c.grant = grant{start: start, lease: time.Duration(r.GetLeaseMs()) * time.Millisecond}
 		}
 	}
-	close(cs.granted)
-	cs.granted = make(chan struct{})
+	close(cs.grantChanged)
+	cs.grantChanged = make(chan struct{})
 }
 
 // grantsOf returns the grants for the given heartbeats and a channel that is closed at
@@ -189,9 +189,9 @@
 	defer cs.mu.Unlock()
 	out := make([]grant, len(hbs))
 	for i, hb := range hbs {
-		if k := cs.byRun[run{name: hb.GetVm().GetName(), incarnation: hb.GetVm().GetIncarnation()}]; k != nil {
-			out[i] = k.grant
+		if c := cs.byRun[runID{name: hb.GetVm().GetName(), incarnation: hb.GetVm().GetIncarnation()}]; c != nil {
+			out[i] = c.grant
 		}
 	}
-	return out, cs.granted
+	return out, cs.grantChanged
 }
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -19,25 +19,25 @@
 	// startJitter spreads the first calls of daemons that start together.
 	// eagerStartJitter does the same for daemons with EagerStart, in addition to the
 	// spread of their VMs' own start times.
-	startJitter = 250 * time.Millisecond
-	eagerJitter = 60 * time.Millisecond
+	startJitter      = 250 * time.Millisecond
+	eagerStartJitter = 60 * time.Millisecond
 	// initialQueryInterval is the time after which a daemon with EagerStart and no
 	// state contacts one more address. After a restart of all VMs some of the
 	// addresses are not up yet, and a call to a VM without power ends only at its
 	// timeout.
-	firstAskEvery = 50 * time.Millisecond
+	initialQueryInterval = 50 * time.Millisecond
 	// minCallInterval is the shortest time between two calls of one kind. It limits
 	// the number of calls that a burst of changes causes.
-	minGap = 20 * time.Millisecond
+	minCallInterval = 20 * time.Millisecond
 	// batchDelay is how long a relay collects simultaneous reports of its children,
 	// such as confirmations of a new configuration, to send them in one call.
 	batchDelay = 20 * time.Millisecond
 	// maxPushRetryDelay limits the delay after a failed push.
-	pushRetry = 200 * time.Millisecond
+	maxPushRetryDelay = 200 * time.Millisecond
 	// intervalsPerLease is the minimum number of heartbeat intervals in a lease.
 	// Through a relay a lease is up to two intervals and one call old when it is
 	// renewed, which leaves time to find another relay when this one is lost.
-	leaseParts = 6
+	intervalsPerLease = 6
 )
 
 // SupersededError is returned by Run when the membership contains a later run of this
@@ -56,42 +56,42 @@
 // Client keeps a daemon's view of the agreed state up to date, renews its lease, and
 // reports its phase and acknowledgements to the leader. It implements Source.
 type Client struct {
-	cfg      Config
-	history  *History
-	children *children
-	urgent   chan struct{} // signals that a heartbeat must be sent immediately
-	found    chan struct{} // signals that there are new addresses to contact
-
-	mu         sync.Mutex
-	view       *View
-	changed    chan struct{}
-	phase      vm.Phase
-	config     uint64 // newest version acknowledged
-	epoch      uint64 // newest epoch acknowledged
-	whole      bool   // request the full state
-	resend     bool   // send no heartbeat in the short form
-	lease      time.Duration
-	until      vm.Instant // used once the membership contains this run
-	confirmed  vm.Instant // send time of the last call that was granted
-	up         *upstreams
-	superseded error
-	joined     bool       // the membership has contained this run
-	started    vm.Instant // when Run was called
-	reported   vm.Instant // when rejected state was last logged
+	cfg        Config
+	history    *History
+	children   *children
+	pushSignal chan struct{} // signals that a heartbeat must be sent immediately
+	newAddrs   chan struct{} // signals that there are new addresses to contact
+
+	mu               sync.Mutex
+	view             *View
+	viewChanged      chan struct{}
+	phase            vm.Phase
+	ackedVersion     uint64 // newest version acknowledged
+	ackedEpoch       uint64 // newest epoch acknowledged
+	requestFullState bool   // request the full state
+	fullHeartbeats   bool   // send no heartbeat in the short form
+	leaseDuration    time.Duration
+	leaseEnd         vm.Instant // used once the membership contains this run
+	lastConfirmed    vm.Instant // send time of the last call that was granted
+	upstreams        *upstreams
+	supersededErr    error
+	wasMember        bool       // the membership has contained this run
+	started          vm.Instant // when Run was called
+	lastRefusalLog   vm.Instant // when rejected state was last logged
 }
 
 // NewClient returns a client. It does nothing until Run is called.
 func NewClient(cfg Config) *Client {
 	cfg = cfg.withDefaults()
 	return &Client{
-		cfg:      cfg,
-		history:  NewHistory(),
-		children: newChildren(),
-		urgent:   make(chan struct{}, 1),
-		found:    make(chan struct{}, 1),
-		view:     &View{},
-		changed:  make(chan struct{}),
-		up:       newUpstreams(cfg.Self, cfg.Control),
+		cfg:         cfg,
+		history:     NewHistory(),
+		children:    newChildren(),
+		pushSignal:  make(chan struct{}, 1),
+		newAddrs:    make(chan struct{}, 1),
+		view:        &View{},
+		viewChanged: make(chan struct{}),
+		upstreams:   newUpstreams(cfg.Self, cfg.Control),
 	}
 }
 
@@ -102,16 +102,16 @@
 // longer.
 func (c *Client) SetSeeds(addrs []string) {
 	c.mu.Lock()
-	c.up.setSeeds(addrs)
-	waits := c.confirmed == 0
+	c.upstreams.setSeeds(addrs)
+	neverConfirmed := c.lastConfirmed == 0
 	c.mu.Unlock()
-	if waits {
-		token(c.found)
+	if neverConfirmed {
+		signal(c.newAddrs)
 	}
 }
 
 // signal puts a token into a channel of capacity 1, unless it already holds one.
-func token(ch chan struct{}) {
+func signal(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -122,14 +122,14 @@
 func (c *Client) ControlGroup() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.up.control)
+	return slices.Clone(c.upstreams.control)
 }
 
 // Upstreams returns the peer addresses that this daemon may sync with, best first.
 func (c *Client) Upstreams() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.up.candidates()
+	return c.upstreams.candidates()
 }
 
 // ControlVMs returns the peer addresses that may be control VMs, best first. Unlike
@@ -137,7 +137,7 @@
 func (c *Client) ControlVMs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.up.controlVMs()
+	return c.upstreams.controlVMs()
 }
 
 // Current returns the newest view; it is never nil.
@@ -151,17 +151,17 @@
 func (c *Client) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.changed
+	return c.viewChanged
 }
 
 // SetPhase sets the daemon's phase and reports it immediately.
 func (c *Client) SetPhase(p vm.Phase) {
 	c.mu.Lock()
-	news := p != c.phase
+	phaseChanged := p != c.phase
 	c.phase = p
 	c.mu.Unlock()
-	if news {
-		c.pushNow()
+	if phaseChanged {
+		c.requestPush()
 	}
 }
 
@@ -170,15 +170,15 @@
 // acknowledged are ignored.
 func (c *Client) Ack(config, epoch uint64) {
 	c.mu.Lock()
-	news := config > c.config || epoch > c.epoch
-	c.config, c.epoch = max(c.config, config), max(c.epoch, epoch)
+	advanced := config > c.ackedVersion || epoch > c.ackedEpoch
+	c.ackedVersion, c.ackedEpoch = max(c.ackedVersion, config), max(c.ackedEpoch, epoch)
 	c.mu.Unlock()
-	if news {
-		c.pushNow()
+	if advanced {
+		c.requestPush()
 	}
 }
 
-func (c *Client) pushNow() { token(c.urgent) }
+func (c *Client) requestPush() { signal(c.pushSignal) }
 
 // Run syncs until ctx is done or the membership contains a later run of the daemon.
 func (c *Client) Run(ctx context.Context) error {
@@ -187,14 +187,14 @@
 	c.mu.Unlock()
 	jitter := startJitter
 	if c.cfg.Eager {
-		jitter = eagerJitter
+		jitter = eagerStartJitter
 	}
-	if !vm.Sleep(ctx, c.randomUpTo(jitter)) {
+	if !vm.Sleep(ctx, c.randomDuration(jitter)) {
 		return nil
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	if c.cfg.Eager {
-		g.Go(func() error { c.first(ctx); return nil })
+		g.Go(func() error { c.fetchInitialState(ctx); return nil })
 	}
 	g.Go(func() error { return c.poll(ctx) })
 	g.Go(func() error { return c.push(ctx) })
@@ -203,11 +203,11 @@
 
 // fetchInitialState requests the first state of a daemon from one more address every
 // initialQueryInterval, until the state is known.
-func (c *Client) first(ctx context.Context) {
-	var asked work.Each
-	known := func() bool { return c.Current().Tree != nil || c.supersededBy() != nil }
-	asked.InTurn(ctx, firstAskEvery, c.Upstreams, known, func(addr string) {
-		c.exchangeAt(ctx, addr, statelessHold, false)
+func (c *Client) fetchInitialState(ctx context.Context) {
+	var queries work.Each
+	done := func() bool { return c.Current().Tree != nil || c.supersededError() != nil }
+	queries.InTurn(ctx, initialQueryInterval, c.Upstreams, done, func(addr string) {
+		c.exchangeWith(ctx, addr, statelessHoldTime, false)
 	})
 }
 
@@ -217,19 +217,19 @@
 	failures := 0
 	for ctx.Err() == nil {
 		start := c.cfg.Clock()
-		out := c.exchange(ctx, c.holdAfter(failures), false)
-		if err := c.supersededBy(); err != nil {
+		out := c.exchange(ctx, c.holdTime(failures), false)
+		if err := c.supersededError(); err != nil {
 			return err
 		}
-		failures = out.failures(failures)
-		c.rest(ctx, c.pause(out, failures, c.cfg.Clock().Sub(start)))
+		failures = out.countFailures(failures)
+		c.waitBeforePoll(ctx, c.pollDelay(out, failures, c.cfg.Clock().Sub(start)))
 	}
 	return nil
 }
 
 // waitBeforePoll waits for d or until there are new addresses to contact. It returns
 // immediately if d is not positive.
-func (c *Client) rest(ctx context.Context, d time.Duration) {
+func (c *Client) waitBeforePoll(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -237,7 +237,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-c.found:
+	case <-c.newAddrs:
 	case <-ctx.Done():
 	}
 }
@@ -245,89 +245,89 @@
 // holdTime returns how long the upstream may hold the next poll. After a failure the
 // lease must be renewed first, so the reply is wanted immediately. A relay is exempt,
 // as it replies only when the leader has answered it.
-func (c *Client) holdAfter(failures int) time.Duration {
-	if failures > 0 && !c.picksRelay() {
+func (c *Client) holdTime(failures int) time.Duration {
+	if failures > 0 && !c.nextIsRelay() {
 		return 0
 	}
-	return c.interval()
+	return c.heartbeatInterval()
 }
 
-func (c *Client) picksRelay() bool {
+func (c *Client) nextIsRelay() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	addr, _ := c.up.pick(c.cfg.Clock())
-	return c.up.isRelay(addr)
+	addr, _ := c.upstreams.pick(c.cfg.Clock())
+	return c.upstreams.isRelay(addr)
 }
 
 // push sends heartbeats that cannot wait for the next poll, and forwards the
 // heartbeats of children at least once per interval.
 func (c *Client) push(ctx context.Context) error {
 	for {
-		timer := time.NewTimer(c.interval())
+		timer := time.NewTimer(c.heartbeatInterval())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return nil
-		case <-c.urgent:
+		case <-c.pushSignal:
 			timer.Stop()
-			vm.Sleep(ctx, c.batching())
+			vm.Sleep(ctx, c.pushDelay())
 		case <-timer.C:
-			if !c.children.waiting(c.cfg.Clock()) {
+			if !c.children.hasPending(c.cfg.Clock()) {
 				continue
 			}
 		}
 		if ctx.Err() == nil && c.exchange(ctx, 0, true) == callFailed {
 			// The heartbeat that could not wait was not delivered.
-			vm.Sleep(ctx, c.randomUpTo(pushRetry))
-			c.pushNow()
+			vm.Sleep(ctx, c.randomDuration(maxPushRetryDelay))
+			c.requestPush()
 		}
 	}
 }
 
 // pushDelay returns how long a push waits for further heartbeats to send with it.
-func (c *Client) batching() time.Duration {
+func (c *Client) pushDelay() time.Duration {
 	if c.children.empty() {
-		return minGap / 4
+		return minCallInterval / 4
 	}
 	return batchDelay
 }
 
 // heartbeatInterval returns the time between two heartbeats.
-func (c *Client) interval() time.Duration {
+func (c *Client) heartbeatInterval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lease > 0 {
-		return min(c.cfg.Interval, c.lease/leaseParts)
+	if c.leaseDuration > 0 {
+		return min(c.cfg.Interval, c.leaseDuration/intervalsPerLease)
 	}
 	return c.cfg.Interval
 }
 
-func (c *Client) supersededBy() error {
+func (c *Client) supersededError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.superseded
+	return c.supersededErr
 }
 
 // checkSuperseded checks whether the membership contains a later run of this daemon.
 // The caller holds mu.
 func (c *Client) checkSuperseded(v *View) {
 	m := v.Members()
-	if m == nil || c.superseded != nil {
+	if m == nil || c.supersededErr != nil {
 		return
 	}
 	known, ok := m.Find(c.cfg.Self.Name)
 	if ok && known.Same(c.cfg.Self) {
-		c.joined = true
+		c.wasMember = true
 	}
 	if ok && known.Incarnation > c.cfg.Self.Incarnation {
-		if c.cfg.Restarts && !c.joined {
+		if c.cfg.Restarts && !c.wasMember {
 			klog.Warningf("relay: incarnation %d of an earlier run is above this run's %d, the clock was set back; continuing as %d",
 				known.Incarnation, c.cfg.Self.Incarnation, known.Incarnation+1)
 			c.cfg.Self.Incarnation = known.Incarnation + 1
-			c.resend = true
+			c.fullHeartbeats = true
 			return
 		}
-		c.superseded = &SupersededError{Self: c.cfg.Self, Known: known.Incarnation}
+		c.supersededErr = &SupersededError{Self: c.cfg.Self, Known: known.Incarnation}
 		klog.Errorf("relay: superseded by incarnation %d", known.Incarnation)
 	}
 }
@@ -336,13 +336,13 @@
 func (c *Client) ownHeartbeat() *wire.Heartbeat {
 	return &wire.Heartbeat{
 		Vm:            vm.ToWire(vm.Member{Identity: c.cfg.Self, Phase: c.phase}),
-		ConfigVersion: c.config,
-		AckedEpoch:    c.epoch,
+		ConfigVersion: c.ackedVersion,
+		AckedEpoch:    c.ackedEpoch,
 	}
 }
 
-func (c *Client) randomUpTo(d time.Duration) time.Duration {
+func (c *Client) randomDuration(d time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Duration(c.up.rng.Int64N(int64(d)))
+	return time.Duration(c.upstreams.rng.Int64N(int64(d)))
 }
--- a/internal/relay/client_test.go
+++ b/internal/relay/client_test.go
@@ -16,11 +16,11 @@
 )
 
 // runInCluster runs f in virtual time and stops everything it started.
-func inWorld(t *testing.T, f func(w *world)) {
+func runInCluster(t *testing.T, f func(w *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(ctx, 1)
+		w := newCluster(ctx, 1)
 		f(w)
 		cancel()
 		w.running.Wait()
@@ -29,7 +29,7 @@
 }
 
 // startDaemons starts n daemons of one failure domain and waits until all are serving.
-func (w *world) startMany(n, direct, fanout int) []*daemon {
+func (w *cluster) startDaemons(n, direct, fanout int) []*daemon {
 	out := make([]*daemon, n)
 	for i := range out {
 		out[i] = w.startDaemon(identity(fmt.Sprintf("d%03d", i), 1), direct, fanout)
@@ -40,19 +40,19 @@
 
 // longestWithoutLease waits for d and returns the longest time for which any of the
 // daemons had no lease.
-func (w *world) unconfirmedFor(d time.Duration, ds ...*daemon) time.Duration {
+func (w *cluster) longestWithoutLease(d time.Duration, daemons ...*daemon) time.Duration {
 	const step = 10 * time.Millisecond
 	var longest time.Duration
-	without := make([]time.Duration, len(ds))
+	sinceLease := make([]time.Duration, len(daemons))
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(step)
 		synctest.Wait()
-		for i, one := range ds {
-			without[i] += step
+		for i, one := range daemons {
+			sinceLease[i] += step
 			if one.client.Current().Confirmed(w.clock()) {
-				without[i] = 0
+				sinceLease[i] = 0
 			}
-			longest = max(longest, without[i])
+			longest = max(longest, sinceLease[i])
 		}
 	}
 	return longest
@@ -75,28 +75,28 @@
 	return busiest, children
 }
 
-func without(ds []*daemon, one *daemon) []*daemon {
-	return slices.DeleteFunc(slices.Clone(ds), func(d *daemon) bool { return d == one })
+func excluding(ds []*daemon, excluded *daemon) []*daemon {
+	return slices.DeleteFunc(slices.Clone(ds), func(d *daemon) bool { return d == excluded })
 }
 
 // The upstream of a daemon stops answering without closing connections. The daemon
 // must abandon the call, contact the other control address and renew its lease long
 // before it expires, so that no caller is refused.
-func TestSilentCutOfUpstream(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.fabric.serve("control-2", w.leader)
+func TestUnresponsiveUpstreamIsReplaced(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		w.network.serve("control-2", w.leader)
 		d := w.startDaemon(identity("d1", 1), 64, 8)
 		d.upstreams(func(u *upstreams) { u.setControl([]string{leaderAddr, "control-2"}) })
 		time.Sleep(5 * time.Second)
 		first := d.client.ControlGroup()[0]
-		w.fabric.setCut(first, true)
+		w.network.setCut(first, true)
 		before := d.client.Current().Lease
-		time.Sleep(DefaultInterval + callMargin + 2*firstRetry)
+		time.Sleep(DefaultInterval + replyMargin + 2*minRetryDelay)
 		synctest.Wait()
 		Convey("the lease is renewed through the other address", t, func() {
 			So(first, ShouldNotEqual, "")
 			So(d.client.Current().Lease, ShouldBeGreaterThan, before)
-			So(w.unconfirmedFor(30*time.Second, d), ShouldEqual, 0)
+			So(w.longestWithoutLease(30*time.Second, d), ShouldEqual, 0)
 		})
 	})
 }
@@ -104,12 +104,12 @@
 // After a restart of all VMs a daemon contacts another one that has just started and
 // has no state. If the call were held there for a whole interval, the daemon would
 // refuse its callers for that time although the leader could answer it.
-func TestRelayWithoutStateSaysSoSoon(t *testing.T) {
-	inWorld(t, func(w *world) {
-		lost := w.startDaemon(identity("d1", 1), 64, 8)
-		lost.upstreams(func(u *upstreams) { u.control, u.seeds = []string{"nowhere"}, nil })
+func TestRelayWithoutStateRepliesEarly(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		stateless := w.startDaemon(identity("d1", 1), 64, 8)
+		stateless.upstreams(func(u *upstreams) { u.control, u.seeds = []string{"nowhere"}, nil })
 		began := w.clock()
-		reply, err := lost.client.Server().Sync(w.ctx, &wire.SyncRequest{
+		reply, err := stateless.client.Server().Sync(w.ctx, &wire.SyncRequest{
 			WaitMs:     uint32(DefaultInterval.Milliseconds()),
 			Heartbeats: []*wire.Heartbeat{{Vm: vm.ToWire(vm.Member{Identity: identity("d2", 1)})}},
 		})
@@ -118,7 +118,7 @@
 			So(err, ShouldBeNil)
 			So(reply.Granted, ShouldBeFalse)
 			So(reply.ConfigVersion, ShouldEqual, 0)
-			So(took, ShouldBeLessThanOrEqualTo, statelessHold)
+			So(took, ShouldBeLessThanOrEqualTo, statelessHoldTime)
 		})
 	})
 }
@@ -126,8 +126,8 @@
 // A daemon starts with addresses that are not in the control group and learns the
 // right ones while it waits for its next retry. It must contact them immediately, as
 // it refuses callers until it has a configuration.
-func TestNewSeedsAreAskedAtOnce(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestNewSeedsAreContactedImmediately(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
 		d := w.startDaemon(identity("d1", 1), 64, 8)
 		d.upstreams(func(u *upstreams) { u.control, u.seeds = []string{"nowhere"}, nil })
 		time.Sleep(4 * time.Second)
@@ -143,16 +143,16 @@
 // A relay fails with all its children connected. They must detect the silence and
 // switch to another relay or to control before their leases expire, so that no caller
 // is refused.
-func TestRelayLost(t *testing.T) {
-	inWorld(t, func(w *world) {
-		ds := w.startMany(24, 1, 6)
+func TestLeasesSurviveRelayFailure(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		ds := w.startDaemons(24, 1, 6)
 		relay, children := busiestRelay(ds)
 		busiest := relay.client.cfg.Self.PeerAddr
-		w.fabric.setCut(busiest, true)
-		others := without(ds, relay)
+		w.network.setCut(busiest, true)
+		others := excluding(ds, relay)
 		Convey("every other daemon keeps its lease", t, func() {
 			So(children, ShouldBeGreaterThan, 1)
-			So(w.unconfirmedFor(20*time.Second, others...), ShouldEqual, 0)
+			So(w.longestWithoutLease(20*time.Second, others...), ShouldEqual, 0)
 		})
 	})
 }
@@ -160,9 +160,9 @@
 // Both relays of a daemon stop answering while the leader is reachable. If the daemon
 // only alternated between the two, each while the backoff of the other ends, it would
 // serve callers with an outdated configuration.
-func TestBothRelaysLost(t *testing.T) {
-	inWorld(t, func(w *world) {
-		ds := w.startMany(24, 1, 6)
+func TestLeaderIsContactedWhenBothRelaysFail(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		ds := w.startDaemons(24, 1, 6)
 		relay, _ := busiestRelay(ds)
 		child := ds[slices.IndexFunc(ds, func(d *daemon) bool {
 			r := d.relays()
@@ -170,12 +170,12 @@
 		})]
 		lost := child.relays()
 		for _, addr := range lost {
-			w.fabric.setCut(addr, true)
+			w.network.setCut(addr, true)
 		}
 		time.Sleep(100 * time.Millisecond)
 		var longest time.Duration
 		for i := range 60 {
-			w.move(i)
+			w.moveLeaf(i)
 			state, _ := w.leader.history.State()
 			want, began := state.ConfigVersion, time.Now()
 			for child.client.Current().ConfigVersion < want && time.Since(began) < time.Minute {
@@ -193,12 +193,12 @@
 }
 
 // redirectingControlVM is a control VM that is not the leader and names the leader.
-type naming struct {
+type redirectingControlVM struct {
 	*modelLeader
 	leader string
 }
 
-func (n naming) Sync(context.Context, *wire.SyncRequest) (*wire.SyncReply, error) {
+func (n redirectingControlVM) Sync(context.Context, *wire.SyncRequest) (*wire.SyncReply, error) {
 	return &wire.SyncReply{Redirect: n.leader}, nil
 }
 
@@ -206,20 +206,20 @@
 // the leader. The other control VMs name it. If the daemon still applied the relay
 // backoff of up to half a minute to it, callers would be served with an outdated
 // configuration for as long.
-func TestRelayElectedWhileCutOff(t *testing.T) {
-	inWorld(t, func(w *world) {
-		ds := w.startMany(24, 1, 6)
+func TestDaemonFollowsRelayElectedAsLeader(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		ds := w.startDaemons(24, 1, 6)
 		child := ds[slices.IndexFunc(ds, func(d *daemon) bool { return len(d.relays()) > 0 })]
 		elected := child.relays()[0]
 		child.upstreams(func(u *upstreams) { u.setControl([]string{leaderAddr, elected}) })
 		self := child.client.cfg.Self.PeerAddr
-		w.fabric.setCut(self, true)
+		w.network.setCut(self, true)
 		time.Sleep(8 * time.Second)
-		w.fabric.serve(elected, w.leader)
-		w.fabric.serve(leaderAddr, naming{w.leader, elected})
-		w.move(1)
+		w.network.serve(elected, w.leader)
+		w.network.serve(leaderAddr, redirectingControlVM{w.leader, elected})
+		w.moveLeaf(1)
 		state, _ := w.leader.history.State()
-		w.fabric.setCut(self, false)
+		w.network.setCut(self, false)
 		began := time.Now()
 		for child.client.Current().ConfigVersion < state.ConfigVersion && time.Since(began) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
@@ -235,15 +235,15 @@
 // A relay loses the leader but not its children. It must stop granting leases and say
 // so, so that the children switch to another upstream before their leases expire. No
 // child may believe that it holds a lease that the leader regards as expired.
-func TestRelayCutOffStopsGranting(t *testing.T) {
-	inWorld(t, func(w *world) {
-		ds := w.startMany(24, 1, 6)
+func TestRelayWithoutLeaderStopsGranting(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		ds := w.startDaemons(24, 1, 6)
 		relay, _ := busiestRelay(ds)
-		w.fabric.cutBetween(relay.client.cfg.Self.PeerAddr, leaderAddr, true)
-		longest := w.unconfirmedFor(20*time.Second, without(ds, relay)...)
-		worst := w.checkLeases()
+		w.network.cutBetween(relay.client.cfg.Self.PeerAddr, leaderAddr, true)
+		longest := w.longestWithoutLease(20*time.Second, excluding(ds, relay)...)
+		leaseErr := w.checkLeases()
 		Convey("children keep leases that the leader granted, the relay loses its own", t, func() {
-			So(worst, ShouldBeNil)
+			So(leaseErr, ShouldBeNil)
 			So(longest, ShouldEqual, 0)
 			So(relay.client.Current().Confirmed(w.clock()), ShouldBeFalse)
 		})
@@ -253,15 +253,15 @@
 // A daemon is paused for 30 s with a reply in flight and then resumes. It reads the
 // reply as if it had just arrived, but the reply answers a request of long ago. The
 // daemon must not regard its lease as renewed.
-func TestPausedDaemonHasNoLease(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.fabric.late = true
+func TestReplyReadAfterPauseRenewsNoLease(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		w.network.lateReplies = true
 		d := w.startDaemon(identity("d1", 1), 64, 8)
 		time.Sleep(5 * time.Second)
-		resume := w.fabric.pause(d.client.cfg.Self.PeerAddr)
+		resume := w.network.pause(d.client.cfg.Self.PeerAddr)
 		time.Sleep(30 * time.Second)
 		before := d.client.Current().Lease
-		w.fabric.setCut(leaderAddr, true) // only messages already in flight arrive
+		w.network.setCut(leaderAddr, true) // only messages already in flight arrive
 		resume()
 		time.Sleep(time.Second)
 		Convey("the messages in flight renew no lease", t, func() {
@@ -273,14 +273,14 @@
 
 // A second run of a daemon starts while the first is still running. Run of the first
 // must return an error that names both, as the shares belong to the second.
-func TestSuperseded(t *testing.T) {
-	inWorld(t, func(w *world) {
+func TestOlderRunStopsWhenSuperseded(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
 		first := w.startDaemon(identity("d1", 1), 64, 8)
 		time.Sleep(3 * time.Second)
 		w.startDaemon(identity("d1", 2), 64, 8)
 		time.Sleep(10 * time.Second)
 		first.mu.Lock()
-		err := first.ended
+		err := first.runErr
 		first.mu.Unlock()
 		Convey("the older run stops", t, func() {
 			var superseded *SupersededError
@@ -293,9 +293,9 @@
 // A delta is corrupted in transit or was made on another tree, so the digest of the
 // result does not match. The daemon must apply neither the delta nor the grant that
 // came with it, must request the full state, and must recover with the next reply.
-func TestDigestMismatch(t *testing.T) {
-	inWorld(t, func(w *world) {
-		_ = w.leader.edit(set(service, "leaf-slots", "4"))
+func TestDigestMismatchRequestsFullState(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		_ = w.leader.edit(setEdit(service, "leaf-slots", "4"))
 		d := w.startDaemon(identity("d1", 1), 64, 8)
 		time.Sleep(5 * time.Second)
 		v := d.client.Current()
@@ -303,14 +303,14 @@
 			ConfigVersion: 2, ConfigDigest: 7, Granted: true, LeaseMs: 60_000,
 			Deltas: []*wire.TreeDelta{{Version: 2, Digest: 7}},
 		}
-		out, granted := d.client.receive(leaderAddr, w.clock(), &wire.SyncRequest{}, bad, false)
-		unharmed := d.client.Current() == v && d.client.whole
-		_ = w.leader.edit(set(service, "leaf-slots", "3"))
+		out, granted := d.client.handleReply(leaderAddr, w.clock(), &wire.SyncRequest{}, bad, false)
+		viewUnchanged := d.client.Current() == v && d.client.requestFullState
+		_ = w.leader.edit(setEdit(service, "leaf-slots", "3"))
 		time.Sleep(3 * time.Second)
 		Convey("nothing in the reply is applied, and the daemon recovers with the next reply", t, func() {
 			So(granted, ShouldBeFalse)
-			So(out, ShouldEqual, changed)
-			So(unharmed, ShouldBeTrue)
+			So(out, ShouldEqual, stateChanged)
+			So(viewUnchanged, ShouldBeTrue)
 			So(d.client.Current().ConfigVersion, ShouldEqual, 2)
 			So(d.client.Current().Confirmed(w.clock()), ShouldBeTrue)
 		})
@@ -321,27 +321,27 @@
 // previous membership. If they retried in step, the leader would be overloaded and no
 // lease renewed. The leader's calls must stay near one per daemon in the worst second
 // and then fall to those of the relays.
-func TestRestartOfAllMakesNoHerd(t *testing.T) {
+func TestRestartOfAllDaemonsBoundsLeaderCalls(t *testing.T) {
 	const n = 300
-	inWorld(t, func(w *world) {
-		w.fabric.delay = 2 * time.Millisecond
-		old := w.startMany(n, 64, 8)
+	runInCluster(t, func(w *cluster) {
+		w.network.delay = 2 * time.Millisecond
+		old := w.startDaemons(n, 64, 8)
 		for _, d := range old {
 			d.cancel()
 		}
 		time.Sleep(time.Second)
-		var again []*daemon
+		var restarted []*daemon
 		for i := range n {
-			again = append(again, w.startDaemon(identity(fmt.Sprintf("d%03d", i), 2), 64, 8))
+			restarted = append(restarted, w.startDaemon(identity(fmt.Sprintf("d%03d", i), 2), 64, 8))
 		}
 		var perSecond []int
 		for range 40 {
-			before := w.fabric.callsTo(leaderAddr)
+			before := w.network.callsTo(leaderAddr)
 			time.Sleep(time.Second)
-			perSecond = append(perSecond, w.fabric.callsTo(leaderAddr)-before)
+			perSecond = append(perSecond, w.network.callsTo(leaderAddr)-before)
 		}
 		relays := 0
-		for _, d := range again {
+		for _, d := range restarted {
 			if len(d.relays()) == 0 {
 				relays++
 			}
@@ -354,8 +354,8 @@
 		Convey("the leader's calls are bounded, and all are confirmed", t, func() {
 			So(worst, ShouldBeLessThanOrEqualTo, 2*n)
 			So(perSecond[len(perSecond)-1], ShouldBeLessThanOrEqualTo, 3*relays)
-			So(w.unconfirmedFor(5*time.Second, again...), ShouldEqual, 0)
-			m := again[0].client.Current().Settled
+			So(w.longestWithoutLease(5*time.Second, restarted...), ShouldEqual, 0)
+			m := restarted[0].client.Current().Settled
 			member, _ := m.Find("d000")
 			So(member.Phase, ShouldEqual, vm.Serving)
 			So(member.Incarnation, ShouldEqual, 2)
@@ -364,14 +364,14 @@
 }
 
 // controlVMWithoutLeader is a control VM that knows no leader before electedAt.
-type leaderless struct {
+type controlVMWithoutLeader struct {
 	*modelLeader
-	clock   vm.Clock
-	elected vm.Instant
+	clock     vm.Clock
+	electedAt vm.Instant
 }
 
-func (l leaderless) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
-	if l.clock() < l.elected {
+func (l controlVMWithoutLeader) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
+	if l.clock() < l.electedAt {
 		return &wire.SyncReply{}, nil
 	}
 	return l.modelLeader.Sync(ctx, req)
@@ -380,23 +380,23 @@
 // All VMs restart, and the control group takes more than a second to elect a leader. A
 // daemon without a configuration refuses its callers, so it must get one soon after
 // the election and not when a retry delay that has grown in the meantime ends.
-func TestStartingDaemonsDoNotWaitLong(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.fabric.serve(leaderAddr, leaderless{w.leader, w.clock, w.clock().Add(1800 * time.Millisecond)})
+func TestStartingDaemonsRetryWithinStartupDelay(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		w.network.serve(leaderAddr, controlVMWithoutLeader{w.leader, w.clock, w.clock().Add(1800 * time.Millisecond)})
 		var ds []*daemon
 		for i := range 8 {
 			ds = append(ds, w.startDaemon(identity(fmt.Sprintf("d%d", i), 1), 64, 8))
 		}
-		time.Sleep(1800*time.Millisecond + startRetry + 2*firstRetry)
+		time.Sleep(1800*time.Millisecond + startupMaxRetryDelay + 2*minRetryDelay)
 		synctest.Wait()
-		late := 0
+		withoutTree := 0
 		for _, d := range ds {
 			if d.client.Current().Tree == nil {
-				late++
+				withoutTree++
 			}
 		}
 		Convey("all have the configuration", t, func() {
-			So(late, ShouldEqual, 0)
+			So(withoutTree, ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/relay/daemon_test.go
+++ b/internal/relay/daemon_test.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	leaderAddr  = "leader"
-	service     = "/desk/s1"
-	drainedNote = 300 * time.Millisecond // longest time that requests in flight take
+	leaderAddr   = "leader"
+	service      = "/desk/s1"
+	maxDrainTime = 300 * time.Millisecond // longest time that requests in flight take
 )
 
 // daemon is a client with a query path that always has as many requests in flight as
@@ -25,31 +25,31 @@
 
 	mu       sync.Mutex
 	inFlight map[string]int // by leaf address
-	until    vm.Instant     // no attempt has a later deadline
-	ended    error          // returned by Run
+	leaseEnd vm.Instant     // no attempt has a later deadline
+	runErr   error          // returned by Run
 }
 
 // cluster is a leader, its daemons and the network between them.
-type world struct {
+type cluster struct {
 	ctx     context.Context
 	start   time.Time
-	fabric  *fabric
+	network *testNetwork
 	leader  *modelLeader
 	mu      sync.Mutex
 	daemons []*daemon // all daemons ever started
 	running sync.WaitGroup
 }
 
-func newWorld(ctx context.Context, seed uint64) *world {
-	w := &world{ctx: ctx, start: time.Now(), fabric: newFabric(seed)}
+func newCluster(ctx context.Context, seed uint64) *cluster {
+	w := &cluster{ctx: ctx, start: time.Now(), network: newTestNetwork(seed)}
 	w.leader = newModelLeader(w.clock)
-	w.fabric.serve(leaderAddr, w.leader)
+	w.network.serve(leaderAddr, w.leader)
 	go w.leader.run(ctx)
 	return w
 }
 
 // clock starts at one second, as instant 0 means never.
-func (w *world) clock() vm.Instant { return vm.Instant(time.Second + time.Since(w.start)) }
+func (w *cluster) clock() vm.Instant { return vm.Instant(time.Second + time.Since(w.start)) }
 
 func identity(name string, incarnation uint64) vm.Identity {
 	return vm.Identity{
@@ -58,21 +58,21 @@
 }
 
 // startDaemon starts a daemon. For direct and fanout see Config.
-func (w *world) startDaemon(id vm.Identity, direct, fanout int) *daemon {
+func (w *cluster) startDaemon(id vm.Identity, direct, fanout int) *daemon {
 	ctx, cancel := context.WithCancel(w.ctx)
 	d := &daemon{cancel: cancel, inFlight: make(map[string]int)}
 	d.client = NewClient(Config{
-		Self: id, Control: []string{leaderAddr}, Conns: w.fabric.from(id.PeerAddr),
+		Self: id, Control: []string{leaderAddr}, Conns: w.network.from(id.PeerAddr),
 		Clock: w.clock, Direct: direct, Fanout: fanout,
 	})
 	d.client.SetPhase(vm.Serving)
-	w.fabric.serve(id.PeerAddr, d.client.Server())
+	w.network.serve(id.PeerAddr, d.client.Server())
 	w.mu.Lock()
 	w.daemons = append(w.daemons, d)
 	w.mu.Unlock()
 	w.running.Add(2)
 	go func() { defer w.running.Done(); d.run(ctx) }()
-	go func() { defer w.running.Done(); d.work(ctx) }()
+	go func() { defer w.running.Done(); d.useShares(ctx) }()
 	return d
 }
 
@@ -80,7 +80,7 @@
 func (d *daemon) upstreams(f func(u *upstreams)) {
 	d.client.mu.Lock()
 	defer d.client.mu.Unlock()
-	f(d.client.up)
+	f(d.client.upstreams)
 }
 
 // relays returns the relays that the daemon uses, best first.
@@ -93,21 +93,21 @@
 	err := d.client.Run(ctx)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ended = err
+	d.runErr = err
 }
 
 // useShares uses the shares of each view: it waits until requests that exceed them
 // have ended, fills them again, and acknowledges the view. Requests in flight when the
 // daemon is killed continue on the leaf until their deadline.
-func (d *daemon) work(ctx context.Context) {
+func (d *daemon) useShares(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := d.client.Changed()
 		v := d.client.Current()
 		shares := d.shares(v)
 		if d.exceeds(shares) {
-			vm.Sleep(ctx, drainedNote)
+			vm.Sleep(ctx, maxDrainTime)
 		}
-		d.fill(ctx, v, shares)
+		d.setInFlight(ctx, v, shares)
 		if v.Tree != nil && ctx.Err() == nil {
 			d.client.Ack(v.ConfigVersion, v.Epoch())
 		}
@@ -143,20 +143,20 @@
 	return false
 }
 
-func (d *daemon) fill(ctx context.Context, v *View, shares map[string]int) {
+func (d *daemon) setInFlight(ctx context.Context, v *View, shares map[string]int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ctx.Err() == nil && v.Confirmed(d.client.cfg.Clock()) {
-		d.inFlight, d.until = shares, v.Lease
+		d.inFlight, d.leaseEnd = shares, v.Lease
 	}
 }
 
 // inFlightAt returns the number of requests that the daemon has in flight at a leaf.
 // It is 0 after the lease, which no attempt outlives.
-func (d *daemon) using(addr string, now vm.Instant) int {
+func (d *daemon) inFlightAt(addr string, now vm.Instant) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now >= d.until {
+	if now >= d.leaseEnd {
 		return 0
 	}
 	return d.inFlight[addr]
@@ -164,16 +164,16 @@
 
 // totalInFlight returns the number of requests that all daemons have in flight at a
 // leaf.
-func (w *world) used(addr string) int {
+func (w *cluster) totalInFlight(addr string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	sum := 0
 	for _, d := range w.daemons {
-		sum += d.using(addr, w.clock())
+		sum += d.inFlightAt(addr, w.clock())
 	}
 	return sum
 }
 
-func set(path, name, value string) settings.Edit {
+func setEdit(path, name, value string) settings.Edit {
 	return settings.Edit{Path: path, Name: name, Value: value, Op: settings.Set}
 }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -16,86 +16,86 @@
 	// replyMargin is how long a reply may take in addition to the time for which it is
 	// held. A silently dropped connection shows no other sign, so this margin and the
 	// hold time limit how long it goes unnoticed.
-	callMargin = 500 * time.Millisecond
+	replyMargin = 500 * time.Millisecond
 	// maxReplyMargin gives a slow upstream more time after several calls have timed
 	// out. The limit for a relay is lower, as there are other upstreams to contact and
 	// newer state is missed during the wait.
-	maxCallMargin  = 3 * time.Second
-	maxRelayMargin = time.Second
+	maxReplyMargin      = 3 * time.Second
+	maxRelayReplyMargin = time.Second
 	// clockDriftDivisor takes 1% off a lease. The clocks of two VMs may differ in rate
 	// by that much before the daemon believes that its lease lasts longer than the
 	// leader does.
-	driftParts = 100
+	clockDriftDivisor = 100
 	// minRetryDelay and maxRetryDelay limit the delay between consecutive failed
 	// calls.
-	firstRetry = 20 * time.Millisecond
-	maxRetry   = time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 	// startupMaxRetryDelay replaces maxRetryDelay during startupPeriod for a daemon
 	// that no leader has confirmed, which has no configuration, or one that may be
 	// outdated. After a restart of all VMs the leader is elected within a second, and
 	// delays that had grown in the meantime cost half a second more. With 3,600
 	// daemons this makes 18,000 short calls a second for some seconds.
-	startRetry = 200 * time.Millisecond
-	startTime  = 5 * time.Second
+	startupMaxRetryDelay = 200 * time.Millisecond
+	startupPeriod        = 5 * time.Second
 )
 
 var (
-	exchanges = metrics.GetOrRegisterCounter("relay.exchanges", nil)
-	failed    = metrics.GetOrRegisterCounter("relay.exchanges.failed", nil)
-	unjoined  = metrics.GetOrRegisterCounter("relay.state.refused", nil)
-	version   = metrics.GetOrRegisterGauge("relay.config.version", nil)
+	exchangeCounter       = metrics.GetOrRegisterCounter("relay.exchanges", nil)
+	failedExchangeCounter = metrics.GetOrRegisterCounter("relay.exchanges.failed", nil)
+	refusedStateCounter   = metrics.GetOrRegisterCounter("relay.state.refused", nil)
+	configVersionGauge    = metrics.GetOrRegisterGauge("relay.config.version", nil)
 )
 
 // outcome is the result of an exchange.
 type outcome uint8
 
 const (
-	callFailed  outcome = iota // no reply
-	unconfirmed                // a reply that does not renew the lease
-	redirected                 // the leader is known now
-	unchanged                  // the lease is renewed
-	changed                    // the lease is renewed, and there was newer state
+	callFailed      outcome = iota // no reply
+	leaseNotRenewed                // a reply that does not renew the lease
+	redirected                     // the leader is known now
+	leaseRenewed                   // the lease is renewed
+	stateChanged                   // the lease is renewed, and there was newer state
 )
 
 // countFailures returns the number of consecutive failed exchanges after an exchange
 // with outcome o.
-func (o outcome) failures(before int) int {
-	if o == callFailed || o == unconfirmed {
-		return before + 1
+func (o outcome) countFailures(previous int) int {
+	if o == callFailed || o == leaseNotRenewed {
+		return previous + 1
 	}
 	if o == redirected {
-		return before
+		return previous
 	}
 	return 0
 }
 
 // pollDelay returns how long poll waits before its next exchange.
-func (c *Client) pause(o outcome, failures int, took time.Duration) time.Duration {
+func (c *Client) pollDelay(o outcome, failures int, took time.Duration) time.Duration {
 	switch {
-	case o == changed || o == redirected:
-		return minGap - took
-	case o == unchanged:
-		return c.interval() - took
-	case failures == 1 && !c.allPaused():
-		return c.randomUpTo(firstRetry)
+	case o == stateChanged || o == redirected:
+		return minCallInterval - took
+	case o == leaseRenewed:
+		return c.heartbeatInterval() - took
+	case failures == 1 && !c.allBackedOff():
+		return c.randomDuration(minRetryDelay)
 	}
-	backoff := min(firstRetry<<min(failures, 10), c.longestRetry())
-	return backoff/2 + c.randomUpTo(backoff/2)
+	backoff := min(minRetryDelay<<min(failures, 10), c.retryLimit())
+	return backoff/2 + c.randomDuration(backoff/2)
 }
 
-func (c *Client) longestRetry() time.Duration {
+func (c *Client) retryLimit() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.confirmed == 0 && c.cfg.Clock().Sub(c.started) < startTime {
-		return startRetry
+	if c.lastConfirmed == 0 && c.cfg.Clock().Sub(c.started) < startupPeriod {
+		return startupMaxRetryDelay
 	}
-	return maxRetry
+	return maxRetryDelay
 }
 
-func (c *Client) allPaused() bool {
+func (c *Client) allBackedOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	_, wait := c.up.pick(c.cfg.Clock())
+	_, wait := c.upstreams.pick(c.cfg.Clock())
 	return wait > 0
 }
 
@@ -104,54 +104,54 @@
 // be held.
 func (c *Client) exchange(ctx context.Context, hold time.Duration, push bool) outcome {
 	c.mu.Lock()
-	addr, _ := c.up.pick(c.cfg.Clock())
+	addr, _ := c.upstreams.pick(c.cfg.Clock())
 	c.mu.Unlock()
 	if addr == "" {
 		return callFailed
 	}
-	return c.exchangeAt(ctx, addr, hold, push)
+	return c.exchangeWith(ctx, addr, hold, push)
 }
 
-func (c *Client) exchangeAt(ctx context.Context, addr string, hold time.Duration, push bool) outcome {
-	var kids []*child
+func (c *Client) exchangeWith(ctx context.Context, addr string, hold time.Duration, push bool) outcome {
+	var forwarded []*child
 	if push {
-		kids = c.children.take(c.cfg.Clock())
+		forwarded = c.children.pending(c.cfg.Clock())
 	}
-	req := c.request(hold, kids)
-	exchanges.Inc(1)
+	req := c.buildRequest(hold, forwarded)
+	exchangeCounter.Inc(1)
 	sent := c.cfg.Clock()
 	reply, err := c.call(ctx, addr, req, hold)
 	if err != nil {
-		return c.noReply(ctx, addr, err)
+		return c.handleCallError(ctx, addr, err)
 	}
-	out, granted := c.receive(addr, sent, req, reply, push)
+	out, granted := c.handleReply(addr, sent, req, reply, push)
 	if granted {
-		c.children.grant(kids, reply, sent)
+		c.children.recordGrant(forwarded, reply, sent)
 	}
 	return out
 }
 
-func (c *Client) request(hold time.Duration, kids []*child) *wire.SyncRequest {
+func (c *Client) buildRequest(hold time.Duration, forwarded []*child) *wire.SyncRequest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := c.view
 	req := &wire.SyncRequest{WaitMs: uint32(hold.Milliseconds()), HaveInForce: v.InForce, Unpacks: true}
-	if !c.whole {
+	if !c.requestFullState {
 		req.HaveConfig, req.HaveDigest = v.ConfigVersion, v.ConfigDigest
 		req.HaveSettled, req.HavePending = epochOf(v.Settled), epochOf(v.Pending)
 	}
 	agreed := v.Members()
-	addHeartbeat(req, c.ownHeartbeat(), agreed, c.resend)
+	addHeartbeat(req, c.ownHeartbeat(), agreed, c.fullHeartbeats)
 	full := len(req.GetSteady()) == 0 // see SenderHeartbeat
-	for _, k := range kids {
-		addHeartbeat(req, k.heartbeat, agreed, full)
+	for _, fwd := range forwarded {
+		addHeartbeat(req, fwd.heartbeat, agreed, full)
 	}
 	return req
 }
 
 // call sends the request. The timeout covers connecting, too.
 func (c *Client) call(ctx context.Context, addr string, req *wire.SyncRequest, hold time.Duration) (*wire.SyncReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, hold+c.margin(addr))
+	ctx, cancel := context.WithTimeout(ctx, hold+c.replyMarginFor(addr))
 	defer cancel()
 	conn, err := c.cfg.Conns.Conn(ctx, addr)
 	if err != nil {
@@ -162,144 +162,144 @@
 	if err != nil {
 		return nil, err
 	}
-	return reply, unpackState(reply)
+	return reply, decompressState(reply)
 }
 
 // replyMarginFor returns the reply margin for addr. It grows with consecutive failures
 // of addr, so that an upstream that is slow but not lost is eventually reached.
-func (c *Client) margin(addr string) time.Duration {
+func (c *Client) replyMarginFor(addr string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	most := maxCallMargin
-	if c.up.isRelay(addr) {
-		most = maxRelayMargin
+	limit := maxReplyMargin
+	if c.upstreams.isRelay(addr) {
+		limit = maxRelayReplyMargin
 	}
-	return min(callMargin+c.up.paused[addr].last, most)
+	return min(replyMargin+c.upstreams.backoffs[addr].delay, limit)
 }
 
-func (c *Client) noReply(ctx context.Context, addr string, err error) outcome {
+func (c *Client) handleCallError(ctx context.Context, addr string, err error) outcome {
 	if ctx.Err() != nil {
 		return callFailed
 	}
-	failed.Inc(1)
+	failedExchangeCounter.Inc(1)
 	klog.V(1).Infof("relay: no reply from %s: %v", addr, err)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.passOver(addr, c.cfg.Clock(), err.Error())
+	c.backOff(addr, c.cfg.Clock(), err.Error())
 	return callFailed
 }
 
 // backOff excludes addr from use for a while. The caller holds mu.
-func (c *Client) passOver(addr string, now vm.Instant, why string) {
-	if !c.up.fails(addr) {
-		klog.Infof("relay: upstream lost addr=%s config=%d: %s", addr, c.view.ConfigVersion, why)
+func (c *Client) backOff(addr string, now vm.Instant, reason string) {
+	if !c.upstreams.hasFailed(addr) {
+		klog.Infof("relay: upstream lost addr=%s config=%d: %s", addr, c.view.ConfigVersion, reason)
 	}
-	c.up.failed(addr, now)
+	c.upstreams.markFailed(addr, now)
 }
 
 // handleReply processes the reply to a request that was sent at sent. Granted reports
 // whether the leader confirmed the heartbeats in the request.
-func (c *Client) receive(addr string, sent vm.Instant, req *wire.SyncRequest, r *wire.SyncReply, push bool) (out outcome, granted bool) {
+func (c *Client) handleReply(addr string, sent vm.Instant, req *wire.SyncRequest, r *wire.SyncReply, push bool) (out outcome, granted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.view
-	again := c.install(req, r)
-	partly := r.GetResend() && len(req.GetSteady()) > 0
-	c.up.setControl(r.GetControl())
+	retry := c.applyState(req, r)
+	partlyUnknown := r.GetResend() && len(req.GetSteady()) > 0
+	c.upstreams.setControl(r.GetControl())
 	now := c.cfg.Clock()
 	if leader := r.GetRedirect(); leader != "" && leader != addr {
 		// A relay on a control VM that is not the leader has no state to forward. If
 		// it stayed the first choice, this daemon would never reach the leader that it
 		// names.
-		if c.up.isRelay(addr) {
-			c.passOver(addr, now, "it names another VM as the leader")
+		if c.upstreams.isRelay(addr) {
+			c.backOff(addr, now, "it names another VM as the leader")
 		}
-		c.publish(before)
-		return c.follow(addr, leader, now), false
+		c.notifyChanged(before)
+		return c.followRedirect(addr, leader, now), false
 	}
 	// With a grant the leader relies on this daemon knowing the state in the reply.
 	// Without that state the daemon could use shares that the leader has since given
 	// to others. A reply that requests full heartbeats does not say which of the short
 	// ones were unknown, so it grants none.
-	granted = r.GetGranted() && covers(c.view, r) && !partly
+	granted = r.GetGranted() && covers(c.view, r) && !partlyUnknown
 	if granted {
-		c.confirmed = max(c.confirmed, sent)
-		c.renew(sent, r)
+		c.lastConfirmed = max(c.lastConfirmed, sent)
+		c.extendLease(sent, r)
 	}
-	c.publish(before)
+	c.notifyChanged(before)
 	switch {
-	case again:
-		return changed, granted
-	case !granted || !c.renewed(now, r):
+	case retry:
+		return stateChanged, granted
+	case !granted || !c.leaseSufficient(now, r):
 		// An upstream that answers but is itself cut off from the leader is backed off
 		// like a lost one. The reply to a push says nothing about this, as it is not
 		// held until the leader has answered.
 		if !push {
-			c.passOver(addr, now, "it does not renew the lease")
+			c.backOff(addr, now, "it does not renew the lease")
 		}
-		return unconfirmed, granted
+		return leaseNotRenewed, granted
 	}
-	if c.up.fails(addr) {
+	if c.upstreams.hasFailed(addr) {
 		klog.Infof("relay: upstream back addr=%s config=%d", addr, c.view.ConfigVersion)
 	}
-	c.up.worked(addr)
+	c.upstreams.markWorking(addr)
 	// The reply may contain state that the reply to the concurrent poll or push has
 	// just delivered. It still came before the end of the interval. Waiting for the
 	// rest of the interval would leave no call held at the upstream, and the next
 	// change would be noticed that much later.
-	if hasNews(req, r) {
-		return changed, granted
+	if replyHasNews(req, r) {
+		return stateChanged, granted
 	}
-	return unchanged, granted
+	return leaseRenewed, granted
 }
 
 // replyHasNews reports whether a reply contains state that the sender of the request
 // did not have.
-func hasNews(req *wire.SyncRequest, r *wire.SyncReply) bool {
+func replyHasNews(req *wire.SyncRequest, r *wire.SyncReply) bool {
 	return r.GetConfigVersion() > req.GetHaveConfig() || r.GetInForce() > req.GetHaveInForce() ||
 		r.GetSettledEpoch() > req.GetHaveSettled() ||
 		r.GetPendingEpoch() > max(req.GetHavePending(), req.GetHaveSettled())
 }
 
 // followRedirect switches to the leader that the daemon at addr named.
-func (c *Client) follow(addr, leader string, now vm.Instant) outcome {
-	if c.up.redirected(leader, now) {
+func (c *Client) followRedirect(addr, leader string, now vm.Instant) outcome {
+	if c.upstreams.setLeader(leader, now) {
 		return redirected
 	}
-	c.passOver(addr, now, "it names a leader that failed recently")
-	return unconfirmed
+	c.backOff(addr, now, "it names a leader that failed recently")
+	return leaseNotRenewed
 }
 
 // leaseSufficient reports whether the lease is as long as a working upstream keeps it,
 // or the leader itself refuses a lease to this daemon.
-func (c *Client) renewed(now vm.Instant, r *wire.SyncReply) bool {
-	return c.until.Sub(now) >= c.lease/2 || slices.Contains(r.GetRefused(), c.cfg.Self.Name)
+func (c *Client) leaseSufficient(now vm.Instant, r *wire.SyncReply) bool {
+	return c.leaseEnd.Sub(now) >= c.leaseDuration/2 || slices.Contains(r.GetRefused(), c.cfg.Self.Name)
 }
 
 // applyState merges the reply's state into the view. Retry reports whether the request
 // must be repeated in another form, for the full state or with full heartbeats. It is
 // false if the request already had that form.
-func (c *Client) install(req *wire.SyncRequest, r *wire.SyncReply) (again bool) {
-	c.resend = r.GetResend()
-	again = c.resend && len(req.GetSteady()) > 0
-	next, err := advance(c.view, r)
+func (c *Client) applyState(req *wire.SyncRequest, r *wire.SyncReply) (retry bool) {
+	c.fullHeartbeats = r.GetResend()
+	retry = c.fullHeartbeats && len(req.GetSteady()) > 0
+	next, err := mergeReply(c.view, r)
 	if err != nil {
-		unjoined.Inc(1)
-		if !c.whole {
-			c.reportRefused(err)
-			again = true
+		refusedStateCounter.Inc(1)
+		if !c.requestFullState {
+			c.logRefusal(err)
+			retry = true
 		}
-		c.whole = true
-		return again
+		c.requestFullState = true
+		return retry
 	}
-	c.whole = false
+	c.requestFullState = false
 	if next == c.view {
-		return again
+		return retry
 	}
 	c.view = next
 	c.checkSuperseded(next)
-	c.up.members(next.Members(), c.cfg.Direct, c.cfg.Fanout)
-	version.Update(int64(next.ConfigVersion))
+	c.upstreams.updateRelays(next.Members(), c.cfg.Direct, c.cfg.Fanout)
+	configVersionGauge.Update(int64(next.ConfigVersion))
 	c.history.Advance(State{
 		ConfigVersion: next.ConfigVersion,
 		ConfigDigest:  next.ConfigDigest,
@@ -308,38 +308,38 @@
 		Settled:       next.Settled,
 		Pending:       next.Pending,
 	}, r.GetDeltas())
-	return again
+	return retry
 }
 
 // refusalLogInterval is the least time between two log lines about rejected state. An
 // upstream that sends invalid state does so with every call; the counter
 // relay.state.refused counts each one.
-const refusedEvery = 10 * time.Second
+const refusalLogInterval = 10 * time.Second
 
-func (c *Client) reportRefused(err error) {
+func (c *Client) logRefusal(err error) {
 	now := c.cfg.Clock()
-	if c.reported != 0 && now.Sub(c.reported) < refusedEvery {
+	if c.lastRefusalLog != 0 && now.Sub(c.lastRefusalLog) < refusalLogInterval {
 		return
 	}
-	c.reported = now
+	c.lastRefusalLog = now
 	klog.Errorf("relay: state rejected, requesting the full state: %v", err)
 }
 
 // extendLease extends the lease by a grant. The lease counts from the time the request
 // was sent, which is before the leader handled it, minus the age of the grant, so that
 // it expires here before the leader regards it as expired.
-func (c *Client) renew(sent vm.Instant, r *wire.SyncReply) {
+func (c *Client) extendLease(sent vm.Instant, r *wire.SyncReply) {
 	if slices.Contains(r.GetRefused(), c.cfg.Self.Name) {
 		return
 	}
 	lease := time.Duration(r.GetLeaseMs()) * time.Millisecond
-	c.lease = lease
+	c.leaseDuration = lease
 	age := time.Duration(r.GetAgeMs()) * time.Millisecond
-	until := sent.Add(lease - lease/driftParts - age)
-	c.until = max(c.until, until)
-	if c.until > c.view.Lease && c.isMember() {
+	until := sent.Add(lease - lease/clockDriftDivisor - age)
+	c.leaseEnd = max(c.leaseEnd, until)
+	if c.leaseEnd > c.view.Lease && c.isMember() {
 		next := *c.view
-		next.Lease = c.until
+		next.Lease = c.leaseEnd
 		c.view = &next
 	}
 }
@@ -358,10 +358,10 @@
 }
 
 // notifyChanged wakes those who wait for a view newer than before.
-func (c *Client) publish(before *View) {
+func (c *Client) notifyChanged(before *View) {
 	if c.view == before {
 		return
 	}
-	close(c.changed)
-	c.changed = make(chan struct{})
+	close(c.viewChanged)
+	c.viewChanged = make(chan struct{})
 }
--- a/internal/relay/fabric_test.go
+++ b/internal/relay/fabric_test.go
@@ -15,91 +15,91 @@
 
 // testNetwork carries Sync calls between daemons in this process. Each address can be
 // cut off silently, or paused so that its messages are delayed.
-type fabric struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	servers map[string]wire.DRPCSpreadServer
-	cut     map[string]bool          // calls to and from the address hang
-	between map[[2]string]bool       // calls from the first to the second address hang
-	held    map[string]chan struct{} // nothing passes until the channel is closed
-	calls   map[string]int
-	delay   time.Duration // maximum one-way delay
-	late    bool          // also deliver replies after the caller's deadline
+type testNetwork struct {
+	mu          sync.Mutex
+	rng         *rand.Rand
+	servers     map[string]wire.DRPCSpreadServer
+	cut         map[string]bool          // calls to and from the address hang
+	between     map[[2]string]bool       // calls from the first to the second address hang
+	paused      map[string]chan struct{} // nothing passes until the channel is closed
+	calls       map[string]int
+	delay       time.Duration // maximum one-way delay
+	lateReplies bool          // also deliver replies after the caller's deadline
 }
 
-func newFabric(seed uint64) *fabric {
-	return &fabric{
+func newTestNetwork(seed uint64) *testNetwork {
+	return &testNetwork{
 		rng:     rand.New(rand.NewPCG(seed, seed)),
 		servers: make(map[string]wire.DRPCSpreadServer),
 		cut:     make(map[string]bool),
 		between: make(map[[2]string]bool),
-		held:    make(map[string]chan struct{}),
+		paused:  make(map[string]chan struct{}),
 		calls:   make(map[string]int),
 	}
 }
 
-func (f *fabric) serve(addr string, s wire.DRPCSpreadServer) {
+func (f *testNetwork) serve(addr string, s wire.DRPCSpreadServer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.servers[addr] = s
 }
 
-func (f *fabric) setCut(addr string, cut bool) {
+func (f *testNetwork) setCut(addr string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cut[addr] = cut
 }
 
-func (f *fabric) cutBetween(from, to string, cut bool) {
+func (f *testNetwork) cutBetween(from, to string, cut bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.between[[2]string{from, to}] = cut
 }
 
-func (f *fabric) pause(addr string) (resume func()) {
+func (f *testNetwork) pause(addr string) (resume func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ch := make(chan struct{})
-	f.held[addr] = ch
+	f.paused[addr] = ch
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		delete(f.held, addr)
+		delete(f.paused, addr)
 		close(ch)
 	}
 }
 
-func (f *fabric) callsTo(addr string) int {
+func (f *testNetwork) callsTo(addr string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls[addr]
 }
 
 // from returns the connections of the daemon at addr.
-func (f *fabric) from(addr string) Conns { return dialer{fabric: f, from: addr} }
+func (f *testNetwork) from(addr string) Conns { return testDialer{network: f, from: addr} }
 
-type dialer struct {
-	fabric *fabric
-	from   string
+type testDialer struct {
+	network *testNetwork
+	from    string
 }
 
-func (d dialer) Conn(_ context.Context, addr string) (drpc.Conn, error) {
-	return &link{dialer: d, to: addr}, nil
+func (d testDialer) Conn(_ context.Context, addr string) (drpc.Conn, error) {
+	return &testConn{testDialer: d, to: addr}, nil
 }
 
-type link struct {
-	dialer
+type testConn struct {
+	testDialer
 	to string
 }
 
-func (l *link) Close() error            { return nil }
-func (l *link) Closed() <-chan struct{} { return nil }
+func (l *testConn) Close() error            { return nil }
+func (l *testConn) Closed() <-chan struct{} { return nil }
 
-func (l *link) NewStream(context.Context, string, drpc.Encoding) (drpc.Stream, error) {
+func (l *testConn) NewStream(context.Context, string, drpc.Encoding) (drpc.Stream, error) {
 	return nil, errors.New("streams are not supported")
 }
 
-func (l *link) Invoke(ctx context.Context, _ string, _ drpc.Encoding, in, out drpc.Message) error {
+func (l *testConn) Invoke(ctx context.Context, _ string, _ drpc.Encoding, in, out drpc.Message) error {
 	s, late, err := l.open(ctx)
 	if err != nil {
 		return err
@@ -107,22 +107,22 @@
 	if late {
 		ctx = context.WithoutCancel(ctx)
 	}
-	if err := l.travel(ctx); err != nil {
+	if err := l.deliver(ctx); err != nil {
 		return err
 	}
 	reply, err := s.Sync(ctx, proto.Clone(in.(proto.Message)).(*wire.SyncRequest))
 	if err != nil {
 		return err
 	}
-	if err := l.travel(ctx); err != nil {
+	if err := l.deliver(ctx); err != nil {
 		return err
 	}
 	proto.Merge(out.(proto.Message), reply)
 	return nil
 }
 
-func (l *link) open(ctx context.Context) (wire.DRPCSpreadServer, bool, error) {
-	f := l.fabric
+func (l *testConn) open(ctx context.Context) (wire.DRPCSpreadServer, bool, error) {
+	f := l.network
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls[l.to]++
@@ -130,12 +130,12 @@
 	if !ok {
 		return nil, false, errors.Newf("connection refused by %s", l.to)
 	}
-	return s, f.late && f.rng.IntN(2) == 0, ctx.Err()
+	return s, f.lateReplies && f.rng.IntN(2) == 0, ctx.Err()
 }
 
 // deliver simulates the transit of one message between the two ends.
-func (l *link) travel(ctx context.Context) error {
-	f := l.fabric
+func (l *testConn) deliver(ctx context.Context) error {
+	f := l.network
 	f.mu.Lock()
 	var delay time.Duration
 	if f.delay > 0 {
@@ -145,7 +145,7 @@
 	time.Sleep(delay)
 	for _, end := range []string{l.from, l.to} {
 		f.mu.Lock()
-		held, cut := f.held[end], f.cut[end] || f.between[[2]string{l.from, l.to}]
+		held, cut := f.paused[end], f.cut[end] || f.between[[2]string{l.from, l.to}]
 		f.mu.Unlock()
 		if cut {
 			// A message on a cut connection is lost; the call ends at the caller's
--- a/internal/relay/heartbeat.go
+++ b/internal/relay/heartbeat.go
@@ -16,8 +16,8 @@
 
 // digestIndex finds the members of one membership by Member.Digest.
 type digestIndex struct {
-	of       *vm.Membership
-	byDigest map[uint64]int
+	membership *vm.Membership
+	byDigest   map[uint64]int
 }
 
 // Expand returns every heartbeat of a request in full. The short ones are looked up in
@@ -33,7 +33,7 @@
 	hbs = append(make([]*wire.Heartbeat, 0, len(hbs)+len(req.GetSteady())), hbs...)
 	epoch := max(req.GetHaveSettled(), req.GetHavePending())
 	for _, digest := range req.GetSteady() {
-		m, ok := lookUp(indexes, digest)
+		m, ok := findByDigest(indexes, digest)
 		if !ok {
 			unknown = true
 			continue
@@ -71,11 +71,11 @@
 
 func (x *Expander) indexOf(m *vm.Membership) digestIndex {
 	for _, index := range x.indexes {
-		if index.of == m {
+		if index.membership == m {
 			return index
 		}
 	}
-	index := digestIndex{of: m}
+	index := digestIndex{membership: m}
 	if m != nil {
 		index.byDigest = make(map[uint64]int, len(m.Members))
 		for i := range m.Members {
@@ -85,10 +85,10 @@
 	return index
 }
 
-func lookUp(indexes [2]digestIndex, digest uint64) (vm.Member, bool) {
+func findByDigest(indexes [2]digestIndex, digest uint64) (vm.Member, bool) {
 	for _, index := range indexes {
 		if i, ok := index.byDigest[digest]; ok {
-			return index.of.Members[i], true
+			return index.membership.Members[i], true
 		}
 	}
 	return vm.Member{}, false
--- a/internal/relay/history.go
+++ b/internal/relay/history.go
@@ -40,7 +40,7 @@
 	memberships []*vm.Membership  // settled and pending ones, oldest first
 	deltaBytes  int
 	snapshot    []byte            // encoded state.Tree; nil until requested
-	packed      map[uint64][]byte // compressed state by the requester's version; 0: the snapshot
+	compressed  map[uint64][]byte // compressed state by the requester's version; 0: the snapshot
 	changed     chan struct{}
 }
 
@@ -57,28 +57,28 @@
 		return
 	}
 	if s.ConfigVersion != h.state.ConfigVersion || s.ConfigDigest != h.state.ConfigDigest {
-		h.snapshot, h.packed = nil, nil
+		h.snapshot, h.compressed = nil, nil
 	}
-	h.keepDeltas(s.ConfigVersion, deltas)
-	h.keepMembership(s.Settled)
-	h.keepMembership(s.Pending)
+	h.addDeltas(s.ConfigVersion, deltas)
+	h.addMembership(s.Settled)
+	h.addMembership(s.Pending)
 	h.state = s
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-func (h *History) keepDeltas(version uint64, deltas []*wire.TreeDelta) {
+func (h *History) addDeltas(version uint64, deltas []*wire.TreeDelta) {
 	for _, d := range deltas {
-		if d.GetVersion() > version || d.GetVersion() <= h.lastDelta() {
+		if d.GetVersion() > version || d.GetVersion() <= h.lastDeltaVersion() {
 			continue
 		}
-		if len(h.deltas) > 0 && d.GetVersion() != h.lastDelta()+1 {
+		if len(h.deltas) > 0 && d.GetVersion() != h.lastDeltaVersion()+1 {
 			h.deltas, h.deltaBytes = nil, 0
 		}
 		h.deltas = append(h.deltas, d)
 		h.deltaBytes += proto.Size(d)
 	}
-	if h.lastDelta() != version {
+	if h.lastDeltaVersion() != version {
 		h.deltas, h.deltaBytes = nil, 0
 	}
 	// The newest delta is kept whatever its size, as every daemon requests it.
@@ -89,14 +89,14 @@
 	}
 }
 
-func (h *History) lastDelta() uint64 {
+func (h *History) lastDeltaVersion() uint64 {
 	if len(h.deltas) == 0 {
 		return 0
 	}
 	return h.deltas[len(h.deltas)-1].GetVersion()
 }
 
-func (h *History) keepMembership(m *vm.Membership) {
+func (h *History) addMembership(m *vm.Membership) {
 	if m == nil || h.findMembership(m.Epoch) != nil {
 		return
 	}
@@ -125,13 +125,13 @@
 // NewerThan reports whether the state contains anything that the sender of req does
 // not have.
 func (s *State) HasNews(req *wire.SyncRequest) bool {
-	return s.hasConfigNews(req) ||
+	return s.configNewerThan(req) ||
 		epochOf(s.Settled) > req.GetHaveSettled() ||
 		epochOf(s.Pending) > max(req.GetHavePending(), req.GetHaveSettled()) ||
 		s.InForce > req.GetHaveInForce()
 }
 
-func (s *State) hasConfigNews(req *wire.SyncRequest) bool {
+func (s *State) configNewerThan(req *wire.SyncRequest) bool {
 	if s.Tree == nil || s.ConfigVersion < req.GetHaveConfig() {
 		return false
 	}
@@ -159,7 +159,7 @@
 func (h *History) fillConfig(req *wire.SyncRequest, reply *wire.SyncReply) {
 	s := &h.state
 	reply.ConfigVersion, reply.ConfigDigest = s.ConfigVersion, s.ConfigDigest
-	if !s.hasConfigNews(req) {
+	if !s.configNewerThan(req) {
 		return
 	}
 	key := uint64(0)
@@ -172,30 +172,30 @@
 		reply.Snapshot = h.snapshot
 	}
 	if req.GetUnpacks() {
-		h.pack(key, reply)
+		h.compress(key, reply)
 	}
 }
 
 // compress replaces large state in reply by its compressed form, which is cached until
 // the state changes, as all daemons request the same state at the same time.
-func (h *History) pack(key uint64, reply *wire.SyncReply) {
+func (h *History) compress(key uint64, reply *wire.SyncReply) {
 	state := &wire.SyncReply{Deltas: reply.Deltas, Snapshot: reply.Snapshot}
-	packed, known := h.packed[key]
-	if !known {
-		if proto.Size(state) < packAbove {
+	compressed, cached := h.compressed[key]
+	if !cached {
+		if proto.Size(state) < compressThreshold {
 			return
 		}
 		var err error
-		if packed, err = packState(state); err != nil {
+		if compressed, err = compressState(state); err != nil {
 			klog.Errorf("relay: compressing state failed, sending it uncompressed: %v", err)
 			return
 		}
-		if h.packed == nil {
-			h.packed = make(map[uint64][]byte)
+		if h.compressed == nil {
+			h.compressed = make(map[uint64][]byte)
 		}
-		h.packed[key] = packed
+		h.compressed[key] = compressed
 	}
-	reply.Deltas, reply.Snapshot, reply.Packed = nil, nil, packed
+	reply.Deltas, reply.Snapshot, reply.Packed = nil, nil, compressed
 }
 
 // deltasAfter returns the changes after version. It reports false if they are not kept
@@ -205,7 +205,7 @@
 		return nil, false
 	}
 	first := h.deltas[0].GetVersion()
-	if version+1 < first || version >= h.lastDelta() {
+	if version+1 < first || version >= h.lastDeltaVersion() {
 		return nil, false
 	}
 	if version >= first && h.deltas[version-first].GetDigest() != digest {
--- a/internal/relay/leader_test.go
+++ b/internal/relay/leader_test.go
@@ -21,22 +21,22 @@
 	history  *History
 	expander Expander
 
-	mu     sync.Mutex
-	state  State
-	heard  map[run]*heardRun
-	since  vm.Instant // every run counts as having sent a heartbeat then
-	quorum bool
+	mu        sync.Mutex
+	state     State
+	runs      map[runID]*reportedRun
+	electedAt vm.Instant // every run counts as having sent a heartbeat then
+	quorum    bool
 }
 
-type heardRun struct {
-	member vm.Member
-	at     vm.Instant
-	config uint64
-	epoch  uint64
+type reportedRun struct {
+	member  vm.Member
+	heardAt vm.Instant
+	config  uint64
+	epoch   uint64
 }
 
 func newModelLeader(clock vm.Clock) *modelLeader {
-	l := &modelLeader{clock: clock, history: NewHistory(), heard: make(map[run]*heardRun), quorum: true}
+	l := &modelLeader{clock: clock, history: NewHistory(), runs: make(map[runID]*reportedRun), quorum: true}
 	l.state.Tree = settings.New()
 	l.state.ConfigDigest = l.state.Tree.Digest()
 	return l
@@ -62,8 +62,8 @@
 func (l *modelLeader) restart() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heard = make(map[run]*heardRun)
-	l.since = l.clock()
+	l.runs = make(map[runID]*reportedRun)
+	l.electedAt = l.clock()
 }
 
 func (l *modelLeader) setQuorum(q bool) {
@@ -73,7 +73,7 @@
 }
 
 func (l *modelLeader) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
-	unknown := l.hear(req)
+	unknown := l.recordHeartbeats(req)
 	timer := time.NewTimer(time.Duration(req.GetWaitMs()) * time.Millisecond)
 	defer timer.Stop()
 	for held := !unknown; held; {
@@ -104,7 +104,7 @@
 	return l.quorum
 }
 
-func (l *modelLeader) hear(req *wire.SyncRequest) (unknown bool) {
+func (l *modelLeader) recordHeartbeats(req *wire.SyncRequest) (unknown bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.quorum {
@@ -113,12 +113,12 @@
 	hbs, unknown := l.expander.Expand(req, l.state.Settled, l.state.Pending)
 	for _, hb := range hbs {
 		m := vm.FromWire(hb.GetVm())
-		key := run{name: m.Name, incarnation: m.Incarnation}
-		if l.heard[key] == nil {
-			l.heard[key] = &heardRun{}
+		key := runID{name: m.Name, incarnation: m.Incarnation}
+		if l.runs[key] == nil {
+			l.runs[key] = &reportedRun{}
 		}
-		h := l.heard[key]
-		h.member, h.at = m, l.clock()
+		h := l.runs[key]
+		h.member, h.heardAt = m, l.clock()
 		h.config, h.epoch = max(h.config, hb.GetConfigVersion()), max(h.epoch, hb.GetAckedEpoch())
 	}
 	return unknown
@@ -129,9 +129,9 @@
 	for vm.Sleep(ctx, 50*time.Millisecond) {
 		l.mu.Lock()
 		before := l.state
-		l.settle()
-		l.propose()
-		l.confirm()
+		l.settlePending()
+		l.proposeMembership()
+		l.updateInForce()
 		if l.state != before {
 			l.history.Advance(l.state, nil)
 		}
@@ -140,40 +140,40 @@
 }
 
 // mayHoldLease reports whether a run may still hold a lease.
-func (l *modelLeader) alive(key run) (*heardRun, bool) {
-	h, ok := l.heard[key]
+func (l *modelLeader) mayHoldLease(key runID) (*reportedRun, bool) {
+	h, ok := l.runs[key]
 	if !ok {
-		h = &heardRun{at: l.since}
+		h = &reportedRun{heardAt: l.electedAt}
 	}
-	return h, l.clock().Sub(h.at) < modelLease
+	return h, l.clock().Sub(h.heardAt) < modelLease
 }
 
-func (l *modelLeader) leaseEnd(key run) vm.Instant {
+func (l *modelLeader) leaseEnd(key runID) vm.Instant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h, _ := l.alive(key)
-	return max(h.at, l.since).Add(modelLease)
+	h, _ := l.mayHoldLease(key)
+	return max(h.heardAt, l.electedAt).Add(modelLease)
 }
 
-func (l *modelLeader) members() map[run]bool {
-	out := make(map[run]bool)
+func (l *modelLeader) members() map[runID]bool {
+	out := make(map[runID]bool)
 	for _, m := range []*vm.Membership{l.state.Settled, l.state.Pending} {
 		if m == nil {
 			continue
 		}
 		for _, member := range m.Members {
-			out[run{name: member.Name, incarnation: member.Incarnation}] = true
+			out[runID{name: member.Name, incarnation: member.Incarnation}] = true
 		}
 	}
 	return out
 }
 
-func (l *modelLeader) settle() {
+func (l *modelLeader) settlePending() {
 	if l.state.Pending == nil {
 		return
 	}
 	for key := range l.members() {
-		if h, alive := l.alive(key); alive && h.epoch < l.state.Pending.Epoch {
+		if h, alive := l.mayHoldLease(key); alive && h.epoch < l.state.Pending.Epoch {
 			return
 		}
 	}
@@ -182,25 +182,25 @@
 
 // proposeMembership makes a membership of the daemons that sent a heartbeat recently
 // the pending one.
-func (l *modelLeader) propose() {
+func (l *modelLeader) proposeMembership() {
 	if l.state.Pending != nil {
 		return
 	}
-	wanted := make(map[string]vm.Member)
+	desired := make(map[string]vm.Member)
 	if l.state.Settled != nil {
 		for _, m := range l.state.Settled.Members {
-			if _, alive := l.alive(run{name: m.Name, incarnation: m.Incarnation}); alive {
-				wanted[m.Name] = m
+			if _, alive := l.mayHoldLease(runID{name: m.Name, incarnation: m.Incarnation}); alive {
+				desired[m.Name] = m
 			}
 		}
 	}
-	for key, h := range l.heard {
-		if _, alive := l.alive(key); alive && h.member.Incarnation >= wanted[key.name].Incarnation {
-			wanted[key.name] = h.member
+	for key, h := range l.runs {
+		if _, alive := l.mayHoldLease(key); alive && h.member.Incarnation >= desired[key.name].Incarnation {
+			desired[key.name] = h.member
 		}
 	}
 	next := &vm.Membership{Epoch: epochOf(l.state.Settled) + 1}
-	for _, m := range wanted {
+	for _, m := range desired {
 		next.Members = append(next.Members, m)
 	}
 	slices.SortFunc(next.Members, func(a, b vm.Member) int { return strings.Compare(a.Name, b.Name) })
@@ -210,10 +210,10 @@
 }
 
 // updateInForce raises the version in force.
-func (l *modelLeader) confirm() {
+func (l *modelLeader) updateInForce() {
 	lowest := l.state.ConfigVersion
 	for key := range l.members() {
-		if h, alive := l.alive(key); alive {
+		if h, alive := l.mayHoldLease(key); alive {
 			lowest = min(lowest, h.config)
 		}
 	}
--- a/internal/relay/pack.go
+++ b/internal/relay/pack.go
@@ -15,12 +15,12 @@
 	// compressThreshold is the size from which state is compressed. Paths and names of
 	// settings repeat, so that 2,000 routes of 1.2 MB compress to 90 KB. Over a link
 	// of 14 Mbit/s that takes 50 ms instead of 700 ms.
-	packAbove = 4 << 10
+	compressThreshold = 4 << 10
 	// maxStateBytes limits the size of decompressed state.
-	maxState = 64 << 20
+	maxStateBytes = 64 << 20
 )
 
-func packState(state *wire.SyncReply) ([]byte, error) {
+func compressState(state *wire.SyncReply) ([]byte, error) {
 	raw, err := proto.Marshal(state)
 	if err != nil {
 		return nil, err
@@ -40,11 +40,11 @@
 }
 
 // decompressState replaces the compressed state in r by its decompressed form.
-func unpackState(r *wire.SyncReply) error {
+func decompressState(r *wire.SyncReply) error {
 	if len(r.GetPacked()) == 0 {
 		return nil
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Packed)), maxState))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Packed)), maxStateBytes))
 	if err != nil {
 		return errors.Wrap(err, "relay: decompressing the packed field")
 	}
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -18,15 +18,15 @@
 // result is cached by e, whose path is canonical; the caller's spelling of the path is
 // not used.
 func (v *View) Placement(_ string, e *settings.Effective) []Placed {
-	if v.placements == nil {
-		return v.usable(e)
+	if v.cache == nil {
+		return v.shareHolders(e)
 	}
-	if got, ok := v.placements.usable.Load(e); ok {
-		return got.([]Placed)
+	if groups, ok := v.cache.shareHolders.Load(e); ok {
+		return groups.([]Placed)
 	}
-	got := v.usable(e)
-	v.placements.usable.Store(e, got)
-	return got
+	groups := v.shareHolders(e)
+	v.cache.shareHolders.Store(e, groups)
+	return groups
 }
 
 // HomesOf returns the daemons that currently have a share of at least one leaf of the
@@ -51,13 +51,13 @@
 
 // shareHolders returns the groups with those homes of the settled membership that have
 // a share of a leaf.
-func (v *View) usable(e *settings.Effective) []Placed {
-	settled := v.placed(e, v.Settled)
+func (v *View) shareHolders(e *settings.Effective) []Placed {
+	settled := v.membershipHomes(e, v.Settled)
 	out := make([]Placed, len(settled))
 	for k, g := range settled {
 		out[k].Group = g.Group
 		for _, h := range g.Homes {
-			if v.holdsAny(e, g.Group, h.Identity) {
+			if v.holdsShare(e, g.Group, h.Identity) {
 				out[k].Homes = append(out[k].Homes, h)
 			}
 		}
@@ -65,7 +65,7 @@
 	return out
 }
 
-func (v *View) holdsAny(e *settings.Effective, g domain.Group, id vm.Identity) bool {
+func (v *View) holdsShare(e *settings.Effective, g domain.Group, id vm.Identity) bool {
 	for i := g.First; i < g.First+g.Leaves; i++ {
 		if slots, conns := v.Share(e.Path, e, i, id); slots > 0 && conns > 0 {
 			return true
@@ -75,17 +75,17 @@
 }
 
 // membershipHomes returns the groups and homes under one membership alone.
-func (v *View) placed(e *settings.Effective, m *vm.Membership) []Placed {
+func (v *View) membershipHomes(e *settings.Effective, m *vm.Membership) []Placed {
 	if m == nil || len(e.Leaves) == 0 {
 		return nil
 	}
-	if v.placements == nil {
-		return place(e, m)
+	if v.cache == nil {
+		return computeHomes(e, m)
 	}
-	return v.placements.placed(e, m)
+	return v.cache.homes(e, m)
 }
 
-func place(e *settings.Effective, m *vm.Membership) []Placed {
+func computeHomes(e *settings.Effective, m *vm.Membership) []Placed {
 	groups := domain.Groups(e.Path, e.Leaves, m)
 	out := make([]Placed, len(groups))
 	for k, g := range groups {
@@ -102,26 +102,26 @@
 }
 
 // serviceOf returns the service that declares the leaf address in a tree.
-func (v *View) ownerIn(t *settings.Tree, addr string) (string, bool) {
-	if v.placements == nil {
-		service, ok := ownersOf(t)[addr]
+func (v *View) serviceOf(t *settings.Tree, addr string) (string, bool) {
+	if v.cache == nil {
+		service, ok := servicesByLeaf(t)[addr]
 		return service, ok
 	}
-	owners, ok := v.placements.owners.Load(t)
+	services, ok := v.cache.serviceByLeaf.Load(t)
 	if !ok {
-		owners, _ = v.placements.owners.LoadOrStore(t, ownersOf(t))
+		services, _ = v.cache.serviceByLeaf.LoadOrStore(t, servicesByLeaf(t))
 	}
-	service, ok := owners.(map[string]string)[addr]
+	service, ok := services.(map[string]string)[addr]
 	return service, ok
 }
 
-func ownersOf(t *settings.Tree) map[string]string {
-	owners := make(map[string]string)
+func servicesByLeaf(t *settings.Tree) map[string]string {
+	services := make(map[string]string)
 	for _, service := range t.Services("") {
 		e, _ := t.Effective(service)
 		for i := range e.Leaves {
-			owners[e.Leaves[i].Addr] = service
+			services[e.Leaves[i].Addr] = service
 		}
 	}
-	return owners
+	return services
 }
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -16,12 +16,12 @@
 // everything else it does for control. A new cache therefore keeps the entries of
 // services whose settings are unchanged, and under a new epoch it recomputes only the
 // groups that the changed members affect.
-type placements struct {
-	byEpoch sync.Map // epochKey -> []GroupHomes: homes under one membership alone
-	usable  sync.Map // *settings.Effective -> []GroupHomes: homes that have a share
-	owners  sync.Map // *settings.Tree -> map[string]string: service by leaf address
-	base    *vm.Membership
-	changes sync.Map // epoch -> []domain.Change: from base to that epoch
+type placementCache struct {
+	byEpoch       sync.Map // epochKey -> []GroupHomes: homes under one membership alone
+	shareHolders  sync.Map // *settings.Effective -> []GroupHomes: homes that have a share
+	serviceByLeaf sync.Map // *settings.Tree -> map[string]string: service by leaf address
+	base          *vm.Membership
+	changes       sync.Map // epoch -> []domain.Change: from base to that epoch
 }
 
 // epochKey identifies a service's settings and an epoch. Each tree has its own
@@ -32,8 +32,8 @@
 }
 
 // successor returns the cache for next, which replaces v.
-func (p *placements) follow(v, next *View) *placements {
-	out := &placements{base: v.Members()}
+func (p *placementCache) successor(v, next *View) *placementCache {
+	out := &placementCache{base: v.Members()}
 	if p == nil || out.base == nil {
 		return out
 	}
@@ -50,24 +50,24 @@
 	return out
 }
 
-func (p *placements) placed(e *settings.Effective, m *vm.Membership) []Placed {
+func (p *placementCache) homes(e *settings.Effective, m *vm.Membership) []Placed {
 	key := epochKey{effective: e, epoch: m.Epoch}
-	if got, ok := p.byEpoch.Load(key); ok {
-		return got.([]Placed)
+	if homes, ok := p.byEpoch.Load(key); ok {
+		return homes.([]Placed)
 	}
-	got := p.derive(e, m)
-	p.byEpoch.Store(key, got)
-	return got
+	homes := p.deriveHomes(e, m)
+	p.byEpoch.Store(key, homes)
+	return homes
 }
 
 // deriveHomes computes the homes under m from those under the base membership.
-func (p *placements) derive(e *settings.Effective, m *vm.Membership) []Placed {
+func (p *placementCache) deriveHomes(e *settings.Effective, m *vm.Membership) []Placed {
 	if p.base == nil {
-		return place(e, m)
+		return computeHomes(e, m)
 	}
 	value, ok := p.byEpoch.Load(epochKey{effective: e, epoch: p.base.Epoch})
 	if !ok {
-		return place(e, m)
+		return computeHomes(e, m)
 	}
 	old := value.([]Placed)
 	changes := p.changesTo(m)
@@ -84,11 +84,11 @@
 	return out
 }
 
-func (p *placements) changesTo(m *vm.Membership) []domain.Change {
-	if got, ok := p.changes.Load(m.Epoch); ok {
-		return got.([]domain.Change)
+func (p *placementCache) changesTo(m *vm.Membership) []domain.Change {
+	if changes, ok := p.changes.Load(m.Epoch); ok {
+		return changes.([]domain.Change)
 	}
-	got := domain.Changes(p.base, m)
-	p.changes.Store(m.Epoch, got)
-	return got
+	changes := domain.Changes(p.base, m)
+	p.changes.Store(m.Epoch, changes)
+	return changes
 }
--- a/internal/relay/placements_test.go
+++ b/internal/relay/placements_test.go
@@ -20,12 +20,12 @@
 		for i := range list {
 			list[i] = settings.Leaf{Name: fmt.Sprintf("s%d-l%03d", s, i), Addr: fmt.Sprintf("10.%d.%d.%d:80", s, i/250, i%250), Domain: "hall-0"}
 		}
-		edits = append(edits, set(fmt.Sprintf("/desk/s%d", s), "leaves", settings.FormatLeaves(list)))
+		edits = append(edits, setEdit(fmt.Sprintf("/desk/s%d", s), "leaves", settings.FormatLeaves(list)))
 	}
 	return settings.New().Replay(1, edits)
 }
 
-func someMembers(n, domains int) *vm.Membership {
+func newMembership(n, domains int) *vm.Membership {
 	m := &vm.Membership{Epoch: 1}
 	for i := range n {
 		id := vm.Identity{Name: fmt.Sprintf("vm-%04d", i), Incarnation: 1, Domain: fmt.Sprintf("hall-%d", i%domains), Region: fmt.Sprintf("r%d", i%domains%2)}
@@ -35,7 +35,7 @@
 }
 
 // changeMember gives one member another phase and incarnation in the next epoch.
-func changeOne(m *vm.Membership, i int, p vm.Phase) *vm.Membership {
+func changeMember(m *vm.Membership, i int, p vm.Phase) *vm.Membership {
 	next := &vm.Membership{Epoch: m.Epoch + 1, Members: slices.Clone(m.Members)}
 	next.Members[i].Phase = p
 	next.Members[i].Incarnation++
@@ -44,31 +44,31 @@
 
 // A daemon that received each epoch must compute the same homes as one that starts
 // now. If they differed, both would send to the same leaf, each with a full share.
-func TestDerivedHomesAreTheSame(t *testing.T) {
+func TestDerivedHomesMatchComputedHomes(t *testing.T) {
 	tree := largeTree(3, 45)
 	rapid.Check(t, func(t *rapid.T) {
-		m := someMembers(rapid.IntRange(2, 12).Draw(t, "members"), rapid.IntRange(1, 5).Draw(t, "domains"))
-		v := &View{ConfigVersion: 1, Tree: tree, InForce: 1, Settled: m, placements: &placements{}}
+		m := newMembership(rapid.IntRange(2, 12).Draw(t, "members"), rapid.IntRange(1, 5).Draw(t, "domains"))
+		v := &View{ConfigVersion: 1, Tree: tree, InForce: 1, Settled: m, cache: &placementCache{}}
 		for range 8 {
 			for _, path := range tree.Services("") {
 				e, _ := tree.Effective(path)
-				if got, want := v.placed(e, v.Settled), place(e, v.Settled); !reflect.DeepEqual(got, want) {
+				if got, want := v.membershipHomes(e, v.Settled), computeHomes(e, v.Settled); !reflect.DeepEqual(got, want) {
 					t.Fatalf("epoch %d: derived %+v, computed %+v", v.Settled.Epoch, got, want)
 				}
 			}
-			who := rapid.IntRange(0, len(m.Members)-1).Draw(t, "who")
+			index := rapid.IntRange(0, len(m.Members)-1).Draw(t, "who")
 			p := rapid.SampledFrom([]vm.Phase{vm.Serving, vm.Starting, vm.Draining}).Draw(t, "phase")
-			m = changeOne(m, who, p)
+			m = changeMember(m, index, p)
 			next := *v
 			next.Settled = m
-			next.placements = v.placements.follow(v, &next)
+			next.cache = v.cache.successor(v, &next)
 			v = &next
 		}
 	})
 }
 
 // heapInUse returns the heap size in bytes after a garbage collection.
-func heap() float64 {
+func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -77,28 +77,28 @@
 
 // BenchmarkMembershipChange reports the time to compute all homes after one member has
 // changed, and the memory used by the tree, the membership and all homes.
-func BenchmarkEpoch(b *testing.B) {
-	before := heap()
+func BenchmarkMembershipChange(b *testing.B) {
+	before := heapInUse()
 	tree := largeTree(49, 470)
-	m := someMembers(3600, 17)
-	v := &View{ConfigVersion: 1, Tree: tree, InForce: 1, Settled: m, placements: &placements{}}
-	know := func(v *View) {
+	m := newMembership(3600, 17)
+	v := &View{ConfigVersion: 1, Tree: tree, InForce: 1, Settled: m, cache: &placementCache{}}
+	computeAll := func(v *View) {
 		for _, path := range tree.Services("") {
 			e, _ := tree.Effective(path)
-			v.placed(e, v.Settled)
+			v.membershipHomes(e, v.Settled)
 		}
 	}
-	know(v)
-	used := heap() - before
+	computeAll(v)
+	used := heapInUse() - before
 	for i := 0; b.Loop(); i++ {
 		p := vm.Draining
 		if v.Settled.Members[i%3600].Phase == vm.Draining {
 			p = vm.Serving
 		}
 		next := *v
-		next.Settled = changeOne(v.Settled, i%3600, p)
-		next.placements = v.placements.follow(v, &next)
-		know(&next)
+		next.Settled = changeMember(v.Settled, i%3600, p)
+		next.cache = v.cache.successor(v, &next)
+		computeAll(&next)
 		v = &next
 	}
 	b.ReportMetric(used/(1<<20), "heap-MB")
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -13,8 +13,8 @@
 
 // Errors for a request that a relay refuses.
 var (
-	errNoHeartbeat = errors.New("relay: a sync request needs a heartbeat; send the daemon's own first")
-	errBusy        = errors.New("relay: too many daemons sync here; use another relay or control")
+	errNoHeartbeat     = errors.New("relay: a sync request needs a heartbeat; send the daemon's own first")
+	errTooManyChildren = errors.New("relay: too many daemons sync here; use another relay or control")
 )
 
 // statelessHoldTime is how long a call is held by a daemon that has no state itself.
@@ -23,7 +23,7 @@
 // that much later. With a shorter hold time children contact the leader before their
 // relay has an answer: 300 daemons made 585 calls in the first second with 200 ms or
 // an interval, 639 with 100 ms, 801 with none.
-const statelessHold = 200 * time.Millisecond
+const statelessHoldTime = 200 * time.Millisecond
 
 // Server returns the server for the daemons that use this one as a relay. It forwards
 // their heartbeats and grants no leases of its own.
@@ -52,20 +52,20 @@
 	}
 	urgent := false
 	for _, hb := range hbs {
-		u, ok := c.children.heard(hb, arrived)
+		u, ok := c.children.recordHeartbeat(hb, arrived)
 		if !ok {
-			return nil, errBusy
+			return nil, errTooManyChildren
 		}
 		urgent = urgent || u
 	}
 	if urgent {
-		c.pushNow()
+		c.requestPush()
 	}
-	hold := min(time.Duration(req.GetWaitMs())*time.Millisecond, c.interval())
+	hold := min(time.Duration(req.GetWaitMs())*time.Millisecond, c.heartbeatInterval())
 	if v.Tree == nil {
-		hold = min(hold, statelessHold)
+		hold = min(hold, statelessHoldTime)
 	}
-	s.hold(ctx, req, hbs, arrived, hold)
+	s.waitForNews(ctx, req, hbs, arrived, hold)
 	reply := &wire.SyncReply{}
 	// Fill in the grants before the state. A grant must never be newer than the state
 	// sent with it, or the child would use shares that it no longer has.
@@ -77,16 +77,16 @@
 // waitForNews waits until there is something to reply: newer state, a grant for a
 // sender whose grant has expired or is about to, the loss of this relay's own
 // upstream, or the end of the requested hold time.
-func (s *server) hold(ctx context.Context, req *wire.SyncRequest, hbs []*wire.Heartbeat, arrived vm.Instant, d time.Duration) {
+func (s *server) waitForNews(ctx context.Context, req *wire.SyncRequest, hbs []*wire.Heartbeat, arrived vm.Instant, d time.Duration) {
 	c := s.client
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	grants, _ := c.children.grantsOf(hbs)
-	eager := anyOld(grants, arrived)
+	needsGrant := anyExpiring(grants, arrived)
 	for {
 		state, news := c.history.State()
 		grants, granted := c.children.grantsOf(hbs)
-		if state.HasNews(req) || c.cutOff() || (eager && !anyOld(grants, arrived)) {
+		if state.HasNews(req) || c.isCutOff() || (needsGrant && !anyExpiring(grants, arrived)) {
 			return
 		}
 		select {
@@ -100,9 +100,9 @@
 	}
 }
 
-func anyOld(grants []grant, now vm.Instant) bool {
+func anyExpiring(grants []grant, now vm.Instant) bool {
 	for _, g := range grants {
-		if g.lease == 0 || g.left(now) < g.lease/2 {
+		if g.lease == 0 || g.remaining(now) < g.lease/2 {
 			return true
 		}
 	}
@@ -111,11 +111,11 @@
 
 // isCutOff reports whether no leader has confirmed this daemon for two intervals plus
 // the longest time for which a lost call goes unnoticed.
-func (c *Client) cutOff() bool {
-	limit := 2*c.interval() + callMargin
+func (c *Client) isCutOff() bool {
+	limit := 2*c.heartbeatInterval() + replyMargin
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.confirmed != 0 && c.cfg.Clock().Sub(c.confirmed) > limit
+	return c.lastConfirmed != 0 && c.cfg.Clock().Sub(c.lastConfirmed) > limit
 }
 
 // fillGrants adds the leader's grants to the reply. The child counts its lease from
@@ -128,7 +128,7 @@
 			r.Refused = append(r.Refused, hbs[i].GetVm().GetName())
 			continue
 		}
-		age := uint32(max(0, arrived.Sub(g.base)).Milliseconds() + 1)
+		age := uint32(max(0, arrived.Sub(g.start)).Milliseconds() + 1)
 		r.Granted = true
 		r.AgeMs = max(r.AgeMs, age)
 		if lease := uint32(g.lease.Milliseconds()); r.LeaseMs == 0 || lease < r.LeaseMs {
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -11,8 +11,8 @@
 // share is the part of one leaf's slots and connections that a daemon may use.
 type share struct{ slots, conns int }
 
-func (s share) min(o share) share {
-	return share{slots: min(s.slots, o.slots), conns: min(s.conns, o.conns)}
+func (s share) min(other share) share {
+	return share{slots: min(s.slots, other.slots), conns: min(s.conns, other.conns)}
 }
 
 // Share returns how many slots and connections of the leaf at leafIndex of a service
@@ -26,41 +26,41 @@
 // version in force everywhere on every daemon with a lease, so the sum over all
 // daemons stays within the limits of that version.
 func (v *View) Share(_ string, e *settings.Effective, leafIndex int, self vm.Identity) (slots, conns int) {
-	if v.Settled == nil || leafIndex < 0 || leafIndex >= len(e.Leaves) || !v.knowsOlder() {
+	if v.Settled == nil || leafIndex < 0 || leafIndex >= len(e.Leaves) || !v.knowsOlderVersions() {
 		return 0, 0
 	}
-	least := v.shareUnder(e, leafIndex, self)
-	for i := len(v.Older) - 1; i >= 0 && least != (share{}); i-- {
-		if older, index, ok := v.find(v.Older[i].Tree, e, leafIndex); ok {
-			least = least.min(v.shareUnder(older, index, self))
+	smallest := v.configShare(e, leafIndex, self)
+	for i := len(v.Older) - 1; i >= 0 && smallest != (share{}); i-- {
+		if older, index, ok := v.locateLeaf(v.Older[i].Tree, e, leafIndex); ok {
+			smallest = smallest.min(v.configShare(older, index, self))
 		}
 	}
-	return least.slots, least.conns
+	return smallest.slots, smallest.conns
 }
 
 // locateLeaf returns where the older tree t declares the leaf at leafIndex of e. A
 // leaf that t does not declare is not used by any daemon on that tree.
-func (v *View) find(t *settings.Tree, e *settings.Effective, leafIndex int) (*settings.Effective, int, bool) {
+func (v *View) locateLeaf(t *settings.Tree, e *settings.Effective, leafIndex int) (*settings.Effective, int, bool) {
 	addr := e.Leaves[leafIndex].Addr
 	older, ok := t.Effective(e.Path)
 	if ok && older == e {
 		return e, leafIndex, true
 	}
 	if ok {
-		if i, found := indexOf(older.Leaves, addr); found {
+		if i, found := leafIndexOf(older.Leaves, addr); found {
 			return older, i, true
 		}
 	}
-	service, ok := v.ownerIn(t, addr)
+	service, ok := v.serviceOf(t, addr)
 	if !ok {
 		return nil, 0, false
 	}
 	older, _ = t.Effective(service)
-	i, found := indexOf(older.Leaves, addr)
+	i, found := leafIndexOf(older.Leaves, addr)
 	return older, i, found
 }
 
-func indexOf(leaves []settings.Leaf, addr string) (int, bool) {
+func leafIndexOf(leaves []settings.Leaf, addr string) (int, bool) {
 	for i := range leaves {
 		if leaves[i].Addr == addr {
 			return i, true
@@ -70,23 +70,23 @@
 }
 
 // configShare returns the daemon's share under one configuration.
-func (v *View) shareUnder(e *settings.Effective, leafIndex int, self vm.Identity) share {
-	least := v.epochShare(e, leafIndex, self, v.Settled)
-	if v.Pending != nil && least != (share{}) {
-		least = least.min(v.epochShare(e, leafIndex, self, v.Pending))
+func (v *View) configShare(e *settings.Effective, leafIndex int, self vm.Identity) share {
+	smallest := v.membershipShare(e, leafIndex, self, v.Settled)
+	if v.Pending != nil && smallest != (share{}) {
+		smallest = smallest.min(v.membershipShare(e, leafIndex, self, v.Pending))
 	}
-	return least
+	return smallest
 }
 
-func (v *View) epochShare(e *settings.Effective, leafIndex int, self vm.Identity, m *vm.Membership) share {
-	groups := v.placed(e, m)
+func (v *View) membershipShare(e *settings.Effective, leafIndex int, self vm.Identity, m *vm.Membership) share {
+	groups := v.membershipHomes(e, m)
 	homes := groups[domain.GroupIndex(len(e.Leaves), leafIndex)].Homes
 	for i := range homes {
 		if homes[i].Same(self) {
-			turn := rotation(e.Leaves[leafIndex].Name)
+			offset := remainderOffset(e.Leaves[leafIndex].Name)
 			return share{
-				slots: domain.Share(e.LeafSlots, len(homes), i, turn),
-				conns: domain.Share(e.LeafConnections, len(homes), i, turn),
+				slots: domain.Share(e.LeafSlots, len(homes), i, offset),
+				conns: domain.Share(e.LeafConnections, len(homes), i, offset),
 			}
 		}
 	}
@@ -96,4 +96,4 @@
 // remainderOffset determines which homes get the remainder of a leaf's slots. It is a
 // hash of the leaf's name instead of its position in the list, as a leaf inserted
 // before it would move the remainder to another home.
-func rotation(leaf string) int { return int(xxhash.Sum64String(leaf) >> 33) }
+func remainderOffset(leaf string) int { return int(xxhash.Sum64String(leaf) >> 33) }
--- a/internal/relay/shares_test.go
+++ b/internal/relay/shares_test.go
@@ -16,10 +16,10 @@
 
 // fault is one step of a schedule.
 type fault struct {
-	after time.Duration
-	what  string
-	who   int
-	value int
+	after  time.Duration
+	kind   string
+	daemon int
+	value  int
 }
 
 var faultKinds = []string{
@@ -29,10 +29,10 @@
 func drawFaults(t *rapid.T) []fault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 		return fault{
-			after: time.Duration(rapid.IntRange(1, 4000).Draw(t, "after")) * time.Millisecond,
-			what:  rapid.SampledFrom(faultKinds).Draw(t, "what"),
-			who:   rapid.IntRange(0, 5).Draw(t, "who"),
-			value: rapid.IntRange(1, 4).Draw(t, "value"),
+			after:  time.Duration(rapid.IntRange(1, 4000).Draw(t, "after")) * time.Millisecond,
+			kind:   rapid.SampledFrom(faultKinds).Draw(t, "what"),
+			daemon: rapid.IntRange(0, 5).Draw(t, "who"),
+			value:  rapid.IntRange(1, 4).Draw(t, "value"),
 		}
 	}), 1, 25).Draw(t, "faults")
 }
@@ -48,30 +48,30 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		direct := rapid.SampledFrom([]int{1, 64}).Draw(rt, "direct")
-		late := rapid.Bool().Draw(rt, "late")
+		lateReplies := rapid.Bool().Draw(rt, "late")
 		faults := drawFaults(rt)
-		var broken error
+		var violation error
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			w := newWorld(ctx, seed)
-			w.fabric.delay, w.fabric.late = 50*time.Millisecond, late
-			broken = w.play(direct, faults)
+			w := newCluster(ctx, seed)
+			w.network.delay, w.network.lateReplies = 50*time.Millisecond, lateReplies
+			violation = w.runSchedule(direct, faults)
 			cancel()
 			w.running.Wait()
 			time.Sleep(2 * time.Minute) // lets hanging calls time out
 		})
-		if broken != nil {
-			rt.Fatal(broken)
+		if violation != nil {
+			rt.Fatal(violation)
 		}
 	})
 }
 
 // runSchedule runs a schedule of faults and returns the first violation.
-func (w *world) play(direct int, faults []fault) error {
+func (w *cluster) runSchedule(direct int, faults []fault) error {
 	_ = w.leader.edit(
-		set(service, "leaf-slots", "4"),
-		set(service, "leaves", "a=127.0.0.1:1@hall-0,b=127.0.0.1:2@hall-1"),
-		set("/desk/s2", "leaves", "c=127.0.0.1:3@hall-1"))
+		setEdit(service, "leaf-slots", "4"),
+		setEdit(service, "leaves", "a=127.0.0.1:1@hall-0,b=127.0.0.1:2@hall-1"),
+		setEdit("/desk/s2", "leaves", "c=127.0.0.1:3@hall-1"))
 	runs := make([]*daemon, 6)
 	resumes := make(map[int]func())
 	defer func() {
@@ -79,85 +79,85 @@
 			resume()
 		}
 	}()
-	for who := range 4 {
-		runs[who] = w.startDaemon(w.nextIdentity(who), direct, 1)
+	for index := range 4 {
+		runs[index] = w.startDaemon(w.nextIdentity(index), direct, 1)
 	}
-	if err := w.watch(8 * time.Second); err != nil {
+	if err := w.checkFor(8 * time.Second); err != nil {
 		return err
 	}
 	for i, f := range faults {
 		w.inject(f, direct, runs, resumes)
-		if err := w.watch(f.after); err != nil {
+		if err := w.checkFor(f.after); err != nil {
 			return fmt.Errorf("after fault %d (%+v): %w", i, f, err)
 		}
 	}
-	for who, resume := range resumes {
-		delete(resumes, who)
+	for index, resume := range resumes {
+		delete(resumes, index)
 		resume()
 	}
-	return w.watch(8 * time.Second)
+	return w.checkFor(8 * time.Second)
 }
 
-func (w *world) nextIdentity(who int) vm.Identity {
-	return identity("daemon-"+strconv.Itoa(who), uint64(w.clock()))
+func (w *cluster) nextIdentity(index int) vm.Identity {
+	return identity("daemon-"+strconv.Itoa(index), uint64(w.clock()))
 }
 
-func (w *world) inject(f fault, direct int, runs []*daemon, resumes map[int]func()) {
-	addr := "daemon-" + strconv.Itoa(f.who)
-	switch f.what {
+func (w *cluster) inject(f fault, direct int, runs []*daemon, resumes map[int]func()) {
+	addr := "daemon-" + strconv.Itoa(f.daemon)
+	switch f.kind {
 	case "join":
-		if resumes[f.who] != nil {
+		if resumes[f.daemon] != nil {
 			return
 		}
-		if runs[f.who] != nil {
-			runs[f.who].cancel()
+		if runs[f.daemon] != nil {
+			runs[f.daemon].cancel()
 		}
-		runs[f.who] = w.startDaemon(w.nextIdentity(f.who), direct, 1)
+		runs[f.daemon] = w.startDaemon(w.nextIdentity(f.daemon), direct, 1)
 	case "crash":
-		if runs[f.who] != nil {
-			runs[f.who].cancel()
+		if runs[f.daemon] != nil {
+			runs[f.daemon].cancel()
 		}
 	case "drain":
-		if runs[f.who] != nil {
-			runs[f.who].client.SetPhase(vm.Draining)
+		if runs[f.daemon] != nil {
+			runs[f.daemon].client.SetPhase(vm.Draining)
 		}
 	case "pause":
-		if resumes[f.who] == nil {
-			resumes[f.who] = w.fabric.pause(addr)
+		if resumes[f.daemon] == nil {
+			resumes[f.daemon] = w.network.pause(addr)
 		}
 	case "resume":
-		if resume := resumes[f.who]; resume != nil {
-			delete(resumes, f.who)
+		if resume := resumes[f.daemon]; resume != nil {
+			delete(resumes, f.daemon)
 			resume()
 		}
 	case "cut", "heal":
-		w.fabric.setCut(addr, f.what == "cut")
+		w.network.setCut(addr, f.kind == "cut")
 	case "uplink":
-		w.fabric.cutBetween(addr, leaderAddr, f.value > 2)
+		w.network.cutBetween(addr, leaderAddr, f.value > 2)
 	case "homes":
-		_ = w.leader.edit(set(service, "homes", strconv.Itoa(min(f.value, 2))))
+		_ = w.leader.edit(setEdit(service, "homes", strconv.Itoa(min(f.value, 2))))
 	case "slots":
-		_ = w.leader.edit(set(service, "leaf-slots", strconv.Itoa(1+f.value)))
+		_ = w.leader.edit(setEdit(service, "leaf-slots", strconv.Itoa(1+f.value)))
 	case "move":
-		w.move(f.value)
+		w.moveLeaf(f.value)
 	case "election":
 		w.leader.restart()
 	case "no quorum", "quorum":
-		w.leader.setQuorum(f.what == "quorum")
+		w.leader.setQuorum(f.kind == "quorum")
 	}
 }
 
 // moveLeaf moves leaf b to the first service if value is odd, otherwise to the second.
-func (w *world) move(value int) {
+func (w *cluster) moveLeaf(value int) {
 	first, second := "a=127.0.0.1:1@hall-0,b=127.0.0.1:2@hall-1", "c=127.0.0.1:3@hall-1"
 	if value%2 == 0 {
 		first, second = "a=127.0.0.1:1@hall-0", "b=127.0.0.1:2@hall-1,c=127.0.0.1:3@hall-1"
 	}
-	_ = w.leader.edit(set(service, "leaves", first), set("/desk/s2", "leaves", second))
+	_ = w.leader.edit(setEdit(service, "leaves", first), setEdit("/desk/s2", "leaves", second))
 }
 
 // checkFor checks leases and leaves every few milliseconds for d.
-func (w *world) watch(d time.Duration) error {
+func (w *cluster) checkFor(d time.Duration) error {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(7 * time.Millisecond)
 		synctest.Wait()
@@ -173,11 +173,11 @@
 	return nil
 }
 
-func (w *world) checkLeaf(addr string) error {
+func (w *cluster) checkLeaf(addr string) error {
 	w.leader.mu.Lock()
 	inForce := w.leader.state.InForce
 	w.leader.mu.Unlock()
-	slots, used := w.slotsAt(inForce, addr), w.used(addr)
+	slots, used := w.slotsAt(inForce, addr), w.totalInFlight(addr)
 	if used > slots {
 		return fmt.Errorf("%d requests in flight at %s, which has %d slots under version %d", used, addr, slots, inForce)
 	}
@@ -185,12 +185,12 @@
 }
 
 // checkLeases compares each daemon's lease with the leader's record of it.
-func (w *world) checkLeases() error {
+func (w *cluster) checkLeases() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, d := range w.daemons {
 		self, until := d.client.cfg.Self, d.client.Current().Lease
-		if last := w.leader.leaseEnd(run{name: self.Name, incarnation: self.Incarnation}); until > last {
+		if last := w.leader.leaseEnd(runID{name: self.Name, incarnation: self.Incarnation}); until > last {
 			return fmt.Errorf("%s believes its lease lasts %v longer than the leader does", self.Name, until.Sub(last))
 		}
 	}
@@ -198,7 +198,7 @@
 }
 
 // slotsAt returns the slots of a leaf under a configuration version.
-func (w *world) slotsAt(version uint64, addr string) int {
+func (w *cluster) slotsAt(version uint64, addr string) int {
 	w.leader.history.mu.Lock()
 	deltas := w.leader.history.deltas
 	w.leader.history.mu.Unlock()
@@ -209,7 +209,7 @@
 	slots := 0
 	for _, path := range t.Services("/") {
 		e, _ := t.Effective(path)
-		if _, ok := indexOf(e.Leaves, addr); ok {
+		if _, ok := leafIndexOf(e.Leaves, addr); ok {
 			slots = e.LeafSlots
 		}
 	}
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -20,40 +20,40 @@
 // together. Control addresses are few and the new leader is one of them, so their
 // backoff is shorter.
 const (
-	firstControlPause = 100 * time.Millisecond
-	maxControlPause   = time.Second
-	firstRelayPause   = time.Second
-	maxRelayPause     = 30 * time.Second
+	minControlBackoff = 100 * time.Millisecond
+	maxControlBackoff = time.Second
+	minRelayBackoff   = time.Second
+	maxRelayBackoff   = 30 * time.Second
 )
 
 // upstreams selects the address to sync with. It is not safe for concurrent use.
 type upstreams struct {
-	self    vm.Identity
-	control []string // peer addresses of the control group
-	named   bool     // control was reported by the group itself
-	seeds   []string // configured peer addresses, which may be outdated
-	leader  string   // last reported leader; empty if unknown
-	paused  map[string]pause
-	rng     *rand.Rand
+	self           vm.Identity
+	control        []string // peer addresses of the control group
+	controlLearned bool     // control was reported by the group itself
+	seeds          []string // configured peer addresses, which may be outdated
+	leader         string   // last reported leader; empty if unknown
+	backoffs       map[string]upstreamBackoff
+	rng            *rand.Rand
 
-	relaysFor *vm.Membership // membership that relays were selected from
-	relays    []string
-	direct    bool // a relay has failed, and no control VM has answered since
+	relayMembership *vm.Membership // membership that relays were selected from
+	relays          []string
+	preferControl   bool // a relay has failed, and no control VM has answered since
 }
 
-type pause struct {
+type upstreamBackoff struct {
 	until vm.Instant
-	last  time.Duration
+	delay time.Duration
 }
 
 func newUpstreams(self vm.Identity, control []string) *upstreams {
 	seed := xxhash.Sum64String(self.Name)
 	u := &upstreams{
-		self:   self,
-		paused: make(map[string]pause),
-		rng:    rand.New(rand.NewPCG(seed, self.Incarnation)),
+		self:     self,
+		backoffs: make(map[string]upstreamBackoff),
+		rng:      rand.New(rand.NewPCG(seed, self.Incarnation)),
 	}
-	u.control = u.spread(control)
+	u.control = u.orderForSelf(control)
 	u.seeds = slices.Clone(u.control)
 	return u
 }
@@ -61,7 +61,7 @@
 // setControl sets the control group's addresses as reported by the group.
 func (u *upstreams) setControl(addrs []string) {
 	if len(addrs) > 0 {
-		u.control, u.named = u.spread(addrs), true
+		u.control, u.controlLearned = u.orderForSelf(addrs), true
 	}
 }
 
@@ -77,12 +77,12 @@
 			fresh = append(fresh, a)
 		}
 	}
-	u.seeds = append(u.spread(fresh), known...)
+	u.seeds = append(u.orderForSelf(fresh), known...)
 }
 
 // orderForSelf returns the addresses sorted and rotated by a hash of this daemon's
 // name, so that the daemons do not all contact the same one first.
-func (u *upstreams) spread(addrs []string) []string {
+func (u *upstreams) orderForSelf(addrs []string) []string {
 	sorted := slices.Compact(slices.Sorted(slices.Values(addrs)))
 	if len(sorted) == 0 {
 		return nil
@@ -97,7 +97,7 @@
 // leader answers.
 func (u *upstreams) candidates() []string {
 	relays := slices.DeleteFunc(slices.Clone(u.relays), func(a string) bool { return !u.isRelay(a) })
-	if u.direct {
+	if u.preferControl {
 		return slices.Concat(u.controlVMs(), relays)
 	}
 	return slices.Concat(relays, u.controlVMs())
@@ -108,14 +108,14 @@
 // would alternate between two lost ones forever, as their backoffs end as fast as
 // calls are repeated, and would lose its lease although a third one works.
 func (u *upstreams) controlVMs() []string {
-	var list []string
+	var out []string
 	if u.leader != "" {
-		list = append(list, u.leader)
+		out = append(out, u.leader)
 	}
 	// The learned addresses may all have been replaced while this daemon was cut off,
 	// and the configured ones may never have been in the group.
 	first, last := u.control, u.seeds
-	if !u.named {
+	if !u.controlLearned {
 		first, last = u.seeds, u.control
 	}
 	control := slices.Clone(first)
@@ -125,14 +125,14 @@
 		}
 	}
 	slices.SortStableFunc(control, func(a, b string) int {
-		return cmp.Compare(u.paused[a].until, u.paused[b].until)
+		return cmp.Compare(u.backoffs[a].until, u.backoffs[b].until)
 	})
 	for _, addr := range control {
 		if addr != u.leader {
-			list = append(list, addr)
+			out = append(out, addr)
 		}
 	}
-	return list
+	return out
 }
 
 // pick returns the best candidate that is not backed off at now. If all are, it
@@ -140,7 +140,7 @@
 func (u *upstreams) pick(now vm.Instant) (addr string, wait time.Duration) {
 	var soonest vm.Instant
 	for _, candidate := range u.candidates() {
-		until := u.paused[candidate].until
+		until := u.backoffs[candidate].until
 		if until <= now {
 			return candidate, 0
 		}
@@ -152,26 +152,26 @@
 }
 
 // markFailed backs off addr.
-func (u *upstreams) failed(addr string, now vm.Instant) {
-	first, most := firstControlPause, maxControlPause
+func (u *upstreams) markFailed(addr string, now vm.Instant) {
+	shortest, longest := minControlBackoff, maxControlBackoff
 	if u.isRelay(addr) {
-		first, most = firstRelayPause, maxRelayPause
-		u.direct = true
+		shortest, longest = minRelayBackoff, maxRelayBackoff
+		u.preferControl = true
 	}
-	last := min(max(first, 2*u.paused[addr].last), most)
-	u.paused[addr] = pause{until: now.Add(u.jitter(last)), last: last}
+	delay := min(max(shortest, 2*u.backoffs[addr].delay), longest)
+	u.backoffs[addr] = upstreamBackoff{until: now.Add(u.jitter(delay)), delay: delay}
 	if addr == u.leader {
 		u.leader = ""
 	}
 }
 
 // hasFailed reports whether addr has failed and not worked since.
-func (u *upstreams) fails(addr string) bool { return u.paused[addr].last > 0 }
+func (u *upstreams) hasFailed(addr string) bool { return u.backoffs[addr].delay > 0 }
 
 // markWorking clears the failures of addr.
-func (u *upstreams) worked(addr string) {
-	delete(u.paused, addr)
-	u.direct = u.direct && u.isRelay(addr)
+func (u *upstreams) markWorking(addr string) {
+	delete(u.backoffs, addr)
+	u.preferControl = u.preferControl && u.isRelay(addr)
 }
 
 // isRelay reports whether addr is used as a relay. A control VM is not: it forwards
@@ -183,8 +183,8 @@
 
 // setLeader sets the leader. It returns false if addr is backed off: the daemon that
 // named it has not noticed yet that it is lost.
-func (u *upstreams) redirected(addr string, now vm.Instant) bool {
-	if u.paused[addr].until > now {
+func (u *upstreams) setLeader(addr string, now vm.Instant) bool {
+	if u.backoffs[addr].until > now {
 		return false
 	}
 	u.leader = addr
@@ -197,12 +197,12 @@
 }
 
 // updateRelays selects the relays of this daemon from a new membership.
-func (u *upstreams) members(m *vm.Membership, direct, fanout int) {
-	if m == u.relaysFor {
+func (u *upstreams) updateRelays(m *vm.Membership, direct, fanout int) {
+	if m == u.relayMembership {
 		return
 	}
-	u.relaysFor = m
-	u.relays = relaysOf(m, u.self, direct, fanout)
+	u.relayMembership = m
+	u.relays = selectRelays(m, u.self, direct, fanout)
 }
 
 // selectRelays returns the peer addresses of the relays that self should use, best
@@ -213,7 +213,7 @@
 // for each fanout members plus one, so that enough are left if one is lost. Each
 // daemon ranks them by a hash of its own name, so that the daemons of a lost relay
 // spread over all remaining ones.
-func relaysOf(m *vm.Membership, self vm.Identity, direct, fanout int) []string {
+func selectRelays(m *vm.Membership, self vm.Identity, direct, fanout int) []string {
 	if m == nil || len(m.Members) <= direct {
 		return nil
 	}
--- a/internal/relay/upstream_test.go
+++ b/internal/relay/upstream_test.go
@@ -15,30 +15,30 @@
 // as the backoff of a lost address. In a fixed order the daemon would alternate
 // between the two and never contact the third, which works, and callers would be told
 // unconfirmed until one of the two returns.
-func TestLivingControlIsNotStarved(t *testing.T) {
+func TestWorkingControlVMIsTriedBesideFailedOnes(t *testing.T) {
 	Convey("Given three control addresses of which two fail every time", t, func() {
 		u := newUpstreams(identity("d1", 1), []string{"a", "b", "c"})
-		works := u.control[2]
+		working := u.control[2]
 		now := vm.Instant(time.Second)
 		Convey("the third is contacted within three calls", func() {
 			for range 3 {
 				addr, _ := u.pick(now)
-				if addr == works {
+				if addr == working {
 					return
 				}
-				u.failed(addr, now)
-				now = now.Add(2 * maxControlPause)
+				u.markFailed(addr, now)
+				now = now.Add(2 * maxControlBackoff)
 			}
-			So("never contacted", ShouldEqual, works)
+			So("never contacted", ShouldEqual, working)
 		})
 		Convey("it is contacted as long as the others are backed off", func() {
 			for range 8 {
-				u.failed(u.control[0], now)
-				u.failed(u.control[1], now)
-				now = now.Add(2 * maxControlPause)
+				u.markFailed(u.control[0], now)
+				u.markFailed(u.control[1], now)
+				now = now.Add(2 * maxControlBackoff)
 			}
 			addr, wait := u.pick(now)
-			So(addr, ShouldEqual, works)
+			So(addr, ShouldEqual, working)
 			So(wait, ShouldEqual, 0)
 		})
 	})
@@ -49,7 +49,7 @@
 // force everywhere without waiting for this run, so the run must not accept requests:
 // it could answer callers under an older configuration. The same lease counts once the
 // membership contains the run.
-func TestLeaseCountsFromMembershipOn(t *testing.T) {
+func TestLeaseRequiresMembership(t *testing.T) {
 	Convey("Given a daemon whose lease is granted before it is a member", t, func() {
 		self := identity("d1", 2)
 		now := vm.Instant(time.Second)
@@ -57,16 +57,16 @@
 		reply := &wire.SyncReply{Granted: true, LeaseMs: 6000, SettledEpoch: 1, Settled: &wire.MembershipDelta{
 			ToEpoch: 1, Upserts: []*wire.Vm{vm.ToWire(vm.Member{Identity: identity("d1", 1), Phase: vm.Serving})},
 		}}
-		c.install(&wire.SyncRequest{}, reply)
-		c.renew(now, reply)
+		c.applyState(&wire.SyncRequest{}, reply)
+		c.extendLease(now, reply)
 		So(c.Current().Confirmed(now), ShouldBeFalse)
 
 		Convey("the lease counts once the membership contains its own run", func() {
 			reply.PendingEpoch = 2
 			reply.Pending = &wire.MembershipDelta{FromEpoch: 1, ToEpoch: 2,
 				Upserts: []*wire.Vm{vm.ToWire(vm.Member{Identity: self, Phase: vm.Serving})}}
-			c.install(&wire.SyncRequest{HaveSettled: 1}, reply)
-			c.renew(now, reply)
+			c.applyState(&wire.SyncRequest{HaveSettled: 1}, reply)
+			c.extendLease(now, reply)
 			So(c.Current().Confirmed(now), ShouldBeTrue)
 		})
 	})
@@ -76,17 +76,17 @@
 // the group's address a moment later. In a fixed order the backoff of one of the three
 // wrong addresses would have ended at each retry, and the group would never be
 // contacted.
-func TestSeedsHeardLaterAreAsked(t *testing.T) {
-	useless := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
-	u := newUpstreams(vm.Identity{Name: "vm"}, useless)
-	u.setSeeds(append(slices.Clone(useless), "10.0.0.9:1"))
+func TestSeedsAddedLaterAreTried(t *testing.T) {
+	wrong := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
+	u := newUpstreams(vm.Identity{Name: "vm"}, wrong)
+	u.setSeeds(append(slices.Clone(wrong), "10.0.0.9:1"))
 	now := vm.Instant(0)
 	for range 5 {
 		addr, _ := u.pick(now)
 		if addr == "10.0.0.9:1" {
 			return
 		}
-		u.failed(addr, now)
+		u.markFailed(addr, now)
 		now = now.Add(600 * time.Millisecond) // a held call that confirmed nothing
 	}
 	t.Fatal("the address added later was never contacted")
@@ -94,7 +94,7 @@
 
 // As above, but the wrong addresses answer: each holds a call before it replies
 // without state, and callers are refused in the meantime.
-func TestSeedsHeardLaterAreAskedFirst(t *testing.T) {
+func TestSeedsAddedLaterAreTriedFirst(t *testing.T) {
 	u := newUpstreams(vm.Identity{Name: "vm"}, []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"})
 	u.setSeeds([]string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.9:1"})
 	if addr, _ := u.pick(0); addr != "10.0.0.9:1" {
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -17,7 +17,7 @@
 	Pending       *vm.Membership // nil if no transition is in progress
 	Lease         vm.Instant     // new requests are accepted strictly before this instant
 
-	placements *placements // shared by the views of one tree and membership; nil: no caching
+	cache *placementCache // shared by the views of one tree and membership; nil: no caching
 }
 
 // VersionedTree is the settings tree of one configuration version.
@@ -44,7 +44,7 @@
 
 // knowsOlderVersions reports whether the tree of every version that another daemon may
 // still use is known. Version 0 is the empty tree, under which there are no shares.
-func (v *View) knowsOlder() bool {
+func (v *View) knowsOlderVersions() bool {
 	oldest := max(v.InForce, 1)
 	if v.ConfigVersion <= oldest {
 		return true
