--- a/internal/control/presence/member.go
+++ b/internal/control/presence/member.go
@@ -9,19 +9,20 @@
 	"pearmoor/internal/vm"
 )
 
-// Want returns the changes that turn the settled membership into the daemons
-// that are there now. A member leaves when its lease has run out, when it says
-// that it is gone, or when a newer run of it is heard.
+// MembershipChanges returns the upserts and removals that turn the settled membership
+// into the set of daemons that are running now. A member is removed when its lease has
+// expired, when it reports phase Gone, or when a newer run of the same name has sent a
+// heartbeat.
 func (t *Table) Want(settled *vm.Membership, now vm.Instant) (upserts []*wire.Vm, removes []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	heard := 0 // members that are in the table
+	known := 0 // members that are in the table
 	for i := range settled.Members {
 		old := &settled.Members[i]
-		if _, ok := t.newest[old.Name]; ok {
-			heard++
+		if _, ok := t.newestIncarnation[old.Name]; ok {
+			known++
 		}
-		m, ok := t.wanted(old.Name, now)
+		m, ok := t.desiredMember(old.Name, now)
 		switch {
 		case !ok:
 			removes = append(removes, old.Name)
@@ -29,46 +30,46 @@
 			upserts = append(upserts, vm.ToWire(m))
 		}
 	}
-	if heard < len(t.newest) {
-		upserts = append(upserts, t.joining(settled, now)...)
+	if known < len(t.newestIncarnation) {
+		upserts = append(upserts, t.joiningMembers(settled, now)...)
 	}
 	sort.Slice(upserts, func(i, j int) bool { return upserts[i].Name < upserts[j].Name })
 	return upserts, removes
 }
 
-// joining returns the serving daemons that are no members.
-func (t *Table) joining(settled *vm.Membership, now vm.Instant) []*wire.Vm {
+// joiningMembers returns the serving daemons that are not in the settled membership.
+func (t *Table) joiningMembers(settled *vm.Membership, now vm.Instant) []*wire.Vm {
 	var out []*wire.Vm
-	for name := range t.newest {
+	for name := range t.newestIncarnation {
 		if _, ok := settled.Find(name); ok {
 			continue
 		}
-		if m, ok := t.wanted(name, now); ok && m.Phase == vm.Serving {
+		if m, ok := t.desiredMember(name, now); ok && m.Phase == vm.Serving {
 			out = append(out, vm.ToWire(m))
 		}
 	}
 	return out
 }
 
-// wanted returns the newest run of a name if it should be a member.
-func (t *Table) wanted(name string, now vm.Instant) (vm.Member, bool) {
-	r := t.runs[key{name, t.newest[name]}]
-	if r == nil || !r.mayWork(now) || !takesWork(r.member.Phase) {
+// desiredMember returns the newest run of a daemon if it should be a member.
+func (t *Table) desiredMember(name string, now vm.Instant) (vm.Member, bool) {
+	r := t.runs[runID{name, t.newestIncarnation[name]}]
+	if r == nil || !r.mayHoldLease(now) || !isActive(r.member.Phase) {
 		return vm.Member{}, false
 	}
 	return r.member, true
 }
 
-// Respected reports whether every member of the memberships respects the epoch's
-// smaller shares: it has acknowledged the epoch, is gone, or its lease has
-// provably run out. A run that is no longer known has run out.
+// EpochAcknowledged reports whether no member of the memberships can still use shares
+// larger than those of the epoch: each has acknowledged the epoch, has reported Gone,
+// or its lease has expired. A run that is not in the table has no lease.
 func (t *Table) Respected(epoch uint64, now vm.Instant, memberships ...*vm.Membership) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, ms := range memberships {
 		for i := range ms.Members {
-			r := t.runs[keyOf(&ms.Members[i])]
-			if r != nil && r.mayWork(now) && r.acked < epoch {
+			r := t.runs[runIDOf(&ms.Members[i])]
+			if r != nil && r.mayHoldLease(now) && r.ackedEpoch < epoch {
 				return false
 			}
 		}
@@ -76,26 +77,27 @@
 	return true
 }
 
-// Confirmed returns the newest version, at most newest, that every daemon which
-// may take work has confirmed.
+// ConfirmedVersion returns the highest version, at most newest, that every active
+// daemon with a lease has confirmed.
 func (t *Table) Confirmed(newest uint64, now vm.Instant) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.runs {
-		if r.config < newest && r.mayWork(now) && takesWork(r.member.Phase) {
-			newest = r.config
+		if r.confirmedVersion < newest && r.mayHoldLease(now) && isActive(r.member.Phase) {
+			newest = r.confirmedVersion
 		}
 	}
 	return newest
 }
 
-// Unconfirmed returns the names of the daemons that hold up a version, sorted.
+// UnconfirmedDaemons returns the names of the active daemons with a lease that have
+// not confirmed the version, sorted.
 func (t *Table) Unconfirmed(version uint64, now vm.Instant) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
 	for _, r := range t.runs {
-		if r.config < version && r.mayWork(now) && takesWork(r.member.Phase) {
+		if r.confirmedVersion < version && r.mayHoldLease(now) && isActive(r.member.Phase) {
 			out = append(out, r.member.Name)
 		}
 	}
@@ -103,15 +105,16 @@
 	return out
 }
 
-// Daemons returns what is known of each run, sorted by name.
+// DaemonStatuses returns the status of each run in the table, sorted by name, then
+// incarnation.
 func (t *Table) Daemons(now vm.Instant) []*wire.DaemonStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]*wire.DaemonStatus, 0, len(t.runs))
 	for _, r := range t.runs {
 		out = append(out, &wire.DaemonStatus{
-			Vm: vm.ToWire(r.member), ConfigVersion: r.config, AckedEpoch: r.acked,
-			LeaseLeftMs: uint32(max(r.until.Sub(now), 0).Milliseconds()),
+			Vm: vm.ToWire(r.member), ConfigVersion: r.confirmedVersion, AckedEpoch: r.ackedEpoch,
+			LeaseLeftMs: uint32(max(r.leaseEnd.Sub(now), 0).Milliseconds()),
 		})
 	}
 	sort.Slice(out, func(i, j int) bool {
@@ -121,27 +124,28 @@
 	return out
 }
 
-// Len returns the number of runs known.
+// Len returns the number of runs in the table.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.runs)
 }
 
-// Quiet returns the names of the members of any of the memberships that have not been
-// heard for that long, sorted. nil memberships have none.
-func (t *Table) Quiet(now vm.Instant, after time.Duration, of ...*vm.Membership) []string {
+// SilentMembers returns the names of the members of any of the memberships that have
+// sent no heartbeat for longer than threshold, sorted. A nil membership has no
+// members.
+func (t *Table) Quiet(now vm.Instant, threshold time.Duration, memberships ...*vm.Membership) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
-	for _, members := range of {
+	for _, members := range memberships {
 		if members == nil {
 			continue
 		}
 		for i := range members.Members {
 			name := members.Members[i].Name
-			r := t.runs[key{name, t.newest[name]}]
-			if r == nil || now.Sub(r.heard) > after {
+			r := t.runs[runID{name, t.newestIncarnation[name]}]
+			if r == nil || now.Sub(r.lastHeard) > threshold {
 				out = append(out, name)
 			}
 		}
--- a/internal/control/presence/table.go
+++ b/internal/control/presence/table.go
@@ -8,141 +8,147 @@
 	"pearmoor/internal/vm"
 )
 
-// key names one run of a daemon: a paused run that resumes must not keep the
-// lease of the run that replaced it alive, nor the other way round.
-type key struct {
+// runID identifies one run of a daemon. Leases are kept by run, so that a paused run
+// that resumes does not extend the lease of the run that replaced it, nor the other
+// way round.
+type runID struct {
 	name        string
 	incarnation uint64
 }
 
-func keyOf(m *vm.Member) key { return key{m.Name, m.Incarnation} }
+func runIDOf(m *vm.Member) runID { return runID{m.Name, m.Incarnation} }
 
-// run is what is known of one run of a daemon.
+// run is the state of one run of a daemon.
 type run struct {
-	member vm.Member
-	config uint64     // newest version confirmed
-	acked  uint64     // newest epoch acknowledged
-	first  vm.Instant // first heard by this leader
-	heard  vm.Instant
-	until  vm.Instant // no lease it may hold lasts longer
+	member           vm.Member
+	confirmedVersion uint64     // newest configuration version confirmed
+	ackedEpoch       uint64     // newest epoch acknowledged
+	firstHeard       vm.Instant // first heartbeat received by this leader
+	lastHeard        vm.Instant
+	leaseEnd         vm.Instant // no lease granted to the run ends later
 }
 
-// gone reports whether the run has said that it holds nothing any more.
+// gone reports whether the run has stopped and holds no shares.
 func (r *run) gone() bool { return r.member.Phase == vm.Gone }
 
-// mayWork reports whether the run may hold a lease at now.
-func (r *run) mayWork(now vm.Instant) bool { return !r.gone() && now < r.until }
+// mayHoldLease reports whether the run may hold a lease at now.
+func (r *run) mayHoldLease(now vm.Instant) bool { return !r.gone() && now < r.leaseEnd }
 
-// takesWork reports whether the phase lets a daemon take or finish work.
-func takesWork(p vm.Phase) bool { return p == vm.Serving || p == vm.Draining }
+// isActive reports whether a daemon in this phase accepts new requests or finishes
+// requests in flight.
+func isActive(p vm.Phase) bool { return p == vm.Serving || p == vm.Draining }
 
-// Table is the leader's table. It may be used by several goroutines.
+// Table is the leader's table of daemons. It is safe for concurrent use.
 type Table struct {
-	mu     sync.Mutex
-	runs   map[key]*run
-	newest map[string]uint64 // newest incarnation heard, by name
+	mu                sync.Mutex
+	runs              map[runID]*run
+	newestIncarnation map[string]uint64 // by name
 }
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{runs: make(map[key]*run), newest: make(map[string]uint64)}
+	return &Table{runs: make(map[runID]*run), newestIncarnation: make(map[string]uint64)}
 }
 
-// Reset starts the table anew for a new leader: the members may hold leases of
-// its predecessor until that instant, and have confirmed nothing yet.
-func (t *Table) Reset(now, until vm.Instant, memberships ...*vm.Membership) {
+// Reset initializes the table for a new leader. The members of the memberships may
+// hold leases of the previous leader until leaseEnd and have confirmed nothing to this
+// leader yet.
+func (t *Table) Reset(now, leaseEnd vm.Instant, memberships ...*vm.Membership) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clear(t.runs)
-	clear(t.newest)
+	clear(t.newestIncarnation)
 	for _, ms := range memberships {
 		if ms == nil {
 			continue
 		}
 		for i := range ms.Members {
 			m := ms.Members[i]
-			t.runs[keyOf(&m)] = &run{member: m, first: now, heard: now, until: until}
-			t.newest[m.Name] = max(t.newest[m.Name], m.Incarnation)
+			t.runs[runIDOf(&m)] = &run{member: m, firstHeard: now, lastHeard: now, leaseEnd: leaseEnd}
+			t.newestIncarnation[m.Name] = max(t.newestIncarnation[m.Name], m.Incarnation)
 		}
 	}
 }
 
-// Terms are what a heartbeat has to meet to be granted a lease.
+// LeaseRequirements are the conditions that a heartbeat must meet for a lease to be
+// granted.
 type Terms struct {
 	Lease time.Duration
-	// Config and Epoch are what a daemon must have confirmed by now. A daemon
-	// that is heard but does not follow would otherwise hold up a change, or a
-	// hand-over of shares, for ever; without a lease it holds it up no longer
-	// than the lease lasts.
+	// MinConfigVersion and MinEpoch are what a daemon must have confirmed after its
+	// grace period. A daemon that sends heartbeats but confirms nothing new would
+	// otherwise block a configuration change, or a transfer of shares, indefinitely.
+	// Without a new lease it blocks them no longer than its current lease lasts.
 	Config   uint64
 	Epoch    uint64
-	Patience time.Duration // a daemon heard first more recently is let off
+	Patience time.Duration // time after the first heartbeat in which the minimums do not apply
 }
 
-// Beat records heartbeats. It returns the names that are not granted a lease,
-// and whether anything besides the time of the heartbeat is new.
-func (t *Table) Beat(hbs []*wire.Heartbeat, now vm.Instant, terms *Terms) (refused []string, news bool) {
+// RecordHeartbeats records heartbeats. It returns the names of the daemons that are
+// not granted a lease, and whether anything but the time of the last heartbeat has
+// changed.
+func (t *Table) Beat(hbs []*wire.Heartbeat, now vm.Instant, requirements *Terms) (refused []string, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, hb := range hbs {
-		granted, fresh := t.beat(hb, now, terms)
+		granted, runChanged := t.recordHeartbeat(hb, now, requirements)
 		if !granted {
 			refused = append(refused, hb.GetVm().GetName())
 		}
-		news = news || fresh
+		changed = changed || runChanged
 	}
-	return refused, news
+	return refused, changed
 }
 
-func (t *Table) beat(hb *wire.Heartbeat, now vm.Instant, terms *Terms) (granted, news bool) {
+func (t *Table) recordHeartbeat(hb *wire.Heartbeat, now vm.Instant, requirements *Terms) (granted, changed bool) {
 	m := vm.FromWire(hb.GetVm())
-	r := t.runs[keyOf(&m)]
+	r := t.runs[runIDOf(&m)]
 	if r == nil {
-		r = &run{member: m, first: now}
-		t.runs[keyOf(&m)] = r
-		t.newest[m.Name] = max(t.newest[m.Name], m.Incarnation)
-		news = true
+		r = &run{member: m, firstHeard: now}
+		t.runs[runIDOf(&m)] = r
+		t.newestIncarnation[m.Name] = max(t.newestIncarnation[m.Name], m.Incarnation)
+		changed = true
 	}
-	if r.gone() && !news {
-		return false, false // a late heartbeat of a run that has ended
+	if r.gone() && !changed {
+		return false, false // a delayed heartbeat of a run that has ended
 	}
 	if m != r.member {
-		r.member, news = m, true
+		r.member, changed = m, true
 	}
-	news = news || hb.ConfigVersion > r.config || hb.AckedEpoch > r.acked
-	r.config, r.acked = max(r.config, hb.ConfigVersion), max(r.acked, hb.AckedEpoch)
-	r.heard = now
-	if !t.grantable(r, now, terms) {
-		return false, news
+	changed = changed || hb.ConfigVersion > r.confirmedVersion || hb.AckedEpoch > r.ackedEpoch
+	r.confirmedVersion, r.ackedEpoch = max(r.confirmedVersion, hb.ConfigVersion), max(r.ackedEpoch, hb.AckedEpoch)
+	r.lastHeard = now
+	if !t.mayGrant(r, now, requirements) {
+		return false, changed
 	}
-	r.until = max(r.until, now.Add(terms.Lease))
-	return true, news
+	r.leaseEnd = max(r.leaseEnd, now.Add(requirements.Lease))
+	return true, changed
 }
 
-func (t *Table) grantable(r *run, now vm.Instant, terms *Terms) bool {
-	if r.gone() || r.member.Incarnation < t.newest[r.member.Name] {
+func (t *Table) mayGrant(r *run, now vm.Instant, requirements *Terms) bool {
+	if r.gone() || r.member.Incarnation < t.newestIncarnation[r.member.Name] {
 		return false
 	}
-	if now.Sub(r.first) < terms.Patience {
+	if now.Sub(r.firstHeard) < requirements.Patience {
 		return true
 	}
-	return r.config >= terms.Config && r.acked >= terms.Epoch
+	return r.confirmedVersion >= requirements.Config && r.ackedEpoch >= requirements.Epoch
 }
 
-// Sweep forgets runs whose lease has run out.
+// DeleteExpired deletes the runs whose lease has expired and that have sent no
+// heartbeat for expiredRunRetention.
 func (t *Table) Sweep(now vm.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for k, r := range t.runs {
-		if now < r.until || now.Sub(r.heard) < forgetAfter {
+	for id, r := range t.runs {
+		if now < r.leaseEnd || now.Sub(r.lastHeard) < expiredRunRetention {
 			continue
 		}
-		delete(t.runs, k)
-		if t.newest[k.name] == k.incarnation {
-			delete(t.newest, k.name)
+		delete(t.runs, id)
+		if t.newestIncarnation[id.name] == id.incarnation {
+			delete(t.newestIncarnation, id.name)
 		}
 	}
 }
 
-// forgetAfter keeps a run that ended in sight of operators for a while.
-const forgetAfter = 10 * time.Second
+// expiredRunRetention keeps an ended run visible to operators for a while.
+const expiredRunRetention = 10 * time.Second
--- a/internal/relay/children.go
+++ b/internal/relay/children.go
@@ -11,89 +11,89 @@
 	"pearmoor/internal/vm"
 )
 
-// maxRetake is how long a heartbeat that could not be passed up is tried again.
-// An older one would make the leader believe that a lost daemon lives.
-const maxRetake = 2 * time.Second
+// heartbeatRetryPeriod is how long a relay tries to forward a heartbeat. Forwarding an
+// older one would make the leader treat a lost daemon as alive.
+const heartbeatRetryPeriod = 2 * time.Second
 
-// forget is after how long without a heartbeat a child is dropped.
-const forget = 30 * time.Second
+// childTimeout is the time without a heartbeat after which a child is removed.
+const childTimeout = 30 * time.Second
 
-// maxChildren bounds what a relay takes on; a daemon that is refused asks the
-// next relay, or control.
+// maxChildren limits the daemons that a relay accepts. A daemon that is refused
+// contacts the next relay or a control VM.
 const maxChildren = 256
 
-var childCount = metrics.GetOrRegisterGauge("relay.children", nil)
+var childrenGauge = metrics.GetOrRegisterGauge("relay.children", nil)
 
-// run identifies one run of a daemon.
-type run struct {
+// runID identifies one run of a daemon.
+type runID struct {
 	name        string
 	incarnation uint64
 }
 
-// child is a snapshot of one daemon below this relay.
+// child is the state of one daemon that syncs through this relay.
 type child struct {
-	run
-	heartbeat *wire.Heartbeat
-	arrived   vm.Instant
-	seq       uint64 // counts heartbeats
-	passed    uint64 // seq of the newest heartbeat that the leader has answered
-	grant     grant
+	runID
+	heartbeat   *wire.Heartbeat
+	receivedAt  vm.Instant
+	seq         uint64 // number of heartbeats received
+	answeredSeq uint64 // seq of the newest heartbeat that the leader has answered
+	grant       grant
 }
 
-// grant is the leader's newest confirmation of a child.
+// grant is the newest lease that the leader has granted to a child.
 type grant struct {
-	base  vm.Instant // send instant of the exchange that carried the heartbeat, less its age
+	start vm.Instant // when the exchange with the heartbeat was sent, minus the age of the grant
 	lease time.Duration
 }
 
-// left is how long the grant goes on for one who counts it from now on.
-func (g grant) left(now vm.Instant) time.Duration {
+// remaining returns how long the lease of the grant lasts from now on.
+func (g grant) remaining(now vm.Instant) time.Duration {
 	if g.lease == 0 {
 		return 0
 	}
-	return g.base.Add(g.lease).Sub(now)
+	return g.start.Add(g.lease).Sub(now)
 }
 
-// children are the daemons that sync with this one.
+// children holds the daemons that sync through this one.
 type children struct {
-	mu      sync.Mutex
-	byRun   map[run]*child
-	granted chan struct{} // closed at the next grant
+	mu           sync.Mutex
+	byRun        map[runID]*child
+	grantChanged chan struct{} // closed at the next grant
 }
 
 func newChildren() *children {
-	return &children{byRun: make(map[run]*child), granted: make(chan struct{})}
+	return &children{byRun: make(map[runID]*child), grantChanged: make(chan struct{})}
 }
 
-// heard records a heartbeat. It reports whether it has to be passed up at once:
-// it says something new, or the child's grant is getting old. It is false for ok
-// when there are too many children.
-func (cs *children) heard(hb *wire.Heartbeat, now vm.Instant) (urgent, ok bool) {
+// recordHeartbeat records a heartbeat. Urgent reports whether it must be forwarded
+// immediately, because it has changed or because less than half of the child's lease
+// is left. Ok is false if there are too many children.
+func (cs *children) recordHeartbeat(hb *wire.Heartbeat, now vm.Instant) (urgent, ok bool) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	key := run{name: hb.GetVm().GetName(), incarnation: hb.GetVm().GetIncarnation()}
-	k := cs.byRun[key]
-	if k == nil {
+	key := runID{name: hb.GetVm().GetName(), incarnation: hb.GetVm().GetIncarnation()}
+	c := cs.byRun[key]
+	if c == nil {
 		if len(cs.byRun) >= maxChildren {
 			return false, false
 		}
-		k = &child{run: key}
-		cs.byRun[key] = k
-		childCount.Update(int64(len(cs.byRun)))
+		c = &child{runID: key}
+		cs.byRun[key] = c
+		childrenGauge.Update(int64(len(cs.byRun)))
 	}
-	newest := newestOf(k.heartbeat, hb)
-	news := k.heartbeat == nil || saysNew(k.heartbeat, newest)
-	k.heartbeat, k.arrived = newest, now
-	k.seq++
-	return news || k.grant.left(now) < k.grant.lease/2, true
+	newest := mergeHeartbeats(c.heartbeat, hb)
+	changed := c.heartbeat == nil || heartbeatChanged(c.heartbeat, newest)
+	c.heartbeat, c.receivedAt = newest, now
+	c.seq++
+	return changed || c.grant.remaining(now) < c.grant.lease/2, true
 }
 
-// newestOf joins two heartbeats of one run. A held call and a push of one daemon
-// may arrive crossed, the older word after the newer one: were it to replace
-// that, an ack would be unheard until the next call, an interval later. What a
-// run has confirmed never shrinks, and its phase only advances.
-func newestOf(old, hb *wire.Heartbeat) *wire.Heartbeat {
-	if old == nil || !saysNew(hb, old) {
+// mergeHeartbeats merges two heartbeats of one run. A held call and a push of one
+// daemon may arrive out of order. If the older heartbeat replaced the newer one, an
+// acknowledgement would be lost until the next call, one interval later. The version
+// and epoch that a run has confirmed never decrease, and its phase only advances.
+func mergeHeartbeats(old, hb *wire.Heartbeat) *wire.Heartbeat {
+	if old == nil || !heartbeatChanged(hb, old) {
 		return hb
 	}
 	newest := hb.GetVm()
@@ -107,24 +107,24 @@
 	}
 }
 
-func saysNew(old, hb *wire.Heartbeat) bool {
+func heartbeatChanged(old, hb *wire.Heartbeat) bool {
 	return old.GetConfigVersion() != hb.GetConfigVersion() || old.GetAckedEpoch() != hb.GetAckedEpoch() ||
 		old.GetVm().GetPhase() != hb.GetVm().GetPhase()
 }
 
-// take returns the children whose newest heartbeat the leader has not answered,
-// and drops those not heard of for long.
-func (cs *children) take(now vm.Instant) []*child {
+// pending returns copies of the children whose newest heartbeat the leader has not
+// answered, and removes those that have sent no heartbeat for childTimeout.
+func (cs *children) pending(now vm.Instant) []*child {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	var out []*child
-	for key, k := range cs.byRun {
-		if now.Sub(k.arrived) > forget {
+	for key, c := range cs.byRun {
+		if now.Sub(c.receivedAt) > childTimeout {
 			delete(cs.byRun, key)
-			childCount.Update(int64(len(cs.byRun)))
+			childrenGauge.Update(int64(len(cs.byRun)))
 		}
-		if k.toPass(now) {
-			snapshot := *k
+		if c.needsForwarding(now) {
+			snapshot := *c
 			out = append(out, &snapshot)
 		}
 	}
@@ -137,16 +137,16 @@
 	return out
 }
 
-func (k *child) toPass(now vm.Instant) bool {
-	return k.seq > k.passed && now.Sub(k.arrived) <= maxRetake
+func (c *child) needsForwarding(now vm.Instant) bool {
+	return c.seq > c.answeredSeq && now.Sub(c.receivedAt) <= heartbeatRetryPeriod
 }
 
-// waiting reports whether take would return any.
-func (cs *children) waiting(now vm.Instant) bool {
+// hasPending reports whether pending would return any child.
+func (cs *children) hasPending(now vm.Instant) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	for _, k := range cs.byRun {
-		if k.toPass(now) {
+	for _, c := range cs.byRun {
+		if c.needsForwarding(now) {
 			return true
 		}
 	}
@@ -159,39 +159,39 @@
 	return len(cs.byRun) == 0
 }
 
-// grant records the leader's answer to an exchange that carried these children
-// and was sent at that instant.
-func (cs *children) grant(kids []*child, r *wire.SyncReply, sent vm.Instant) {
-	if len(kids) == 0 {
+// recordGrant records the leader's answer to an exchange that carried the heartbeats
+// of the forwarded children. Sent is when the exchange was sent.
+func (cs *children) recordGrant(forwarded []*child, r *wire.SyncReply, sent vm.Instant) {
+	if len(forwarded) == 0 {
 		return
 	}
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	base := sent.Add(-time.Duration(r.GetAgeMs()) * time.Millisecond)
-	for _, kid := range kids {
-		k := cs.byRun[kid.run]
-		if k == nil || slices.Contains(r.GetRefused(), kid.name) {
+	start := sent.Add(-time.Duration(r.GetAgeMs()) * time.Millisecond)
+	for _, fwd := range forwarded {
+		c := cs.byRun[fwd.runID]
+		if c == nil || slices.Contains(r.GetRefused(), fwd.name) {
 			continue
 		}
-		k.passed = max(k.passed, kid.seq)
-		if base > k.grant.base || k.grant.lease == 0 {
-			k.grant = grant{base: base, lease: time.Duration(r.GetLeaseMs()) * time.Millisecond}
+		c.answeredSeq = max(c.answeredSeq, fwd.seq)
+		if start > c.grant.start || c.grant.lease == 0 {
+			c.grant = grant{start: start, lease: time.Duration(r.GetLeaseMs()) * time.Millisecond}
 		}
 	}
-	close(cs.granted)
-	cs.granted = make(chan struct{})
+	close(cs.grantChanged)
+	cs.grantChanged = make(chan struct{})
 }
 
-// grantsOf returns the grants of the given heartbeats and a channel closed at the
-// next grant to any child.
+// grantsOf returns the grants for the given heartbeats and a channel that is closed at
+// the next grant to any child.
 func (cs *children) grantsOf(hbs []*wire.Heartbeat) ([]grant, <-chan struct{}) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	out := make([]grant, len(hbs))
 	for i, hb := range hbs {
-		if k := cs.byRun[run{name: hb.GetVm().GetName(), incarnation: hb.GetVm().GetIncarnation()}]; k != nil {
-			out[i] = k.grant
+		if c := cs.byRun[runID{name: hb.GetVm().GetName(), incarnation: hb.GetVm().GetIncarnation()}]; c != nil {
+			out[i] = c.grant
 		}
 	}
-	return out, cs.granted
+	return out, cs.grantChanged
 }
--- a/internal/relay/client_test.go
+++ b/internal/relay/client_test.go
@@ -15,12 +15,12 @@
 	"pearmoor/internal/vm"
 )
 
-// inWorld runs f in virtual time and ends everything it started.
-func inWorld(t *testing.T, f func(w *world)) {
+// runInCluster runs f in virtual time and stops everything it started.
+func runInCluster(t *testing.T, f func(w *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		w := newWorld(ctx, 1)
+		w := newCluster(ctx, 1)
 		f(w)
 		cancel()
 		w.running.Wait()
@@ -28,8 +28,8 @@
 	})
 }
 
-// startMany runs n daemons of one failure domain and waits until all serve.
-func (w *world) startMany(n, direct, fanout int) []*daemon {
+// startDaemons starts n daemons of one failure domain and waits until all are serving.
+func (w *cluster) startDaemons(n, direct, fanout int) []*daemon {
 	out := make([]*daemon, n)
 	for i := range out {
 		out[i] = w.startDaemon(identity(fmt.Sprintf("d%03d", i), 1), direct, fanout)
@@ -38,27 +38,28 @@
 	return out
 }
 
-// unconfirmedFor lets d pass and returns the longest time that a daemon was
-// without a lease in it.
-func (w *world) unconfirmedFor(d time.Duration, ds ...*daemon) time.Duration {
+// longestWithoutLease waits for d and returns the longest time for which any of the
+// daemons had no lease.
+func (w *cluster) longestWithoutLease(d time.Duration, daemons ...*daemon) time.Duration {
 	const step = 10 * time.Millisecond
 	var longest time.Duration
-	without := make([]time.Duration, len(ds))
+	sinceLease := make([]time.Duration, len(daemons))
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(step)
 		synctest.Wait()
-		for i, one := range ds {
-			without[i] += step
+		for i, one := range daemons {
+			sinceLease[i] += step
 			if one.client.Current().Confirmed(w.clock()) {
-				without[i] = 0
+				sinceLease[i] = 0
 			}
-			longest = max(longest, without[i])
+			longest = max(longest, sinceLease[i])
 		}
 	}
 	return longest
 }
 
-// busiestRelay returns the relay that most daemons use first, and how many.
+// busiestRelay returns the relay that is the first choice of most daemons, and their
+// number.
 func busiestRelay(ds []*daemon) (busiest *daemon, children int) {
 	uses := make(map[string]int)
 	for _, d := range ds {
@@ -74,59 +75,59 @@
 	return busiest, children
 }
 
-func without(ds []*daemon, one *daemon) []*daemon {
-	return slices.DeleteFunc(slices.Clone(ds), func(d *daemon) bool { return d == one })
+func excluding(ds []*daemon, excluded *daemon) []*daemon {
+	return slices.DeleteFunc(slices.Clone(ds), func(d *daemon) bool { return d == excluded })
 }
 
-// The address that a daemon syncs with stops answering without closing anything.
-// Callers see no refusal: the daemon gives the call up, asks the other control
-// address, and has its lease renewed long before it runs out.
-func TestSilentCutOfUpstream(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.fabric.serve("control-2", w.leader)
+// The upstream of a daemon stops answering without closing connections. The daemon
+// must abandon the call, contact the other control address and renew its lease long
+// before it expires, so that no caller is refused.
+func TestUnresponsiveUpstreamIsReplaced(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		w.network.serve("control-2", w.leader)
 		d := w.startDaemon(identity("d1", 1), 64, 8)
 		d.upstreams(func(u *upstreams) { u.setControl([]string{leaderAddr, "control-2"}) })
 		time.Sleep(5 * time.Second)
 		first := d.client.ControlGroup()[0]
-		w.fabric.setCut(first, true)
+		w.network.setCut(first, true)
 		before := d.client.Current().Lease
-		time.Sleep(DefaultInterval + callMargin + 2*firstRetry)
+		time.Sleep(DefaultInterval + replyMargin + 2*minRetryDelay)
 		synctest.Wait()
 		Convey("the lease is renewed through the other address", t, func() {
 			So(first, ShouldNotEqual, "")
 			So(d.client.Current().Lease, ShouldBeGreaterThan, before)
-			So(w.unconfirmedFor(30*time.Second, d), ShouldEqual, 0)
+			So(w.longestWithoutLease(30*time.Second, d), ShouldEqual, 0)
 		})
 	})
 }
 
-// Everything was restarted, and a daemon is told of another one that has only just
-// started too and knows nothing. Held there for an interval, it would turn its callers
-// away all the while, though the leader beside it could tell it everything.
-func TestRelayWithoutStateSaysSoSoon(t *testing.T) {
-	inWorld(t, func(w *world) {
-		lost := w.startDaemon(identity("d1", 1), 64, 8)
-		lost.upstreams(func(u *upstreams) { u.control, u.seeds = []string{"nowhere"}, nil })
+// After a restart of all VMs a daemon contacts another one that has just started and
+// has no state. If the call were held there for a whole interval, the daemon would
+// refuse its callers for that time although the leader could answer it.
+func TestRelayWithoutStateRepliesEarly(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		stateless := w.startDaemon(identity("d1", 1), 64, 8)
+		stateless.upstreams(func(u *upstreams) { u.control, u.seeds = []string{"nowhere"}, nil })
 		began := w.clock()
-		reply, err := lost.client.Server().Sync(w.ctx, &wire.SyncRequest{
+		reply, err := stateless.client.Server().Sync(w.ctx, &wire.SyncRequest{
 			WaitMs:     uint32(DefaultInterval.Milliseconds()),
 			Heartbeats: []*wire.Heartbeat{{Vm: vm.ToWire(vm.Member{Identity: identity("d2", 1)})}},
 		})
 		took := w.clock().Sub(began)
-		Convey("it answers long before an interval is over and grants nothing", t, func() {
+		Convey("it replies long before an interval is over and grants nothing", t, func() {
 			So(err, ShouldBeNil)
 			So(reply.Granted, ShouldBeFalse)
 			So(reply.ConfigVersion, ShouldEqual, 0)
-			So(took, ShouldBeLessThanOrEqualTo, statelessHold)
+			So(took, ShouldBeLessThanOrEqualTo, statelessHoldTime)
 		})
 	})
 }
 
-// A daemon starts and is told of VMs that are not of the group; it hears where the
-// group is while it waits to ask again. It asks at once: callers are turned away until
-// it has an answer.
-func TestNewSeedsAreAskedAtOnce(t *testing.T) {
-	inWorld(t, func(w *world) {
+// A daemon starts with addresses that are not in the control group and learns the
+// right ones while it waits for its next retry. It must contact them immediately, as
+// it refuses callers until it has a configuration.
+func TestNewSeedsAreContactedImmediately(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
 		d := w.startDaemon(identity("d1", 1), 64, 8)
 		d.upstreams(func(u *upstreams) { u.control, u.seeds = []string{"nowhere"}, nil })
 		time.Sleep(4 * time.Second)
@@ -139,28 +140,29 @@
 	})
 }
 
-// A relay dies with all its children attached. They see silence, choose another
-// relay or control, and no lease runs out, so no caller is refused.
-func TestRelayLost(t *testing.T) {
-	inWorld(t, func(w *world) {
-		ds := w.startMany(24, 1, 6)
+// A relay fails with all its children connected. They must detect the silence and
+// switch to another relay or to control before their leases expire, so that no caller
+// is refused.
+func TestLeasesSurviveRelayFailure(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		ds := w.startDaemons(24, 1, 6)
 		relay, children := busiestRelay(ds)
 		busiest := relay.client.cfg.Self.PeerAddr
-		w.fabric.setCut(busiest, true)
-		others := without(ds, relay)
+		w.network.setCut(busiest, true)
+		others := excluding(ds, relay)
 		Convey("every other daemon keeps its lease", t, func() {
 			So(children, ShouldBeGreaterThan, 1)
-			So(w.unconfirmedFor(20*time.Second, others...), ShouldEqual, 0)
+			So(w.longestWithoutLease(20*time.Second, others...), ShouldEqual, 0)
 		})
 	})
 }
 
-// Both relays of a daemon are cut off silently while the leader answers. Callers would be
-// served by an older configuration for as long as the two are asked in turn, each while
-// the pause of the other ends.
-func TestBothRelaysLost(t *testing.T) {
-	inWorld(t, func(w *world) {
-		ds := w.startMany(24, 1, 6)
+// Both relays of a daemon stop answering while the leader is reachable. If the daemon
+// only alternated between the two, each while the backoff of the other ends, it would
+// serve callers with an outdated configuration.
+func TestLeaderIsContactedWhenBothRelaysFail(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		ds := w.startDaemons(24, 1, 6)
 		relay, _ := busiestRelay(ds)
 		child := ds[slices.IndexFunc(ds, func(d *daemon) bool {
 			r := d.relays()
@@ -168,12 +170,12 @@
 		})]
 		lost := child.relays()
 		for _, addr := range lost {
-			w.fabric.setCut(addr, true)
+			w.network.setCut(addr, true)
 		}
 		time.Sleep(100 * time.Millisecond)
 		var longest time.Duration
 		for i := range 60 {
-			w.move(i)
+			w.moveLeaf(i)
 			state, _ := w.leader.history.State()
 			want, began := state.ConfigVersion, time.Now()
 			for child.client.Current().ConfigVersion < want && time.Since(began) < time.Minute {
@@ -183,101 +185,102 @@
 			longest = max(longest, time.Since(began))
 			time.Sleep(700 * time.Millisecond)
 		}
-		Convey("the daemon asks the leader between them and hears of every change soon", t, func() {
+		Convey("the daemon contacts the leader between the two and gets every change soon", t, func() {
 			So(len(lost), ShouldEqual, maxRelays)
 			So(longest, ShouldBeLessThan, 3*time.Second)
 		})
 	})
 }
 
-// naming is a control VM that does not lead and names the one that does.
-type naming struct {
+// redirectingControlVM is a control VM that is not the leader and names the leader.
+type redirectingControlVM struct {
 	*modelLeader
 	leader string
 }
 
-func (n naming) Sync(context.Context, *wire.SyncRequest) (*wire.SyncReply, error) {
+func (n redirectingControlVM) Sync(context.Context, *wire.SyncRequest) (*wire.SyncReply, error) {
 	return &wire.SyncReply{Redirect: n.leader}, nil
 }
 
-// A daemon is cut off, and meanwhile a relay of it that is a control VM is elected. The
-// other control VMs name that one. Callers would be served by an older configuration
-// until it is no longer passed over, as relays are for up to half a minute.
-func TestRelayElectedWhileCutOff(t *testing.T) {
-	inWorld(t, func(w *world) {
-		ds := w.startMany(24, 1, 6)
+// While a daemon is cut off, one of its relays, which is a control VM, is elected as
+// the leader. The other control VMs name it. If the daemon still applied the relay
+// backoff of up to half a minute to it, callers would be served with an outdated
+// configuration for as long.
+func TestDaemonFollowsRelayElectedAsLeader(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		ds := w.startDaemons(24, 1, 6)
 		child := ds[slices.IndexFunc(ds, func(d *daemon) bool { return len(d.relays()) > 0 })]
 		elected := child.relays()[0]
 		child.upstreams(func(u *upstreams) { u.setControl([]string{leaderAddr, elected}) })
 		self := child.client.cfg.Self.PeerAddr
-		w.fabric.setCut(self, true)
+		w.network.setCut(self, true)
 		time.Sleep(8 * time.Second)
-		w.fabric.serve(elected, w.leader)
-		w.fabric.serve(leaderAddr, naming{w.leader, elected})
-		w.move(1)
+		w.network.serve(elected, w.leader)
+		w.network.serve(leaderAddr, redirectingControlVM{w.leader, elected})
+		w.moveLeaf(1)
 		state, _ := w.leader.history.State()
-		w.fabric.setCut(self, false)
+		w.network.setCut(self, false)
 		began := time.Now()
 		for child.client.Current().ConfigVersion < state.ConfigVersion && time.Since(began) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
 			synctest.Wait()
 		}
 		took := time.Since(began)
-		Convey("the daemon hears of a change soon after the cut", t, func() {
+		Convey("the daemon gets a change soon after the cut ends", t, func() {
 			So(took, ShouldBeLessThan, 3*time.Second)
 		})
 	})
 }
 
-// A relay loses the leader but not its children. It has nothing to grant, says
-// so, and the children go elsewhere before their leases run out; meanwhile no
-// child believes a lease that the leader has given up.
-func TestRelayCutOffStopsGranting(t *testing.T) {
-	inWorld(t, func(w *world) {
-		ds := w.startMany(24, 1, 6)
+// A relay loses the leader but not its children. It must stop granting leases and say
+// so, so that the children switch to another upstream before their leases expire. No
+// child may believe that it holds a lease that the leader regards as expired.
+func TestRelayWithoutLeaderStopsGranting(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		ds := w.startDaemons(24, 1, 6)
 		relay, _ := busiestRelay(ds)
-		w.fabric.cutBetween(relay.client.cfg.Self.PeerAddr, leaderAddr, true)
-		longest := w.unconfirmedFor(20*time.Second, without(ds, relay)...)
-		worst := w.checkLeases()
-		Convey("children keep leases that the leader knows, the relay loses its own", t, func() {
-			So(worst, ShouldBeNil)
+		w.network.cutBetween(relay.client.cfg.Self.PeerAddr, leaderAddr, true)
+		longest := w.longestWithoutLease(20*time.Second, excluding(ds, relay)...)
+		leaseErr := w.checkLeases()
+		Convey("children keep leases that the leader granted, the relay loses its own", t, func() {
+			So(leaseErr, ShouldBeNil)
 			So(longest, ShouldEqual, 0)
 			So(relay.client.Current().Confirmed(w.clock()), ShouldBeFalse)
 		})
 	})
 }
 
-// A daemon is stopped for 30 s with a reply on its way and runs on. The reply is
-// read as if it had just come, but it answers a request of long ago: the daemon
-// has no lease, and callers are told that nothing was run.
-func TestPausedDaemonHasNoLease(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.fabric.late = true
+// A daemon is paused for 30 s with a reply in flight and then resumes. It reads the
+// reply as if it had just arrived, but the reply answers a request of long ago. The
+// daemon must not regard its lease as renewed.
+func TestReplyReadAfterPauseRenewsNoLease(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		w.network.lateReplies = true
 		d := w.startDaemon(identity("d1", 1), 64, 8)
 		time.Sleep(5 * time.Second)
-		resume := w.fabric.pause(d.client.cfg.Self.PeerAddr)
+		resume := w.network.pause(d.client.cfg.Self.PeerAddr)
 		time.Sleep(30 * time.Second)
 		before := d.client.Current().Lease
-		w.fabric.setCut(leaderAddr, true) // only what was on its way arrives
+		w.network.setCut(leaderAddr, true) // only messages already in flight arrive
 		resume()
 		time.Sleep(time.Second)
-		Convey("what was on its way renews nothing", t, func() {
+		Convey("the messages in flight renew no lease", t, func() {
 			So(d.client.Current().Confirmed(w.clock()), ShouldBeFalse)
 			So(d.client.Current().Lease.Sub(before), ShouldBeLessThan, 2*time.Second)
 		})
 	})
 }
 
-// A second run of a daemon starts while the first still lives. The first one's
-// Run ends with an error that names both, as its shares are the second one's.
-func TestSuperseded(t *testing.T) {
-	inWorld(t, func(w *world) {
+// A second run of a daemon starts while the first is still running. Run of the first
+// must return an error that names both, as the shares belong to the second.
+func TestOlderRunStopsWhenSuperseded(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
 		first := w.startDaemon(identity("d1", 1), 64, 8)
 		time.Sleep(3 * time.Second)
 		w.startDaemon(identity("d1", 2), 64, 8)
 		time.Sleep(10 * time.Second)
 		first.mu.Lock()
-		err := first.ended
+		err := first.runErr
 		first.mu.Unlock()
 		Convey("the older run stops", t, func() {
 			var superseded *SupersededError
@@ -287,12 +290,12 @@
 	})
 }
 
-// A change on its way is damaged, or made on another tree: the digest after it is
-// not the one stated. The daemon neither takes it nor counts the grant that came
-// with it, asks for the whole state, and is right again with the next reply.
-func TestDigestMismatch(t *testing.T) {
-	inWorld(t, func(w *world) {
-		_ = w.leader.edit(set(service, "leaf-slots", "4"))
+// A delta is corrupted in transit or was made on another tree, so the digest of the
+// result does not match. The daemon must apply neither the delta nor the grant that
+// came with it, must request the full state, and must recover with the next reply.
+func TestDigestMismatchRequestsFullState(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		_ = w.leader.edit(setEdit(service, "leaf-slots", "4"))
 		d := w.startDaemon(identity("d1", 1), 64, 8)
 		time.Sleep(5 * time.Second)
 		v := d.client.Current()
@@ -300,45 +303,45 @@
 			ConfigVersion: 2, ConfigDigest: 7, Granted: true, LeaseMs: 60_000,
 			Deltas: []*wire.TreeDelta{{Version: 2, Digest: 7}},
 		}
-		out, granted := d.client.receive(leaderAddr, w.clock(), &wire.SyncRequest{}, bad, false)
-		unharmed := d.client.Current() == v && d.client.whole
-		_ = w.leader.edit(set(service, "leaf-slots", "3"))
+		out, granted := d.client.handleReply(leaderAddr, w.clock(), &wire.SyncRequest{}, bad, false)
+		viewUnchanged := d.client.Current() == v && d.client.requestFullState
+		_ = w.leader.edit(setEdit(service, "leaf-slots", "3"))
 		time.Sleep(3 * time.Second)
-		Convey("nothing of it is taken, and the next reply mends it", t, func() {
+		Convey("nothing in the reply is applied, and the daemon recovers with the next reply", t, func() {
 			So(granted, ShouldBeFalse)
-			So(out, ShouldEqual, changed)
-			So(unharmed, ShouldBeTrue)
+			So(out, ShouldEqual, stateChanged)
+			So(viewUnchanged, ShouldBeTrue)
 			So(d.client.Current().ConfigVersion, ShouldEqual, 2)
 			So(d.client.Current().Confirmed(w.clock()), ShouldBeTrue)
 		})
 	})
 }
 
-// 300 daemons restart together, with relays among them, while the leader keeps
-// the membership they had. Were they to retry in step, the leader would drown
-// and no lease would be renewed. Its calls stay near one per daemon in the worst
-// second and fall to those of the relays.
-func TestRestartOfAllMakesNoHerd(t *testing.T) {
+// 300 daemons, relays among them, restart together while the leader keeps their
+// previous membership. If they retried in step, the leader would be overloaded and no
+// lease renewed. The leader's calls must stay near one per daemon in the worst second
+// and then fall to those of the relays.
+func TestRestartOfAllDaemonsBoundsLeaderCalls(t *testing.T) {
 	const n = 300
-	inWorld(t, func(w *world) {
-		w.fabric.delay = 2 * time.Millisecond
-		old := w.startMany(n, 64, 8)
+	runInCluster(t, func(w *cluster) {
+		w.network.delay = 2 * time.Millisecond
+		old := w.startDaemons(n, 64, 8)
 		for _, d := range old {
 			d.cancel()
 		}
 		time.Sleep(time.Second)
-		var again []*daemon
+		var restarted []*daemon
 		for i := range n {
-			again = append(again, w.startDaemon(identity(fmt.Sprintf("d%03d", i), 2), 64, 8))
+			restarted = append(restarted, w.startDaemon(identity(fmt.Sprintf("d%03d", i), 2), 64, 8))
 		}
 		var perSecond []int
 		for range 40 {
-			before := w.fabric.callsTo(leaderAddr)
+			before := w.network.callsTo(leaderAddr)
 			time.Sleep(time.Second)
-			perSecond = append(perSecond, w.fabric.callsTo(leaderAddr)-before)
+			perSecond = append(perSecond, w.network.callsTo(leaderAddr)-before)
 		}
 		relays := 0
-		for _, d := range again {
+		for _, d := range restarted {
 			if len(d.relays()) == 0 {
 				relays++
 			}
@@ -347,12 +350,12 @@
 		for _, c := range perSecond {
 			worst = max(worst, c)
 		}
-		t.Logf("calls per second at the leader: %v; relays: %d", perSecond, relays)
+		t.Logf("calls per second to the leader: %v; relays: %d", perSecond, relays)
 		Convey("the leader's calls are bounded, and all are confirmed", t, func() {
 			So(worst, ShouldBeLessThanOrEqualTo, 2*n)
 			So(perSecond[len(perSecond)-1], ShouldBeLessThanOrEqualTo, 3*relays)
-			So(w.unconfirmedFor(5*time.Second, again...), ShouldEqual, 0)
-			m := again[0].client.Current().Settled
+			So(w.longestWithoutLease(5*time.Second, restarted...), ShouldEqual, 0)
+			m := restarted[0].client.Current().Settled
 			member, _ := m.Find("d000")
 			So(member.Phase, ShouldEqual, vm.Serving)
 			So(member.Incarnation, ShouldEqual, 2)
@@ -360,40 +363,40 @@
 	})
 }
 
-// leaderless is a control VM that knows no leader until one is elected.
-type leaderless struct {
+// controlVMWithoutLeader is a control VM that knows no leader before electedAt.
+type controlVMWithoutLeader struct {
 	*modelLeader
-	clock   vm.Clock
-	elected vm.Instant
+	clock     vm.Clock
+	electedAt vm.Instant
 }
 
-func (l leaderless) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
-	if l.clock() < l.elected {
+func (l controlVMWithoutLeader) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
+	if l.clock() < l.electedAt {
 		return &wire.SyncReply{}, nil
 	}
 	return l.modelLeader.Sync(ctx, req)
 }
 
-// Everything starts anew and it takes the control group a good second to elect a leader.
-// A daemon without a configuration turns its callers away; it must have one soon after
-// there is a leader, and not when a pause that has grown meanwhile ends.
-func TestStartingDaemonsDoNotWaitLong(t *testing.T) {
-	inWorld(t, func(w *world) {
-		w.fabric.serve(leaderAddr, leaderless{w.leader, w.clock, w.clock().Add(1800 * time.Millisecond)})
+// All VMs restart, and the control group takes more than a second to elect a leader. A
+// daemon without a configuration refuses its callers, so it must get one soon after
+// the election and not when a retry delay that has grown in the meantime ends.
+func TestStartingDaemonsRetryWithinStartupDelay(t *testing.T) {
+	runInCluster(t, func(w *cluster) {
+		w.network.serve(leaderAddr, controlVMWithoutLeader{w.leader, w.clock, w.clock().Add(1800 * time.Millisecond)})
 		var ds []*daemon
 		for i := range 8 {
 			ds = append(ds, w.startDaemon(identity(fmt.Sprintf("d%d", i), 1), 64, 8))
 		}
-		time.Sleep(1800*time.Millisecond + startRetry + 2*firstRetry)
+		time.Sleep(1800*time.Millisecond + startupMaxRetryDelay + 2*minRetryDelay)
 		synctest.Wait()
-		late := 0
+		withoutTree := 0
 		for _, d := range ds {
 			if d.client.Current().Tree == nil {
-				late++
+				withoutTree++
 			}
 		}
 		Convey("all have the configuration", t, func() {
-			So(late, ShouldEqual, 0)
+			So(withoutTree, ShouldEqual, 0)
 		})
 	})
 }
--- a/internal/relay/heartbeat.go
+++ b/internal/relay/heartbeat.go
@@ -7,23 +7,23 @@
 	"pearmoor/internal/vm"
 )
 
-// Expander looks up short heartbeats. The zero value is ready; it may be used by
-// several goroutines.
+// HeartbeatExpander expands short heartbeats. The zero value is ready for use. It is
+// safe for concurrent use.
 type Expander struct {
 	mu      sync.Mutex
-	indexes [2]digestIndex // of the memberships asked for last
+	indexes [2]digestIndex // of the two memberships used last
 }
 
 // digestIndex finds the members of one membership by Member.Digest.
 type digestIndex struct {
-	of       *vm.Membership
-	byDigest map[uint64]int
+	membership *vm.Membership
+	byDigest   map[uint64]int
 }
 
-// Expand returns every heartbeat of a request in full, the short ones looked up
-// in the pending membership, then in the settled one (each may be nil). Unknown
-// reports that a short one was not found; the reply then has to ask for full
-// ones (resend).
+// Expand returns every heartbeat of a request in full. The short ones are looked up in
+// the pending membership, then in the settled one; each may be nil. Unknown reports
+// that a short one was not found; the reply must then request full heartbeats
+// (resend).
 func (x *Expander) Expand(req *wire.SyncRequest, settled, pending *vm.Membership) (hbs []*wire.Heartbeat, unknown bool) {
 	hbs = req.GetHeartbeats()
 	if len(req.GetSteady()) == 0 {
@@ -33,7 +33,7 @@
 	hbs = append(make([]*wire.Heartbeat, 0, len(hbs)+len(req.GetSteady())), hbs...)
 	epoch := max(req.GetHaveSettled(), req.GetHavePending())
 	for _, digest := range req.GetSteady() {
-		m, ok := lookUp(indexes, digest)
+		m, ok := findByDigest(indexes, digest)
 		if !ok {
 			unknown = true
 			continue
@@ -43,9 +43,10 @@
 	return hbs, unknown
 }
 
-// Sender returns the sender's own among the heartbeats that Expand returned: the
-// first short one, or, as a sender whose own is in full sends none short, the
-// first. It is nil when there is none, or when short ones were unknown.
+// SenderHeartbeat returns the sender's own heartbeat among those that Expand returned.
+// It is the first short one, or the first of all if there is no short one, as a sender
+// whose own heartbeat is in full sends the others in full, too. It returns nil if
+// there is no heartbeat or a short one was unknown.
 func Sender(req *wire.SyncRequest, hbs []*wire.Heartbeat) *wire.Heartbeat {
 	short := len(hbs) - len(req.GetHeartbeats())
 	switch {
@@ -70,11 +71,11 @@
 
 func (x *Expander) indexOf(m *vm.Membership) digestIndex {
 	for _, index := range x.indexes {
-		if index.of == m {
+		if index.membership == m {
 			return index
 		}
 	}
-	index := digestIndex{of: m}
+	index := digestIndex{membership: m}
 	if m != nil {
 		index.byDigest = make(map[uint64]int, len(m.Members))
 		for i := range m.Members {
@@ -84,17 +85,18 @@
 	return index
 }
 
-func lookUp(indexes [2]digestIndex, digest uint64) (vm.Member, bool) {
+func findByDigest(indexes [2]digestIndex, digest uint64) (vm.Member, bool) {
 	for _, index := range indexes {
 		if i, ok := index.byDigest[digest]; ok {
-			return index.of.Members[i], true
+			return index.membership.Members[i], true
 		}
 	}
 	return vm.Member{}, false
 }
 
-// addHeartbeat puts hb into req, in the short form where it says no more than
-// that the daemon is as agreed and has confirmed what the request states.
+// addHeartbeat adds hb to req. It uses the short form, a digest of the member, if the
+// daemon is unchanged from the agreed membership and has confirmed exactly the version
+// and epoch that the request states.
 func addHeartbeat(req *wire.SyncRequest, hb *wire.Heartbeat, agreed *vm.Membership, full bool) {
 	member := vm.FromWire(hb.GetVm())
 	confirmed := hb.GetConfigVersion() == req.GetHaveConfig() &&
--- a/internal/relay/history.go
+++ b/internal/relay/history.go
@@ -11,17 +11,17 @@
 	"pearmoor/internal/vm"
 )
 
-// What a History keeps, so that a daemon that asks now and then never needs the
-// whole state: at 1,900 changes a day, several days of changes.
+// Limits of a History. They let a daemon that syncs only now and then avoid a full
+// snapshot: at 1,900 changes a day they cover several days of changes.
 const (
 	maxDeltas      = 10_000
 	maxMemberships = 64
-	// maxDeltaBytes bounds the changes kept, in bytes of their messages. One that
-	// adds thousands of routes is a megabyte, on every daemon.
+	// maxDeltaBytes limits the total encoded size of the deltas. A change that adds
+	// thousands of routes is a megabyte, on every daemon.
 	maxDeltaBytes = 1 << 20
 )
 
-// State is the agreed state as far as it is known at one place.
+// State is the agreed state as far as it is known locally.
 type State struct {
 	ConfigVersion uint64
 	ConfigDigest  uint64
@@ -31,25 +31,25 @@
 	Pending       *vm.Membership
 }
 
-// History answers what others ask for: the changes and memberships that lead
-// from what they have to the newest state. It may be used by several goroutines.
+// History keeps the newest state and the recent deltas and memberships, and fills
+// replies with what the requester does not have. It is safe for concurrent use.
 type History struct {
 	mu          sync.Mutex
 	state       State
-	deltas      []*wire.TreeDelta // consecutive, the last leads to state.ConfigVersion
-	memberships []*vm.Membership  // oldest first; settled and pending ones
+	deltas      []*wire.TreeDelta // consecutive; the last leads to state.ConfigVersion
+	memberships []*vm.Membership  // settled and pending ones, oldest first
 	deltaBytes  int
-	snapshot    []byte            // encoded state.Tree, nil until asked for
-	packed      map[uint64][]byte // long state after a version, as it is sent; 0: the snapshot
+	snapshot    []byte            // encoded state.Tree; nil until requested
+	compressed  map[uint64][]byte // compressed state by the requester's version; 0: the snapshot
 	changed     chan struct{}
 }
 
 // NewHistory returns an empty history.
 func NewHistory() *History { return &History{changed: make(chan struct{})} }
 
-// Advance replaces the state. Deltas are the changes that lead to it; those that
-// are already kept are left out, and a gap drops what was kept before it. A state
-// with a lower version or epoch is left out.
+// Update replaces the state. Deltas are the changes that lead to it; those that are
+// already kept are ignored, and a gap discards the ones kept before it. A state with a
+// lower version or epoch is ignored.
 func (h *History) Advance(s State, deltas []*wire.TreeDelta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -57,31 +57,31 @@
 		return
 	}
 	if s.ConfigVersion != h.state.ConfigVersion || s.ConfigDigest != h.state.ConfigDigest {
-		h.snapshot, h.packed = nil, nil
+		h.snapshot, h.compressed = nil, nil
 	}
-	h.keepDeltas(s.ConfigVersion, deltas)
-	h.keepMembership(s.Settled)
-	h.keepMembership(s.Pending)
+	h.addDeltas(s.ConfigVersion, deltas)
+	h.addMembership(s.Settled)
+	h.addMembership(s.Pending)
 	h.state = s
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
-func (h *History) keepDeltas(version uint64, deltas []*wire.TreeDelta) {
+func (h *History) addDeltas(version uint64, deltas []*wire.TreeDelta) {
 	for _, d := range deltas {
-		if d.GetVersion() > version || d.GetVersion() <= h.lastDelta() {
+		if d.GetVersion() > version || d.GetVersion() <= h.lastDeltaVersion() {
 			continue
 		}
-		if len(h.deltas) > 0 && d.GetVersion() != h.lastDelta()+1 {
+		if len(h.deltas) > 0 && d.GetVersion() != h.lastDeltaVersion()+1 {
 			h.deltas, h.deltaBytes = nil, 0
 		}
 		h.deltas = append(h.deltas, d)
 		h.deltaBytes += proto.Size(d)
 	}
-	if h.lastDelta() != version {
+	if h.lastDeltaVersion() != version {
 		h.deltas, h.deltaBytes = nil, 0
 	}
-	// The newest is kept however long it is: every daemon asks for it.
+	// The newest delta is kept whatever its size, as every daemon requests it.
 	for len(h.deltas) > 1 && (len(h.deltas) > maxDeltas || h.deltaBytes > maxDeltaBytes) {
 		h.deltaBytes -= proto.Size(h.deltas[0])
 		h.deltas[0] = nil
@@ -89,14 +89,14 @@
 	}
 }
 
-func (h *History) lastDelta() uint64 {
+func (h *History) lastDeltaVersion() uint64 {
 	if len(h.deltas) == 0 {
 		return 0
 	}
 	return h.deltas[len(h.deltas)-1].GetVersion()
 }
 
-func (h *History) keepMembership(m *vm.Membership) {
+func (h *History) addMembership(m *vm.Membership) {
 	if m == nil || h.findMembership(m.Epoch) != nil {
 		return
 	}
@@ -115,30 +115,31 @@
 	return nil
 }
 
-// State returns the newest state and a channel closed at the next Advance.
+// State returns the newest state and a channel that is closed at the next Update.
 func (h *History) State() (State, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.state, h.changed
 }
 
-// HasNews reports whether the state holds something that the sender of req does
+// NewerThan reports whether the state contains anything that the sender of req does
 // not have.
 func (s *State) HasNews(req *wire.SyncRequest) bool {
-	return s.hasConfigNews(req) ||
+	return s.configNewerThan(req) ||
 		epochOf(s.Settled) > req.GetHaveSettled() ||
 		epochOf(s.Pending) > max(req.GetHavePending(), req.GetHaveSettled()) ||
 		s.InForce > req.GetHaveInForce()
 }
 
-func (s *State) hasConfigNews(req *wire.SyncRequest) bool {
+func (s *State) configNewerThan(req *wire.SyncRequest) bool {
 	if s.Tree == nil || s.ConfigVersion < req.GetHaveConfig() {
 		return false
 	}
 	return s.ConfigVersion > req.GetHaveConfig() || s.ConfigDigest != req.GetHaveDigest()
 }
 
-// Fill writes the newest state into reply, leaving out what req says is there.
+// FillReply writes the newest state into reply, except for what the requester already
+// has according to req.
 func (h *History) Fill(req *wire.SyncRequest, reply *wire.SyncReply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -158,7 +159,7 @@
 func (h *History) fillConfig(req *wire.SyncRequest, reply *wire.SyncReply) {
 	s := &h.state
 	reply.ConfigVersion, reply.ConfigDigest = s.ConfigVersion, s.ConfigDigest
-	if !s.hasConfigNews(req) {
+	if !s.configNewerThan(req) {
 		return
 	}
 	key := uint64(0)
@@ -171,40 +172,40 @@
 		reply.Snapshot = h.snapshot
 	}
 	if req.GetUnpacks() {
-		h.pack(key, reply)
+		h.compress(key, reply)
 	}
 }
 
-// pack replaces long state in reply by its packed form, which is made once and kept
-// until the state changes: all daemons ask for the same at the same moment.
-func (h *History) pack(key uint64, reply *wire.SyncReply) {
+// compress replaces large state in reply by its compressed form, which is cached until
+// the state changes, as all daemons request the same state at the same time.
+func (h *History) compress(key uint64, reply *wire.SyncReply) {
 	state := &wire.SyncReply{Deltas: reply.Deltas, Snapshot: reply.Snapshot}
-	packed, known := h.packed[key]
-	if !known {
-		if proto.Size(state) < packAbove {
+	compressed, cached := h.compressed[key]
+	if !cached {
+		if proto.Size(state) < compressThreshold {
 			return
 		}
 		var err error
-		if packed, err = packState(state); err != nil {
-			klog.Errorf("relay: state is sent unpacked: %v", err)
+		if compressed, err = compressState(state); err != nil {
+			klog.Errorf("relay: compressing state failed, sending it uncompressed: %v", err)
 			return
 		}
-		if h.packed == nil {
-			h.packed = make(map[uint64][]byte)
+		if h.compressed == nil {
+			h.compressed = make(map[uint64][]byte)
 		}
-		h.packed[key] = packed
+		h.compressed[key] = compressed
 	}
-	reply.Deltas, reply.Snapshot, reply.Packed = nil, nil, packed
+	reply.Deltas, reply.Snapshot, reply.Packed = nil, nil, compressed
 }
 
-// deltasAfter returns the changes after version, if they are kept and the sender's
-// tree of that version is the one they were made on.
+// deltasAfter returns the changes after version. It reports false if they are not kept
+// or were made on another tree than the requester's tree of that version.
 func (h *History) deltasAfter(version, digest uint64) ([]*wire.TreeDelta, bool) {
 	if version == 0 || len(h.deltas) == 0 {
 		return nil, false
 	}
 	first := h.deltas[0].GetVersion()
-	if version+1 < first || version >= h.lastDelta() {
+	if version+1 < first || version >= h.lastDeltaVersion() {
 		return nil, false
 	}
 	if version >= first && h.deltas[version-first].GetDigest() != digest {
--- a/internal/relay/pack.go
+++ b/internal/relay/pack.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// packAbove is the size from which state is packed. Paths and names of settings
-	// repeat, so that 2,000 routes of 1.2 MB come to 90 KB; a daemon with a link of
-	// 14 Mbit/s takes 50 ms for those, and 700 ms for the whole.
-	packAbove = 4 << 10
-	// maxState bounds unpacked state, in bytes.
-	maxState = 64 << 20
+	// compressThreshold is the size from which state is compressed. Paths and names of
+	// settings repeat, so that 2,000 routes of 1.2 MB compress to 90 KB. Over a link
+	// of 14 Mbit/s that takes 50 ms instead of 700 ms.
+	compressThreshold = 4 << 10
+	// maxStateBytes limits the size of decompressed state.
+	maxStateBytes = 64 << 20
 )
 
-func packState(state *wire.SyncReply) ([]byte, error) {
+func compressState(state *wire.SyncReply) ([]byte, error) {
 	raw, err := proto.Marshal(state)
 	if err != nil {
 		return nil, err
@@ -39,18 +39,18 @@
 	return out.Bytes(), nil
 }
 
-// unpackState puts packed state in its place in r.
-func unpackState(r *wire.SyncReply) error {
+// decompressState replaces the compressed state in r by its decompressed form.
+func decompressState(r *wire.SyncReply) error {
 	if len(r.GetPacked()) == 0 {
 		return nil
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Packed)), maxState))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(r.Packed)), maxStateBytes))
 	if err != nil {
-		return errors.Wrap(err, "relay: packed state")
+		return errors.Wrap(err, "relay: decompressing the packed field")
 	}
 	state := &wire.SyncReply{}
 	if err := proto.Unmarshal(raw, state); err != nil {
-		return errors.Wrap(err, "relay: packed state")
+		return errors.Wrap(err, "relay: decoding the packed field")
 	}
 	r.Deltas, r.Snapshot, r.Packed = state.Deltas, state.Snapshot, nil
 	return nil
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -8,32 +8,32 @@
 	"pearmoor/internal/vm"
 )
 
-// placements caches what rendezvous hashing gives for the services asked for. The
-// views of one tree and memberships share one.
+// placementCache caches the results of rendezvous hashing for the services asked for.
+// The views with the same tree and memberships share one cache.
 //
-// Every member counts in the choice of every home. Were all homes chosen anew
-// with each epoch and each change of the tree, a daemon of a large tier would
-// spend more on that than on all else that control costs it. So a new placements
-// takes over what the old one knows of services whose settings are the same, and
-// under a new epoch chooses anew only where the members that differ matter.
-type placements struct {
-	byEpoch sync.Map // epochKey -> []Placed: homes by one membership alone
-	usable  sync.Map // *settings.Effective -> []Placed: homes that hold a share
-	owners  sync.Map // *settings.Tree -> map[string]string: leaf address to service
-	base    *vm.Membership
-	changes sync.Map // epoch -> []domain.Change: from base to that epoch
+// The choice of every home depends on every member. Recomputing all homes with each
+// epoch and each change of the tree would cost a daemon of a large tier more than
+// everything else it does for control. A new cache therefore keeps the entries of
+// services whose settings are unchanged, and under a new epoch it recomputes only the
+// groups that the changed members affect.
+type placementCache struct {
+	byEpoch       sync.Map // epochKey -> []GroupHomes: homes under one membership alone
+	shareHolders  sync.Map // *settings.Effective -> []GroupHomes: homes that have a share
+	serviceByLeaf sync.Map // *settings.Tree -> map[string]string: service by leaf address
+	base          *vm.Membership
+	changes       sync.Map // epoch -> []domain.Change: from base to that epoch
 }
 
-// epochKey keeps the trees of different versions apart by their Effective, which
-// is one pointer per node and tree.
+// epochKey identifies a service's settings and an epoch. Each tree has its own
+// Effective for a node, so the keys of different versions differ.
 type epochKey struct {
 	effective *settings.Effective
 	epoch     uint64
 }
 
-// follow returns the placements of next, which replaces v.
-func (p *placements) follow(v, next *View) *placements {
-	out := &placements{base: v.Members()}
+// successor returns the cache for next, which replaces v.
+func (p *placementCache) successor(v, next *View) *placementCache {
+	out := &placementCache{base: v.Members()}
 	if p == nil || out.base == nil {
 		return out
 	}
@@ -50,24 +50,24 @@
 	return out
 }
 
-func (p *placements) placed(e *settings.Effective, m *vm.Membership) []Placed {
+func (p *placementCache) homes(e *settings.Effective, m *vm.Membership) []Placed {
 	key := epochKey{effective: e, epoch: m.Epoch}
-	if got, ok := p.byEpoch.Load(key); ok {
-		return got.([]Placed)
+	if homes, ok := p.byEpoch.Load(key); ok {
+		return homes.([]Placed)
 	}
-	got := p.derive(e, m)
-	p.byEpoch.Store(key, got)
-	return got
+	homes := p.deriveHomes(e, m)
+	p.byEpoch.Store(key, homes)
+	return homes
 }
 
-// derive works out the homes under m from those under the base.
-func (p *placements) derive(e *settings.Effective, m *vm.Membership) []Placed {
+// deriveHomes computes the homes under m from those under the base membership.
+func (p *placementCache) deriveHomes(e *settings.Effective, m *vm.Membership) []Placed {
 	if p.base == nil {
-		return place(e, m)
+		return computeHomes(e, m)
 	}
 	value, ok := p.byEpoch.Load(epochKey{effective: e, epoch: p.base.Epoch})
 	if !ok {
-		return place(e, m)
+		return computeHomes(e, m)
 	}
 	old := value.([]Placed)
 	changes := p.changesTo(m)
@@ -84,11 +84,11 @@
 	return out
 }
 
-func (p *placements) changesTo(m *vm.Membership) []domain.Change {
-	if got, ok := p.changes.Load(m.Epoch); ok {
-		return got.([]domain.Change)
+func (p *placementCache) changesTo(m *vm.Membership) []domain.Change {
+	if changes, ok := p.changes.Load(m.Epoch); ok {
+		return changes.([]domain.Change)
 	}
-	got := domain.Changes(p.base, m)
-	p.changes.Store(m.Epoch, got)
-	return got
+	changes := domain.Changes(p.base, m)
+	p.changes.Store(m.Epoch, changes)
+	return changes
 }
