--- a/internal/domain/bench_test.go
+++ b/internal/domain/bench_test.go
@@ -8,9 +8,9 @@
 	"pearmoor/internal/settings"
 )
 
-// BenchmarkSpread gives the time to choose the homes of all services, and how
-// evenly they fall on the daemons: the leaves of the daemon with most, and with
-// fewest, over the mean.
+// BenchmarkHomesOfAllServices measures the time to choose the homes of all services. It
+// also reports how evenly leaves are distributed: the mean, maximum, 99th percentile and
+// minimum number of leaves per daemon.
 func BenchmarkSpread(b *testing.B) {
 	for _, size := range []struct{ daemons, domains, services, leaves int }{
 		{12, 3, 52, 2},
--- a/internal/domain/change.go
+++ b/internal/domain/change.go
@@ -8,13 +8,13 @@
 	"pearmoor/internal/vm"
 )
 
-// Change is one member's difference between two memberships.
+// MemberChange is the change of one member between two memberships.
 type Change struct {
 	Name  string
-	After vm.Member // phase Gone when the member is no longer there
+	After vm.Member // phase Gone if the member was removed
 }
 
-// Changes lists the members that differ between two memberships.
+// MemberChanges returns the members that differ between two memberships.
 func Changes(from, to *vm.Membership) []Change {
 	d := vm.Delta(from, to)
 	var out []Change
@@ -27,13 +27,13 @@
 	return out
 }
 
-// Unmoved reports that HomesIn with the same key, region and n gives the same
-// homes after the changes, without looking at the other members. It may be false
-// although they are the same.
+// HomesUnchanged reports whether HomesInRegion with the same key, region and n is known to
+// return the same homes after the changes. It examines only the changed members. It may
+// return false although the homes are the same.
 //
-// With one home in each of n failure domains, a home is the best of its domain.
-// Only a change of a home itself, or a member that ranks above one of the homes,
-// can move them.
+// With one home in each of n failure domains, each home is the highest-ranked member of
+// its domain. Then only a change of a home itself, or of a member that ranks above one of
+// the homes, can change the result.
 func Unmoved(homes []vm.Member, key, region string, n int, changes []Change) bool {
 	if len(homes) != n {
 		return false
@@ -57,6 +57,8 @@
 	return true
 }
 
+// mayChangeHomes reports whether c affects one of the homes or adds a Serving member whose
+// score reaches that of the lowest-ranked home.
 func (c *Change) moves(homes []vm.Member, seed, lowest uint64) bool {
 	for i := range homes {
 		if homes[i].Name == c.Name {
--- a/internal/domain/doc.go
+++ b/internal/domain/doc.go
@@ -1,5 +1,6 @@
-// Package domain decides which daemons serve which leaves: rendezvous hashing
-// over the agreed membership, spread over failure domains, and the exact split
-// of a leaf's slots and connections between them. It is pure: the same
-// membership gives the same outcome on every daemon.
+// Package domain assigns leaves to daemons. The homes of a leaf are the daemons that may
+// send requests to it. They are chosen by rendezvous hashing over the agreed membership
+// and spread over failure domains; the slots and connections of a leaf are divided among
+// its homes. The functions are deterministic: the same membership gives the same result on
+// every daemon.
 package domain
--- a/internal/domain/group.go
+++ b/internal/domain/group.go
@@ -7,23 +7,23 @@
 	"pearmoor/internal/vm"
 )
 
-// GroupSize is the number of leaves that share one set of homes. A query of one
-// service costs one message per group, and a daemon's connections and probes
-// grow with GroupSize times the groups it is home of.
+// GroupSize is the number of leaves that share one set of homes. A query of one service
+// costs one message per group; the connections and probes of a daemon grow with GroupSize
+// times the number of groups for which it is a home.
 const GroupSize = 20
 
-// Group is a run of a service's leaves that has its own homes.
+// Group is a contiguous range of a service's leaves that have the same homes.
 type Group struct {
-	Key    string // rendezvous key: the service, with #k when it has several groups
-	Region string // region most of its leaves are in; empty when unknown
+	Key    string // rendezvous key: the service, followed by #k if the service has several groups
+	Region string // region of most of its leaves; empty if unknown
 	First  int    // index of its first leaf in the service's list
 	Leaves int    // number of leaves
 }
 
-// Groups splits a service's leaves, in the order of the tree (by name), into runs
-// of GroupSize; what is left over goes into the last run, so that it has between
-// GroupSize and 2*GroupSize-1 leaves. Replicas with neighbouring names stay
-// together, and a leaf added at the end moves no other group.
+// Groups divides a service's leaves, which are sorted by name, into ranges of GroupSize
+// leaves. The last group also contains the remainder, so a service with at least GroupSize
+// leaves has between GroupSize and 2*GroupSize-1 in its last group. Replicas with adjacent
+// names mostly stay in one group, and a leaf added at the end does not change other groups.
 func Groups(service string, leaves []settings.Leaf, m *vm.Membership) []Group {
 	n := max(1, len(leaves)/GroupSize)
 	regions := regionsOf(m)
@@ -42,13 +42,13 @@
 	return groups
 }
 
-// GroupIndex returns the index of the group that holds the leaf at leafIndex of a
-// service with that many leaves.
+// GroupIndex returns the index of the group that contains the leaf at leafIndex, in a
+// service with the given number of leaves.
 func GroupIndex(leaves, leafIndex int) int {
 	return min(leafIndex/GroupSize, max(1, leaves/GroupSize)-1)
 }
 
-// regionsOf returns the region of each failure domain, as its members state it.
+// regionsByDomain returns the region of each failure domain, as reported by its members.
 func regionsOf(m *vm.Membership) map[string]string {
 	regions := make(map[string]string)
 	if m == nil {
@@ -60,8 +60,8 @@
 	return regions
 }
 
-// mostCommon returns the region of most of the leaves, the first to reach that
-// number; a leaf in a failure domain without members counts for none.
+// majorityRegion returns the region with the most leaves; of several, the one that reaches
+// the number first. Leaves in failure domains without members are not counted.
 func mostCommon(leaves []settings.Leaf, regions map[string]string) string {
 	count := make(map[string]int)
 	best := ""
--- a/internal/domain/homes.go
+++ b/internal/domain/homes.go
@@ -9,15 +9,17 @@
 	"pearmoor/internal/vm"
 )
 
-// Homes returns the n daemons that serve the group key, best first. Only Serving
-// members are chosen, each by the hash of (key, member name), and as few as
-// possible from one failure domain. Fewer than n are returned when fewer serve.
+// Homes returns the n daemons that serve the group with the given key, in order of
+// preference. Only Serving members are chosen, by the hash of (key, member name), with as
+// few as possible from each failure domain. If fewer than n members are Serving, it
+// returns fewer.
 func Homes(m *vm.Membership, key string, n int) []vm.Member {
 	return HomesIn(m, key, "", n)
 }
 
-// HomesIn is Homes with a preference for one region: other regions are used only
-// while the region has fewer than n Serving members. An empty region prefers none.
+// HomesInRegion is like Homes but prefers members in the given region: members of other
+// regions are used only if the region has fewer than n Serving members. An empty region
+// means no preference.
 func HomesIn(m *vm.Membership, key, region string, n int) []vm.Member {
 	if m == nil || n <= 0 {
 		return nil
@@ -33,9 +35,9 @@
 	score  uint64
 }
 
-// rank scores the Serving members and sorts them, best first, those of region
-// apart from the others. Of each failure domain only the n best are kept, as no
-// more of them can be chosen.
+// rankByRegion scores the Serving members and returns those in region and those elsewhere,
+// each sorted by descending rank. It keeps only the n highest-ranked members of each
+// failure domain, because no more of them can be chosen.
 func rank(m *vm.Membership, key, region string, n int) (near, far []candidate) {
 	seed := xxhash.Sum64String(key)
 	best := make(map[string][]candidate)
@@ -60,7 +62,8 @@
 	return near, far
 }
 
-// keepBest adds c to the at most n best of a failure domain, best first.
+// insertCandidate inserts c into cs, the highest-ranked candidates of a failure domain in
+// descending order, and keeps at most n of them.
 func keepBest(cs []candidate, c candidate, n int) []candidate {
 	if len(cs) == n {
 		if !c.before(cs[n-1]) {
@@ -75,7 +78,7 @@
 	return cs
 }
 
-// before reports whether c ranks above o.
+// ranksAbove reports whether c ranks above o: by score, then by name.
 func (c candidate) before(o candidate) bool {
 	if c.score != o.score {
 		return c.score > o.score
@@ -87,8 +90,8 @@
 	sort.Slice(cs, func(i, j int) bool { return cs[i].before(cs[j]) })
 }
 
-// score depends on the name and not on the incarnation, so that a restarted
-// daemon gets the same groups back.
+// score returns the rendezvous score of a member. It depends on the name and not on the
+// incarnation, so that a restarted daemon is assigned the same groups again.
 func score(seed uint64, name string) uint64 {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], seed)
@@ -96,9 +99,9 @@
 	return xxhash.Sum64(buf[:])
 }
 
-// spread adds the best candidates to homes until there are n, allowing one more
-// per failure domain in each round. A round changes by at most one member when a
-// candidate comes or goes, which keeps movement minimal.
+// addSpreadOverDomains appends the highest-ranked candidates to homes until there are n.
+// Each round allows one more home per failure domain. Adding or removing one candidate
+// changes at most one member of a round, which minimizes reassignment.
 func spread(homes []vm.Member, cs []candidate, n int) []vm.Member {
 	used := make(map[string]int)
 	for i := range homes {
--- a/internal/domain/homes_test.go
+++ b/internal/domain/homes_test.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/vm"
 )
 
-// TestMain gives rapid a fixed seed, so that every run has the same verdict.
+// TestMain fixes the seed of rapid, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "4", "rapid.checks": "500", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -24,6 +24,8 @@
 	os.Exit(m.Run())
 }
 
+// newMembership returns n Serving members, distributed over the given number of failure
+// domains.
 func membership(n, domains int) *vm.Membership {
 	m := &vm.Membership{Epoch: 1}
 	for i := range n {
@@ -51,10 +53,9 @@
 	return out
 }
 
-// One daemon leaves or joins. If homes moved that it has no part in, permits and
-// connections would move between daemons that nothing has happened to, and each
-// restart would cost the whole tier capacity. A home may change only to that
-// daemon or from it, and at most one does.
+// When one daemon leaves or joins, only a home on that daemon may be reassigned, and at
+// most one. If other homes changed too, permits and connections would move between daemons
+// that are not involved, and each restart would reduce the capacity of the whole tier.
 func TestOneMemberMovesOneHome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		with := drawMembership(t)
@@ -65,7 +66,7 @@
 		before, after := namesOf(Homes(with, key, n)), namesOf(Homes(without, key, n))
 		for name := range before {
 			if _, kept := after[name]; !kept && name != with.Members[gone].Name {
-				t.Fatalf("%s is home no more, although %s left", name, with.Members[gone].Name)
+				t.Fatalf("%s is no longer a home after %s left", name, with.Members[gone].Name)
 			}
 		}
 		added := 0
@@ -75,13 +76,13 @@
 			}
 		}
 		if _, was := before[with.Members[gone].Name]; added > 1 || (added == 1 && !was) {
-			t.Fatalf("%d homes came in for %s", added, with.Members[gone].Name)
+			t.Fatalf("%d homes were added after %s left", added, with.Members[gone].Name)
 		}
 	})
 }
 
-// Homes in one failure domain are lost together. None gets a further home while
-// another one with a Serving daemon to spare has fewer.
+// Homes in one failure domain fail together. A failure domain must not get another home
+// while a domain with an unused Serving daemon has fewer homes.
 func TestHomesSpreadOverDomains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMembership(t)
@@ -97,24 +98,25 @@
 		}
 		for _, h := range homes {
 			if h.Phase != vm.Serving {
-				t.Fatalf("%s is home in phase %d", h.Name, h.Phase)
+				t.Fatalf("%s is a home in phase %d", h.Name, h.Phase)
 			}
 			used[h.Domain]++
 		}
 		if len(namesOf(homes)) != min(n, total) {
-			t.Fatalf("%d homes of %d wanted, %d serve", len(homes), n, total)
+			t.Fatalf("got %d homes, want %d, with %d Serving members", len(homes), n, total)
 		}
 		for a := range used {
 			for b := range serving {
 				if used[a] > used[b]+1 && serving[b] > used[b] {
-					t.Fatalf("%s has %d homes, %s only %d", a, used[a], b, used[b])
+					t.Fatalf("%s has %d homes, but %s has only %d", a, used[a], b, used[b])
 				}
 			}
 		}
 	})
 }
 
-// The shares of a leaf over its homes are all of it and no more.
+// The shares of all homes of a leaf must sum to its total and differ by at most one.
+// Shares that sum to more would overload the leaf.
 func TestShareSumsToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 200).Draw(t, "total")
@@ -126,12 +128,12 @@
 			sum, least, greatest = sum+part, min(least, part), max(greatest, part)
 		}
 		if sum != total || greatest > least+1 {
-			t.Fatalf("parts sum to %d of %d, from %d to %d", sum, total, least, greatest)
+			t.Fatalf("shares sum to %d of %d, minimum %d, maximum %d", sum, total, least, greatest)
 		}
 	})
 }
 
-// Every leaf is in exactly one group, and GroupIndex finds it.
+// Every leaf must be in exactly one group, and GroupIndex must return that group.
 func TestGroupsCoverLeaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaves := make([]settings.Leaf, rapid.IntRange(1, 500).Draw(t, "leaves"))
@@ -144,7 +146,7 @@
 				next++
 			}
 			if len(leaves) >= GroupSize && (g.Leaves < GroupSize || g.Leaves >= 2*GroupSize) {
-				t.Fatalf("a group of %d leaves", g.Leaves)
+				t.Fatalf("a group has %d leaves", g.Leaves)
 			}
 		}
 		if next != len(leaves) {
--- a/internal/settings/advice.go
+++ b/internal/settings/advice.go
@@ -6,9 +6,10 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// suggest names the setting nearest to an unknown name.
+// suggestName returns the fix for an unknown setting name: the known name with the
+// smallest edit distance, or a pointer to the reference page when none is close.
 func (sc *schema) suggest(name string) string {
-	const furthest = 4 // edits; beyond it a name is no misspelling
+	const furthest = 4 // edits; a name further away is not treated as a misspelling
 	best, distance := "", furthest+1
 	if len(name) <= maxNumberText {
 		for i := range sc.settings {
@@ -24,7 +25,7 @@
 	return "did you mean " + best + "?"
 }
 
-// fix says how a value of the setting is written.
+// valueHint returns the fix for a rejected value: how a value of the setting is written.
 func (s *Setting) fix() string {
 	switch s.Kind {
 	case Choice:
@@ -39,7 +40,9 @@
 	return "write a " + s.Kind.String() + " from " + s.Min + " to " + s.Max + ", such as " + s.Default
 }
 
-// misplaced says why a setting can't stand at the root, or below it.
+// checkPlacement returns why the setting may not be set at the root, or at a node
+// below the root, and how to correct it. It returns empty strings if the placement
+// is valid.
 func (s *Setting) misplaced(atRoot bool) (why, fix string) {
 	switch {
 	case s.RootOnly && !atRoot:
@@ -50,8 +53,10 @@
 	return "", ""
 }
 
-const shownValue = 200 // bytes of a value that a fault repeats
+// maxFaultValueLen is how many bytes of a rejected value a fault includes.
+const shownValue = 200
 
+// truncateForFault shortens text to maxFaultValueLen bytes of valid UTF-8.
 func short(text string) string {
 	if len(text) <= shownValue {
 		return text
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -8,18 +8,19 @@
 	"pearmoor/internal/contract"
 )
 
-// leaseMargin is how much of a daemon's lease may be gone when a request
-// arrives: the interval of confirmations with time to spare.
+// leaseMargin bounds the part of a daemon's lease that has elapsed when a request
+// arrives. It is longer than the interval between lease confirmations.
 const leaseMargin = 2 * time.Second
 
-// rule refuses a contradiction between settings that are each in range.
+// conflictRule rejects a combination of settings that are each within their range.
 type rule struct {
-	names  []string // the settings it is about; the first is the one shown
+	names  []string // the settings that the rule compares; a fault names the first one set at the node
 	broken func(e *Effective, t Tier) bool
 	why    string
 	fix    string
 }
 
+// conflictRules are checked at every node whose effective values changed.
 var rules = []rule{
 	{
 		names:  []string{nameHedgeAfter, nameDeadlineDefault},
@@ -71,21 +72,23 @@
 	},
 }
 
-// checker gathers the faults of a tree that edits would make.
+// checker collects the faults of the tree that a change would produce.
 type checker struct {
 	tree   *Tree
 	faults contract.Faults
-	moved  []*Effective // the query services whose leaves changed
+	moved  []*Effective // query services whose leaf lists changed
 }
 
-// check returns every fault of t at nodes where old has other values. A change
-// of the tier's settings is one at the root, so that it is held against all nodes.
+// check returns every fault of t at nodes whose effective values differ from those in
+// old. A change of a tier setting is a change of the root, so all nodes are checked
+// against it.
 func (t *Tree) check(old *Tree) contract.Faults {
 	c := checker{tree: t}
 	c.walk(t.top, old.top)
 	return append(c.faults, sharedLeaves(t, c.moved)...)
 }
 
+// checkNode checks r and its descendants. It skips subtrees shared with the old tree.
 func (c *checker) walk(r, old *resolved) {
 	if r == old {
 		return
@@ -102,8 +105,9 @@
 	}
 }
 
-// rules reports a contradiction at the node that makes it: one that states a
-// setting of it. The nodes that merely inherit it add nothing.
+// checkRules reports a conflict at a node that sets at least one of the conflicting
+// settings itself. Nodes that inherit all of them report nothing, so one conflict is
+// not repeated for every node below.
 func (c *checker) rules(r *resolved) {
 	for i := range rules {
 		ru := &rules[i]
@@ -116,8 +120,9 @@
 	}
 }
 
-// stating returns the first of names that r states, or "". The root states one
-// of them in any contradiction, since the defaults make none.
+// firstAssigned returns the first of names that node r sets itself, or "". At the root
+// every conflict involves at least one value set there, because the defaults do not
+// conflict with one another.
 func stating(r *resolved, names []string) string {
 	for _, name := range names {
 		if r.decl.holds(name) {
@@ -127,6 +132,7 @@
 	return ""
 }
 
+// checkService records changed leaf lists and checks the settings leaves and drained.
 func (c *checker) service(r, old *resolved) {
 	if old == nil || !sameSlice(r.eff.Leaves, old.eff.Leaves) {
 		c.moved = append(c.moved, r.eff)
@@ -145,6 +151,7 @@
 	c.faults = append(c.faults, contract.Fault{Field: fieldOf(r.eff.Path, name), Value: c.show(r, name), Why: why, Fix: fix})
 }
 
+// effectiveText returns the text of the effective value of a setting at r, for a fault.
 func (c *checker) show(r *resolved, name string) string {
 	s, ok := c.tree.schema.lookup(name)
 	if !ok {
--- a/internal/settings/diff.go
+++ b/internal/settings/diff.go
@@ -2,17 +2,18 @@
 
 import "slices"
 
-// Diff returns the edits that make the values of from those of to. It compares
-// values and not the versions that set them. Parts that the trees share are not
-// looked at, so the cost is that of the difference. From the tree after a change to
-// the one before it, these undo the change; they can't be applied where they state again
-// what this release does not know.
+// Diff returns the edits that turn the values of from into those of to. It compares
+// values and ignores the versions that set them. Subtrees shared by both trees are
+// skipped, so the cost grows with the size of the difference. With from the tree after
+// a change and to the tree before it, the edits undo the change. Apply rejects them if
+// they set a setting or value that this release does not know.
 func Diff(from, to *Tree) []Edit {
 	var d differ
 	d.node("", from.root, to.root)
 	return d.edits
 }
 
+// differ collects the edits of Diff.
 type differ struct{ edits []Edit }
 
 func (d *differ) node(path string, from, to *node) {
@@ -23,8 +24,8 @@
 	d.children(path, from.children, to.children)
 }
 
-// children compares two sorted lists side by side: most children of a wide node
-// are the same in both, and cost one comparison of pointers each.
+// diffChildren merges two lists sorted by name. Most children of a wide node are shared
+// by both trees and cost one pointer comparison each.
 func (d *differ) children(path string, from, to []*node) {
 	for len(from) > 0 || len(to) > 0 {
 		switch {
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,7 +1,8 @@
-// Package settings holds the one typed schema of settings, the tree of nodes
-// that state them, inheritance by path, validation, and explanations.
+// Package settings defines the typed schema of all settings and the tree of nodes at
+// which they are set. It implements inheritance by path, validation, and the
+// explanation of where an effective value comes from.
 //
-// A Tree is immutable. Apply returns a new one that shares every untouched node
-// with the old one, so a daemon can swap trees under running queries. What holds
-// at a node is resolved when the tree is made; Effective only looks it up.
+// A Tree is immutable. Apply returns a new tree that shares all unchanged nodes with
+// the old one, so a daemon can replace its tree while queries are running. Effective
+// values are resolved when a tree is created; Effective only looks them up.
 package settings
--- a/internal/settings/edit.go
+++ b/internal/settings/edit.go
@@ -8,19 +8,19 @@
 	"pearmoor/internal/link/wire"
 )
 
-// Op is what an edit does.
+// Op is the operation of an edit.
 type Op uint8
 
 // The operations.
 const (
-	Set    Op = iota // state a value at a node; the node is made if need be
-	Unset            // state it no longer; what is inherited holds again
-	Remove           // drop the node with all below it; Name and Value are empty
+	Set    Op = iota // set a value at a node; the node is created if it does not exist
+	Unset            // delete the value set at a node; the inherited value or the default applies again
+	Remove           // delete the node and its descendants; Name and Value are empty
 )
 
 var opNames = [...]string{Set: "set", Unset: "unset", Remove: "remove"}
 
-// String returns set, unset or remove.
+// String returns "set", "unset" or "remove", and "unknown" for any other value.
 func (o Op) String() string {
 	if int(o) < len(opNames) {
 		return opNames[o]
@@ -28,7 +28,7 @@
 	return "unknown"
 }
 
-// Edit changes one setting of one node, or drops a node. Path is "/" for the root.
+// Edit changes one setting of one node, or removes a node. Path is "/" for the root.
 type Edit struct {
 	Path  string `json:"path"`
 	Name  string `json:"name,omitempty"`
@@ -39,7 +39,8 @@
 // MarshalText implements encoding.TextMarshaler.
 func (o Op) MarshalText() ([]byte, error) { return []byte(o.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler; an unknown name is an error.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an error for an
+// unknown name.
 func (o *Op) UnmarshalText(text []byte) error {
 	i := slices.Index(opNames[:], string(text))
 	if i < 0 {
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// EditsToWire returns the messages that carry edits.
+// EditsToWire converts edits to protobuf messages.
 func EditsToWire(edits []Edit) []*wire.Edit {
 	out := make([]*wire.Edit, len(edits))
 	for i, e := range edits {
@@ -58,8 +59,8 @@
 	return out
 }
 
-// EditsFromWire returns the edits that messages carry. An operation that this
-// version does not know is kept and refused by Apply.
+// EditsFromWire converts protobuf messages to edits. An operation that this release
+// does not know becomes an invalid Op, which Apply rejects.
 func EditsFromWire(edits []*wire.Edit) []Edit {
 	out := make([]Edit, len(edits))
 	for i, e := range edits {
--- a/internal/settings/editor.go
+++ b/internal/settings/editor.go
@@ -6,22 +6,23 @@
 	"pearmoor/internal/contract"
 )
 
-// editor makes the next tree's nodes. It copies each node it changes once, and
-// leaves all others shared with the tree it started from.
+// editor builds the nodes of a new tree by copy-on-write: it copies each node that it
+// changes once and shares all others with the original tree.
 type editor struct {
 	schema  *schema
 	root    *node
 	version uint64
-	// lenient takes what a schema of another version accepted: see Tree.Replay.
+	// replay accepts edits that this release's schema rejects; see Tree.Replay.
 	lenient bool
 	faults  contract.Faults
-	// The node that the last edit changed. The ten settings of a route come one after the
-	// other, and finding its node among thousands twice for each took a third of the time
-	// of a long change.
+	// lastPath and lastNode cache the node that the last edit changed. A route has ten
+	// settings, which arrive as consecutive edits; looking up its node among thousands
+	// twice per edit took a third of the time of a long change.
 	path string
-	last *node // nil: none
+	last *node // nil if nothing is cached
 }
 
+// apply applies e to the nodes, or records a fault if e is invalid.
 func (ed *editor) apply(e Edit) {
 	segments, why := splitPath(e.Path)
 	if why != "" {
@@ -44,7 +45,8 @@
 	ed.faults = append(ed.faults, contract.Fault{Field: fieldOf(e.Path, e.Name), Value: short(e.Value), Why: why, Fix: fix})
 }
 
-// fieldOf returns the name of a setting at a path as faults show it.
+// fieldOf returns the Field of a fault about a setting at a path: "path:name", or the
+// path alone if name is empty.
 func fieldOf(path, name string) string {
 	path = showPath(trimPath(path))
 	if name == "" {
@@ -64,7 +66,7 @@
 	}
 	if at != nil {
 		if i, ok := at.findStated(e.Name); ok && at.stated[i].text == text {
-			return // stated already: it keeps the version that set it
+			return // the value is unchanged, so it keeps the version that set it
 		}
 	}
 	n := ed.own(e.Path, segments)
@@ -76,7 +78,8 @@
 	}
 }
 
-// parse returns the value to state and its text; a nil value when it is refused.
+// parseValue parses the value of e and returns it with the text to store. The value is
+// nil if the edit is rejected.
 func (ed *editor) parse(e Edit, segments []string) (*value, string) {
 	s, ok := ed.schema.lookup(e.Name)
 	if !ok {
@@ -98,6 +101,8 @@
 	return v, v.text
 }
 
+// addUnknownFault reports a setting that the schema does not have. A setting that is
+// already set at the node comes from another release and is reported as obsolete.
 func (ed *editor) unknown(e Edit, segments []string) {
 	if n := lookupNode(ed.root, segments); n != nil && n.states(e.Name) {
 		ed.fault(e, "the setting is obsolete: this release has none of that name", "unset it")
@@ -138,8 +143,8 @@
 	}
 }
 
-// own returns the node at a path, made if need be, ready to be changed: it and
-// those above it are copies that belong to this editor.
+// mutableNode returns the node at a path for modification and creates it if it does
+// not exist. The node and its ancestors are copies that belong to this editor.
 func (ed *editor) own(path string, segments []string) *node {
 	if ed.last != nil && ed.path == path {
 		return ed.last
@@ -158,6 +163,8 @@
 	return n
 }
 
+// mutableCopy returns n if it is not sealed yet, and otherwise a copy whose lists can
+// be changed.
 func thaw(n *node) *node {
 	if !n.sealed {
 		return n
@@ -165,7 +172,8 @@
 	return &node{name: n.name, stated: slices.Clone(n.stated), children: slices.Clone(n.children)}
 }
 
-// lookupNode returns the node at a path, nil when there is none.
+// lookupNode returns the node at a path, or nil if there is none. A node below the root
+// that was emptied by earlier edits counts as missing.
 func lookupNode(n *node, segments []string) *node {
 	for _, name := range segments {
 		if n = n.child(name); n == nil {
--- a/internal/settings/effective.go
+++ b/internal/settings/effective.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Priority orders queries that wait for the same target.
+// Priority determines the order in which queries waiting for the same target are
+// admitted.
 type Priority uint8
 
 // The priorities.
@@ -11,56 +12,58 @@
 	Urgent
 )
 
-// Goal decides what a query gives up first when it can't have both.
+// Goal determines whether a query favours coverage or tail latency when it cannot
+// achieve both.
 type Goal uint8
 
 // The goals.
 const (
-	Coverage Goal = iota // wait for stragglers until the deadline
-	Tail                 // hedge earlier; give up on a straggler sooner
+	Coverage Goal = iota // wait for slow leaves until the deadline
+	Tail                 // hedge earlier and give up on slow leaves sooner
 )
 
-// SnapshotScope says what one index version has to hold for.
+// SnapshotScope determines which parts of an answer must come from one index version.
 type SnapshotScope uint8
 
 // The scopes.
 const (
-	Joint      SnapshotScope = iota // one version over all services of an answer
-	PerService                      // one version for each service of an answer
+	Joint      SnapshotScope = iota // one version for all query services of an answer
+	PerService                      // one version for each query service of an answer
 )
 
-// Leaf is one declared target of a query service.
+// Leaf is a target declared by a query service.
 type Leaf struct {
 	Name   string
 	Addr   string // host:port
 	Domain string // failure domain
 }
 
-// Effective is the typed outcome of inheritance at one node.
+// Effective holds the typed values in effect at one node: those set at the node, those
+// inherited from its ancestors, and the defaults.
 type Effective struct {
 	Path    string
 	Leaves  []Leaf   // empty unless the node is a query service
-	Drained []string // names of leaves the operator has put into drain
+	Drained []string // names of leaves that the operator is draining
 
-	LeafSlots       int           // requests a leaf runs at once, over all daemons
-	LeafConnections int           // connections a leaf accepts, over all daemons
-	ConnectCost     time.Duration // what a new connection to a leaf costs
+	LeafSlots       int           // maximum concurrent requests of a leaf, over all daemons
+	LeafConnections int           // maximum connections of a leaf, over all daemons
+	ConnectCost     time.Duration // time to open a connection to a leaf
 	LeafTLS         bool
-	Homes           int // daemons that may send to a leaf at once
+	Homes           int // number of daemons that share a leaf's slots and may send to it
 	Priority        Priority
 	Goal            Goal
 	Snapshot        SnapshotScope
 	DeadlineDefault time.Duration
 	DeadlineMax     time.Duration
-	HedgeAfter      time.Duration // 0: learned from the service's own latency
+	HedgeAfter      time.Duration // 0: derived from the latency of the query service
 	HedgeBudget     float64       // hedges per primary attempt, 0..1
 	RetryBudget     float64       // retries per primary attempt, 0..1
-	EarlyCoverage   float64       // 0..1: an early answer is allowed from this coverage on; 0: never
-	QueueLimit      int           // waiting attempts per leaf and home
-	Ramp            time.Duration // slow start of a new or returning leaf
+	EarlyCoverage   float64       // 0..1: minimum coverage of an answer given before the deadline; 0: no early answers
+	QueueLimit      int           // maximum waiting attempts per leaf at one home
+	Ramp            time.Duration // slow-start period of a new or returning leaf
 	ProbeInterval   time.Duration
 	BodyLimit       int // bytes
-	HitLimit        int // most hits in an answer; 0: no limit
+	HitLimit        int // maximum hits in an answer; 0: no limit
 
 	Route   RouteSettings
 	Service ServiceSettings
@@ -70,9 +73,9 @@
 	Quarantine QuarantineSettings
 }
 
-// Tier holds the settings that only the root may state.
+// Tier holds the settings that may be set only at the root and apply to all daemons.
 type Tier struct {
-	DaemonLease     time.Duration // how long a daemon may work without a confirmation
-	AddressLifetime time.Duration // how long callers keep an address list
-	ResendWindow    time.Duration // how long a key is remembered after its session ended
+	DaemonLease     time.Duration // how long a daemon accepts new work without a confirmation from the control group
+	AddressLifetime time.Duration // how long callers cache an address list
+	ResendWindow    time.Duration // how long the outcome of a non-repeatable request is kept after its session ended
 }
--- a/internal/settings/encode.go
+++ b/internal/settings/encode.go
@@ -7,11 +7,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// formatVersion is that of the bytes Encode writes.
+// formatVersion is the version of the encoding that Encode writes.
 const formatVersion = 1
 
-// encodedTree is the outer layer of an encoded tree. The digest finds bytes that
-// were damaged on the way or on a disk.
+// encodedTree is the top-level CBOR array of an encoded tree. The digest detects
+// corruption in transit or on disk.
 type encodedTree struct {
 	_      struct{} `cbor:",toarray"`
 	Format uint64
@@ -35,8 +35,8 @@
 
 var encMode, decMode = codec()
 
-// codec returns the deterministic mode of CBOR (RFC 8949, 4.2) for writing, and
-// for reading one bounded in depth.
+// newCBORModes returns the deterministic CBOR encoding mode (RFC 8949, section 4.2) and
+// a decoding mode that limits nesting depth and array length.
 func codec() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -54,11 +54,11 @@
 	return enc, dec
 }
 
-// Encode returns the canonical bytes of t: equal trees have equal bytes.
+// Encode returns the canonical encoding of t: equal trees have equal encodings.
 func (t *Tree) Encode() []byte {
 	b, err := encMode.Marshal(encodedTree{Format: formatVersion, Digest: t.Digest(), Root: encodeNode(t.root)})
 	if err != nil {
-		// The types hold only strings, numbers and lists of them.
+		// The types hold only strings, numbers and lists of them, which always encode.
 		panic("settings: encode: " + err.Error())
 	}
 	return b
@@ -75,21 +75,21 @@
 	return out
 }
 
-// Decode reads the bytes of Encode, maybe of a release with another schema: what
-// this release does not know is kept and has no effect. Bytes that Encode could
-// not have written are refused.
+// Decode decodes the output of Encode, which may come from a release with another
+// schema: settings and values that this release does not know are kept without effect.
+// It rejects bytes that Encode cannot have written.
 func Decode(b []byte) (*Tree, error) { return decode(current, b) }
 
 func decode(sc *schema, b []byte) (*Tree, error) {
 	var in encodedTree
 	if err := decMode.Unmarshal(b, &in); err != nil {
-		return nil, errors.Wrap(err, "settings: the bytes are no tree")
+		return nil, errors.Wrap(err, "settings: cannot decode the tree")
 	}
 	if in.Format != formatVersion {
-		return nil, errors.Newf("settings: the tree has format %d; this release reads %d", in.Format, formatVersion)
+		return nil, errors.Newf("settings: the tree has format %d; this release supports format %d", in.Format, formatVersion)
 	}
 	if in.Root.Name != "" {
-		return nil, errors.Newf("settings: the root has the name %q", in.Root.Name)
+		return nil, errors.Newf("settings: the root node has the name %q; it must have none", in.Root.Name)
 	}
 	root, err := sc.decodeNode(&in.Root, "", 0)
 	if err != nil {
@@ -97,23 +97,23 @@
 	}
 	t := newTree(sc, root, nil)
 	if t.Digest() != in.Digest {
-		return nil, errors.Newf("settings: the tree has digest %016x and says %016x: the bytes are damaged", t.Digest(), in.Digest)
+		return nil, errors.Newf("settings: the tree has digest %016x but records %016x: the data is damaged", t.Digest(), in.Digest)
 	}
 	if !bytes.Equal(t.Encode(), b) {
-		return nil, errors.New("settings: the bytes are not in canonical form")
+		return nil, errors.New("settings: the encoding is not in canonical form")
 	}
 	return t, nil
 }
 
 func (sc *schema) decodeNode(in *encodedNode, path string, depth int) (*node, error) {
 	if depth > MaxDepth {
-		return nil, errors.Newf("settings: the node %s is too deep", path)
+		return nil, errors.Newf("settings: node %s exceeds the maximum depth", path)
 	}
 	n := &node{name: in.Name, stated: make([]stated, len(in.Stated)), children: make([]*node, len(in.Children))}
 	for i := range in.Stated {
 		v := &in.Stated[i]
 		if v.Name == "" || i > 0 && in.Stated[i-1].Name >= v.Name {
-			return nil, errors.Newf("settings: the values of %s are out of order", showPath(path))
+			return nil, errors.Newf("settings: the values of node %s are not sorted by name, or have no name", showPath(path))
 		}
 		n.stated[i] = sc.restore(v, depth == 0)
 	}
@@ -121,10 +121,10 @@
 		c := &in.Children[i]
 		child := joinPath(path, c.Name)
 		if !isSegment(c.Name) || i > 0 && in.Children[i-1].Name >= c.Name {
-			return nil, errors.Newf("settings: the nodes below %s are out of order or not well named", showPath(path))
+			return nil, errors.Newf("settings: the children of node %s are not sorted by name, or have invalid names", showPath(path))
 		}
 		if len(c.Stated)+len(c.Children) == 0 {
-			return nil, errors.Newf("settings: the node %s is empty", child)
+			return nil, errors.Newf("settings: node %s is empty", child)
 		}
 		var err error
 		if n.children[i], err = sc.decodeNode(c, child, depth+1); err != nil {
@@ -134,8 +134,9 @@
 	return n, nil
 }
 
-// restore reads a stated value; its text stays as it is, so that the digest is
-// the one of the version that wrote it.
+// decodeAssignment decodes a value set at a node. It keeps the text unchanged, so that
+// the digest equals that of the release that wrote it. A value that is invalid in this
+// release has no effect.
 func (sc *schema) restore(v *encodedValue, atRoot bool) stated {
 	st := stated{name: v.Name, text: v.Text, version: v.Version}
 	s, ok := sc.lookup(v.Name)
--- a/internal/settings/encode_test.go
+++ b/internal/settings/encode_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestDigestCoversAll(t *testing.T) {
-	Convey("The digest covers the path, the name, the value and the version of each statement", t, func() {
+	Convey("The digest covers the path, the name, the value and the version of each assignment", t, func() {
 		base := Edit{Path: "a/b", Name: "homes", Value: "1"}
 		seen := map[uint64]string{}
 		for what, tree := range map[string]*Tree{
@@ -25,19 +25,19 @@
 			seen[tree.Digest()] = what
 		}
 	})
-	Convey("Stating what is stated already keeps the version that set it", t, func() {
+	Convey("Setting an unchanged value keeps the version that set it", t, func() {
 		tree := shop(t)
 		next := mustApply(t, tree, 9, Edit{Path: "/", Name: "deadline-default", Value: "0.22s"})
 		So(next.Digest(), ShouldEqual, tree.Digest())
 	})
 }
 
-// A snapshot is damaged on a disk or on its way: one byte has another value. A
-// daemon that took it would hold settings that no operator stated.
+// A snapshot is corrupted on disk or in transit. A daemon that accepted it would use
+// settings that no operator set.
 func TestDecodeRefusesDamage(t *testing.T) {
-	Convey("Given the bytes of a tree", t, func() {
+	Convey("Given an encoded tree", t, func() {
 		text := shop(t).Encode()
-		Convey("any byte altered, and any end cut off, is refused", func() {
+		Convey("it is rejected with any byte changed or truncated at any length", func() {
 			for i := range text {
 				bad := bytes.Clone(text)
 				bad[i] ^= 0x01
@@ -47,19 +47,19 @@
 				So(err, ShouldNotBeNil)
 			}
 		})
-		Convey("a value altered is called damage", func() {
+		Convey("a changed value is reported as damage", func() {
 			_, err := Decode(bytes.Replace(text, []byte("220ms"), []byte("221ms"), 1))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, "damaged")
 		})
-		Convey("other bytes of the same tree, and bytes after it, are refused", func() {
+		Convey("a non-canonical encoding of the same tree and trailing bytes are rejected", func() {
 			So(text[:2], ShouldResemble, []byte{0x83, formatVersion})
 			_, err := Decode(append([]byte{0x83, 0x18, formatVersion}, text[2:]...))
 			So(err, ShouldNotBeNil)
 			_, err = Decode(append(bytes.Clone(text), 0))
 			So(err, ShouldNotBeNil)
 		})
-		Convey("another format is named", func() {
+		Convey("an unsupported format is reported with its number", func() {
 			_, err := Decode(append([]byte{0x83, formatVersion + 1}, text[2:]...))
 			So(err.Error(), ShouldContainSubstring, "format 2")
 		})
--- a/internal/settings/examples_test.go
+++ b/internal/settings/examples_test.go
@@ -9,8 +9,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// desk is a desk of an example: as many query services, leaves in each, and
-// slots and connections of each leaf.
+// expectedGroup is the expected content of a group of query services in an example: the
+// number of services, the leaves of each service, and the slots and connections of each
+// leaf.
 type desk struct {
 	path                           string
 	services, leaves, slots, conns int
@@ -19,7 +20,7 @@
 }
 
 func TestExamples(t *testing.T) {
-	Convey("The examples hold both deployments at their sizes", t, func() {
+	Convey("The example files describe both deployments in full size", t, func() {
 		checkExample(t, "bagmati", Coverage, []string{"lalitpur-hall", "sundhara-hall", "bhaktapur-hall"}, []desk{
 			{"kathmandu-valley/counter-desk", 20, 2, 2, 30, "6ms", Urgent},
 			{"kathmandu-valley/abroad-inbox", 30, 2, 2, 30, "6ms", Urgent},
@@ -35,6 +36,8 @@
 	})
 }
 
+// checkExample checks the goal, the failure domains and the query services of an example
+// file.
 func checkExample(t *testing.T, name string, goal Goal, domains []string, desks []desk) {
 	text, err := os.ReadFile(filepath.Join("..", "..", "examples", name+".yaml"))
 	So(err, ShouldBeNil)
@@ -64,7 +67,7 @@
 	So(tree.Services(""), ShouldHaveLength, total)
 }
 
-// spread returns how many failure domains leaves are in.
+// countDomains returns the number of failure domains of leaves.
 func spread(leaves []Leaf) int {
 	seen := map[string]bool{}
 	for _, l := range leaves {
--- a/internal/settings/explain.go
+++ b/internal/settings/explain.go
@@ -2,21 +2,21 @@
 
 import "pearmoor/internal/contract"
 
-// StatedAtDefault stands for the node where no node states the value.
+// SourceDefault is the Source of a default value, which no node sets.
 const StatedAtDefault = "default"
 
-// Explained says why one value holds at a node.
+// Explanation describes where the effective value of one setting at a node comes from.
 type Explained struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
-	StatedAt string `json:"stated_at"` // a path, or "default"
-	Version  uint64 `json:"version"`   // of the change that set it; 0 for a default
+	StatedAt string `json:"stated_at"` // path of the node that sets the value, or "default"
+	Version  uint64 `json:"version"`   // version of the change that set it; 0 for a default
 	Obsolete bool   `json:"obsolete,omitempty"`
 }
 
-// Explain lists what holds at a path, setting by setting, with the node that
-// states each and the version of the change that set it. A stated name or value
-// that this release does not know comes last, marked obsolete: it has no effect.
+// Explain lists the effective value of each setting at a path, with the node that sets
+// it and the version of the change that set it. Settings and values that this release
+// does not know follow at the end, marked obsolete: they have no effect.
 func (t *Tree) Explain(path string) ([]Explained, error) {
 	segments, why := splitPath(path)
 	if why != "" {
@@ -35,15 +35,16 @@
 	return append(out, chain.obsolete()...), nil
 }
 
-// step is one node on the way from the root to a path.
+// pathNode is one node on the path from the root to another node.
 type step struct {
 	path string
 	node *node
 }
 
-// chain is the way from the root to a path, the root first.
+// nodePath is the list of nodes from the root to a path, root first.
 type chain []step
 
+// nodesOnPath returns the nodes from the root to the node at segments, which must exist.
 func (t *Tree) chain(segments []string) chain {
 	c := chain{{path: Root, node: t.root}}
 	for _, name := range segments {
@@ -53,6 +54,8 @@
 	return c
 }
 
+// explain returns the explanation of the effective value of s, and false if s has
+// neither a value nor a default.
 func (c chain) explain(s *Setting) (Explained, bool) {
 	for i := len(c) - 1; i >= 0; i-- {
 		if !s.Inherits && !s.RootOnly && i < len(c)-1 {
@@ -73,6 +76,7 @@
 	return s.def.text
 }
 
+// obsoleteValues returns the values on the path that this release does not know.
 func (c chain) obsolete() []Explained {
 	var out []Explained
 	for _, st := range c {
@@ -85,7 +89,7 @@
 	return out
 }
 
-// value returns the text of the value of s that holds; "" when none does.
+// valueText returns the text of the effective value of s, or "" if it has none.
 func (c chain) value(s *Setting) string {
 	x, _ := c.explain(s)
 	return x.Value
--- a/internal/settings/fault_test.go
+++ b/internal/settings/fault_test.go
@@ -6,14 +6,14 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// refusal is an edit of the tree of shop, and what its one fault says.
+// rejectedEdit is an invalid edit of exampleTree and the fields of its only fault.
 type refusal struct {
 	path, name, value string
 	field, why, fix   string
 }
 
 func TestRefusedValues(t *testing.T) {
-	Convey("Given a tree that an operator edits with one mistake", t, func() {
+	Convey("Given a tree, an edit with one mistake is rejected with one fault", t, func() {
 		tree := shop(t)
 		for _, c := range []refusal{
 			{"/", "hedge-aftr", "20ms", "/:hedge-aftr", "no setting of that name", "did you mean hedge-after?"},
@@ -54,7 +54,7 @@
 }
 
 func TestRefusedOperations(t *testing.T) {
-	Convey("Given a tree, edits that would have no effect are refused and named", t, func() {
+	Convey("Given a tree, edits with an unknown target or operation are rejected with their field", t, func() {
 		tree := shop(t)
 		for _, c := range []struct {
 			edit  Edit
@@ -74,20 +74,20 @@
 }
 
 func TestContradictions(t *testing.T) {
-	Convey("Given settings that are each in range", t, func() {
+	Convey("Given settings that are each within their range", t, func() {
 		tree := shop(t)
 		refused := func(field string, edits ...Edit) {
 			So(fields(faultsOf(t, tree, edits...)), ShouldResemble, []string{field})
 		}
 
-		Convey("a hedge that would come no earlier than an inherited deadline is refused at the node that states it", func() {
+		Convey("a hedge delay that is not below the inherited deadline is rejected at the node that sets it", func() {
 			refused("gj-west/storefront:hedge-after", Edit{Path: "gj-west/storefront", Name: "hedge-after", Value: "220ms"})
 		})
-		Convey("a deadline lowered below the hedge of a node further down is refused, once", func() {
+		Convey("a deadline below the hedge delay of a descendant is rejected once", func() {
 			tree = mustApply(t, tree, 2, Edit{Path: "gj-west/storefront", Name: "hedge-after", Value: "100ms"})
 			refused("gj-west/storefront:hedge-after", Edit{Path: "/", Name: "deadline-default", Value: "100ms"})
 		})
-		Convey("the rest, at the root and below it", func() {
+		Convey("the other rules apply at the root and below it", func() {
 			refused("gj-west:deadline-default", Edit{Path: "gj-west", Name: "deadline-default", Value: "5s"})
 			refused("gj-west:connect-cost", Edit{Path: "gj-west", Name: "connect-cost", Value: "220ms"})
 			refused("gj-west:homes", Edit{Path: "gj-west", Name: "homes", Value: "3"})
@@ -99,27 +99,27 @@
 				Edit{Path: "/", Name: "daemon-lease", Value: "3s"},
 				Edit{Path: "/", Name: "probe-interval", Value: "2s"})
 		})
-		Convey("a tier setting is held against what nodes far below state", func() {
+		Convey("a tier setting is checked against values set at descendants", func() {
 			tree = mustApply(t, tree, 2, Edit{Path: "/", Name: "daemon-lease", Value: "2m"},
 				Edit{Path: "gj-west/ledger-desk", Name: "deadline-max", Value: "30s"})
 			refused("gj-west/ledger-desk:deadline-max", Edit{Path: "/", Name: "daemon-lease", Value: "20s"})
 			refused("gj-west/ledger-desk:deadline-max", Edit{Path: "/", Name: "resend-window", Value: "29s"})
 		})
-		Convey("drained may name only leaves of the service, also when the leaf goes later", func() {
+		Convey("drained may name only leaves of the service, also when the leaf is removed later", func() {
 			refused("gj-west/storefront/s1:drained", Edit{Path: "gj-west/storefront/s1", Name: "drained", Value: "s1-x"})
 			tree = mustApply(t, tree, 2, Edit{Path: "gj-west/storefront/s1", Name: "drained", Value: "s1-b"})
 			refused("gj-west/storefront/s1:drained",
 				Edit{Path: "gj-west/storefront/s1", Name: "leaves", Value: "s1-a=10.0.0.1:80@anand-hall"})
 			refused("gj-west/storefront:drained", Edit{Path: "gj-west/storefront", Name: "drained", Value: "s1-a"})
 		})
-		Convey("a query service has no nodes below it", func() {
+		Convey("a query service with child nodes is rejected", func() {
 			refused("gj-west/storefront/s1:leaves", Edit{Path: "gj-west/storefront/s1/deep", Name: "goal", Value: "tail"})
 			refused("gj-west:leaves", Edit{Path: "gj-west", Name: "leaves", Value: "x=10.9.0.1:80@hall"})
 		})
-		Convey("one change that mends both sides at once is taken", func() {
+		Convey("a change that adjusts both settings together is accepted", func() {
 			So(faultsOf(t, tree, Edit{Path: "gj-west", Name: "homes", Value: "3"}, Edit{Path: "gj-west", Name: "leaf-slots", Value: "3"}), ShouldBeEmpty)
 		})
-		Convey("every fault is listed, not only the first", func() {
+		Convey("all faults are listed", func() {
 			faults := faultsOf(t, tree,
 				Edit{Path: "gj-west", Name: "homes", Value: "3"},
 				Edit{Path: "gj-west", Name: "hedge-after", Value: "1s"},
@@ -129,29 +129,29 @@
 	})
 }
 
-// A target that two query services declare would be sent the work of both, each
-// up to all its slots, and be overloaded by the system itself.
+// A target that two query services declare would receive requests from both, each up to
+// all of its slots, and would be overloaded.
 func TestSharedLeaves(t *testing.T) {
-	Convey("Given a leaf that another query service declares", t, func() {
+	Convey("Given a leaf that a query service declares", t, func() {
 		tree := shop(t)
-		Convey("its address is refused, with both paths named", func() {
+		Convey("its address is rejected in another service, and the fault names both paths", func() {
 			faults := faultsOf(t, tree, Edit{Path: "gj-west/storefront/s3", Name: "leaves", Value: "s3-a=10.0.0.1:80@anand-hall"})
 			So(faults, ShouldHaveLength, 1)
 			So(faults[0].Field, ShouldEqual, "gj-west/storefront/s3:leaves")
 			So(faults[0].Value, ShouldEqual, "10.0.0.1:80")
 			So(faults[0].Why, ShouldContainSubstring, "gj-west/storefront/s1")
 		})
-		Convey("its name is refused as well", func() {
+		Convey("its name is rejected in another service", func() {
 			faults := faultsOf(t, tree, Edit{Path: "gj-west/storefront/s3", Name: "leaves", Value: "s1-a=10.7.0.1:80@anand-hall"})
 			So(faults, ShouldHaveLength, 1)
 			So(faults[0].Why, ShouldContainSubstring, "gj-west/storefront/s1")
 		})
-		Convey("two services of one change are held against each other", func() {
+		Convey("two services of the same change are checked against each other", func() {
 			So(fields(faultsOf(t, tree,
 				Edit{Path: "gj-west/x", Name: "leaves", Value: "x=10.7.0.1:80@anand-hall"},
 				Edit{Path: "gj-west/y", Name: "leaves", Value: "y=10.7.0.1:80@anand-hall"})), ShouldResemble, []string{"gj-west/y:leaves"})
 		})
-		Convey("moving it from one service to the other in one change is taken", func() {
+		Convey("moving a leaf to another service in one change is accepted", func() {
 			So(faultsOf(t, tree,
 				Edit{Path: "gj-west/storefront/s2", Op: Remove},
 				Edit{Path: "gj-west/storefront/s3", Name: "leaves", Value: "s2-a=10.0.0.3:80@anand-hall"}), ShouldBeEmpty)
--- a/internal/settings/faults.go
+++ b/internal/settings/faults.go
@@ -7,7 +7,8 @@
 	"pearmoor/internal/link/wire"
 )
 
-// FaultsToWire returns the messages that carry the faults of err.
+// FaultsToWire converts the faults in err to protobuf messages. An error without faults
+// becomes a single fault.
 func FaultsToWire(err error) []*wire.Fault {
 	var fs contract.Faults
 	if !errors.As(err, &fs) {
@@ -20,7 +21,7 @@
 	return out
 }
 
-// FaultsFromWire reads what FaultsToWire wrote.
+// FaultsFromWire converts protobuf messages to faults.
 func FaultsFromWire(list []*wire.Fault) contract.Faults {
 	var out contract.Faults
 	for _, f := range list {
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -12,19 +12,19 @@
 	"pearmoor/internal/contract"
 )
 
-// The keys of a node in a file.
+// The keys of a node in a settings file.
 const (
 	keySettings = "settings"
 	keyNodes    = "nodes"
-	keyBase     = "base" // at the root only
+	keyBase     = "base" // allowed at the root only
 )
 
-// MaxFile is the largest file that ParseFile reads, in bytes.
+// MaxFileSize is the maximum size in bytes of a file that ParseFile accepts.
 const MaxFile = 16 << 20
 
-// ParseFile reads a tree in the YAML form kept in version control. The error is
-// contract.Faults with every fault found. The base that a file may name is left
-// to FileBase.
+// ParseFile parses a tree from the YAML format that operators keep in version control.
+// The error is a contract.Faults with every fault found. ParseFile validates the
+// optional base version; FileBaseVersion returns it.
 func ParseFile(text []byte) (*Tree, error) {
 	body, err := parseYAML(text)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return New().Apply(0, r.edits)
 }
 
-// FileBase returns the version of the tree that a file was written from, and
-// whether it names one. The error is contract.Faults.
+// FileBaseVersion returns the version of the tree from which a file was exported, and
+// whether the file records one. The error is a contract.Faults.
 func FileBase(text []byte) (version uint64, stated bool, err error) {
 	body, err := parseYAML(text)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return version, stated, r.faults.ErrOrNil()
 }
 
-// parseYAML returns the one document of a file, an empty one as null.
+// parseYAML returns the only document of a file, or a null node if the file is empty.
 func parseYAML(text []byte) (ast.Node, error) {
 	if len(text) > MaxFile {
 		return nil, fileFault("the file is too large", fmt.Sprintf("keep it to %d bytes", MaxFile))
@@ -76,7 +76,7 @@
 	return contract.Faults{{Field: "file", Why: why, Fix: fix}}
 }
 
-// fileReader turns the nodes of a file into edits.
+// fileReader converts the nodes of a file to edits and collects faults.
 type fileReader struct {
 	edits  []Edit
 	faults contract.Faults
@@ -107,6 +107,7 @@
 	}
 }
 
+// readBase returns the base version of the file, or 0 after adding a fault.
 func (r *fileReader) base(body ast.Node) uint64 {
 	field := Root + ":" + keyBase
 	text, ok := r.scalar(field, body)
@@ -138,7 +139,8 @@
 	}
 }
 
-// entries returns the keys and values of a mapping; none where it is left empty.
+// mappingEntries returns the entries of a mapping, or nil for a null node. Any other
+// node is a fault.
 func (r *fileReader) entries(field string, body ast.Node) []*ast.MappingValueNode {
 	switch m := body.(type) {
 	case *ast.MappingNode:
@@ -152,8 +154,8 @@
 	return nil
 }
 
-// text returns a value as an operator would give it in a flag. A list is joined
-// by commas, so that a file can hold one leaf on each line.
+// valueText returns a value in the form used on the command line. A YAML sequence is
+// joined with commas, so that a file can list one leaf per line.
 func (r *fileReader) text(field string, body ast.Node) (string, bool) {
 	switch v := body.(type) {
 	case *ast.SequenceNode:
@@ -171,6 +173,8 @@
 	}
 }
 
+// scalarText returns the text of a scalar. Any other node, an anchor or a tag is a
+// fault.
 func (r *fileReader) scalar(field string, body ast.Node) (string, bool) {
 	switch v := body.(type) {
 	case *ast.StringNode:
@@ -184,6 +188,7 @@
 	return "", false
 }
 
+// keyOf returns the key of a mapping entry as text.
 func keyOf(kv *ast.MappingValueNode) string {
 	if s, ok := kv.Key.(*ast.StringNode); ok {
 		return s.Value
@@ -191,12 +196,13 @@
 	return strings.TrimSpace(kv.Key.String())
 }
 
-// ExportFile returns the YAML form of t, which ParseFile reads. It leaves out the
-// versions that set the values, and what this release does not know.
+// ExportFile returns t in the YAML format that ParseFile reads. The output omits the
+// versions that set the values, and settings and values that this release does not
+// know.
 func (t *Tree) ExportFile() []byte { return export(exportNode(t.root)) }
 
-// ExportFileAt returns the form of ExportFile and names base in it, the version
-// of the change that made t.
+// ExportFileWithBase returns the output of ExportFile with the additional key base, the
+// version of the change that produced t.
 func (t *Tree) ExportFileAt(base uint64) []byte {
 	return export(append(yaml.MapSlice{{Key: keyBase, Value: base}}, exportNode(t.root)...))
 }
@@ -204,7 +210,7 @@
 func export(file yaml.MapSlice) []byte {
 	b, err := yaml.MarshalWithOptions(file, yaml.IndentSequence(true))
 	if err != nil {
-		// The value holds only strings, numbers and lists of them.
+		// The value holds only strings, numbers, booleans and lists, which always encode.
 		panic("settings: export: " + err.Error())
 	}
 	return b
@@ -231,9 +237,9 @@
 	return out
 }
 
-// export returns the value in the type that reads best in a file, and as text
-// where that type would be written another way: a text such as 007 must come back
-// as it was.
+// yamlValue returns the value as a YAML list, number or boolean, or as a string if the
+// other type would not reproduce the text exactly: a text such as 007 must survive a
+// round trip.
 func (s *stated) export() any {
 	if len(s.val.leaves) > 0 || len(s.val.names) > 0 {
 		return strings.Split(s.text, ",")
--- a/internal/settings/file_test.go
+++ b/internal/settings/file_test.go
@@ -17,7 +17,7 @@
 }
 
 func TestFile(t *testing.T) {
-	Convey("Given a tree in a file", t, func() {
+	Convey("Given a settings file", t, func() {
 		text := `
 settings:
   deadline-default: 220ms
@@ -38,21 +38,21 @@
 		So(err, ShouldBeNil)
 		e, _ := tree.Effective("gj-west/s1")
 
-		Convey("each value holds", func() {
+		Convey("each value takes effect", func() {
 			So(FormatLeaves(e.Leaves), ShouldEqual, "s1-a=10.0.0.1:80@anand-hall,s1-b=10.0.0.2:80@kheda-rack")
 			So(e.Drained, ShouldResemble, []string{"s1-b"})
 			So(e.HedgeBudget, ShouldEqual, 0.03)
 			So(e.LeafTLS, ShouldBeTrue)
 			So(e.Homes, ShouldEqual, 1)
 		})
-		Convey("a node that states nothing is none", func() {
+		Convey("a node without values does not exist", func() {
 			_, ok := tree.Effective("gj-west/bare")
 			So(ok, ShouldBeFalse)
 		})
-		Convey("an export is one line for each leaf", func() {
+		Convey("an export has one line per leaf", func() {
 			So(string(tree.ExportFile()), ShouldContainSubstring, "\n            - s1-a=10.0.0.1:80@anand-hall\n")
 		})
-		Convey("an export may name the version it was made from, and reads the same", func() {
+		Convey("an export with a base version parses to the same tree", func() {
 			out := tree.ExportFileAt(41)
 			base, stated, err := FileBase(out)
 			So(err, ShouldBeNil)
@@ -67,7 +67,7 @@
 		})
 	})
 
-	Convey("An empty file is an empty tree", t, func() {
+	Convey("An empty file yields an empty tree", t, func() {
 		for _, text := range []string{"", "\n", "# nothing\n", "{}", "null"} {
 			tree, err := ParseFile([]byte(text))
 			So(err, ShouldBeNil)
@@ -77,7 +77,7 @@
 }
 
 func TestRefusedFiles(t *testing.T) {
-	Convey("A file with a mistake is refused, and the fault names the place", t, func() {
+	Convey("An invalid file is rejected, and the fault names the location", t, func() {
 		for _, c := range []struct{ text, field, why string }{
 			{"setings: {homes: 1}", "/:setings", "unknown"},
 			{"nodes: {a: {homes: 1}}", "a:homes", "unknown"},
@@ -108,7 +108,7 @@
 		}
 	})
 
-	Convey("Every mistake is listed", t, func() {
+	Convey("All faults are listed", t, func() {
 		So(fields(fileFaults("setings: {}\nnodes: {a: {x: 1}, B: {}}")), ShouldResemble, []string{"/:setings", "a:x", "/:nodes"})
 		So(fields(fileFaults("settings: {homes: 9, hedge-after: 20}\nnodes: {a: {settings: {gaol: tail}}}")), ShouldResemble,
 			[]string{"/:hedge-after", "a:gaol"})
--- a/internal/settings/forwarding.go
+++ b/internal/settings/forwarding.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// RouteSettings are what a node below RoutesPath states of one route: which
-// requests it takes and where they go. Package route gives them a meaning.
+// RouteSettings holds the settings of one route, set at a node below RoutesPath: which
+// requests it matches and where they are forwarded. Package route interprets them.
 type RouteSettings struct {
-	Name          string // "" means that of the node
+	Name          string // "": the name of the node
 	Host          string
 	Prefix        string
 	Service       string
 	Split         string // service=weight,...
 	Shards        string // service,...
-	Extra         string // a JSON object with what this release does not know
+	Extra         string // a JSON object with the fields that this release does not know
 	NotRepeatable bool
 	Attempts      int
 	Priority      int
@@ -20,20 +20,21 @@
 
 	Timeout       time.Duration
 	TargetLatency time.Duration
-	AnswerMargin  time.Duration // inherited
+	AnswerMargin  time.Duration // inherited by the nodes below, unlike the other fields
 }
 
-// ServiceSettings are what a node below ServicesPath states of one service that
-// requests are forwarded to.
+// ServiceSettings holds the settings of one service that requests are forwarded to, set
+// at a node below ServicesPath.
 type ServiceSettings struct {
-	Name        string // "" means that of the node
+	Name        string // "": the name of the node
 	HealthPath  string
 	Protocol    string
 	Extra       string
-	Connections int // a leaf accepts from all daemons together; 0: not stated
+	Connections int // maximum connections that a leaf accepts from all daemons together; 0: not set
 }
 
-// CallerLimits bound what a caller may send, and how long it may take or be idle.
+// CallerLimits bounds the size of a caller's requests, the time to send a request header
+// and the idle time of a connection.
 type CallerLimits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -41,15 +42,15 @@
 	IdleTimeout   time.Duration
 }
 
-// ReleaseSettings number the configuration that an operator's system sent whole.
+// ReleaseSettings identifies the complete configuration that an operator's system sent.
 type ReleaseSettings struct {
 	Number       string // decimal
-	RouteOrder   string // node names, where the order is not that of the names
+	RouteOrder   string // node names in order, if the routes are not sorted by name
 	ServiceOrder string
 	Extra        string
 }
 
-// The nodes that hold a whole configuration sent by an operator's system.
+// The paths of the nodes that hold a complete configuration sent by an operator's system.
 const (
 	RoutesPath   = "routes"
 	ServicesPath = "services"
@@ -57,7 +58,7 @@
 	ReleasePath  = "release"
 )
 
-// The settings that a whole configuration is made of.
+// The names of the settings that make up a complete configuration.
 const (
 	NameRouteName          = "route-name"
 	NameRouteHost          = "route-host"
@@ -89,35 +90,40 @@
 	NameReleaseExtra       = "release-extra"
 )
 
+// Upper bounds of the settings of routes, services and callers.
 const (
 	longestTimeout = "24h"
 	mostOfAKind    = "1000000000"
 	largestSize    = "1048576GiB"
 )
 
+// textSetting returns a setting of kind Text that is not inherited.
 func text(name, unit, doc string, field func(*Effective) *string) Setting {
 	return Setting{Name: name, Kind: Text, Unit: unit, Doc: doc,
 		bind: func(e *Effective, _ *Tier, v *value) { *field(e) = v.text }}
 }
 
+// countSetting returns a setting of kind Count that is not inherited.
 func count(name, unit, def, doc string, field func(*Effective) *int) Setting {
 	return Setting{Name: name, Kind: Count, Unit: unit, Min: "0", Max: mostOfAKind, Default: def, Doc: doc,
 		bind: func(e *Effective, _ *Tier, v *value) { *field(e) = int(v.num) }}
 }
 
+// durationSetting returns a setting of kind Duration that is not inherited.
 func span(name, def, doc string, field func(*Effective) *time.Duration) Setting {
 	return Setting{Name: name, Kind: Duration, Unit: "duration", Min: "0s", Max: longestTimeout, Default: def, Doc: doc,
 		bind: func(e *Effective, _ *Tier, v *value) { *field(e) = v.duration() }}
 }
 
+// inheritable returns s as a setting that the nodes below inherit.
 func inherited(s Setting) Setting {
 	s.Inherits = true
 	return s
 }
 
-// routeSettings stand on the nodes below RoutesPath. They have no rules between
-// them here: a whole configuration is checked by package route before it becomes
-// a change, and one that was accepted there must never be refused by the tree.
+// routeSettings returns the settings of the nodes below RoutesPath. There are no conflict
+// rules between them: package route validates a complete configuration before it becomes
+// a change, and the tree must never reject a configuration that was accepted there.
 func routeSettings() []Setting {
 	return []Setting{
 		text(NameRouteName, "name", "The route's name where it can't be the node's.", func(e *Effective) *string { return &e.Route.Name }),
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzDecode feeds bytes as they may come from a damaged disk or a faulty peer:
-// what is read must be exactly what Encode writes.
+// FuzzDecode decodes arbitrary bytes, as a damaged disk or a faulty peer may supply them.
+// Decode must accept only bytes that Encode writes.
 func FuzzDecode(f *testing.F) {
 	f.Add(New().Encode())
 	f.Add(shop(f).Encode())
@@ -17,7 +17,7 @@
 			return
 		}
 		if !bytes.Equal(tree.Encode(), text) {
-			t.Fatal("two texts of one tree")
+			t.Fatal("Decode accepted a non-canonical encoding")
 		}
 		if _, err := tree.Explain(Root); err != nil {
 			t.Fatal(err)
@@ -25,8 +25,8 @@
 	})
 }
 
-// FuzzParseFile feeds files as an operator may write them: a file that is read
-// gives a tree that can be exported and read again.
+// FuzzParseFile parses arbitrary files. A file that parses must yield a tree that can be
+// exported and parsed again.
 func FuzzParseFile(f *testing.F) {
 	f.Add(shop(f).ExportFileAt(3))
 	f.Add([]byte("settings: {homes: 1, ramp: 20s}\nnodes: {a: {settings: {leaves: [x=10.0.0.1:1@h]}}}"))
@@ -34,14 +34,14 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		tree, err := ParseFile(text)
 		if _, _, baseErr := FileBase(text); err == nil && baseErr != nil {
-			t.Fatalf("the base is refused: %v", baseErr)
+			t.Fatalf("the base version is rejected: %v", baseErr)
 		}
 		if err != nil {
 			return
 		}
 		again, err := ParseFile(tree.ExportFile())
 		if err != nil {
-			t.Fatalf("the export is refused: %v", err)
+			t.Fatalf("the export is rejected: %v", err)
 		}
 		if again.Digest() != tree.Digest() {
 			t.Fatalf("the export differs: %v", Diff(tree, again))
@@ -49,7 +49,7 @@
 	})
 }
 
-// FuzzParseLeaves: a list that is read has one canonical form.
+// FuzzParseLeaves checks that a leaf list that parses has a stable canonical form.
 func FuzzParseLeaves(f *testing.F) {
 	f.Add("b=10.0.0.2:80@hall, a=[::1]:1@rack")
 	f.Add("a=10.0.0.1:80@hall,a=10.0.0.1:80@hall")
@@ -66,7 +66,8 @@
 	})
 }
 
-// FuzzSetting feeds one value to each setting: what is read has one canonical form.
+// FuzzSettingParse parses a value for each setting and checks that a value that parses
+// has a stable canonical form.
 func FuzzSetting(f *testing.F) {
 	for _, text := range []string{"20ms", "1h0m0s", "0.5", "1e-3", "64KiB", "1KiB512B", "true", "tail", "-0"} {
 		f.Add(text)
--- a/internal/settings/leaves.go
+++ b/internal/settings/leaves.go
@@ -9,13 +9,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// MaxLeaves is the most leaves one query service may declare.
+// MaxLeaves is the maximum number of leaves of one query service.
 const MaxLeaves = 4096
 
+// leafListHint is the fix in faults about leaf lists.
 const leafForm = "write name=ip:port@domain, separated by commas"
 
-// ParseLeaves reads a leaf list, name=ip:port@domain separated by commas, and
-// returns it sorted by name.
+// ParseLeaves parses a comma-separated list of leaves, each name=ip:port@domain, and
+// returns them sorted by name.
 func ParseLeaves(text string) ([]Leaf, error) {
 	items := strings.Split(text, ",")
 	if len(items) > MaxLeaves {
@@ -33,6 +34,7 @@
 	return leaves, refuseDuplicates(leaves)
 }
 
+// parseLeafList parses a leaf list as the value of a setting.
 func parseLeafList(text string) (*value, error) {
 	leaves, err := ParseLeaves(text)
 	if err != nil {
@@ -66,8 +68,8 @@
 	return Leaf{Name: name, Addr: netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port()).String(), Domain: domain}, nil
 }
 
-// refuseDuplicates keeps one target from being counted as two: its slots would
-// be handed out twice and it would be overloaded by the system itself.
+// checkDuplicates rejects a leaf list that repeats a name or an address. Otherwise the
+// slots of one target would be allocated twice, and the daemons would overload it.
 func refuseDuplicates(sorted []Leaf) error {
 	byAddr := make(map[string]string, len(sorted))
 	for i, l := range sorted {
@@ -82,7 +84,7 @@
 	return nil
 }
 
-// FormatLeaves writes a leaf list in the form that ParseLeaves reads.
+// FormatLeaves formats a leaf list so that ParseLeaves can parse it.
 func FormatLeaves(leaves []Leaf) string {
 	var b strings.Builder
 	for i, l := range leaves {
@@ -94,9 +96,11 @@
 	return b.String()
 }
 
-// String returns name=ip:port@domain.
+// String returns the leaf as name=ip:port@domain.
 func (l Leaf) String() string { return l.Name + "=" + l.Addr + "@" + l.Domain }
 
+// parseNameList parses a comma-separated list of names and returns them sorted and without
+// duplicates.
 func parseNames(text string) ([]string, error) {
 	names := strings.Split(text, ",")
 	for i, n := range names {
--- a/internal/settings/main_test.go
+++ b/internal/settings/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the properties, so that each run has one verdict;
-// -rapid.seed gives another.
+// TestMain fixes the seed of the property tests, so that every run gives the same result.
+// The flag -rapid.seed overrides it.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == f.DefValue {
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -8,24 +8,26 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// node is what an operator stated at one path, and below it. A sealed node is
-// never changed, so trees share it.
+// node holds the values that operators set at one path, and the nodes below it. A
+// sealed node is immutable, so several trees can share it.
 type node struct {
 	name     string
 	stated   []stated // sorted by name
-	children []*node  // sorted by name, none of them empty
+	children []*node  // sorted by name; a sealed node has no empty children
 	digest   uint64
 	sealed   bool
 }
 
-// stated is one value as an operator stated it.
+// assignment is a value that an operator set at a node.
 type stated struct {
 	name    string
 	text    string
 	version uint64
-	val     *value // nil when this release's schema does not know or take it
+	val     *value // nil if this release does not know the setting or rejects the value
 }
 
+// findChild returns the index of the named child, or the index at which to insert it and
+// false.
 func (n *node) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(n.children, name, func(c *node, name string) int { return cmp.Compare(c.name, name) })
 }
@@ -37,16 +39,20 @@
 	return nil
 }
 
+// findAssignment returns the index of the named assignment, or the index at which to
+// insert it and false.
 func (n *node) findStated(name string) (int, bool) {
 	return slices.BinarySearchFunc(n.stated, name, func(s stated, name string) int { return cmp.Compare(s.name, name) })
 }
 
+// hasAssignment reports whether n sets the named setting.
 func (n *node) states(name string) bool {
 	_, ok := n.findStated(name)
 	return ok
 }
 
-// holds reports whether n states a value of that name that has an effect.
+// hasEffectiveAssignment reports whether n sets the named setting to a value that this
+// release understands.
 func (n *node) holds(name string) bool {
 	i, ok := n.findStated(name)
 	return ok && n.stated[i].val != nil
@@ -54,9 +60,9 @@
 
 func (n *node) empty() bool { return len(n.stated) == 0 && len(n.children) == 0 }
 
-// seal drops empty nodes and computes the digests of the nodes that changed. A
-// digest covers those of the children, so the cost of a change is that of the
-// changed path and not of the tree.
+// seal removes empty nodes below n, computes the digests of the changed nodes and makes
+// them immutable. The digest of a node covers the digests of its children, so the cost
+// of a change grows with the changed paths and not with the tree.
 func (n *node) seal() {
 	if n.sealed {
 		return
@@ -83,6 +89,7 @@
 	return xxhash.Sum64(buf)
 }
 
+// appendString appends s with a length prefix.
 func appendText(buf []byte, s string) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(s)))
 	return append(buf, s...)
--- a/internal/settings/obsolete_test.go
+++ b/internal/settings/obsolete_test.go
@@ -6,8 +6,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// olderSchema is the schema of a release that still had one more setting, and
-// took a goal that this one doesn't.
+// schemaOfOlderRelease returns a schema with one more setting and one more value of goal
+// than the current one.
 func olderSchema() *schema {
 	settings := table()
 	for i := range settings {
@@ -21,9 +21,9 @@
 	}))
 }
 
-// A tree written by an older release states a setting that this release has
-// dropped. Were it refused, a control VM could not read its own log after the
-// update, and daemons of the two releases would hold different trees.
+// A tree written by an older release contains a setting that this release has removed. If
+// it were rejected, a control VM could not read its own log after an upgrade, and daemons
+// of the two releases would have different trees.
 func TestObsoleteSettings(t *testing.T) {
 	Convey("Given a tree of a release with one more setting", t, func() {
 		older := newTree(olderSchema(), &node{}, nil)
@@ -38,19 +38,19 @@
 		tree, err := Decode(older.Encode())
 		So(err, ShouldBeNil)
 
-		Convey("this release keeps it, byte for byte", func() {
+		Convey("this release keeps it byte for byte", func() {
 			So(tree.Digest(), ShouldEqual, older.Digest())
 			So(tree.Encode(), ShouldResemble, older.Encode())
 		})
 		Convey("replaying the accepted change gives the same tree as the snapshot", func() {
 			So(New().Replay(4, edits).Digest(), ShouldEqual, older.Digest())
 		})
-		Convey("it has no effect, and what is inherited holds in the place of a value no longer taken", func() {
+		Convey("it has no effect, and a value that is no longer valid is replaced by the inherited one", func() {
 			e, _ := tree.Effective("gj-west/s")
 			So(e.Goal, ShouldEqual, Coverage)
 			So(e.Homes, ShouldEqual, 1)
 		})
-		Convey("Explain lists it as obsolete, with where and when it was stated", func() {
+		Convey("Explain lists it as obsolete with the node and version that set it", func() {
 			xs, err := tree.Explain("gj-west/desk")
 			So(err, ShouldBeNil)
 			So(xs[len(xs)-3:], ShouldResemble, []Explained{
@@ -59,13 +59,13 @@
 				{Name: "cache-size", Value: "8MiB", StatedAt: "gj-west/desk", Version: 4, Obsolete: true},
 			})
 		})
-		Convey("it can't be set again", func() {
+		Convey("it cannot be set again", func() {
 			faults := faultsOf(t, tree, Edit{Path: "gj-west", Name: "cache-size", Value: "2MiB"})
 			So(fields(faults), ShouldResemble, []string{"gj-west:cache-size"})
 			So(faults[0].Why, ShouldContainSubstring, "obsolete")
 			So(faults[0].Fix, ShouldContainSubstring, "unset")
 		})
-		Convey("it can be unset, which alters no effective value", func() {
+		Convey("it can be unset without changing any effective value", func() {
 			next := mustApply(t, tree, 5, Edit{Path: "gj-west", Name: "cache-size", Op: Unset}, Edit{Path: "gj-west", Name: "goal", Op: Unset})
 			So(Plan(tree, next), ShouldBeEmpty)
 			xs, _ := next.Explain("gj-west/s")
@@ -73,12 +73,12 @@
 				So(x.Obsolete, ShouldBeFalse)
 			}
 		})
-		Convey("other changes are taken beside it, and a known name replaces its old value", func() {
+		Convey("other changes are accepted, and a valid value replaces the obsolete one", func() {
 			next := mustApply(t, tree, 5, Edit{Path: "gj-west", Name: "goal", Value: "tail"}, Edit{Path: "/", Name: "daemon-lease", Value: "7s"})
 			e, _ := next.Effective("gj-west/s")
 			So(e.Goal, ShouldEqual, Tail)
 		})
-		Convey("the file form leaves it out, so that applying the file drops it", func() {
+		Convey("an exported file omits it, so applying the file removes it", func() {
 			file, err := ParseFile(tree.ExportFile())
 			So(err, ShouldBeNil)
 			So(Diff(tree, file), ShouldResemble, []Edit{
@@ -90,12 +90,11 @@
 	})
 }
 
-// A daemon of this release follows a leader of a later one, whose schema writes
-// values in another form, has wider ranges, and lets a query service have nodes
-// below it. The daemon must come to the leader's digest, and take nothing for
-// effective that it does not understand.
+// A daemon of this release replays changes from a leader of a later release, whose schema
+// has another canonical form and wider ranges and allows nodes below a query service. The
+// daemon must reach the leader's digest and must not apply values it does not understand.
 func TestReplayOfLaterRelease(t *testing.T) {
-	Convey("Given a change that this release would refuse", t, func() {
+	Convey("Given a change that this release would reject", t, func() {
 		tree := New().Replay(3, []Edit{
 			{Path: "/", Name: "daemon-lease", Value: "20m"},
 			{Path: "/", Name: "hedge-after", Value: "0.02s"},
@@ -104,13 +103,13 @@
 			{Path: "x/y", Name: "new-setting", Value: "1"},
 			{Path: "x/y", Name: "leaves", Op: Unset},
 		})
-		Convey("each value stays as it is written", func() {
+		Convey("each value is kept as written", func() {
 			xs, err := tree.Explain("/")
 			So(err, ShouldBeNil)
 			So(xs, ShouldContain, Explained{Name: "hedge-after", Value: "0.02s", StatedAt: "/", Version: 3})
 			So(xs[len(xs)-1], ShouldResemble, Explained{Name: "daemon-lease", Value: "20m", StatedAt: "/", Version: 3, Obsolete: true})
 		})
-		Convey("what is understood holds, and the default in the place of the rest", func() {
+		Convey("known values take effect, and unknown ones are replaced by the default", func() {
 			e, _ := tree.Effective("x")
 			So(e.HedgeAfter.String(), ShouldEqual, "20ms")
 			So(tree.Tier().DaemonLease.String(), ShouldEqual, "6s")
@@ -123,7 +122,7 @@
 				So(x.Name, ShouldNotEqual, "leaves")
 			}
 		})
-		Convey("it decodes to the same tree", func() {
+		Convey("its encoding decodes to the same tree", func() {
 			again, err := Decode(tree.Encode())
 			So(err, ShouldBeNil)
 			So(Plan(tree, again), ShouldBeEmpty)
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -2,20 +2,21 @@
 
 import "strings"
 
-// Root is the path of the root as it is shown; "" means the same.
+// Root is the displayed path of the root node. The empty path also denotes the root.
 const Root = "/"
 
-// MaxDepth is the most segments a path may have.
+// MaxDepth is the maximum number of segments of a path.
 const MaxDepth = 8
 
 const maxSegment = 63 // characters
 
+// segmentRule describes a valid segment. It is the fix in faults about paths and names.
 const segmentRule = "a segment is 1 to 63 of a-z, 0-9, '-', '_', '.', and starts with a letter or digit"
 
-// IsSegment reports whether s may be the name of a node.
+// IsSegment reports whether s is a valid node name.
 func IsSegment(s string) bool { return isSegment(s) }
 
-// isSegment reports whether s keeps to segmentRule.
+// isSegment reports whether s satisfies segmentRule.
 func isSegment(s string) bool {
 	if s == "" || len(s) > maxSegment || strings.IndexByte("-_.", s[0]) >= 0 {
 		return false
@@ -30,10 +31,10 @@
 	return true
 }
 
-// trimPath returns path without the leading slash; the root becomes "".
+// trimPath returns path without its leading slash; the root becomes "".
 func trimPath(path string) string { return strings.TrimPrefix(path, Root) }
 
-// showPath returns the form of a trimmed path that is shown.
+// displayPath returns the displayed form of a trimmed path: "/" for the root.
 func showPath(path string) string {
 	if path == "" {
 		return Root
@@ -41,7 +42,7 @@
 	return path
 }
 
-// joinPath returns the path of the child of that name.
+// joinPath returns the path of a child of the node at parent.
 func joinPath(parent, child string) string {
 	if trimPath(parent) == "" {
 		return child
@@ -49,8 +50,8 @@
 	return parent + Root + child
 }
 
-// splitPath returns the segments of a path, none for the root, and says what is
-// wrong with the path or "".
+// splitPath returns the segments of a path, nil for the root. If the path is invalid,
+// why is the reason; otherwise it is empty.
 func splitPath(path string) (segments []string, why string) {
 	path = trimPath(path)
 	if path == "" {
@@ -68,7 +69,7 @@
 	return segments, ""
 }
 
-// Below reports whether path is that of the node at top, or of one below it.
+// IsWithin reports whether path is ancestor itself or a path below it.
 func Below(path, top string) bool {
 	path, top = trimPath(path), trimPath(top)
 	return path == top || strings.HasPrefix(path, top+Root)
--- a/internal/settings/plan.go
+++ b/internal/settings/plan.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Effect is a value that a change alters at one query service. Before is "" when
-// the service is new, After when it goes; a service that is new or goes has the
-// one effect on leaves. Service is "/" for the settings that only the root states.
+// Effect is one effective value of a query service that a change alters. A new or
+// removed service has a single effect, on its leaves: Before is "" for a new service,
+// After is "" for a removed one. Service is "/" for the settings of the tier.
 type Effect struct {
 	Service string `json:"service"`
 	Name    string `json:"name"`
@@ -15,8 +15,8 @@
 	After   string `json:"after"`
 }
 
-// Plan lists what a change from old to new alters, by query service and in the
-// order of the schema. Parts that the trees share are not looked at.
+// Plan returns the effects of a change from old to new, sorted by query service and, for
+// each service, in schema order. Subtrees shared by both trees are skipped.
 func Plan(old, new *Tree) []Effect {
 	p := planner{old: old, new: new}
 	p.tier()
@@ -25,6 +25,7 @@
 	return p.effects
 }
 
+// planner collects the effects of Plan.
 type planner struct {
 	old, new *Tree
 	effects  []Effect
@@ -38,7 +39,7 @@
 	}
 }
 
-// node compares two nodes of one path, either of which may be nil.
+// compareNodes compares the nodes at one path in both trees; either may be nil.
 func (p *planner) node(old, new *resolved) {
 	if old == new {
 		return
@@ -92,7 +93,8 @@
 	}
 }
 
-// leafText returns the stated leaves of a query service, "" for any other node.
+// leafListText returns the leaf list of a query service as text, or "" for any other
+// node.
 func (r *resolved) leafText() string {
 	if r == nil || !r.isService() {
 		return ""
--- a/internal/settings/plan_test.go
+++ b/internal/settings/plan_test.go
@@ -11,21 +11,21 @@
 )
 
 func TestPlan(t *testing.T) {
-	Convey("Given a tree in which one desk states its own hedge", t, func() {
+	Convey("Given a tree in which one group of services sets its own hedge delay", t, func() {
 		tree := mustApply(t, shop(t), 2, Edit{Path: "gj-west/storefront", Name: "hedge-after", Value: "30ms"})
 
-		Convey("a change at the region names the query services it reaches and no other", func() {
+		Convey("a change at the region lists only the query services that it affects", func() {
 			next := mustApply(t, tree, 3, Edit{Path: "gj-west", Name: "hedge-after", Value: "20ms"})
 			So(Plan(tree, next), ShouldResemble, []Effect{
 				{Service: "gj-west/ledger-desk", Name: "hedge-after", Before: "0s", After: "20ms"},
 			})
 		})
-		Convey("stating what holds anyway has no effect", func() {
+		Convey("setting a value that is already in effect has no effect", func() {
 			next := mustApply(t, tree, 3, Edit{Path: "gj-west/storefront/s1", Name: "hedge-after", Value: "0.030s"})
 			So(Plan(tree, next), ShouldBeEmpty)
 			So(next.Digest(), ShouldNotEqual, tree.Digest())
 		})
-		Convey("services that come and go have the one effect on their leaves", func() {
+		Convey("an added or removed service has a single effect, on its leaves", func() {
 			next := mustApply(t, tree, 3,
 				Edit{Path: "gj-west/storefront", Op: Remove},
 				Edit{Path: "gj-west/route-plan", Name: "leaves", Value: "route-a=10.0.2.1:80@kheda-rack"})
@@ -35,7 +35,7 @@
 				{Service: "gj-west/storefront/s2", Name: "leaves", Before: "s2-a=10.0.0.3:80@anand-hall"},
 			})
 		})
-		Convey("a setting of the tier stands for the root", func() {
+		Convey("a tier setting is listed for the root", func() {
 			next := mustApply(t, tree, 3, Edit{Path: "/", Name: "daemon-lease", Value: "9s"})
 			So(Plan(tree, next), ShouldResemble, []Effect{{Service: "/", Name: "daemon-lease", Before: "6s", After: "9s"}})
 		})
@@ -43,7 +43,7 @@
 }
 
 func TestExplainUnknownPath(t *testing.T) {
-	Convey("A path that is no node is refused, as Effective refuses it", t, func() {
+	Convey("Explain and Effective reject a path without a node", t, func() {
 		tree := shop(t)
 		for _, path := range []string{"nowhere", "gj-west/storefront/s1/x", "gj-west/", "//", "A", "gj-west//storefront"} {
 			_, err := tree.Explain(path)
@@ -61,7 +61,7 @@
 }
 
 func TestEditForms(t *testing.T) {
-	Convey("Edits read back from messages and from JSON as they were", t, func() {
+	Convey("Edits survive a round trip through protobuf messages and JSON", t, func() {
 		edits := []Edit{{Path: "a", Name: "homes", Value: "1"}, {Path: "a", Name: "homes", Op: Unset}, {Path: "a", Op: Remove}}
 		So(EditsFromWire(EditsToWire(edits)), ShouldResemble, edits)
 		text, err := json.Marshal(edits)
@@ -70,7 +70,7 @@
 		So(json.Unmarshal(text, &again), ShouldBeNil)
 		So(again, ShouldResemble, edits)
 	})
-	Convey("An operation of a later release is refused, not taken for another", t, func() {
+	Convey("An operation of a later release is rejected and not mistaken for another", t, func() {
 		edits := EditsFromWire([]*wire.Edit{{Path: "gj-west", Name: "goal", Value: "tail", Op: 9}, {Path: "gj-west", Op: -1}})
 		So(fields(faultsOf(t, shop(t), edits...)), ShouldResemble, []string{"gj-west:goal", "gj-west"})
 	})
--- a/internal/settings/prop_test.go
+++ b/internal/settings/prop_test.go
@@ -13,7 +13,7 @@
 
 var somePaths = []string{"/", "r", "r/d1", "r/d1/a", "r/d1/b", "r/d2", "r/d2/c", "q"}
 
-// drawValue draws a text for a setting; most are valid on their own.
+// drawValue draws the text of a value for a setting; most values are valid by themselves.
 func drawValue(t *rapid.T, path string, s *Setting) string {
 	switch s.Kind {
 	case Duration:
@@ -62,7 +62,7 @@
 	}
 }
 
-// drawTree makes a tree by changes of which the refused ones leave it alone.
+// drawTree builds a tree from random changes and skips those that are rejected.
 func drawTree(t *rapid.T) *Tree {
 	tree := New()
 	for v := range rapid.IntRange(0, 40).Draw(t, "changes") {
@@ -73,7 +73,8 @@
 	return tree
 }
 
-// drawChange draws edits that the tree takes as one change.
+// drawChange draws edits that the tree accepts as one change, and returns them with the
+// resulting tree.
 func drawChange(t *rapid.T, tree *Tree) ([]Edit, *Tree) {
 	var edits []Edit
 	next := tree
@@ -86,38 +87,45 @@
 	return edits, next
 }
 
+// equalValues reports whether a and b have the same values set at the same nodes.
 func sameValues(a, b *Tree) bool { return len(Diff(a, b)) == 0 && len(Diff(b, a)) == 0 }
 
+// An operator undoes a change by applying the diff from the changed tree to the previous
+// one. Apply must accept it, and it must restore every value.
 func TestInverseUndoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
 		_, next := drawChange(t, tree)
 		back, err := next.Apply(1001, Diff(next, tree))
 		if err != nil {
-			t.Fatalf("the inverse is refused: %v", err)
+			t.Fatalf("the inverse is rejected: %v", err)
 		}
 		if !sameValues(back, tree) {
-			t.Fatalf("the inverse leaves %v", Diff(back, tree))
+			t.Fatalf("differences after the inverse: %v", Diff(back, tree))
 		}
 	})
 }
 
+// The diff between two arbitrary trees, applied to the first, must yield the values and
+// effective values of the second.
 func TestDiffTurnsOneTreeIntoTheOther(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawTree(t), drawTree(t)
 		got, err := from.Apply(1000, Diff(from, to))
 		if err != nil {
-			t.Fatalf("the difference is refused: %v", err)
+			t.Fatalf("the difference is rejected: %v", err)
 		}
 		if !sameValues(got, to) {
-			t.Fatalf("left over: %v", Diff(got, to))
+			t.Fatalf("remaining differences: %v", Diff(got, to))
 		}
 		if len(Plan(got, to)) != 0 {
-			t.Fatalf("trees of one content differ in effect: %v", Plan(got, to))
+			t.Fatalf("trees with equal values differ in effect: %v", Plan(got, to))
 		}
 	})
 }
 
+// A daemon that decodes a snapshot must have the same effective values and digest as the
+// sender.
 func TestEncodeDecode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
@@ -127,7 +135,7 @@
 			t.Fatal(err)
 		}
 		if got.Digest() != tree.Digest() || !bytes.Equal(got.Encode(), text) {
-			t.Fatal("the decoded tree is another one")
+			t.Fatal("the decoded tree differs")
 		}
 		for _, path := range somePaths {
 			a, okA := tree.Effective(path)
@@ -139,7 +147,7 @@
 	})
 }
 
-// Trees have one digest if and only if they have the same bytes.
+// Two trees have equal digests if and only if their encodings are equal.
 func TestDigestTellsTreesApart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
@@ -150,8 +158,8 @@
 	})
 }
 
-// A daemon that has a snapshot of any age and replays the changes after it holds
-// the same tree, to the digest, as the control VM that accepted them.
+// A daemon that starts from a snapshot and replays the subsequent changes must have a tree
+// with the same digest as the control VM that accepted them.
 func TestReplayFromSnapshot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader := drawTree(t)
@@ -167,15 +175,17 @@
 			}
 			daemon = daemon.Replay(version, Canonical(edits))
 			if daemon.Digest() != leader.Digest() {
-				t.Fatalf("after %v the daemon has another tree", edits)
+				t.Fatalf("after %v the daemon's tree differs from the leader's", edits)
 			}
 		}
 		if len(Plan(leader, daemon)) != 0 {
-			t.Fatalf("what holds differs: %v", Plan(leader, daemon))
+			t.Fatalf("effective values differ: %v", Plan(leader, daemon))
 		}
 	})
 }
 
+// An exported file must parse to the same values; a text such as 007 must not become a
+// number.
 func TestFileRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
@@ -184,12 +194,13 @@
 			t.Fatalf("%v in\n%s", err, tree.ExportFile())
 		}
 		if !sameValues(got, tree) {
-			t.Fatalf("left over: %v in\n%s", Diff(got, tree), tree.ExportFile())
+			t.Fatalf("remaining differences: %v in\n%s", Diff(got, tree), tree.ExportFile())
 		}
 	})
 }
 
-// A change alters nothing at nodes that are neither edited nor below an edited one.
+// A change must not affect nodes that are neither edited nor below an edited node, and
+// must reuse their effective values.
 func TestUntouchedNodesStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
@@ -202,22 +213,22 @@
 			is, okIs := next.Effective(path)
 			above := slices.ContainsFunc(edits, func(e Edit) bool { return reaches(path, e.Path) })
 			if !above && (okWas != okIs || was != is) {
-				t.Fatalf("%v touched %s", edits, path)
+				t.Fatalf("%v changed the effective values of %s", edits, path)
 			}
 			if okWas && okIs && was != is {
-				t.Fatalf("%v made %s anew", edits, path)
+				t.Fatalf("%v resolved %s again", edits, path)
 			}
 		}
 	})
 }
 
-// reaches reports whether an edit at path may alter what holds at other.
+// mayAffect reports whether an edit at path can change the effective values at other.
 func reaches(path, other string) bool {
 	path = trimPath(path)
 	return path == "" || path == other || strings.HasPrefix(other, path+"/")
 }
 
-// What holds at a node is what a plain walk up to the root finds.
+// The effective value at a node must equal the value found by walking up to the root.
 func TestInheritanceAgainstPlainWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
@@ -238,12 +249,13 @@
 				}
 			}
 			if !reflect.DeepEqual(*e, want) || tier != tree.Tier() {
-				t.Fatalf("at %s: %+v, and by a plain walk %+v", path, *e, want)
+				t.Fatalf("at %s: %+v, want %+v by walking up to the root", path, *e, want)
 			}
 		}
 	})
 }
 
+// textByWalk finds the effective value of s by walking from path up to the root.
 func plainWalk(tree *Tree, path string, s *Setting) string {
 	for at := path; ; {
 		segments, _ := splitPath(at)
@@ -258,7 +270,7 @@
 	}
 }
 
-// A refused change leaves the tree as it was, and its faults name the edits.
+// A rejected change must leave the tree unchanged and return faults.
 func TestRefusedChangeLeavesTheTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
@@ -269,16 +281,16 @@
 			return
 		}
 		if next != nil || err.Error() == "" {
-			t.Fatal("a refused change has a tree or no fault")
+			t.Fatal("a rejected change returned a tree or an empty error")
 		}
 		if !bytes.Equal(tree.Encode(), before) {
-			t.Fatal("a refused change altered the tree")
+			t.Fatal("a rejected change modified the tree")
 		}
 	})
 }
 
-// An editor remembers the node that it changed last. Edits made together, whatever their
-// order and paths, must leave the tree that they leave one by one.
+// The editor caches the node that it changed last. A stale cache would make a batch of
+// edits produce another tree than the same edits applied one at a time.
 func TestEditsTogetherAreEditsOneByOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
@@ -290,7 +302,7 @@
 			one = one.Replay(1000, []Edit{e})
 		}
 		if together := tree.Replay(1000, edits); together.Digest() != one.Digest() {
-			t.Fatalf("%v together differ by %v", edits, Diff(one, together))
+			t.Fatalf("batch %v differs by %v", edits, Diff(one, together))
 		}
 	})
 }
--- a/internal/settings/quarantine.go
+++ b/internal/settings/quarantine.go
@@ -1,7 +1,7 @@
 package settings
 
-// QuarantineSettings are what a node below QuarantinePath states of one request that
-// crashes the leaves that run it. Package quarantine gives them a meaning.
+// QuarantineSettings holds the record of one request that crashes the leaves that run
+// it, set at a node below QuarantinePath. Package quarantine interprets it.
 type QuarantineSettings struct {
 	Request  string
 	Ends     int
@@ -12,10 +12,10 @@
 	Seen     string // RFC 3339
 }
 
-// QuarantinePath is the node whose children are named by the fingerprints of requests.
+// QuarantinePath is the path of the node whose children are named by request fingerprints.
 const QuarantinePath = "quarantine"
 
-// The settings of a request in quarantine.
+// The names of the settings of a quarantined request.
 const (
 	NameQuarantineRequest  = "quarantine-request"
 	NameQuarantineEnds     = "quarantine-leaf-ends"
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -16,14 +16,14 @@
 	"limit": limit,
 }).Parse(referenceText))
 
-// contradiction is a refused combination as the reference page shows it.
+// conflict is a rejected combination of settings on the reference page.
 type contradiction struct {
 	Names []string
 	Why   string
 	Fix   string
 }
 
-// WriteReference writes the reference page of settings, made from the schema.
+// WriteReference writes the reference page of all settings, generated from the schema.
 func WriteReference(w io.Writer) error {
 	page := struct {
 		Settings       []Setting
@@ -37,7 +37,7 @@
 	return reference.Execute(w, page)
 }
 
-// where says at which nodes a setting may stand.
+// placement describes the nodes at which a setting may be set.
 func where(s Setting) string {
 	switch {
 	case s.RootOnly:
@@ -48,7 +48,7 @@
 	return "at a query service; it is not inherited"
 }
 
-// limit says what values a setting takes.
+// allowedValues describes the values that a setting accepts.
 func limit(s Setting) string {
 	switch {
 	case len(s.Choices) > 0:
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -10,9 +10,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var update = flag.Bool("update", false, "write the reference page of settings anew")
+var update = flag.Bool("update", false, "regenerate the reference page of settings")
 
-// TestReference holds the committed page to the schema.
+// TestReference checks that the committed reference page matches the schema.
 func TestReference(t *testing.T) {
 	page := filepath.Join("..", "..", "docs", "reference", "settings.md")
 	var want bytes.Buffer
@@ -29,13 +29,14 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want.Bytes()) {
-		t.Fatal("docs/reference/settings.md is not that of the schema; run go test ./internal/settings -run TestReference -update")
+		t.Fatal("docs/reference/settings.md does not match the schema; run go test ./internal/settings -run TestReference -update")
 	}
 }
 
-// TestSchema: each setting has what the page, the flags and the checks need.
+// TestSchemaIsComplete checks that each setting has the fields that the reference page,
+// the flags and the validation need.
 func TestSchema(t *testing.T) {
-	Convey("Each setting is whole", t, func() {
+	Convey("Each setting is complete", t, func() {
 		for _, s := range Schema() {
 			So(isSegment(s.Name), ShouldBeTrue)
 			So(s.Doc, ShouldEndWith, ".")
@@ -45,7 +46,7 @@
 			So(s.defaultText(), ShouldEqual, s.Default)
 		}
 	})
-	Convey("The defaults contradict nothing", t, func() {
+	Convey("The defaults violate no conflict rule", t, func() {
 		for _, r := range rules {
 			So(r.broken(&current.def, current.defTier), ShouldBeFalse)
 			for _, name := range r.names {
@@ -56,11 +57,11 @@
 	})
 }
 
-// An operator has left a setting to its default. A new release has another one:
-// while daemons are updated one by one, each goes by its own. Of leaf-slots, say,
-// the shares of old and new daemons sum to more than the leaf has, and afterwards
-// a value has changed that nobody changed. A default is therefore never altered;
-// a setting that needs another one gets a new name, and the old one goes.
+// If a release changed a default, daemons of the old and the new release would use
+// different values during a rolling upgrade: with leaf-slots, their shares could sum to
+// more slots than the leaf has. After the upgrade the value would have changed without an
+// operator's action. A default therefore never changes; a setting that needs another
+// default gets a new name, and the old setting is removed.
 func TestDefaultsNeverChange(t *testing.T) {
 	released := map[string]string{
 		"leaves": "", "drained": "", "leaf-slots": "2", "leaf-connections": "30", "connect-cost": "6ms",
--- a/internal/settings/resolve.go
+++ b/internal/settings/resolve.go
@@ -2,17 +2,19 @@
 
 import "slices"
 
-// resolved is a node with what holds there. It is made once, with the tree, and
-// shared with later trees as long as nothing that it inherits has changed.
+// resolvedNode is a node with its effective values. It is created with the tree and
+// shared with later trees for as long as neither the node nor its inherited values
+// change.
 type resolved struct {
 	decl     *node
 	eff      *Effective
-	children []*resolved // as decl.children
-	services []string    // paths of the query services at and below, sorted
+	children []*resolved // parallel to node.children
+	services []string    // sorted paths of the query services at and below this node
 }
 
-// resolve returns what holds at n and below it, given what holds at its parent.
-// It takes from old, the same path in an older tree, what is the same in both.
+// resolve resolves n and its descendants, given the effective values of the parent. old
+// is the resolved node at the same path in the previous tree, or nil; unchanged parts
+// of it are reused.
 func (sc *schema) resolve(n *node, path string, parent *Effective, old *resolved, oldParent *Effective) *resolved {
 	inherits := old != nil && parent == oldParent
 	if inherits && old.decl == n {
@@ -37,7 +39,8 @@
 	return r
 }
 
-// effective lays what n states over what holds at its parent.
+// resolveEffective returns the effective values of n: those of its parent, overridden by
+// the values that n sets. Settings that are not inherited start from their defaults.
 func (sc *schema) effective(n *node, path string, parent *Effective) *Effective {
 	e := *parent
 	e.Path, e.Leaves, e.Drained = showPath(path), nil, nil
@@ -55,7 +58,8 @@
 	return &e
 }
 
-// tier returns what the root states, over the defaults.
+// resolveTier returns the tier settings: the defaults, overridden by the values set at
+// the root.
 func (sc *schema) tier(root *node) Tier {
 	t := sc.defTier
 	for i := range root.stated {
@@ -67,6 +71,8 @@
 	return t
 }
 
+// collectServices fills r.services. It reuses the slice of old if no query service was
+// added or removed, so that successive trees share it.
 func (r *resolved) listServices(old *resolved) {
 	if old != nil && r.sameServices(old) {
 		r.services = old.services
@@ -88,7 +94,8 @@
 
 func (r *resolved) isService() bool { return len(r.eff.Leaves) > 0 }
 
-// sameServices compares the lists of the children by identity.
+// childServicesUnchanged reports whether r and old are both query services or both not,
+// and their children share the same service slices.
 func (r *resolved) sameServices(old *resolved) bool {
 	if r.isService() != old.isService() || len(r.children) != len(old.children) {
 		return false
@@ -101,12 +108,13 @@
 	return true
 }
 
-// sameSlice compares by identity and not by content.
+// identicalSlices reports whether a and b share their memory and have the same length.
 func sameSlice[T any](a, b []T) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// cursor finds the children of a node by name, asked for in sorted order.
+// childCursor looks up children of a node by name. Successive lookups must be in sorted
+// order, so that all of them together take one pass over the children.
 type cursor struct{ rest []*resolved }
 
 func (r *resolved) cursor() cursor {
@@ -136,6 +144,7 @@
 	return nil
 }
 
+// effective returns the effective values of r, or nil if r is nil.
 func (r *resolved) effective() *Effective {
 	if r == nil {
 		return nil
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -5,21 +5,22 @@
 	"strings"
 )
 
-// EnvPrefix starts the environment variable of each setting's flag.
+// EnvPrefix is the prefix of the environment variables that correspond to the settings'
+// flags.
 const EnvPrefix = "PEARMOOR_"
 
-// Setting describes one setting: the source of flags, environment variables,
-// validation and the reference page.
+// Setting describes one setting. Flags, environment variables, validation and the
+// reference page are derived from it.
 type Setting struct {
 	Name     string
 	Kind     Kind
-	Unit     string // how a value is written
-	Min, Max string // inclusive; "" when the kind has no order
-	Default  string // "" when nothing holds unless stated
+	Unit     string // unit or form of a value, as the reference page shows it
+	Min, Max string // inclusive bounds; "" if the kind is not ordered
+	Default  string // "" if the setting has no default
 	Choices  []string
 	Doc      string
-	Inherits bool // nodes below take the value unless they state their own
-	RootOnly bool // only the root may state it
+	Inherits bool // descendants use the value unless they set their own
+	RootOnly bool // may be set only at the root
 
 	min, max, def *value
 	bind          func(e *Effective, t *Tier, v *value)
@@ -33,11 +34,11 @@
 // Schema returns every setting, in the order of the reference page.
 func Schema() []Setting { return slices.Clone(current.settings) }
 
-// Lookup returns the setting of that name.
+// Lookup returns the setting with the given name.
 func Lookup(name string) (*Setting, bool) { return current.lookup(name) }
 
-// schema is a set of settings. There is one, current, but for tests of what
-// happens to a tree when a later release has fewer.
+// schema is a set of settings. Outside tests there is one, currentSchema. Tests create
+// others to check trees written by a release with more settings.
 type schema struct {
 	settings []Setting
 	index    map[string]int
@@ -47,8 +48,8 @@
 
 var current = newSchema(table())
 
-// newSchema reads the limits and defaults of settings. They are constants of the
-// program, so a bad one is a fault of the build and panics at its first start.
+// newSchema parses the bounds and defaults of settings. They are constants of the
+// program, so an invalid one is a programming error and panics at startup.
 func newSchema(settings []Setting) *schema {
 	sc := &schema{settings: settings, index: make(map[string]int, len(settings))}
 	for i := range settings {
@@ -63,6 +64,8 @@
 	return sc
 }
 
+// mustParse parses a bound or default of s and panics if it is invalid. It returns nil
+// for an empty text.
 func (s *Setting) constant(text string) *value {
 	if text == "" {
 		return nil
--- a/internal/settings/shared.go
+++ b/internal/settings/shared.go
@@ -2,11 +2,12 @@
 
 import "pearmoor/internal/contract"
 
-// sharedLeaves refuses a name or an address that two query services declare.
-// Each would use all slots of that target, which would run twice what it can.
+// checkSharedLeaves rejects a leaf name or address that two query services declare. Each
+// service would use all slots of the target, which would then run twice as many requests
+// as it can.
 //
-// Only the services whose leaves changed go into the index; all others are looked
-// up in it, which needs no memory for them.
+// The index contains only the services whose leaves changed, to save memory; the leaves
+// of all services are looked up in it.
 func sharedLeaves(t *Tree, moved []*Effective) contract.Faults {
 	if len(moved) == 0 {
 		return nil
@@ -21,7 +22,8 @@
 	return ix.faults
 }
 
-// leafIndex finds the query service that declares a name or an address.
+// leafIndex maps leaf names and addresses to the changed query service that declares
+// them, and collects faults.
 type leafIndex struct {
 	names, addrs map[string]*Effective
 	faults       contract.Faults
@@ -42,8 +44,9 @@
 	return ix
 }
 
-// meet reports a leaf of e whose name or address a moved service declares too.
-// Two moved services that clash are reported once: the index names the later one.
+// checkLeaf reports a leaf of e whose name or address a changed service also declares. A
+// conflict between two changed services is reported once, because the index contains
+// only the later one.
 func (ix *leafIndex) meet(e *Effective, l *Leaf) {
 	if moved, ok := ix.addrs[l.Addr]; ok && moved != e {
 		ix.fault(moved, e, "address", l.Addr)
--- a/internal/settings/size_test.go
+++ b/internal/settings/size_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// sizedEdits declares services of one desk with as many leaves each.
+// leafListEdits returns edits that declare the given number of query services with the
+// given number of leaves each.
 func sizedEdits(services, leaves int) []Edit {
 	edits := make([]Edit, 0, services+1)
 	edits = append(edits, Edit{Path: "region", Name: "priority", Value: "urgent"})
@@ -22,10 +23,11 @@
 	return edits
 }
 
-// shapes are two ways to hold 23,000 leaves, and smaller trees for the slope.
+// treeShapes are two trees with 23,000 leaves, and smaller ones that show how the cost
+// grows with the size.
 var shapes = []struct{ services, leaves int }{{6, 470}, {12, 470}, {24, 470}, {49, 470}, {11500, 2}}
 
-// eachShape runs a benchmark on a tree of each shape.
+// benchmarkShapes runs a benchmark on a tree of each shape.
 func eachShape(b *testing.B, run func(b *testing.B, t *Tree)) {
 	for _, sh := range shapes {
 		b.Run(fmt.Sprintf("services=%d/leaves=%d", sh.services, sh.services*sh.leaves), func(b *testing.B) {
@@ -55,8 +57,8 @@
 	})
 }
 
-// BenchmarkApplyLeaves replaces the leaf list of one service, which looks for its
-// names and addresses in the whole tree.
+// BenchmarkApplyLeafList replaces the leaf list of one service. Apply checks the names and
+// addresses against all leaves of the tree.
 func BenchmarkApplyLeaves(b *testing.B) {
 	eachShape(b, func(b *testing.B, t *Tree) {
 		e, _ := t.Effective("region/desk/service-00001")
@@ -81,7 +83,7 @@
 	eachShape(b, func(b *testing.B, t *Tree) {
 		for range b.N {
 			if _, ok := t.Effective("region/desk/service-00003"); !ok {
-				b.Fatal("the service is gone")
+				b.Fatal("the service does not exist")
 			}
 		}
 	})
@@ -91,7 +93,7 @@
 	eachShape(b, func(b *testing.B, t *Tree) {
 		for range b.N {
 			if len(t.Services("region/desk")) == 0 {
-				b.Fatal("the services are gone")
+				b.Fatal("the services do not exist")
 			}
 		}
 	})
@@ -149,13 +151,13 @@
 		b.ResetTimer()
 		for range b.N {
 			if len(Diff(t, next)) != 1 {
-				b.Fatal("the difference is one edit")
+				b.Fatal("the difference is not exactly one edit")
 			}
 		}
 	})
 }
 
-// BenchmarkResident reports the memory that a tree read from its bytes holds.
+// BenchmarkTreeMemory reports the heap memory of a decoded tree.
 func BenchmarkResident(b *testing.B) {
 	eachShape(b, func(b *testing.B, t *Tree) {
 		text := t.Encode()
--- a/internal/settings/table.go
+++ b/internal/settings/table.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The names that the code itself refers to.
+// The names of settings that the code refers to.
 const (
 	nameLeaves          = "leaves"
 	nameDrained         = "drained"
@@ -18,7 +18,7 @@
 	nameResendWindow    = "resend-window"
 )
 
-// table lists the settings; the order is that of the reference page.
+// allSettings returns all settings in the order of the reference page.
 func table() []Setting {
 	return slices.Concat(leafSettings(), querySettings(), loadSettings(), tierSettings(),
 		routeSettings(), serviceSettings(), callerSettings(), releaseSettings(), quarantineSettings())
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -7,7 +7,7 @@
 	"pearmoor/internal/contract"
 )
 
-// Tree is an immutable tree of settings; any number of goroutines may read it.
+// Tree is an immutable tree of settings. It is safe for concurrent use.
 type Tree struct {
 	schema *schema
 	root   *node
@@ -15,7 +15,7 @@
 	tier   Tier
 }
 
-// New returns the tree in which nothing is stated.
+// New returns an empty tree, in which all settings have their defaults.
 func New() *Tree { return newTree(current, &node{}, nil) }
 
 func newTree(sc *schema, root *node, old *Tree) *Tree {
@@ -29,10 +29,10 @@
 	return t
 }
 
-// Apply returns the tree after edits, which are made in their order, all or
-// none. Each value changed is marked with version, that of the change. The error
-// is contract.Faults and lists every fault of the edits and of the tree they
-// would make; t itself never changes.
+// Apply returns the tree after edits, which are applied in order and atomically. Each
+// changed value records version, the version of the change. The error is a
+// contract.Faults that lists every fault of the edits, or else every fault of the tree
+// that they would produce. t is not modified.
 func (t *Tree) Apply(version uint64, edits []Edit) (*Tree, error) {
 	next, faults := t.edit(version, edits, false)
 	if len(faults) > 0 {
@@ -44,12 +44,12 @@
 	return next, nil
 }
 
-// Replay returns the tree after edits that were accepted before, maybe by a
-// release with another schema. It refuses nothing and states each value as it is
-// written, so edits should be Canonical. A setting or value that this release
-// does not know is kept, has no effect, and is reported by Explain. Were it
-// refused or rewritten, two releases that run side by side would come to hold
-// different trees, and a restarted control VM could not read its own log.
+// Replay returns the tree after edits that were already accepted, possibly by a release
+// with another schema. It does not validate them and stores each value as written, so
+// edits should be in the form that Canonical returns. A setting or value that this
+// release does not know is kept without effect and is reported by Explain. If Replay
+// rejected or rewrote it, two releases running side by side would end up with different
+// trees, and a restarted control VM could not read its own log.
 func (t *Tree) Replay(version uint64, edits []Edit) *Tree {
 	next, _ := t.edit(version, edits, true)
 	return next
@@ -69,8 +69,8 @@
 	return newTree(t.schema, ed.root, t), nil
 }
 
-// Canonical returns edits with each value in its canonical form, as Apply
-// states it; a value that can't be read is left as it is.
+// Canonical returns edits with displayed paths and with each value in the canonical form
+// that Apply stores. A value that cannot be parsed is left unchanged.
 func Canonical(edits []Edit) []Edit {
 	out := make([]Edit, len(edits))
 	for i, e := range edits {
@@ -85,13 +85,13 @@
 	return out
 }
 
-// Digest returns a hash over all that is stated, with the versions that stated
-// it. Equal trees have equal digests on every machine. It finds accidents and
-// does not withstand forgery.
+// Digest returns a hash of all values set in the tree and the versions that set them.
+// Equal trees have equal digests on every machine. The hash detects accidental
+// differences; it is not cryptographic.
 func (t *Tree) Digest() uint64 { return t.root.digest }
 
-// SameBut reports whether the trees state the same but for the node of that name below
-// the root.
+// EqualExcept reports whether t and o are equal, ignoring the child of the root with the
+// given name and the versions of the values set at the root.
 func (t *Tree) SameBut(o *Tree, name string) bool {
 	if !slices.EqualFunc(t.root.stated, o.root.stated, func(a, b stated) bool { return a.name == b.name && a.text == b.text }) {
 		return false
@@ -108,11 +108,11 @@
 	return slices.Equal(others(t.root), others(o.root))
 }
 
-// Tier returns the settings that only the root may state.
+// Tier returns the settings that may be set only at the root.
 func (t *Tree) Tier() Tier { return t.tier }
 
-// Effective returns what holds at a path, and false when there is no such node.
-// The caller must not change it.
+// Effective returns the effective values at a path, and false if there is no such node.
+// The caller must not modify them.
 func (t *Tree) Effective(path string) (*Effective, bool) {
 	r := t.lookup(path)
 	if r == nil {
@@ -121,8 +121,8 @@
 	return r.eff, true
 }
 
-// Services returns the paths of the query services at or below path, sorted; ""
-// or "/" means all. The caller must not change the slice.
+// Services returns the sorted paths of the query services at or below path; "" or "/"
+// means all. The caller must not modify the slice.
 func (t *Tree) Services(path string) []string {
 	r := t.lookup(path)
 	if r == nil {
@@ -144,7 +144,7 @@
 	return r
 }
 
-// Children returns the names of the nodes right below a path, sorted.
+// Children returns the sorted names of the direct children of the node at path.
 func (t *Tree) Children(path string) []string {
 	r := t.lookup(path)
 	if r == nil {
@@ -157,7 +157,7 @@
 	return out
 }
 
-// Stated returns the values stated at a path itself, by the settings' names.
+// ExplicitValues returns the texts of the values set at the node itself, by setting name.
 func (t *Tree) Stated(path string) map[string]string {
 	r := t.lookup(path)
 	if r == nil {
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -8,7 +8,8 @@
 	"pearmoor/internal/contract"
 )
 
-// shop returns a tree of one region with two desks, three query services.
+// exampleTree returns a tree with one region, two groups of services and three query
+// services.
 func shop(t testing.TB) *Tree {
 	t.Helper()
 	return mustApply(t, New(), 1,
@@ -30,7 +31,7 @@
 	return next
 }
 
-// faultsOf returns the faults that edits meet.
+// applyFaults returns the faults of applying edits.
 func faultsOf(t testing.TB, from *Tree, edits ...Edit) contract.Faults {
 	t.Helper()
 	_, err := from.Apply(99, edits)
@@ -39,11 +40,12 @@
 	}
 	faults, ok := err.(contract.Faults)
 	if !ok {
-		t.Fatalf("the error is a %T", err)
+		t.Fatalf("the error has type %T, want contract.Faults", err)
 	}
 	return faults
 }
 
+// faultFields returns the Field of each fault.
 func fields(faults contract.Faults) []string {
 	out := make([]string, len(faults))
 	for i, f := range faults {
@@ -53,19 +55,19 @@
 }
 
 func TestInheritance(t *testing.T) {
-	Convey("Given a tree of two desks", t, func() {
+	Convey("Given a tree with two groups of services", t, func() {
 		tree := shop(t)
 		s1, ok := tree.Effective("gj-west/storefront/s1")
 		So(ok, ShouldBeTrue)
 
-		Convey("a service takes what the nearest node above it states, and the defaults", func() {
+		Convey("a service inherits from the nearest ancestor that sets a value, or has the default", func() {
 			So(s1.Priority, ShouldEqual, Urgent)
 			So(s1.Goal, ShouldEqual, Tail)
 			So(s1.DeadlineDefault.String(), ShouldEqual, "220ms")
 			So(s1.LeafSlots, ShouldEqual, 2)
 			So(FormatLeaves(s1.Leaves), ShouldEqual, "s1-a=10.0.0.1:80@anand-hall,s1-b=10.0.0.2:80@kheda-rack")
 		})
-		Convey("the sibling desk doesn't", func() {
+		Convey("a sibling node does not inherit the value", func() {
 			ledger, _ := tree.Effective("gj-west/ledger-desk")
 			So(ledger.Priority, ShouldEqual, Ordinary)
 		})
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -16,12 +16,12 @@
 
 // The kinds.
 const (
-	Count    Kind = iota // a whole number
-	Ratio                // a number such as 0.03
-	Duration             // a number with ns, us, ms, s, m or h
-	Bytes                // a number with B, KiB, MiB or GiB
+	Count    Kind = iota // a whole number without a unit
+	Ratio                // a decimal number such as 0.03
+	Duration             // a number with unit ns, us, ms, s, m or h
+	Bytes                // a number with unit B, KiB, MiB or GiB
 	Bool                 // true or false
-	Choice               // one of a few words
+	Choice               // one of the setting's Choices
 	LeafList             // name=ip:port@domain, separated by commas
 	NameList             // names, separated by commas
 	Text                 // any text of one line
@@ -29,18 +29,20 @@
 
 var kindNames = [...]string{"count", "ratio", "duration", "bytes", "bool", "choice", "leaf list", "name list", "text"}
 
-// String returns the name used in the reference page.
+// String returns the name of the kind on the reference page.
 func (k Kind) String() string { return kindNames[k] }
 
-// maxNumberText bounds the text of a number, so that no unit can overflow int64.
+// maxNumberLen limits the length in bytes of a number with its unit, to prevent an
+// overflow of int64.
 const maxNumberText = 24
 
-// maxText bounds a text, in bytes: the longest is the list of a route's shards.
+// maxTextLen limits the length of a text in bytes. The longest text is the list of a
+// route's shards.
 const maxText = 256 << 10
 
-// value is a parsed value; which field holds it depends on the kind.
+// value is a parsed value. The kind of the setting determines which field is used.
 type value struct {
-	text   string // canonical
+	text   string // canonical form
 	num    int64  // count, nanoseconds, bytes, 0 or 1, index of the choice
 	ratio  float64
 	leaves []Leaf
@@ -49,8 +51,8 @@
 
 func (v *value) duration() time.Duration { return time.Duration(v.num) }
 
-// parse reads text as a value of s and brings it into canonical form, so that
-// two ways to write one value are one value.
+// parse parses text as a value of s and normalizes it, so that different spellings of a
+// value yield the same text.
 func (s *Setting) parse(text string) (*value, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -165,7 +167,8 @@
 	return &value{text: formatDuration(d), num: int64(d)}, nil
 }
 
-// formatDuration writes 2m for what time.Duration writes as 2m0s.
+// formatDuration formats d like time.Duration.String, without trailing zero units: 2m
+// instead of 2m0s.
 func formatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
@@ -188,7 +191,7 @@
 	return &value{text: formatBytes(n), num: n}, nil
 }
 
-// formatBytes writes n in the greatest unit that divides it.
+// formatBytes formats n in the largest unit that divides it.
 func formatBytes(n int64) string {
 	for _, u := range []struct {
 		size units.Base2Bytes
--- a/internal/vm/sleep.go
+++ b/internal/vm/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sleep waits for d and reports true, or false when ctx ends first. A d that is
-// not positive doesn't wait.
+// Sleep waits for d and returns true, or returns false if ctx is done first. If d is not
+// positive, it does not wait and returns whether ctx is not yet done.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/vm/vm.go
+++ b/internal/vm/vm.go
@@ -1,6 +1,6 @@
-// Package vm describes the VMs that run pearmoor daemons: identity and
-// incarnation, lifecycle phase, the agreed membership, and a clock that counts
-// pauses.
+// Package vm describes the VMs that run pearmoor daemons: their identity, incarnation and
+// lifecycle phase, the agreed membership, and a clock that includes the time during which
+// a VM is suspended.
 package vm
 
 import (
@@ -8,27 +8,27 @@
 	"strings"
 )
 
-// Phase is where a daemon is in its life.
+// Phase is the lifecycle phase of a daemon.
 type Phase uint8
 
-// The phases, in order.
+// The phases, in lifecycle order.
 const (
-	Starting Phase = iota // known, holds no share, not listed to callers
+	Starting Phase = iota // a member without a share of any leaf, not listed to callers
 	Serving
-	Draining // not listed to callers; still serves those who hold its address
+	Draining // not listed to callers, but still serves callers that have cached its address
 	Gone
 )
 
-// Identity names one run of a daemon. Incarnation grows with every start of the
-// daemon on the same VM, so two runs are never mistaken for each other.
+// Identity identifies one run of a daemon. Incarnation increases with every start of the
+// daemon on the same VM, which distinguishes the runs.
 type Identity struct {
 	Name        string
 	Incarnation uint64
 	Domain      string // failure domain
 	Region      string
-	PeerAddr    string // host:port for other daemons (drpc)
+	PeerAddr    string // host:port at which other daemons connect (drpc)
 	CallerAddr  string // base URL for callers
-	Millicores  uint32 // processor that the VM has, in thousandths of a core; 0: not stated
+	Millicores  uint32 // CPU capacity of the VM in thousandths of a core; 0: unknown
 }
 
 // Member is a daemon in the agreed membership.
@@ -37,13 +37,13 @@
 	Phase Phase
 }
 
-// Membership is one agreed epoch of the daemon list, sorted by name.
+// Membership is the agreed list of daemons at one epoch, sorted by name.
 type Membership struct {
 	Epoch   uint64
 	Members []Member
 }
 
-// Find returns the member of that name.
+// Find returns the member with the given name.
 func (m *Membership) Find(name string) (Member, bool) {
 	i, ok := slices.BinarySearchFunc(m.Members, name, func(member Member, name string) int {
 		return strings.Compare(member.Name, name)
--- a/internal/vm/wire.go
+++ b/internal/vm/wire.go
@@ -10,10 +10,11 @@
 	"pearmoor/internal/link/wire"
 )
 
-// ErrEpoch is returned by Apply when a delta does not start from the given membership.
+// ErrEpochMismatch is returned by ApplyDelta if the delta does not start from the epoch
+// of the given membership.
 var ErrEpoch = errors.New("vm: membership delta starts from another epoch")
 
-// ToWire converts a member to its message.
+// MemberToWire converts a member to its protobuf message.
 func ToWire(m Member) *wire.Vm {
 	return &wire.Vm{
 		Name:        m.Name,
@@ -27,8 +28,8 @@
 	}
 }
 
-// FromWire converts a message to a member. An unknown phase counts as Gone, the
-// phase that gives no rights.
+// MemberFromWire converts a protobuf message to a member. An unknown phase becomes Gone,
+// the phase without any rights.
 func FromWire(w *wire.Vm) Member {
 	phase := Gone
 	if w.GetPhase() < uint32(Gone) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// MembershipToWire converts a whole membership; nil stays nil.
+// MembershipToWire converts a membership to its protobuf message; nil stays nil.
 func MembershipToWire(m *Membership) *wire.Membership {
 	if m == nil {
 		return nil
@@ -60,7 +61,8 @@
 	return w
 }
 
-// MembershipFromWire converts a whole membership; nil stays nil.
+// MembershipFromWire converts a protobuf message to a membership sorted by name; nil stays
+// nil.
 func MembershipFromWire(w *wire.Membership) *Membership {
 	if w == nil {
 		return nil
@@ -73,8 +75,8 @@
 	return m
 }
 
-// Delta returns the message that turns from into to. A nil from is the empty
-// membership of epoch 0.
+// MembershipDelta returns the delta message that turns from into to. A nil from is the
+// empty membership of epoch 0.
 func Delta(from, to *Membership) *wire.MembershipDelta {
 	d := &wire.MembershipDelta{ToEpoch: to.Epoch}
 	var old []Member
@@ -101,9 +103,9 @@
 	return d
 }
 
-// Apply returns the membership that d makes of from, which stays unchanged. A
-// nil from is the empty membership of epoch 0; a delta with FromEpoch 0 applies
-// to any from, as it states the whole list.
+// ApplyDelta returns the membership that results from applying d to from, which is not
+// modified. A nil from is the empty membership of epoch 0. A delta with FromEpoch 0
+// contains the whole list and applies to any membership.
 func Apply(from *Membership, d *wire.MembershipDelta) (*Membership, error) {
 	var old []Member
 	if d.GetFromEpoch() != 0 {
@@ -134,8 +136,8 @@
 	return to, nil
 }
 
-// Digest identifies the member with every field that a heartbeat states, so that
-// an unchanged heartbeat can be sent as this one number.
+// Digest returns a hash of all fields that a heartbeat contains, so that an unchanged
+// heartbeat can be sent as the hash alone.
 func (m Member) Digest() uint64 {
 	h := xxhash.New()
 	for _, s := range [...]string{m.Name, m.Domain, m.Region, m.PeerAddr, m.CallerAddr} {
@@ -150,7 +152,7 @@
 	return h.Sum64()
 }
 
-// Same reports whether two identities are one run of one daemon.
+// SameIncarnation reports whether two identities denote the same run of the same daemon.
 func (id Identity) Same(o Identity) bool {
 	return id.Name == o.Name && id.Incarnation == o.Incarnation
 }
--- a/internal/vm/wire_test.go
+++ b/internal/vm/wire_test.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/link/wire"
 )
 
-// TestMain gives rapid a fixed seed, so that every run has the same verdict.
+// TestMain fixes the seed of rapid, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "6", "rapid.checks": "500", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -37,9 +37,9 @@
 	return m
 }
 
-// A daemon that is told only what changed must end with the same list as one told
-// everything: shares are worked out from it, and two lists under one epoch would
-// hand a leaf's slots out twice. A delta from another epoch is refused.
+// A daemon that receives deltas must have the same list as one that receives the whole
+// list. Shares are computed from it, so two different lists at one epoch would allocate
+// a leaf's slots twice. A delta from another epoch must be rejected.
 func TestDeltaLeadsToSameMembership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawMembership(t, 4), drawMembership(t, 5)
@@ -49,7 +49,7 @@
 		}
 		whole, err := Apply(from, overWire(t, Delta(nil, to)))
 		if err != nil || !reflect.DeepEqual(whole, to) {
-			t.Fatalf("whole: got %+v (%v), want %+v", whole, err, to)
+			t.Fatalf("full delta: got %+v (%v), want %+v", whole, err, to)
 		}
 		if _, err := Apply(to, Delta(from, to)); err == nil {
 			t.Fatal("a delta from epoch 4 was applied to epoch 5")
@@ -57,7 +57,7 @@
 	})
 }
 
-// overWire encodes and decodes a delta.
+// roundTrip encodes and decodes a delta.
 func overWire(t *rapid.T, d *wire.MembershipDelta) *wire.MembershipDelta {
 	body, err := proto.Marshal(d)
 	if err != nil {
@@ -70,7 +70,8 @@
 	return out
 }
 
-// The wall clock of a restarted VM may stand behind the one of its last run.
+// The wall clock of a restarted VM may be behind that of its previous run. The new
+// incarnation must still exceed the previous one.
 func TestNewIncarnationExceedsKnown(t *testing.T) {
 	const known = 1 << 63
 	if got := NewIncarnation(known); got != known+1 {
