--- a/internal/domain/bench_test.go
+++ b/internal/domain/bench_test.go
@@ -11,28 +11,28 @@
 // BenchmarkHomesOfAllServices measures the time to choose the homes of all services. It
 // also reports how evenly leaves are distributed: the mean, maximum, 99th percentile and
 // minimum number of leaves per daemon.
-func BenchmarkSpread(b *testing.B) {
+func BenchmarkHomesOfAllServices(b *testing.B) {
 	for _, size := range []struct{ daemons, domains, services, leaves int }{
 		{12, 3, 52, 2},
 		{3600, 17, 49, 470},
 	} {
 		b.Run(fmt.Sprintf("daemons=%d/services=%d/leaves=%d", size.daemons, size.services, size.leaves), func(b *testing.B) {
-			m := membership(size.daemons, size.domains)
+			m := newMembership(size.daemons, size.domains)
 			leaves := make([]settings.Leaf, size.leaves)
-			held := make(map[string]int)
+			leavesPerDaemon := make(map[string]int)
 			for b.Loop() {
-				clear(held)
+				clear(leavesPerDaemon)
 				for s := range size.services {
 					for _, g := range Groups(fmt.Sprintf("/desk/s%d", s), leaves, m) {
 						for _, h := range Homes(m, g.Key, 2) {
-							held[h.Name] += g.Leaves
+							leavesPerDaemon[h.Name] += g.Leaves
 						}
 					}
 				}
 			}
 			var counts []int
 			for _, member := range m.Members {
-				counts = append(counts, held[member.Name])
+				counts = append(counts, leavesPerDaemon[member.Name])
 			}
 			slices.Sort(counts)
 			mean := 2 * float64(size.services*size.leaves) / float64(size.daemons)
--- a/internal/domain/change.go
+++ b/internal/domain/change.go
@@ -39,18 +39,18 @@
 		return false
 	}
 	seed := xxhash.Sum64String(key)
-	lowest := uint64(math.MaxUint64)
-	used := make(map[string]bool, n)
+	lowestScore := uint64(math.MaxUint64)
+	seenDomains := make(map[string]bool, n)
 	for i := range homes {
 		h := &homes[i]
-		if used[h.Domain] || (region != "" && h.Region != region) {
+		if seenDomains[h.Domain] || (region != "" && h.Region != region) {
 			return false
 		}
-		used[h.Domain] = true
-		lowest = min(lowest, score(seed, h.Name))
+		seenDomains[h.Domain] = true
+		lowestScore = min(lowestScore, score(seed, h.Name))
 	}
 	for i := range changes {
-		if changes[i].moves(homes, seed, lowest) {
+		if changes[i].mayChangeHomes(homes, seed, lowestScore) {
 			return false
 		}
 	}
@@ -59,11 +59,11 @@
 
 // mayChangeHomes reports whether c affects one of the homes or adds a Serving member whose
 // score reaches that of the lowest-ranked home.
-func (c *Change) moves(homes []vm.Member, seed, lowest uint64) bool {
+func (c *Change) mayChangeHomes(homes []vm.Member, seed, lowestScore uint64) bool {
 	for i := range homes {
 		if homes[i].Name == c.Name {
 			return true
 		}
 	}
-	return c.After.Phase == vm.Serving && score(seed, c.Name) >= lowest
+	return c.After.Phase == vm.Serving && score(seed, c.Name) >= lowestScore
 }
--- a/internal/domain/group.go
+++ b/internal/domain/group.go
@@ -26,7 +26,7 @@
 // names mostly stay in one group, and a leaf added at the end does not change other groups.
 func Groups(service string, leaves []settings.Leaf, m *vm.Membership) []Group {
 	n := max(1, len(leaves)/GroupSize)
-	regions := regionsOf(m)
+	regions := regionsByDomain(m)
 	groups := make([]Group, n)
 	for k := range groups {
 		g := Group{Key: service, First: k * GroupSize, Leaves: GroupSize}
@@ -36,7 +36,7 @@
 		if k == n-1 {
 			g.Leaves = len(leaves) - g.First
 		}
-		g.Region = mostCommon(leaves[g.First:g.First+g.Leaves], regions)
+		g.Region = majorityRegion(leaves[g.First:g.First+g.Leaves], regions)
 		groups[k] = g
 	}
 	return groups
@@ -44,12 +44,12 @@
 
 // GroupIndex returns the index of the group that contains the leaf at leafIndex, in a
 // service with the given number of leaves.
-func GroupIndex(leaves, leafIndex int) int {
-	return min(leafIndex/GroupSize, max(1, leaves/GroupSize)-1)
+func GroupIndex(leafCount, leafIndex int) int {
+	return min(leafIndex/GroupSize, max(1, leafCount/GroupSize)-1)
 }
 
 // regionsByDomain returns the region of each failure domain, as reported by its members.
-func regionsOf(m *vm.Membership) map[string]string {
+func regionsByDomain(m *vm.Membership) map[string]string {
 	regions := make(map[string]string)
 	if m == nil {
 		return regions
@@ -62,7 +62,7 @@
 
 // majorityRegion returns the region with the most leaves; of several, the one that reaches
 // the number first. Leaves in failure domains without members are not counted.
-func mostCommon(leaves []settings.Leaf, regions map[string]string) string {
+func majorityRegion(leaves []settings.Leaf, regions map[string]string) string {
 	count := make(map[string]int)
 	best := ""
 	for _, l := range leaves {
--- a/internal/domain/share.go
+++ b/internal/domain/share.go
@@ -4,14 +4,14 @@
 // homeIndex, out of the given number of homes. The shares of all homes sum to exactly
 // total. leafIndex determines which homes receive the remainder, so that over many leaves
 // no home is favoured; it may be any number that is constant while the leaf is declared.
-func Share(total, homes, homeIndex, leafIndex int) int {
-	if total <= 0 || homeIndex < 0 || homeIndex >= homes || leafIndex < 0 {
+func Share(total, homeCount, homeIndex, leafIndex int) int {
+	if total <= 0 || homeIndex < 0 || homeIndex >= homeCount || leafIndex < 0 {
 		return 0
 	}
-	part, rest := total/homes, total%homes
+	share, remainder := total/homeCount, total%homeCount
 	// The remainder goes to consecutive homes, starting at home leafIndex modulo homes.
-	if (homeIndex+homes-leafIndex%homes)%homes < rest {
-		part++
+	if (homeIndex+homeCount-leafIndex%homeCount)%homeCount < remainder {
+		share++
 	}
-	return part
+	return share
 }
--- a/internal/settings/advice.go
+++ b/internal/settings/advice.go
@@ -8,10 +8,10 @@
 
 // suggestName returns the fix for an unknown setting name: the known name with the
 // smallest edit distance, or a pointer to the reference page when none is close.
-func (sc *schema) suggest(name string) string {
-	const furthest = 4 // edits; a name further away is not treated as a misspelling
-	best, distance := "", furthest+1
-	if len(name) <= maxNumberText {
+func (sc *schema) suggestName(name string) string {
+	const maxDistance = 4 // edits; a name further away is not treated as a misspelling
+	best, distance := "", maxDistance+1
+	if len(name) <= maxNumberLen {
 		for i := range sc.settings {
 			s := sc.settings[i].Name
 			if d := levenshtein.ComputeDistance(strings.ToLower(name), s); d < distance {
@@ -26,12 +26,12 @@
 }
 
 // valueHint returns the fix for a rejected value: how a value of the setting is written.
-func (s *Setting) fix() string {
+func (s *Setting) valueHint() string {
 	switch s.Kind {
 	case Choice:
 		return "write " + strings.Join(s.Choices, " or ")
 	case LeafList:
-		return leafForm
+		return leafListHint
 	case NameList:
 		return "write names separated by commas"
 	case Bool:
@@ -43,7 +43,7 @@
 // checkPlacement returns why the setting may not be set at the root, or at a node
 // below the root, and how to correct it. It returns empty strings if the placement
 // is valid.
-func (s *Setting) misplaced(atRoot bool) (why, fix string) {
+func (s *Setting) checkPlacement(atRoot bool) (why, fix string) {
 	switch {
 	case s.RootOnly && !atRoot:
 		return "only the root may state this setting", "set it at " + Root
@@ -54,12 +54,12 @@
 }
 
 // maxFaultValueLen is how many bytes of a rejected value a fault includes.
-const shownValue = 200
+const maxFaultValueLen = 200
 
 // truncateForFault shortens text to maxFaultValueLen bytes of valid UTF-8.
-func short(text string) string {
-	if len(text) <= shownValue {
+func truncateForFault(text string) string {
+	if len(text) <= maxFaultValueLen {
 		return text
 	}
-	return strings.ToValidUTF8(text[:shownValue], "") + "..."
+	return strings.ToValidUTF8(text[:maxFaultValueLen], "") + "..."
 }
--- a/internal/settings/diff.go
+++ b/internal/settings/diff.go
@@ -9,54 +9,54 @@
 // they set a setting or value that this release does not know.
 func Diff(from, to *Tree) []Edit {
 	var d differ
-	d.node("", from.root, to.root)
+	d.diffNode("", from.root, to.root)
 	return d.edits
 }
 
 // differ collects the edits of Diff.
 type differ struct{ edits []Edit }
 
-func (d *differ) node(path string, from, to *node) {
+func (d *differ) diffNode(path string, from, to *node) {
 	if from == to {
 		return
 	}
-	d.stated(path, from.stated, to.stated)
-	d.children(path, from.children, to.children)
+	d.diffAssignments(path, from.assignments, to.assignments)
+	d.diffChildren(path, from.children, to.children)
 }
 
 // diffChildren merges two lists sorted by name. Most children of a wide node are shared
 // by both trees and cost one pointer comparison each.
-func (d *differ) children(path string, from, to []*node) {
+func (d *differ) diffChildren(path string, from, to []*node) {
 	for len(from) > 0 || len(to) > 0 {
 		switch {
 		case len(to) == 0 || len(from) > 0 && from[0].name < to[0].name:
-			d.add(Remove, joinPath(path, from[0].name), "", "")
+			d.addEdit(Remove, joinPath(path, from[0].name), "", "")
 			from = from[1:]
 		case len(from) == 0 || to[0].name < from[0].name:
-			d.node(joinPath(path, to[0].name), &node{}, to[0])
+			d.diffNode(joinPath(path, to[0].name), &node{}, to[0])
 			to = to[1:]
 		default:
 			if from[0] != to[0] {
-				d.node(joinPath(path, to[0].name), from[0], to[0])
+				d.diffNode(joinPath(path, to[0].name), from[0], to[0])
 			}
 			from, to = from[1:], to[1:]
 		}
 	}
 }
 
-func (d *differ) stated(path string, from, to []stated) {
-	for _, s := range from {
-		if !slices.ContainsFunc(to, func(o stated) bool { return o.name == s.name }) {
-			d.add(Unset, path, s.name, "")
+func (d *differ) diffAssignments(path string, from, to []assignment) {
+	for _, a := range from {
+		if !slices.ContainsFunc(to, func(o assignment) bool { return o.name == a.name }) {
+			d.addEdit(Unset, path, a.name, "")
 		}
 	}
-	for _, s := range to {
-		if !slices.ContainsFunc(from, func(o stated) bool { return o.name == s.name && o.text == s.text }) {
-			d.add(Set, path, s.name, s.text)
+	for _, a := range to {
+		if !slices.ContainsFunc(from, func(o assignment) bool { return o.name == a.name && o.text == a.text }) {
+			d.addEdit(Set, path, a.name, a.text)
 		}
 	}
 }
 
-func (d *differ) add(op Op, path, name, text string) {
-	d.edits = append(d.edits, Edit{Path: showPath(path), Name: name, Value: text, Op: op})
+func (d *differ) addEdit(op Op, path, name, text string) {
+	d.edits = append(d.edits, Edit{Path: displayPath(path), Name: name, Value: text, Op: op})
 }
--- a/internal/settings/encode.go
+++ b/internal/settings/encode.go
@@ -33,11 +33,11 @@
 	Version uint64
 }
 
-var encMode, decMode = codec()
+var encMode, decMode = newCBORModes()
 
 // newCBORModes returns the deterministic CBOR encoding mode (RFC 8949, section 4.2) and
 // a decoding mode that limits nesting depth and array length.
-func codec() (cbor.EncMode, cbor.DecMode) {
+func newCBORModes() (cbor.EncMode, cbor.DecMode) {
 	enc, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic("settings: " + err.Error())
@@ -65,9 +65,9 @@
 }
 
 func encodeNode(n *node) encodedNode {
-	out := encodedNode{Name: n.name, Stated: make([]encodedValue, len(n.stated)), Children: make([]encodedNode, len(n.children))}
-	for i, s := range n.stated {
-		out.Stated[i] = encodedValue{Name: s.name, Text: s.text, Version: s.version}
+	out := encodedNode{Name: n.name, Stated: make([]encodedValue, len(n.assignments)), Children: make([]encodedNode, len(n.children))}
+	for i, a := range n.assignments {
+		out.Stated[i] = encodedValue{Name: a.name, Text: a.text, Version: a.version}
 	}
 	for i, c := range n.children {
 		out.Children[i] = encodeNode(c)
@@ -78,9 +78,9 @@
 // Decode decodes the output of Encode, which may come from a release with another
 // schema: settings and values that this release does not know are kept without effect.
 // It rejects bytes that Encode cannot have written.
-func Decode(b []byte) (*Tree, error) { return decode(current, b) }
+func Decode(b []byte) (*Tree, error) { return decodeTree(currentSchema, b) }
 
-func decode(sc *schema, b []byte) (*Tree, error) {
+func decodeTree(sc *schema, b []byte) (*Tree, error) {
 	var in encodedTree
 	if err := decMode.Unmarshal(b, &in); err != nil {
 		return nil, errors.Wrap(err, "settings: cannot decode the tree")
@@ -109,19 +109,19 @@
 	if depth > MaxDepth {
 		return nil, errors.Newf("settings: node %s exceeds the maximum depth", path)
 	}
-	n := &node{name: in.Name, stated: make([]stated, len(in.Stated)), children: make([]*node, len(in.Children))}
+	n := &node{name: in.Name, assignments: make([]assignment, len(in.Stated)), children: make([]*node, len(in.Children))}
 	for i := range in.Stated {
 		v := &in.Stated[i]
 		if v.Name == "" || i > 0 && in.Stated[i-1].Name >= v.Name {
-			return nil, errors.Newf("settings: the values of node %s are not sorted by name, or have no name", showPath(path))
+			return nil, errors.Newf("settings: the values of node %s are not sorted by name, or have no name", displayPath(path))
 		}
-		n.stated[i] = sc.restore(v, depth == 0)
+		n.assignments[i] = sc.decodeAssignment(v, depth == 0)
 	}
 	for i := range in.Children {
 		c := &in.Children[i]
 		child := joinPath(path, c.Name)
 		if !isSegment(c.Name) || i > 0 && in.Children[i-1].Name >= c.Name {
-			return nil, errors.Newf("settings: the children of node %s are not sorted by name, or have invalid names", showPath(path))
+			return nil, errors.Newf("settings: the children of node %s are not sorted by name, or have invalid names", displayPath(path))
 		}
 		if len(c.Stated)+len(c.Children) == 0 {
 			return nil, errors.Newf("settings: node %s is empty", child)
@@ -137,17 +137,17 @@
 // decodeAssignment decodes a value set at a node. It keeps the text unchanged, so that
 // the digest equals that of the release that wrote it. A value that is invalid in this
 // release has no effect.
-func (sc *schema) restore(v *encodedValue, atRoot bool) stated {
-	st := stated{name: v.Name, text: v.Text, version: v.Version}
+func (sc *schema) decodeAssignment(v *encodedValue, atRoot bool) assignment {
+	a := assignment{name: v.Name, text: v.Text, version: v.Version}
 	s, ok := sc.lookup(v.Name)
 	if !ok {
-		return st
+		return a
 	}
-	if why, _ := s.misplaced(atRoot); why != "" {
-		return st
+	if why, _ := s.checkPlacement(atRoot); why != "" {
+		return a
 	}
 	if val, err := s.parse(v.Text); err == nil {
-		st.val = val
+		a.val = val
 	}
-	return st
+	return a
 }
--- a/internal/settings/encode_test.go
+++ b/internal/settings/encode_test.go
@@ -7,11 +7,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-func TestDigestCoversAll(t *testing.T) {
+func TestDigestCoversPathNameValueAndVersion(t *testing.T) {
 	Convey("The digest covers the path, the name, the value and the version of each assignment", t, func() {
 		base := Edit{Path: "a/b", Name: "homes", Value: "1"}
 		seen := map[uint64]string{}
-		for what, tree := range map[string]*Tree{
+		for description, tree := range map[string]*Tree{
 			"nothing":        New(),
 			"the base":       mustApply(t, New(), 1, base),
 			"a path":         mustApply(t, New(), 1, Edit{Path: "a/c", Name: "homes", Value: "1"}),
@@ -22,11 +22,11 @@
 			"a second value": mustApply(t, New(), 1, base, Edit{Path: "a/b", Name: "ramp", Value: "1s"}),
 		} {
 			So(seen[tree.Digest()], ShouldBeEmpty)
-			seen[tree.Digest()] = what
+			seen[tree.Digest()] = description
 		}
 	})
 	Convey("Setting an unchanged value keeps the version that set it", t, func() {
-		tree := shop(t)
+		tree := exampleTree(t)
 		next := mustApply(t, tree, 9, Edit{Path: "/", Name: "deadline-default", Value: "0.22s"})
 		So(next.Digest(), ShouldEqual, tree.Digest())
 	})
@@ -34,33 +34,33 @@
 
 // A snapshot is corrupted on disk or in transit. A daemon that accepted it would use
 // settings that no operator set.
-func TestDecodeRefusesDamage(t *testing.T) {
+func TestDecodeRejectsCorruptedBytes(t *testing.T) {
 	Convey("Given an encoded tree", t, func() {
-		text := shop(t).Encode()
+		encoded := exampleTree(t).Encode()
 		Convey("it is rejected with any byte changed or truncated at any length", func() {
-			for i := range text {
-				bad := bytes.Clone(text)
-				bad[i] ^= 0x01
-				_, err := Decode(bad)
+			for i := range encoded {
+				corrupted := bytes.Clone(encoded)
+				corrupted[i] ^= 0x01
+				_, err := Decode(corrupted)
 				So(err, ShouldNotBeNil)
-				_, err = Decode(text[:i])
+				_, err = Decode(encoded[:i])
 				So(err, ShouldNotBeNil)
 			}
 		})
 		Convey("a changed value is reported as damage", func() {
-			_, err := Decode(bytes.Replace(text, []byte("220ms"), []byte("221ms"), 1))
+			_, err := Decode(bytes.Replace(encoded, []byte("220ms"), []byte("221ms"), 1))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, "damaged")
 		})
 		Convey("a non-canonical encoding of the same tree and trailing bytes are rejected", func() {
-			So(text[:2], ShouldResemble, []byte{0x83, formatVersion})
-			_, err := Decode(append([]byte{0x83, 0x18, formatVersion}, text[2:]...))
+			So(encoded[:2], ShouldResemble, []byte{0x83, formatVersion})
+			_, err := Decode(append([]byte{0x83, 0x18, formatVersion}, encoded[2:]...))
 			So(err, ShouldNotBeNil)
-			_, err = Decode(append(bytes.Clone(text), 0))
+			_, err = Decode(append(bytes.Clone(encoded), 0))
 			So(err, ShouldNotBeNil)
 		})
 		Convey("an unsupported format is reported with its number", func() {
-			_, err := Decode(append([]byte{0x83, formatVersion + 1}, text[2:]...))
+			_, err := Decode(append([]byte{0x83, formatVersion + 1}, encoded[2:]...))
 			So(err.Error(), ShouldContainSubstring, "format 2")
 		})
 	})
--- a/internal/settings/explain.go
+++ b/internal/settings/explain.go
@@ -23,66 +23,66 @@
 		return nil, contract.Faults{{Field: path, Why: why, Fix: segmentRule}}
 	}
 	if lookupNode(t.root, segments) == nil {
-		return nil, contract.Faults{{Field: showPath(trimPath(path)), Why: "there is no such node", Fix: "name a node of the tree"}}
+		return nil, contract.Faults{{Field: displayPath(trimPath(path)), Why: "there is no such node", Fix: "name a node of the tree"}}
 	}
-	chain := t.chain(segments)
+	chain := t.nodesOnPath(segments)
 	out := make([]Explained, 0, len(t.schema.settings))
 	for i := range t.schema.settings {
 		if x, ok := chain.explain(&t.schema.settings[i]); ok {
 			out = append(out, x)
 		}
 	}
-	return append(out, chain.obsolete()...), nil
+	return append(out, chain.obsoleteValues()...), nil
 }
 
 // pathNode is one node on the path from the root to another node.
-type step struct {
+type pathNode struct {
 	path string
 	node *node
 }
 
 // nodePath is the list of nodes from the root to a path, root first.
-type chain []step
+type nodePath []pathNode
 
 // nodesOnPath returns the nodes from the root to the node at segments, which must exist.
-func (t *Tree) chain(segments []string) chain {
-	c := chain{{path: Root, node: t.root}}
+func (t *Tree) nodesOnPath(segments []string) nodePath {
+	p := nodePath{{path: Root, node: t.root}}
 	for _, name := range segments {
-		last := c[len(c)-1]
-		c = append(c, step{path: joinPath(last.path, name), node: last.node.child(name)})
+		last := p[len(p)-1]
+		p = append(p, pathNode{path: joinPath(last.path, name), node: last.node.child(name)})
 	}
-	return c
+	return p
 }
 
 // explain returns the explanation of the effective value of s, and false if s has
 // neither a value nor a default.
-func (c chain) explain(s *Setting) (Explained, bool) {
-	for i := len(c) - 1; i >= 0; i-- {
-		if !s.Inherits && !s.RootOnly && i < len(c)-1 {
+func (p nodePath) explain(s *Setting) (Explained, bool) {
+	for i := len(p) - 1; i >= 0; i-- {
+		if !s.Inherits && !s.RootOnly && i < len(p)-1 {
 			break
 		}
-		n := c[i].node
-		if j, ok := n.findStated(s.Name); ok && n.stated[j].val != nil {
-			return Explained{Name: s.Name, Value: n.stated[j].text, StatedAt: c[i].path, Version: n.stated[j].version}, true
+		n := p[i].node
+		if j, ok := n.findAssignment(s.Name); ok && n.assignments[j].val != nil {
+			return Explained{Name: s.Name, Value: n.assignments[j].text, StatedAt: p[i].path, Version: n.assignments[j].version}, true
 		}
 	}
-	return Explained{Name: s.Name, Value: s.defaultText(), StatedAt: StatedAtDefault}, s.def != nil
+	return Explained{Name: s.Name, Value: s.defaultText(), StatedAt: StatedAtDefault}, s.defaultValue != nil
 }
 
 func (s *Setting) defaultText() string {
-	if s.def == nil {
+	if s.defaultValue == nil {
 		return ""
 	}
-	return s.def.text
+	return s.defaultValue.text
 }
 
 // obsoleteValues returns the values on the path that this release does not know.
-func (c chain) obsolete() []Explained {
+func (p nodePath) obsoleteValues() []Explained {
 	var out []Explained
-	for _, st := range c {
-		for _, v := range st.node.stated {
+	for _, pn := range p {
+		for _, v := range pn.node.assignments {
 			if v.val == nil {
-				out = append(out, Explained{Name: v.name, Value: v.text, StatedAt: st.path, Version: v.version, Obsolete: true})
+				out = append(out, Explained{Name: v.name, Value: v.text, StatedAt: pn.path, Version: v.version, Obsolete: true})
 			}
 		}
 	}
@@ -90,7 +90,7 @@
 }
 
 // valueText returns the text of the effective value of s, or "" if it has none.
-func (c chain) value(s *Setting) string {
-	x, _ := c.explain(s)
+func (p nodePath) valueText(s *Setting) string {
+	x, _ := p.explain(s)
 	return x.Value
 }
--- a/internal/settings/fault_test.go
+++ b/internal/settings/fault_test.go
@@ -7,15 +7,15 @@
 )
 
 // rejectedEdit is an invalid edit of exampleTree and the fields of its only fault.
-type refusal struct {
+type rejectedEdit struct {
 	path, name, value string
 	field, why, fix   string
 }
 
-func TestRefusedValues(t *testing.T) {
+func TestApplyRejectsInvalidValues(t *testing.T) {
 	Convey("Given a tree, an edit with one mistake is rejected with one fault", t, func() {
-		tree := shop(t)
-		for _, c := range []refusal{
+		tree := exampleTree(t)
+		for _, c := range []rejectedEdit{
 			{"/", "hedge-aftr", "20ms", "/:hedge-aftr", "no setting of that name", "did you mean hedge-after?"},
 			{"/", "colour", "red", "/:colour", "no setting of that name", "see the reference"},
 			{"gj-west", "daemon-lease", "9s", "gj-west:daemon-lease", "only the root", "set it at /"},
@@ -43,7 +43,7 @@
 			{"x", "leaves", "a=10.0.0.9:80@h,b=10.0.0.9:80@h", "x:leaves", "both leaf", ""},
 			{"x", "leaves", "a=10.0.0.9:80@h,b=[::ffff:10.0.0.9]:80@h", "x:leaves", "both leaf", ""},
 		} {
-			faults := faultsOf(t, tree, Edit{Path: c.path, Name: c.name, Value: c.value})
+			faults := applyFaults(t, tree, Edit{Path: c.path, Name: c.name, Value: c.value})
 			So(faults, ShouldHaveLength, 1)
 			So(faults[0].Field, ShouldEqual, c.field)
 			So(faults[0].Value, ShouldEqual, c.value)
@@ -53,9 +53,9 @@
 	})
 }
 
-func TestRefusedOperations(t *testing.T) {
+func TestApplyRejectsInvalidOperations(t *testing.T) {
 	Convey("Given a tree, edits with an unknown target or operation are rejected with their field", t, func() {
-		tree := shop(t)
+		tree := exampleTree(t)
 		for _, c := range []struct {
 			edit  Edit
 			field string
@@ -68,33 +68,33 @@
 			{Edit{Path: "gj-west", Name: "goal", Op: Remove}, "gj-west:goal"},
 			{Edit{Path: "gj-west", Name: "goal", Op: 77}, "gj-west:goal"},
 		} {
-			So(fields(faultsOf(t, tree, c.edit)), ShouldResemble, []string{c.field})
+			So(faultFields(applyFaults(t, tree, c.edit)), ShouldResemble, []string{c.field})
 		}
 	})
 }
 
-func TestContradictions(t *testing.T) {
+func TestApplyRejectsConflictingSettings(t *testing.T) {
 	Convey("Given settings that are each within their range", t, func() {
-		tree := shop(t)
-		refused := func(field string, edits ...Edit) {
-			So(fields(faultsOf(t, tree, edits...)), ShouldResemble, []string{field})
+		tree := exampleTree(t)
+		expectFault := func(field string, edits ...Edit) {
+			So(faultFields(applyFaults(t, tree, edits...)), ShouldResemble, []string{field})
 		}
 
 		Convey("a hedge delay that is not below the inherited deadline is rejected at the node that sets it", func() {
-			refused("gj-west/storefront:hedge-after", Edit{Path: "gj-west/storefront", Name: "hedge-after", Value: "220ms"})
+			expectFault("gj-west/storefront:hedge-after", Edit{Path: "gj-west/storefront", Name: "hedge-after", Value: "220ms"})
 		})
 		Convey("a deadline below the hedge delay of a descendant is rejected once", func() {
 			tree = mustApply(t, tree, 2, Edit{Path: "gj-west/storefront", Name: "hedge-after", Value: "100ms"})
-			refused("gj-west/storefront:hedge-after", Edit{Path: "/", Name: "deadline-default", Value: "100ms"})
+			expectFault("gj-west/storefront:hedge-after", Edit{Path: "/", Name: "deadline-default", Value: "100ms"})
 		})
 		Convey("the other rules apply at the root and below it", func() {
-			refused("gj-west:deadline-default", Edit{Path: "gj-west", Name: "deadline-default", Value: "5s"})
-			refused("gj-west:connect-cost", Edit{Path: "gj-west", Name: "connect-cost", Value: "220ms"})
-			refused("gj-west:homes", Edit{Path: "gj-west", Name: "homes", Value: "3"})
-			refused("gj-west/ledger-desk:leaf-slots", Edit{Path: "gj-west/ledger-desk", Name: "leaf-slots", Value: "1"})
-			refused("gj-west:leaf-connections", Edit{Path: "gj-west", Name: "leaf-connections", Value: "1"})
-			refused("gj-west:deadline-max", Edit{Path: "gj-west", Name: "deadline-max", Value: "4001ms"})
-			refused("/:probe-interval",
+			expectFault("gj-west:deadline-default", Edit{Path: "gj-west", Name: "deadline-default", Value: "5s"})
+			expectFault("gj-west:connect-cost", Edit{Path: "gj-west", Name: "connect-cost", Value: "220ms"})
+			expectFault("gj-west:homes", Edit{Path: "gj-west", Name: "homes", Value: "3"})
+			expectFault("gj-west/ledger-desk:leaf-slots", Edit{Path: "gj-west/ledger-desk", Name: "leaf-slots", Value: "1"})
+			expectFault("gj-west:leaf-connections", Edit{Path: "gj-west", Name: "leaf-connections", Value: "1"})
+			expectFault("gj-west:deadline-max", Edit{Path: "gj-west", Name: "deadline-max", Value: "4001ms"})
+			expectFault("/:probe-interval",
 				Edit{Path: "/", Name: "deadline-max", Value: "1s"},
 				Edit{Path: "/", Name: "daemon-lease", Value: "3s"},
 				Edit{Path: "/", Name: "probe-interval", Value: "2s"})
@@ -102,57 +102,57 @@
 		Convey("a tier setting is checked against values set at descendants", func() {
 			tree = mustApply(t, tree, 2, Edit{Path: "/", Name: "daemon-lease", Value: "2m"},
 				Edit{Path: "gj-west/ledger-desk", Name: "deadline-max", Value: "30s"})
-			refused("gj-west/ledger-desk:deadline-max", Edit{Path: "/", Name: "daemon-lease", Value: "20s"})
-			refused("gj-west/ledger-desk:deadline-max", Edit{Path: "/", Name: "resend-window", Value: "29s"})
+			expectFault("gj-west/ledger-desk:deadline-max", Edit{Path: "/", Name: "daemon-lease", Value: "20s"})
+			expectFault("gj-west/ledger-desk:deadline-max", Edit{Path: "/", Name: "resend-window", Value: "29s"})
 		})
 		Convey("drained may name only leaves of the service, also when the leaf is removed later", func() {
-			refused("gj-west/storefront/s1:drained", Edit{Path: "gj-west/storefront/s1", Name: "drained", Value: "s1-x"})
+			expectFault("gj-west/storefront/s1:drained", Edit{Path: "gj-west/storefront/s1", Name: "drained", Value: "s1-x"})
 			tree = mustApply(t, tree, 2, Edit{Path: "gj-west/storefront/s1", Name: "drained", Value: "s1-b"})
-			refused("gj-west/storefront/s1:drained",
+			expectFault("gj-west/storefront/s1:drained",
 				Edit{Path: "gj-west/storefront/s1", Name: "leaves", Value: "s1-a=10.0.0.1:80@anand-hall"})
-			refused("gj-west/storefront:drained", Edit{Path: "gj-west/storefront", Name: "drained", Value: "s1-a"})
+			expectFault("gj-west/storefront:drained", Edit{Path: "gj-west/storefront", Name: "drained", Value: "s1-a"})
 		})
 		Convey("a query service with child nodes is rejected", func() {
-			refused("gj-west/storefront/s1:leaves", Edit{Path: "gj-west/storefront/s1/deep", Name: "goal", Value: "tail"})
-			refused("gj-west:leaves", Edit{Path: "gj-west", Name: "leaves", Value: "x=10.9.0.1:80@hall"})
+			expectFault("gj-west/storefront/s1:leaves", Edit{Path: "gj-west/storefront/s1/deep", Name: "goal", Value: "tail"})
+			expectFault("gj-west:leaves", Edit{Path: "gj-west", Name: "leaves", Value: "x=10.9.0.1:80@hall"})
 		})
 		Convey("a change that adjusts both settings together is accepted", func() {
-			So(faultsOf(t, tree, Edit{Path: "gj-west", Name: "homes", Value: "3"}, Edit{Path: "gj-west", Name: "leaf-slots", Value: "3"}), ShouldBeEmpty)
+			So(applyFaults(t, tree, Edit{Path: "gj-west", Name: "homes", Value: "3"}, Edit{Path: "gj-west", Name: "leaf-slots", Value: "3"}), ShouldBeEmpty)
 		})
 		Convey("all faults are listed", func() {
-			faults := faultsOf(t, tree,
+			faults := applyFaults(t, tree,
 				Edit{Path: "gj-west", Name: "homes", Value: "3"},
 				Edit{Path: "gj-west", Name: "hedge-after", Value: "1s"},
 				Edit{Path: "gj-west/ledger-desk", Name: "drained", Value: "nobody"})
-			So(fields(faults), ShouldResemble, []string{"gj-west:hedge-after", "gj-west:homes", "gj-west/ledger-desk:drained"})
+			So(faultFields(faults), ShouldResemble, []string{"gj-west:hedge-after", "gj-west:homes", "gj-west/ledger-desk:drained"})
 		})
 	})
 }
 
 // A target that two query services declare would receive requests from both, each up to
 // all of its slots, and would be overloaded.
-func TestSharedLeaves(t *testing.T) {
+func TestApplyRejectsLeafOfTwoServices(t *testing.T) {
 	Convey("Given a leaf that a query service declares", t, func() {
-		tree := shop(t)
+		tree := exampleTree(t)
 		Convey("its address is rejected in another service, and the fault names both paths", func() {
-			faults := faultsOf(t, tree, Edit{Path: "gj-west/storefront/s3", Name: "leaves", Value: "s3-a=10.0.0.1:80@anand-hall"})
+			faults := applyFaults(t, tree, Edit{Path: "gj-west/storefront/s3", Name: "leaves", Value: "s3-a=10.0.0.1:80@anand-hall"})
 			So(faults, ShouldHaveLength, 1)
 			So(faults[0].Field, ShouldEqual, "gj-west/storefront/s3:leaves")
 			So(faults[0].Value, ShouldEqual, "10.0.0.1:80")
 			So(faults[0].Why, ShouldContainSubstring, "gj-west/storefront/s1")
 		})
 		Convey("its name is rejected in another service", func() {
-			faults := faultsOf(t, tree, Edit{Path: "gj-west/storefront/s3", Name: "leaves", Value: "s1-a=10.7.0.1:80@anand-hall"})
+			faults := applyFaults(t, tree, Edit{Path: "gj-west/storefront/s3", Name: "leaves", Value: "s1-a=10.7.0.1:80@anand-hall"})
 			So(faults, ShouldHaveLength, 1)
 			So(faults[0].Why, ShouldContainSubstring, "gj-west/storefront/s1")
 		})
 		Convey("two services of the same change are checked against each other", func() {
-			So(fields(faultsOf(t, tree,
+			So(faultFields(applyFaults(t, tree,
 				Edit{Path: "gj-west/x", Name: "leaves", Value: "x=10.7.0.1:80@anand-hall"},
 				Edit{Path: "gj-west/y", Name: "leaves", Value: "y=10.7.0.1:80@anand-hall"})), ShouldResemble, []string{"gj-west/y:leaves"})
 		})
 		Convey("moving a leaf to another service in one change is accepted", func() {
-			So(faultsOf(t, tree,
+			So(applyFaults(t, tree,
 				Edit{Path: "gj-west/storefront/s2", Op: Remove},
 				Edit{Path: "gj-west/storefront/s3", Name: "leaves", Value: "s2-a=10.0.0.3:80@anand-hall"}), ShouldBeEmpty)
 		})
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -31,7 +31,7 @@
 		return nil, err
 	}
 	r := fileReader{}
-	r.node(Root, 0, body)
+	r.readNode(Root, 0, body)
 	if len(r.faults) > 0 {
 		return nil, r.faults
 	}
@@ -40,31 +40,31 @@
 
 // FileBaseVersion returns the version of the tree from which a file was exported, and
 // whether the file records one. The error is a contract.Faults.
-func FileBase(text []byte) (version uint64, stated bool, err error) {
+func FileBase(text []byte) (version uint64, found bool, err error) {
 	body, err := parseYAML(text)
 	if err != nil {
 		return 0, false, err
 	}
 	r := fileReader{}
-	for _, kv := range r.entries(Root, body) {
-		if keyOf(kv) == keyBase {
-			version, stated = r.base(kv.Value), true
+	for _, entry := range r.mappingEntries(Root, body) {
+		if keyOf(entry) == keyBase {
+			version, found = r.readBase(entry.Value), true
 		}
 	}
-	return version, stated, r.faults.ErrOrNil()
+	return version, found, r.faults.ErrOrNil()
 }
 
 // parseYAML returns the only document of a file, or a null node if the file is empty.
 func parseYAML(text []byte) (ast.Node, error) {
 	if len(text) > MaxFile {
-		return nil, fileFault("the file is too large", fmt.Sprintf("keep it to %d bytes", MaxFile))
+		return nil, newFileFault("the file is too large", fmt.Sprintf("keep it to %d bytes", MaxFile))
 	}
 	file, err := parser.ParseBytes(text, 0)
 	if err != nil {
-		return nil, fileFault(yaml.FormatError(err, false, false), "write the file as YAML")
+		return nil, newFileFault(yaml.FormatError(err, false, false), "write the file as YAML")
 	}
 	if len(file.Docs) > 1 {
-		return nil, fileFault(fmt.Sprintf("it holds %d documents", len(file.Docs)), "keep one tree in a file")
+		return nil, newFileFault(fmt.Sprintf("it holds %d documents", len(file.Docs)), "keep one tree in a file")
 	}
 	if len(file.Docs) == 0 || file.Docs[0].Body == nil {
 		return ast.Null(nil), nil
@@ -72,7 +72,7 @@
 	return file.Docs[0].Body, nil
 }
 
-func fileFault(why, fix string) contract.Faults {
+func newFileFault(why, fix string) contract.Faults {
 	return contract.Faults{{Field: "file", Why: why, Fix: fix}}
 }
 
@@ -82,58 +82,58 @@
 	faults contract.Faults
 }
 
-func (r *fileReader) fault(field, value, why, fix string) {
+func (r *fileReader) addFault(field, value, why, fix string) {
 	r.faults = append(r.faults, contract.Fault{Field: field, Value: value, Why: why, Fix: fix})
 }
 
-func (r *fileReader) node(path string, depth int, body ast.Node) {
+func (r *fileReader) readNode(path string, depth int, body ast.Node) {
 	if depth > MaxDepth {
-		r.fault(path, "", "the node is too deep", fmt.Sprintf("use %d levels at most", MaxDepth))
+		r.addFault(path, "", "the node is too deep", fmt.Sprintf("use %d levels at most", MaxDepth))
 		return
 	}
-	for _, kv := range r.entries(path, body) {
-		switch key := keyOf(kv); {
+	for _, entry := range r.mappingEntries(path, body) {
+		switch key := keyOf(entry); {
 		case key == keySettings:
-			r.settings(path, kv.Value)
+			r.readSettings(path, entry.Value)
 		case key == keyBase && depth == 0:
-			r.base(kv.Value)
+			r.readBase(entry.Value)
 		case key == keyNodes:
-			for _, child := range r.entries(path+":"+keyNodes, kv.Value) {
-				r.child(path, depth, child)
+			for _, child := range r.mappingEntries(path+":"+keyNodes, entry.Value) {
+				r.readChild(path, depth, child)
 			}
 		default:
-			r.fault(path+":"+key, "", "the key is unknown", "use settings and nodes")
+			r.addFault(path+":"+key, "", "the key is unknown", "use settings and nodes")
 		}
 	}
 }
 
 // readBase returns the base version of the file, or 0 after adding a fault.
-func (r *fileReader) base(body ast.Node) uint64 {
+func (r *fileReader) readBase(body ast.Node) uint64 {
 	field := Root + ":" + keyBase
-	text, ok := r.scalar(field, body)
+	text, ok := r.scalarText(field, body)
 	if !ok {
 		return 0
 	}
 	version, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		r.fault(field, short(text), "it is no version", "write the version that export gave, or leave base out")
+		r.addFault(field, truncateForFault(text), "it is no version", "write the version that export gave, or leave base out")
 	}
 	return version
 }
 
-func (r *fileReader) child(path string, depth int, kv *ast.MappingValueNode) {
-	name := keyOf(kv)
+func (r *fileReader) readChild(path string, depth int, entry *ast.MappingValueNode) {
+	name := keyOf(entry)
 	if !isSegment(name) {
-		r.fault(path+":"+keyNodes, name, "the name of the node is not well formed", segmentRule)
+		r.addFault(path+":"+keyNodes, name, "the name of the node is not well formed", segmentRule)
 		return
 	}
-	r.node(joinPath(path, name), depth+1, kv.Value)
+	r.readNode(joinPath(path, name), depth+1, entry.Value)
 }
 
-func (r *fileReader) settings(path string, body ast.Node) {
-	for _, kv := range r.entries(path+":"+keySettings, body) {
-		name := keyOf(kv)
-		if text, ok := r.text(fieldOf(path, name), kv.Value); ok {
+func (r *fileReader) readSettings(path string, body ast.Node) {
+	for _, entry := range r.mappingEntries(path+":"+keySettings, body) {
+		name := keyOf(entry)
+		if text, ok := r.valueText(fieldOf(path, name), entry.Value); ok {
 			r.edits = append(r.edits, Edit{Path: path, Name: name, Value: text, Op: Set})
 		}
 	}
@@ -141,7 +141,7 @@
 
 // mappingEntries returns the entries of a mapping, or nil for a null node. Any other
 // node is a fault.
-func (r *fileReader) entries(field string, body ast.Node) []*ast.MappingValueNode {
+func (r *fileReader) mappingEntries(field string, body ast.Node) []*ast.MappingValueNode {
 	switch m := body.(type) {
 	case *ast.MappingNode:
 		return m.Values
@@ -150,18 +150,18 @@
 	case *ast.NullNode:
 		return nil
 	}
-	r.fault(field, short(body.GetToken().Value), "it is no mapping", "write keys and values")
+	r.addFault(field, truncateForFault(body.GetToken().Value), "it is no mapping", "write keys and values")
 	return nil
 }
 
 // valueText returns a value in the form used on the command line. A YAML sequence is
 // joined with commas, so that a file can list one leaf per line.
-func (r *fileReader) text(field string, body ast.Node) (string, bool) {
+func (r *fileReader) valueText(field string, body ast.Node) (string, bool) {
 	switch v := body.(type) {
 	case *ast.SequenceNode:
 		items := make([]string, 0, len(v.Values))
 		for _, item := range v.Values {
-			text, ok := r.scalar(field, item)
+			text, ok := r.scalarText(field, item)
 			if !ok {
 				return "", false
 			}
@@ -169,13 +169,13 @@
 		}
 		return strings.Join(items, ","), true
 	default:
-		return r.scalar(field, body)
+		return r.scalarText(field, body)
 	}
 }
 
 // scalarText returns the text of a scalar. Any other node, an anchor or a tag is a
 // fault.
-func (r *fileReader) scalar(field string, body ast.Node) (string, bool) {
+func (r *fileReader) scalarText(field string, body ast.Node) (string, bool) {
 	switch v := body.(type) {
 	case *ast.StringNode:
 		return v.Value, true
@@ -184,30 +184,30 @@
 	case *ast.IntegerNode, *ast.FloatNode, *ast.BoolNode:
 		return body.GetToken().Value, true
 	}
-	r.fault(field, short(body.GetToken().Value), "it is no plain value", "write a word, a number or a list of words, without anchors and tags")
+	r.addFault(field, truncateForFault(body.GetToken().Value), "it is no plain value", "write a word, a number or a list of words, without anchors and tags")
 	return "", false
 }
 
 // keyOf returns the key of a mapping entry as text.
-func keyOf(kv *ast.MappingValueNode) string {
-	if s, ok := kv.Key.(*ast.StringNode); ok {
+func keyOf(entry *ast.MappingValueNode) string {
+	if s, ok := entry.Key.(*ast.StringNode); ok {
 		return s.Value
 	}
-	return strings.TrimSpace(kv.Key.String())
+	return strings.TrimSpace(entry.Key.String())
 }
 
 // ExportFile returns t in the YAML format that ParseFile reads. The output omits the
 // versions that set the values, and settings and values that this release does not
 // know.
-func (t *Tree) ExportFile() []byte { return export(exportNode(t.root)) }
+func (t *Tree) ExportFile() []byte { return marshalYAML(exportNode(t.root)) }
 
 // ExportFileWithBase returns the output of ExportFile with the additional key base, the
 // version of the change that produced t.
 func (t *Tree) ExportFileAt(base uint64) []byte {
-	return export(append(yaml.MapSlice{{Key: keyBase, Value: base}}, exportNode(t.root)...))
+	return marshalYAML(append(yaml.MapSlice{{Key: keyBase, Value: base}}, exportNode(t.root)...))
 }
 
-func export(file yaml.MapSlice) []byte {
+func marshalYAML(file yaml.MapSlice) []byte {
 	b, err := yaml.MarshalWithOptions(file, yaml.IndentSequence(true))
 	if err != nil {
 		// The value holds only strings, numbers, booleans and lists, which always encode.
@@ -219,9 +219,9 @@
 func exportNode(n *node) yaml.MapSlice {
 	out := yaml.MapSlice{}
 	var values yaml.MapSlice
-	for _, s := range n.stated {
-		if s.val != nil {
-			values = append(values, yaml.MapItem{Key: s.name, Value: s.export()})
+	for _, a := range n.assignments {
+		if a.val != nil {
+			values = append(values, yaml.MapItem{Key: a.name, Value: a.yamlValue()})
 		}
 	}
 	if len(values) > 0 {
@@ -240,18 +240,18 @@
 // yamlValue returns the value as a YAML list, number or boolean, or as a string if the
 // other type would not reproduce the text exactly: a text such as 007 must survive a
 // round trip.
-func (s *stated) export() any {
-	if len(s.val.leaves) > 0 || len(s.val.names) > 0 {
-		return strings.Split(s.text, ",")
+func (a *assignment) yamlValue() any {
+	if len(a.val.leaves) > 0 || len(a.val.names) > 0 {
+		return strings.Split(a.text, ",")
 	}
-	if n, err := strconv.ParseInt(s.text, 10, 64); err == nil && strconv.FormatInt(n, 10) == s.text {
+	if n, err := strconv.ParseInt(a.text, 10, 64); err == nil && strconv.FormatInt(n, 10) == a.text {
 		return n
 	}
-	if f, err := strconv.ParseFloat(s.text, 64); err == nil && strconv.FormatFloat(f, 'f', -1, 64) == s.text {
+	if f, err := strconv.ParseFloat(a.text, 64); err == nil && strconv.FormatFloat(f, 'f', -1, 64) == a.text {
 		return f
 	}
-	if b, err := strconv.ParseBool(s.text); err == nil && strconv.FormatBool(b) == s.text {
+	if b, err := strconv.ParseBool(a.text); err == nil && strconv.FormatBool(b) == a.text {
 		return b
 	}
-	return s.text
+	return a.text
 }
--- a/internal/settings/file_test.go
+++ b/internal/settings/file_test.go
@@ -8,7 +8,7 @@
 	"pearmoor/internal/contract"
 )
 
-func fileFaults(text string) contract.Faults {
+func parseFileFaults(text string) contract.Faults {
 	_, err := ParseFile([]byte(text))
 	if err == nil {
 		return nil
@@ -16,7 +16,7 @@
 	return err.(contract.Faults)
 }
 
-func TestFile(t *testing.T) {
+func TestParseAndExportFile(t *testing.T) {
 	Convey("Given a settings file", t, func() {
 		text := `
 settings:
@@ -54,16 +54,16 @@
 		})
 		Convey("an export with a base version parses to the same tree", func() {
 			out := tree.ExportFileAt(41)
-			base, stated, err := FileBase(out)
+			base, found, err := FileBase(out)
 			So(err, ShouldBeNil)
-			So(stated, ShouldBeTrue)
+			So(found, ShouldBeTrue)
 			So(base, ShouldEqual, 41)
-			again, err := ParseFile(out)
+			reparsed, err := ParseFile(out)
 			So(err, ShouldBeNil)
-			So(again.Digest(), ShouldEqual, tree.Digest())
-			_, stated, err = FileBase(tree.ExportFile())
+			So(reparsed.Digest(), ShouldEqual, tree.Digest())
+			_, found, err = FileBase(tree.ExportFile())
 			So(err, ShouldBeNil)
-			So(stated, ShouldBeFalse)
+			So(found, ShouldBeFalse)
 		})
 	})
 
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestRefusedFiles(t *testing.T) {
+func TestParseFileRejectsInvalidFiles(t *testing.T) {
 	Convey("An invalid file is rejected, and the fault names the location", t, func() {
 		for _, c := range []struct{ text, field, why string }{
 			{"setings: {homes: 1}", "/:setings", "unknown"},
@@ -101,7 +101,7 @@
 			{"{}\n---\n{}", "file", "2 documents"},
 			{"nodes: {a: {nodes: {b: {nodes: {c: {nodes: {d: {nodes: {e: {nodes: {f: {nodes: {g: {nodes: {h: {nodes: {i: {}}}}}}}}}}}}}}}}}}", "a/b/c/d/e/f/g/h/i", "too deep"},
 		} {
-			faults := fileFaults(c.text)
+			faults := parseFileFaults(c.text)
 			So(faults, ShouldHaveLength, 1)
 			So(faults[0].Field, ShouldEqual, c.field)
 			So(faults[0].Why, ShouldContainSubstring, c.why)
@@ -109,8 +109,8 @@
 	})
 
 	Convey("All faults are listed", t, func() {
-		So(fields(fileFaults("setings: {}\nnodes: {a: {x: 1}, B: {}}")), ShouldResemble, []string{"/:setings", "a:x", "/:nodes"})
-		So(fields(fileFaults("settings: {homes: 9, hedge-after: 20}\nnodes: {a: {settings: {gaol: tail}}}")), ShouldResemble,
+		So(faultFields(parseFileFaults("setings: {}\nnodes: {a: {x: 1}, B: {}}")), ShouldResemble, []string{"/:setings", "a:x", "/:nodes"})
+		So(faultFields(parseFileFaults("settings: {homes: 9, hedge-after: 20}\nnodes: {a: {settings: {gaol: tail}}}")), ShouldResemble,
 			[]string{"/:hedge-after", "a:gaol"})
 	})
 }
--- a/internal/settings/forwarding.go
+++ b/internal/settings/forwarding.go
@@ -92,31 +92,31 @@
 
 // Upper bounds of the settings of routes, services and callers.
 const (
-	longestTimeout = "24h"
-	mostOfAKind    = "1000000000"
-	largestSize    = "1048576GiB"
+	maxTimeout = "24h"
+	maxCount   = "1000000000"
+	maxSize    = "1048576GiB"
 )
 
 // textSetting returns a setting of kind Text that is not inherited.
-func text(name, unit, doc string, field func(*Effective) *string) Setting {
+func textSetting(name, unit, doc string, field func(*Effective) *string) Setting {
 	return Setting{Name: name, Kind: Text, Unit: unit, Doc: doc,
-		bind: func(e *Effective, _ *Tier, v *value) { *field(e) = v.text }}
+		assign: func(e *Effective, _ *Tier, v *value) { *field(e) = v.text }}
 }
 
 // countSetting returns a setting of kind Count that is not inherited.
-func count(name, unit, def, doc string, field func(*Effective) *int) Setting {
-	return Setting{Name: name, Kind: Count, Unit: unit, Min: "0", Max: mostOfAKind, Default: def, Doc: doc,
-		bind: func(e *Effective, _ *Tier, v *value) { *field(e) = int(v.num) }}
+func countSetting(name, unit, def, doc string, field func(*Effective) *int) Setting {
+	return Setting{Name: name, Kind: Count, Unit: unit, Min: "0", Max: maxCount, Default: def, Doc: doc,
+		assign: func(e *Effective, _ *Tier, v *value) { *field(e) = int(v.integer) }}
 }
 
 // durationSetting returns a setting of kind Duration that is not inherited.
-func span(name, def, doc string, field func(*Effective) *time.Duration) Setting {
-	return Setting{Name: name, Kind: Duration, Unit: "duration", Min: "0s", Max: longestTimeout, Default: def, Doc: doc,
-		bind: func(e *Effective, _ *Tier, v *value) { *field(e) = v.duration() }}
+func durationSetting(name, def, doc string, field func(*Effective) *time.Duration) Setting {
+	return Setting{Name: name, Kind: Duration, Unit: "duration", Min: "0s", Max: maxTimeout, Default: def, Doc: doc,
+		assign: func(e *Effective, _ *Tier, v *value) { *field(e) = v.duration() }}
 }
 
 // inheritable returns s as a setting that the nodes below inherit.
-func inherited(s Setting) Setting {
+func inheritable(s Setting) Setting {
 	s.Inherits = true
 	return s
 }
@@ -126,56 +126,56 @@
 // a change, and the tree must never reject a configuration that was accepted there.
 func routeSettings() []Setting {
 	return []Setting{
-		text(NameRouteName, "name", "The route's name where it can't be the node's.", func(e *Effective) *string { return &e.Route.Name }),
-		text(NameRouteHost, "host name", "The host whose requests the route takes.", func(e *Effective) *string { return &e.Route.Host }),
-		text(NameRoutePrefix, "path", "How a path begins that the route takes; of several routes of a host the longest prefix wins.", func(e *Effective) *string { return &e.Route.Prefix }),
-		text(NameRouteService, "service", "The service that requests are forwarded to.", func(e *Effective) *string { return &e.Route.Service }),
-		text(NameRouteSplit, "service=weight,...", "The services that share the route's requests, each with its weight.", func(e *Effective) *string { return &e.Route.Split }),
-		text(NameRouteShards, "service,...", "The services that each answer a part of the request.", func(e *Effective) *string { return &e.Route.Shards }),
+		textSetting(NameRouteName, "name", "The route's name where it can't be the node's.", func(e *Effective) *string { return &e.Route.Name }),
+		textSetting(NameRouteHost, "host name", "The host whose requests the route takes.", func(e *Effective) *string { return &e.Route.Host }),
+		textSetting(NameRoutePrefix, "path", "How a path begins that the route takes; of several routes of a host the longest prefix wins.", func(e *Effective) *string { return &e.Route.Prefix }),
+		textSetting(NameRouteService, "service", "The service that requests are forwarded to.", func(e *Effective) *string { return &e.Route.Service }),
+		textSetting(NameRouteSplit, "service=weight,...", "The services that share the route's requests, each with its weight.", func(e *Effective) *string { return &e.Route.Split }),
+		textSetting(NameRouteShards, "service,...", "The services that each answer a part of the request.", func(e *Effective) *string { return &e.Route.Shards }),
 		{Name: NameRouteRepeatable, Kind: Bool, Unit: "true or false", Default: "true",
-			Doc:  "Whether a request may run more than once.",
-			bind: func(e *Effective, _ *Tier, v *value) { e.Route.NotRepeatable = v.num == 0 }},
-		count(NameRouteAttempts, "leaves", "1", "The most leaves that one request may be sent to; of each shard, where there are shards.", func(e *Effective) *int { return &e.Route.Attempts }),
-		count(NameRoutePriority, "rank", "0", "The rank of the route's requests when not all can be served; 0 is the highest.", func(e *Effective) *int { return &e.Route.Priority }),
-		count(NameRouteTop, "records", "0", "How many of the greatest records an answer made of parts holds.", func(e *Effective) *int { return &e.Route.Top }),
+			Doc:    "Whether a request may run more than once.",
+			assign: func(e *Effective, _ *Tier, v *value) { e.Route.NotRepeatable = v.integer == 0 }},
+		countSetting(NameRouteAttempts, "leaves", "1", "The most leaves that one request may be sent to; of each shard, where there are shards.", func(e *Effective) *int { return &e.Route.Attempts }),
+		countSetting(NameRoutePriority, "rank", "0", "The rank of the route's requests when not all can be served; 0 is the highest.", func(e *Effective) *int { return &e.Route.Priority }),
+		countSetting(NameRouteTop, "records", "0", "How many of the greatest records an answer made of parts holds.", func(e *Effective) *int { return &e.Route.Top }),
 		{Name: NameRouteLeastCoverage, Kind: Ratio, Unit: "0 to 1", Min: "0", Max: "1", Default: "0",
-			Doc:  "The least share of the shards that an answer made of parts holds.",
-			bind: func(e *Effective, _ *Tier, v *value) { e.Route.LeastCoverage = v.ratio }},
-		span(NameRouteTimeout, "0s", "The longest time a caller is kept waiting.", func(e *Effective) *time.Duration { return &e.Route.Timeout }),
-		span(NameRouteTargetLatency, "0s", "The time within which an answer is wanted.", func(e *Effective) *time.Duration { return &e.Route.TargetLatency }),
+			Doc:    "The least share of the shards that an answer made of parts holds.",
+			assign: func(e *Effective, _ *Tier, v *value) { e.Route.LeastCoverage = v.ratio }},
+		durationSetting(NameRouteTimeout, "0s", "The longest time a caller is kept waiting.", func(e *Effective) *time.Duration { return &e.Route.Timeout }),
+		durationSetting(NameRouteTargetLatency, "0s", "The time within which an answer is wanted.", func(e *Effective) *time.Duration { return &e.Route.TargetLatency }),
 		{Name: "answer-margin", Kind: Duration, Unit: "duration", Min: "0s", Max: "10s", Default: "14ms", Inherits: true,
-			Doc:  "How long before route-target-latency an answer made of parts is given without the parts that are still missing, if it holds route-least-coverage. It covers the way from and to the caller.",
-			bind: func(e *Effective, _ *Tier, v *value) { e.Route.AnswerMargin = v.duration() }},
-		text(NameRouteExtra, "JSON object", "Fields of the route that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Route.Extra }),
+			Doc:    "How long before route-target-latency an answer made of parts is given without the parts that are still missing, if it holds route-least-coverage. It covers the way from and to the caller.",
+			assign: func(e *Effective, _ *Tier, v *value) { e.Route.AnswerMargin = v.duration() }},
+		textSetting(NameRouteExtra, "JSON object", "Fields of the route that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Route.Extra }),
 	}
 }
 
 func serviceSettings() []Setting {
 	return []Setting{
-		text(NameServiceName, "name", "The service's name where it can't be the node's.", func(e *Effective) *string { return &e.Service.Name }),
-		text(NameServiceHealthPath, "path", "Where a leaf of the service tells its health.", func(e *Effective) *string { return &e.Service.HealthPath }),
-		text(NameServiceProtocol, "word", "The protocol that leaves of the service speak.", func(e *Effective) *string { return &e.Service.Protocol }),
-		count(NameServiceConnections, "connections", "0", "The most connections a leaf of the service accepts, from all daemons together; 0 is not stated.", func(e *Effective) *int { return &e.Service.Connections }),
-		text(NameServiceExtra, "JSON object", "Fields of the service that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Service.Extra }),
+		textSetting(NameServiceName, "name", "The service's name where it can't be the node's.", func(e *Effective) *string { return &e.Service.Name }),
+		textSetting(NameServiceHealthPath, "path", "Where a leaf of the service tells its health.", func(e *Effective) *string { return &e.Service.HealthPath }),
+		textSetting(NameServiceProtocol, "word", "The protocol that leaves of the service speak.", func(e *Effective) *string { return &e.Service.Protocol }),
+		countSetting(NameServiceConnections, "connections", "0", "The most connections a leaf of the service accepts, from all daemons together; 0 is not stated.", func(e *Effective) *int { return &e.Service.Connections }),
+		textSetting(NameServiceExtra, "JSON object", "Fields of the service that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Service.Extra }),
 	}
 }
 
-func callerSettings() []Setting {
+func callerLimitSettings() []Setting {
 	return []Setting{
-		inherited(count(NameHeaderLimit, "bytes", "65536", "The most bytes of a request's header.", func(e *Effective) *int { return &e.Caller.HeaderBytes })),
-		{Name: NameBodyLimit, Kind: Bytes, Unit: "bytes", Min: "0B", Max: largestSize, Default: "1MiB", Inherits: true,
-			Doc:  "The most bytes of a forwarded request's body.",
-			bind: func(e *Effective, _ *Tier, v *value) { e.Caller.BodyBytes = v.num }},
-		inherited(span(NameHeaderTimeout, "10s", "How long a caller may take to send a request's header.", func(e *Effective) *time.Duration { return &e.Caller.HeaderTimeout })),
-		inherited(span(NameIdleTimeout, "1m", "How long a caller's connection may be idle.", func(e *Effective) *time.Duration { return &e.Caller.IdleTimeout })),
+		inheritable(countSetting(NameHeaderLimit, "bytes", "65536", "The most bytes of a request's header.", func(e *Effective) *int { return &e.Caller.HeaderBytes })),
+		{Name: NameBodyLimit, Kind: Bytes, Unit: "bytes", Min: "0B", Max: maxSize, Default: "1MiB", Inherits: true,
+			Doc:    "The most bytes of a forwarded request's body.",
+			assign: func(e *Effective, _ *Tier, v *value) { e.Caller.BodyBytes = v.integer }},
+		inheritable(durationSetting(NameHeaderTimeout, "10s", "How long a caller may take to send a request's header.", func(e *Effective) *time.Duration { return &e.Caller.HeaderTimeout })),
+		inheritable(durationSetting(NameIdleTimeout, "1m", "How long a caller's connection may be idle.", func(e *Effective) *time.Duration { return &e.Caller.IdleTimeout })),
 	}
 }
 
 func releaseSettings() []Setting {
 	return []Setting{
-		text(NameReleaseNumber, "number", "The number under which the whole configuration was sent.", func(e *Effective) *string { return &e.Release.Number }),
-		text(NameReleaseRoutes, "node,...", "The order of the routes where it is not that of their names.", func(e *Effective) *string { return &e.Release.RouteOrder }),
-		text(NameReleaseServices, "node,...", "The order of the services where it is not that of their names.", func(e *Effective) *string { return &e.Release.ServiceOrder }),
-		text(NameReleaseExtra, "JSON object", "Fields of the whole configuration that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Release.Extra }),
+		textSetting(NameReleaseNumber, "number", "The number under which the whole configuration was sent.", func(e *Effective) *string { return &e.Release.Number }),
+		textSetting(NameReleaseRoutes, "node,...", "The order of the routes where it is not that of their names.", func(e *Effective) *string { return &e.Release.RouteOrder }),
+		textSetting(NameReleaseServices, "node,...", "The order of the services where it is not that of their names.", func(e *Effective) *string { return &e.Release.ServiceOrder }),
+		textSetting(NameReleaseExtra, "JSON object", "Fields of the whole configuration that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Release.Extra }),
 	}
 }
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -9,14 +9,14 @@
 // Decode must accept only bytes that Encode writes.
 func FuzzDecode(f *testing.F) {
 	f.Add(New().Encode())
-	f.Add(shop(f).Encode())
+	f.Add(exampleTree(f).Encode())
 	f.Add([]byte{})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		tree, err := Decode(text)
+	f.Fuzz(func(t *testing.T, encoded []byte) {
+		tree, err := Decode(encoded)
 		if err != nil {
 			return
 		}
-		if !bytes.Equal(tree.Encode(), text) {
+		if !bytes.Equal(tree.Encode(), encoded) {
 			t.Fatal("Decode accepted a non-canonical encoding")
 		}
 		if _, err := tree.Explain(Root); err != nil {
@@ -28,7 +28,7 @@
 // FuzzParseFile parses arbitrary files. A file that parses must yield a tree that can be
 // exported and parsed again.
 func FuzzParseFile(f *testing.F) {
-	f.Add(shop(f).ExportFileAt(3))
+	f.Add(exampleTree(f).ExportFileAt(3))
 	f.Add([]byte("settings: {homes: 1, ramp: 20s}\nnodes: {a: {settings: {leaves: [x=10.0.0.1:1@h]}}}"))
 	f.Add([]byte("a: &a [*a]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -39,12 +39,12 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseFile(tree.ExportFile())
+		reparsed, err := ParseFile(tree.ExportFile())
 		if err != nil {
 			t.Fatalf("the export is rejected: %v", err)
 		}
-		if again.Digest() != tree.Digest() {
-			t.Fatalf("the export differs: %v", Diff(tree, again))
+		if reparsed.Digest() != tree.Digest() {
+			t.Fatalf("the export differs: %v", Diff(tree, reparsed))
 		}
 	})
 }
@@ -59,8 +59,8 @@
 			return
 		}
 		canonical := FormatLeaves(leaves)
-		again, err := ParseLeaves(canonical)
-		if err != nil || FormatLeaves(again) != canonical {
+		reparsed, err := ParseLeaves(canonical)
+		if err != nil || FormatLeaves(reparsed) != canonical {
 			t.Fatalf("%q: %v", canonical, err)
 		}
 	})
@@ -68,19 +68,19 @@
 
 // FuzzSettingParse parses a value for each setting and checks that a value that parses
 // has a stable canonical form.
-func FuzzSetting(f *testing.F) {
+func FuzzSettingParse(f *testing.F) {
 	for _, text := range []string{"20ms", "1h0m0s", "0.5", "1e-3", "64KiB", "1KiB512B", "true", "tail", "-0"} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		for i := range current.settings {
-			s := &current.settings[i]
+		for i := range currentSchema.settings {
+			s := &currentSchema.settings[i]
 			v, err := s.parse(text)
 			if err != nil {
 				continue
 			}
-			again, err := s.parse(v.text)
-			if err != nil || again.text != v.text || again.num != v.num || again.ratio != v.ratio {
+			reparsed, err := s.parse(v.text)
+			if err != nil || reparsed.text != v.text || reparsed.integer != v.integer || reparsed.ratio != v.ratio {
 				t.Fatalf("%s: %q became %q: %v", s.Name, text, v.text, err)
 			}
 		}
--- a/internal/settings/leaves.go
+++ b/internal/settings/leaves.go
@@ -13,7 +13,7 @@
 const MaxLeaves = 4096
 
 // leafListHint is the fix in faults about leaf lists.
-const leafForm = "write name=ip:port@domain, separated by commas"
+const leafListHint = "write name=ip:port@domain, separated by commas"
 
 // ParseLeaves parses a comma-separated list of leaves, each name=ip:port@domain, and
 // returns them sorted by name.
@@ -31,7 +31,7 @@
 		leaves = append(leaves, leaf)
 	}
 	slices.SortFunc(leaves, func(a, b Leaf) int { return cmp.Compare(a.Name, b.Name) })
-	return leaves, refuseDuplicates(leaves)
+	return leaves, checkDuplicates(leaves)
 }
 
 // parseLeafList parses a leaf list as the value of a setting.
@@ -70,7 +70,7 @@
 
 // checkDuplicates rejects a leaf list that repeats a name or an address. Otherwise the
 // slots of one target would be allocated twice, and the daemons would overload it.
-func refuseDuplicates(sorted []Leaf) error {
+func checkDuplicates(sorted []Leaf) error {
 	byAddr := make(map[string]string, len(sorted))
 	for i, l := range sorted {
 		if i > 0 && sorted[i-1].Name == l.Name {
@@ -101,7 +101,7 @@
 
 // parseNameList parses a comma-separated list of names and returns them sorted and without
 // duplicates.
-func parseNames(text string) ([]string, error) {
+func parseNameList(text string) ([]string, error) {
 	names := strings.Split(text, ",")
 	for i, n := range names {
 		names[i] = strings.TrimSpace(n)
--- a/internal/settings/obsolete_test.go
+++ b/internal/settings/obsolete_test.go
@@ -8,8 +8,8 @@
 
 // schemaOfOlderRelease returns a schema with one more setting and one more value of goal
 // than the current one.
-func olderSchema() *schema {
-	settings := table()
+func schemaOfOlderRelease() *schema {
+	settings := allSettings()
 	for i := range settings {
 		if settings[i].Name == "goal" {
 			settings[i].Choices = append(settings[i].Choices, "cost")
@@ -17,16 +17,16 @@
 	}
 	return newSchema(append(settings, Setting{
 		Name: "cache-size", Kind: Bytes, Min: "1KiB", Max: "1GiB", Default: "1MiB", Inherits: true,
-		bind: func(*Effective, *Tier, *value) {},
+		assign: func(*Effective, *Tier, *value) {},
 	}))
 }
 
 // A tree written by an older release contains a setting that this release has removed. If
 // it were rejected, a control VM could not read its own log after an upgrade, and daemons
 // of the two releases would have different trees.
-func TestObsoleteSettings(t *testing.T) {
+func TestObsoleteSettingsAreKeptWithoutEffect(t *testing.T) {
 	Convey("Given a tree of a release with one more setting", t, func() {
-		older := newTree(olderSchema(), &node{}, nil)
+		older := newTree(schemaOfOlderRelease(), &node{}, nil)
 		edits := []Edit{
 			{Path: "gj-west", Name: "cache-size", Value: "4MiB"},
 			{Path: "gj-west", Name: "goal", Value: "cost"},
@@ -51,26 +51,26 @@
 			So(e.Homes, ShouldEqual, 1)
 		})
 		Convey("Explain lists it as obsolete with the node and version that set it", func() {
-			xs, err := tree.Explain("gj-west/desk")
+			explanations, err := tree.Explain("gj-west/desk")
 			So(err, ShouldBeNil)
-			So(xs[len(xs)-3:], ShouldResemble, []Explained{
+			So(explanations[len(explanations)-3:], ShouldResemble, []Explained{
 				{Name: "cache-size", Value: "4MiB", StatedAt: "gj-west", Version: 4, Obsolete: true},
 				{Name: "goal", Value: "cost", StatedAt: "gj-west", Version: 4, Obsolete: true},
 				{Name: "cache-size", Value: "8MiB", StatedAt: "gj-west/desk", Version: 4, Obsolete: true},
 			})
 		})
 		Convey("it cannot be set again", func() {
-			faults := faultsOf(t, tree, Edit{Path: "gj-west", Name: "cache-size", Value: "2MiB"})
-			So(fields(faults), ShouldResemble, []string{"gj-west:cache-size"})
+			faults := applyFaults(t, tree, Edit{Path: "gj-west", Name: "cache-size", Value: "2MiB"})
+			So(faultFields(faults), ShouldResemble, []string{"gj-west:cache-size"})
 			So(faults[0].Why, ShouldContainSubstring, "obsolete")
 			So(faults[0].Fix, ShouldContainSubstring, "unset")
 		})
 		Convey("it can be unset without changing any effective value", func() {
 			next := mustApply(t, tree, 5, Edit{Path: "gj-west", Name: "cache-size", Op: Unset}, Edit{Path: "gj-west", Name: "goal", Op: Unset})
 			So(Plan(tree, next), ShouldBeEmpty)
-			xs, _ := next.Explain("gj-west/s")
-			for _, x := range xs {
-				So(x.Obsolete, ShouldBeFalse)
+			explanations, _ := next.Explain("gj-west/s")
+			for _, explanation := range explanations {
+				So(explanation.Obsolete, ShouldBeFalse)
 			}
 		})
 		Convey("other changes are accepted, and a valid value replaces the obsolete one", func() {
@@ -93,7 +93,7 @@
 // A daemon of this release replays changes from a leader of a later release, whose schema
 // has another canonical form and wider ranges and allows nodes below a query service. The
 // daemon must reach the leader's digest and must not apply values it does not understand.
-func TestReplayOfLaterRelease(t *testing.T) {
+func TestReplayKeepsValuesOfLaterRelease(t *testing.T) {
 	Convey("Given a change that this release would reject", t, func() {
 		tree := New().Replay(3, []Edit{
 			{Path: "/", Name: "daemon-lease", Value: "20m"},
@@ -104,10 +104,10 @@
 			{Path: "x/y", Name: "leaves", Op: Unset},
 		})
 		Convey("each value is kept as written", func() {
-			xs, err := tree.Explain("/")
+			explanations, err := tree.Explain("/")
 			So(err, ShouldBeNil)
-			So(xs, ShouldContain, Explained{Name: "hedge-after", Value: "0.02s", StatedAt: "/", Version: 3})
-			So(xs[len(xs)-1], ShouldResemble, Explained{Name: "daemon-lease", Value: "20m", StatedAt: "/", Version: 3, Obsolete: true})
+			So(explanations, ShouldContain, Explained{Name: "hedge-after", Value: "0.02s", StatedAt: "/", Version: 3})
+			So(explanations[len(explanations)-1], ShouldResemble, Explained{Name: "daemon-lease", Value: "20m", StatedAt: "/", Version: 3, Obsolete: true})
 		})
 		Convey("known values take effect, and unknown ones are replaced by the default", func() {
 			e, _ := tree.Effective("x")
@@ -117,15 +117,15 @@
 		Convey("leaves are not inherited", func() {
 			e, _ := tree.Effective("x/y")
 			So(e.Leaves, ShouldBeEmpty)
-			xs, _ := tree.Explain("x/y")
-			for _, x := range xs {
+			explanations, _ := tree.Explain("x/y")
+			for _, x := range explanations {
 				So(x.Name, ShouldNotEqual, "leaves")
 			}
 		})
 		Convey("its encoding decodes to the same tree", func() {
-			again, err := Decode(tree.Encode())
+			decoded, err := Decode(tree.Encode())
 			So(err, ShouldBeNil)
-			So(Plan(tree, again), ShouldBeEmpty)
+			So(Plan(tree, decoded), ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -8,7 +8,7 @@
 // MaxDepth is the maximum number of segments of a path.
 const MaxDepth = 8
 
-const maxSegment = 63 // characters
+const maxSegmentLen = 63 // characters
 
 // segmentRule describes a valid segment. It is the fix in faults about paths and names.
 const segmentRule = "a segment is 1 to 63 of a-z, 0-9, '-', '_', '.', and starts with a letter or digit"
@@ -18,13 +18,13 @@
 
 // isSegment reports whether s satisfies segmentRule.
 func isSegment(s string) bool {
-	if s == "" || len(s) > maxSegment || strings.IndexByte("-_.", s[0]) >= 0 {
+	if s == "" || len(s) > maxSegmentLen || strings.IndexByte("-_.", s[0]) >= 0 {
 		return false
 	}
 	for i := range len(s) {
 		c := s[i]
-		word := 'a' <= c && c <= 'z' || '0' <= c && c <= '9'
-		if !word && c != '-' && c != '_' && c != '.' {
+		alphanumeric := 'a' <= c && c <= 'z' || '0' <= c && c <= '9'
+		if !alphanumeric && c != '-' && c != '_' && c != '.' {
 			return false
 		}
 	}
@@ -35,7 +35,7 @@
 func trimPath(path string) string { return strings.TrimPrefix(path, Root) }
 
 // displayPath returns the displayed form of a trimmed path: "/" for the root.
-func showPath(path string) string {
+func displayPath(path string) string {
 	if path == "" {
 		return Root
 	}
@@ -70,7 +70,7 @@
 }
 
 // IsWithin reports whether path is ancestor itself or a path below it.
-func Below(path, top string) bool {
-	path, top = trimPath(path), trimPath(top)
-	return path == top || strings.HasPrefix(path, top+Root)
+func Below(path, ancestor string) bool {
+	path, ancestor = trimPath(path), trimPath(ancestor)
+	return path == ancestor || strings.HasPrefix(path, ancestor+Root)
 }
--- a/internal/settings/plan.go
+++ b/internal/settings/plan.go
@@ -19,8 +19,8 @@
 // each service, in schema order. Subtrees shared by both trees are skipped.
 func Plan(old, new *Tree) []Effect {
 	p := planner{old: old, new: new}
-	p.tier()
-	p.node(old.top, new.top)
+	p.compareTier()
+	p.compareNodes(old.resolvedRoot, new.resolvedRoot)
 	slices.SortStableFunc(p.effects, func(a, b Effect) int { return cmp.Compare(a.Service, b.Service) })
 	return p.effects
 }
@@ -31,63 +31,63 @@
 	effects  []Effect
 }
 
-func (p *planner) tier() {
+func (p *planner) compareTier() {
 	for i := range p.new.schema.settings {
 		if s := &p.new.schema.settings[i]; s.RootOnly {
-			p.compare(Root, s.Name, p.old.chain(nil).value(s), p.new.chain(nil).value(s))
+			p.addIfChanged(Root, s.Name, p.old.nodesOnPath(nil).valueText(s), p.new.nodesOnPath(nil).valueText(s))
 		}
 	}
 }
 
 // compareNodes compares the nodes at one path in both trees; either may be nil.
-func (p *planner) node(old, new *resolved) {
+func (p *planner) compareNodes(old, new *resolvedNode) {
 	if old == new {
 		return
 	}
-	p.service(old, new)
+	p.compareService(old, new)
 	if old != nil {
-		newer := new.cursor()
+		newChildren := new.cursor()
 		for _, c := range old.children {
-			if newer.seek(c.decl.name) == nil {
-				p.node(c, nil)
+			if newChildren.seek(c.node.name) == nil {
+				p.compareNodes(c, nil)
 			}
 		}
 	}
 	if new != nil {
-		older := old.cursor()
+		oldChildren := old.cursor()
 		for _, c := range new.children {
-			p.node(older.seek(c.decl.name), c)
+			p.compareNodes(oldChildren.seek(c.node.name), c)
 		}
 	}
 }
 
-func (p *planner) service(old, new *resolved) {
-	was, is := old.leafText(), new.leafText()
+func (p *planner) compareService(old, new *resolvedNode) {
+	before, after := old.leafListText(), new.leafListText()
 	switch {
-	case was == "" && is == "":
-	case was == "":
-		p.compare(new.eff.Path, nameLeaves, "", is)
-	case is == "":
-		p.compare(old.eff.Path, nameLeaves, was, "")
+	case before == "" && after == "":
+	case before == "":
+		p.addIfChanged(new.eff.Path, nameLeaves, "", after)
+	case after == "":
+		p.addIfChanged(old.eff.Path, nameLeaves, before, "")
 	default:
-		p.settings(old.eff, new.eff)
+		p.compareSettings(old.eff, new.eff)
 	}
 }
 
-func (p *planner) settings(old, new *Effective) {
+func (p *planner) compareSettings(old, new *Effective) {
 	if old == new {
 		return
 	}
 	segments, _ := splitPath(new.Path)
-	was, is := p.old.chain(segments), p.new.chain(segments)
+	before, after := p.old.nodesOnPath(segments), p.new.nodesOnPath(segments)
 	for i := range p.new.schema.settings {
 		if s := &p.new.schema.settings[i]; !s.RootOnly {
-			p.compare(new.Path, s.Name, was.value(s), is.value(s))
+			p.addIfChanged(new.Path, s.Name, before.valueText(s), after.valueText(s))
 		}
 	}
 }
 
-func (p *planner) compare(service, name, before, after string) {
+func (p *planner) addIfChanged(service, name, before, after string) {
 	if before != after {
 		p.effects = append(p.effects, Effect{Service: service, Name: name, Before: before, After: after})
 	}
@@ -95,10 +95,10 @@
 
 // leafListText returns the leaf list of a query service as text, or "" for any other
 // node.
-func (r *resolved) leafText() string {
+func (r *resolvedNode) leafListText() string {
 	if r == nil || !r.isService() {
 		return ""
 	}
-	i, _ := r.decl.findStated(nameLeaves)
-	return r.decl.stated[i].text
+	i, _ := r.node.findAssignment(nameLeaves)
+	return r.node.assignments[i].text
 }
--- a/internal/settings/plan_test.go
+++ b/internal/settings/plan_test.go
@@ -10,9 +10,9 @@
 	"pearmoor/internal/link/wire"
 )
 
-func TestPlan(t *testing.T) {
+func TestPlanListsAffectedServices(t *testing.T) {
 	Convey("Given a tree in which one group of services sets its own hedge delay", t, func() {
-		tree := mustApply(t, shop(t), 2, Edit{Path: "gj-west/storefront", Name: "hedge-after", Value: "30ms"})
+		tree := mustApply(t, exampleTree(t), 2, Edit{Path: "gj-west/storefront", Name: "hedge-after", Value: "30ms"})
 
 		Convey("a change at the region lists only the query services that it affects", func() {
 			next := mustApply(t, tree, 3, Edit{Path: "gj-west", Name: "hedge-after", Value: "20ms"})
@@ -42,9 +42,9 @@
 	})
 }
 
-func TestExplainUnknownPath(t *testing.T) {
+func TestExplainRejectsUnknownPath(t *testing.T) {
 	Convey("Explain and Effective reject a path without a node", t, func() {
-		tree := shop(t)
+		tree := exampleTree(t)
 		for _, path := range []string{"nowhere", "gj-west/storefront/s1/x", "gj-west/", "//", "A", "gj-west//storefront"} {
 			_, err := tree.Explain(path)
 			So(err, ShouldHaveSameTypeAs, contract.Faults{})
@@ -60,18 +60,18 @@
 	})
 }
 
-func TestEditForms(t *testing.T) {
+func TestEditsRoundTripThroughWireAndJSON(t *testing.T) {
 	Convey("Edits survive a round trip through protobuf messages and JSON", t, func() {
 		edits := []Edit{{Path: "a", Name: "homes", Value: "1"}, {Path: "a", Name: "homes", Op: Unset}, {Path: "a", Op: Remove}}
 		So(EditsFromWire(EditsToWire(edits)), ShouldResemble, edits)
 		text, err := json.Marshal(edits)
 		So(err, ShouldBeNil)
-		var again []Edit
-		So(json.Unmarshal(text, &again), ShouldBeNil)
-		So(again, ShouldResemble, edits)
+		var decoded []Edit
+		So(json.Unmarshal(text, &decoded), ShouldBeNil)
+		So(decoded, ShouldResemble, edits)
 	})
 	Convey("An operation of a later release is rejected and not mistaken for another", t, func() {
 		edits := EditsFromWire([]*wire.Edit{{Path: "gj-west", Name: "goal", Value: "tail", Op: 9}, {Path: "gj-west", Op: -1}})
-		So(fields(faultsOf(t, shop(t), edits...)), ShouldResemble, []string{"gj-west:goal", "gj-west"})
+		So(faultFields(applyFaults(t, exampleTree(t), edits...)), ShouldResemble, []string{"gj-west:goal", "gj-west"})
 	})
 }
--- a/internal/settings/prop_test.go
+++ b/internal/settings/prop_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-var somePaths = []string{"/", "r", "r/d1", "r/d1/a", "r/d1/b", "r/d2", "r/d2/c", "q"}
+var testPaths = []string{"/", "r", "r/d1", "r/d1/a", "r/d1/b", "r/d2", "r/d2/c", "q"}
 
 // drawValue draws the text of a value for a setting; most values are valid by themselves.
 func drawValue(t *rapid.T, path string, s *Setting) string {
@@ -27,20 +27,20 @@
 	case Choice:
 		return rapid.SampledFrom(append(slices.Clone(s.Choices), "other")).Draw(t, "choice")
 	case LeafList, NameList:
-		return drawLeaves(t, path, s.Kind)
+		return drawLeafOrNameList(t, path, s.Kind)
 	case Text:
 		return rapid.SampledFrom([]string{"a", "007", "1e3", "null", "~", "yes", "a: b", "#x", "/p/é?", `{"k":[1,"2"]}`, "- a", "a\nb", " "}).Draw(t, "text")
 	}
 	return rapid.SampledFrom([]string{"0", "1", "2", "007", "40", "-1"}).Draw(t, "count")
 }
 
-func drawLeaves(t *rapid.T, path string, kind Kind) string {
-	at := slices.Index(somePaths, path)
+func drawLeafOrNameList(t *rapid.T, path string, kind Kind) string {
+	pathIndex := slices.Index(testPaths, path)
 	var items []string
 	for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(1, 5), 1, 4, rapid.ID[int]).Draw(t, "leaves") {
-		name := fmt.Sprintf("l%d-%d", at, n)
+		name := fmt.Sprintf("l%d-%d", pathIndex, n)
 		if kind == LeafList {
-			name += fmt.Sprintf("=10.0.%d.%d:80@hall-%d", at, n, n%2)
+			name += fmt.Sprintf("=10.0.%d.%d:80@hall-%d", pathIndex, n, n%2)
 		}
 		items = append(items, name)
 	}
@@ -48,12 +48,12 @@
 }
 
 func drawEdit(t *rapid.T) Edit {
-	path := rapid.SampledFrom(somePaths).Draw(t, "path")
+	path := rapid.SampledFrom(testPaths).Draw(t, "path")
 	switch op := rapid.SampledFrom([]Op{Set, Set, Set, Set, Unset, Remove}).Draw(t, "op"); op {
 	case Remove:
 		return Edit{Path: path, Op: Remove}
 	default:
-		s := &current.settings[rapid.IntRange(0, len(current.settings)-1).Draw(t, "setting")]
+		s := &currentSchema.settings[rapid.IntRange(0, len(currentSchema.settings)-1).Draw(t, "setting")]
 		e := Edit{Path: path, Name: s.Name, Op: op}
 		if op == Set {
 			e.Value = drawValue(t, path, s)
@@ -65,8 +65,8 @@
 // drawTree builds a tree from random changes and skips those that are rejected.
 func drawTree(t *rapid.T) *Tree {
 	tree := New()
-	for v := range rapid.IntRange(0, 40).Draw(t, "changes") {
-		if next, err := tree.Apply(uint64(v+1), []Edit{drawEdit(t)}); err == nil {
+	for i := range rapid.IntRange(0, 40).Draw(t, "changes") {
+		if next, err := tree.Apply(uint64(i+1), []Edit{drawEdit(t)}); err == nil {
 			tree = next
 		}
 	}
@@ -88,34 +88,34 @@
 }
 
 // equalValues reports whether a and b have the same values set at the same nodes.
-func sameValues(a, b *Tree) bool { return len(Diff(a, b)) == 0 && len(Diff(b, a)) == 0 }
+func equalValues(a, b *Tree) bool { return len(Diff(a, b)) == 0 && len(Diff(b, a)) == 0 }
 
 // An operator undoes a change by applying the diff from the changed tree to the previous
 // one. Apply must accept it, and it must restore every value.
-func TestInverseUndoes(t *testing.T) {
+func TestInverseDiffRestoresTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
 		_, next := drawChange(t, tree)
-		back, err := next.Apply(1001, Diff(next, tree))
+		restored, err := next.Apply(1001, Diff(next, tree))
 		if err != nil {
 			t.Fatalf("the inverse is rejected: %v", err)
 		}
-		if !sameValues(back, tree) {
-			t.Fatalf("differences after the inverse: %v", Diff(back, tree))
+		if !equalValues(restored, tree) {
+			t.Fatalf("differences after the inverse: %v", Diff(restored, tree))
 		}
 	})
 }
 
 // The diff between two arbitrary trees, applied to the first, must yield the values and
 // effective values of the second.
-func TestDiffTurnsOneTreeIntoTheOther(t *testing.T) {
+func TestApplyingDiffYieldsTargetTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawTree(t), drawTree(t)
 		got, err := from.Apply(1000, Diff(from, to))
 		if err != nil {
 			t.Fatalf("the difference is rejected: %v", err)
 		}
-		if !sameValues(got, to) {
+		if !equalValues(got, to) {
 			t.Fatalf("remaining differences: %v", Diff(got, to))
 		}
 		if len(Plan(got, to)) != 0 {
@@ -126,18 +126,18 @@
 
 // A daemon that decodes a snapshot must have the same effective values and digest as the
 // sender.
-func TestEncodeDecode(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
-		text := tree.Encode()
-		got, err := Decode(text)
+		encoded := tree.Encode()
+		got, err := Decode(encoded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got.Digest() != tree.Digest() || !bytes.Equal(got.Encode(), text) {
+		if got.Digest() != tree.Digest() || !bytes.Equal(got.Encode(), encoded) {
 			t.Fatal("the decoded tree differs")
 		}
-		for _, path := range somePaths {
+		for _, path := range testPaths {
 			a, okA := tree.Effective(path)
 			b, okB := got.Effective(path)
 			if okA != okB || !reflect.DeepEqual(a, b) {
@@ -148,7 +148,7 @@
 }
 
 // Two trees have equal digests if and only if their encodings are equal.
-func TestDigestTellsTreesApart(t *testing.T) {
+func TestDigestsEqualOnlyForEqualTrees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
 		_, next := drawChange(t, tree)
@@ -160,7 +160,7 @@
 
 // A daemon that starts from a snapshot and replays the subsequent changes must have a tree
 // with the same digest as the control VM that accepted them.
-func TestReplayFromSnapshot(t *testing.T) {
+func TestReplayFromSnapshotMatchesLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader := drawTree(t)
 		daemon, err := Decode(leader.Encode())
@@ -193,7 +193,7 @@
 		if err != nil {
 			t.Fatalf("%v in\n%s", err, tree.ExportFile())
 		}
-		if !sameValues(got, tree) {
+		if !equalValues(got, tree) {
 			t.Fatalf("remaining differences: %v in\n%s", Diff(got, tree), tree.ExportFile())
 		}
 	})
@@ -201,21 +201,21 @@
 
 // A change must not affect nodes that are neither edited nor below an edited node, and
 // must reuse their effective values.
-func TestUntouchedNodesStay(t *testing.T) {
+func TestChangeKeepsUnrelatedNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
 		edits, next := drawChange(t, tree)
-		for _, path := range somePaths {
-			if slices.ContainsFunc(edits, func(e Edit) bool { return reaches(e.Path, path) }) {
+		for _, path := range testPaths {
+			if slices.ContainsFunc(edits, func(e Edit) bool { return mayAffect(e.Path, path) }) {
 				continue
 			}
-			was, okWas := tree.Effective(path)
-			is, okIs := next.Effective(path)
-			above := slices.ContainsFunc(edits, func(e Edit) bool { return reaches(path, e.Path) })
-			if !above && (okWas != okIs || was != is) {
+			before, foundBefore := tree.Effective(path)
+			after, foundAfter := next.Effective(path)
+			editedBelow := slices.ContainsFunc(edits, func(e Edit) bool { return mayAffect(path, e.Path) })
+			if !editedBelow && (foundBefore != foundAfter || before != after) {
 				t.Fatalf("%v changed the effective values of %s", edits, path)
 			}
-			if okWas && okIs && was != is {
+			if foundBefore && foundAfter && before != after {
 				t.Fatalf("%v resolved %s again", edits, path)
 			}
 		}
@@ -223,29 +223,29 @@
 }
 
 // mayAffect reports whether an edit at path can change the effective values at other.
-func reaches(path, other string) bool {
+func mayAffect(path, other string) bool {
 	path = trimPath(path)
 	return path == "" || path == other || strings.HasPrefix(other, path+"/")
 }
 
 // The effective value at a node must equal the value found by walking up to the root.
-func TestInheritanceAgainstPlainWalk(t *testing.T) {
+func TestInheritanceMatchesWalkToRoot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
-		for _, path := range somePaths {
+		for _, path := range testPaths {
 			e, ok := tree.Effective(path)
 			if !ok {
 				continue
 			}
 			want, tier := Effective{Path: path}, Tier{}
-			for i := range current.settings {
-				s := &current.settings[i]
-				if text := plainWalk(tree, path, s); text != "" {
+			for i := range currentSchema.settings {
+				s := &currentSchema.settings[i]
+				if text := textByWalk(tree, path, s); text != "" {
 					v, err := s.parse(text)
 					if err != nil {
 						t.Fatal(err)
 					}
-					s.bind(&want, &tier, v)
+					s.assign(&want, &tier, v)
 				}
 			}
 			if !reflect.DeepEqual(*e, want) || tier != tree.Tier() {
@@ -256,22 +256,22 @@
 }
 
 // textByWalk finds the effective value of s by walking from path up to the root.
-func plainWalk(tree *Tree, path string, s *Setting) string {
-	for at := path; ; {
-		segments, _ := splitPath(at)
+func textByWalk(tree *Tree, path string, s *Setting) string {
+	for current := path; ; {
+		segments, _ := splitPath(current)
 		n := lookupNode(tree.root, segments)
-		if i := slices.IndexFunc(n.stated, func(st stated) bool { return st.name == s.Name }); i >= 0 {
-			return n.stated[i].text
+		if i := slices.IndexFunc(n.assignments, func(a assignment) bool { return a.name == s.Name }); i >= 0 {
+			return n.assignments[i].text
 		}
 		if len(segments) == 0 || !s.Inherits && !s.RootOnly {
 			return s.Default
 		}
-		at = strings.Join(segments[:len(segments)-1], "/")
+		current = strings.Join(segments[:len(segments)-1], "/")
 	}
 }
 
 // A rejected change must leave the tree unchanged and return faults.
-func TestRefusedChangeLeavesTheTree(t *testing.T) {
+func TestRejectedChangeLeavesTreeUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
 		before := tree.Encode()
@@ -291,18 +291,18 @@
 
 // The editor caches the node that it changed last. A stale cache would make a batch of
 // edits produce another tree than the same edits applied one at a time.
-func TestEditsTogetherAreEditsOneByOne(t *testing.T) {
+func TestBatchedEditsMatchSequentialEdits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
 		var edits []Edit
-		one := tree
+		sequential := tree
 		for range rapid.IntRange(1, 12).Draw(t, "edits") {
 			e := drawEdit(t)
 			edits = append(edits, e)
-			one = one.Replay(1000, []Edit{e})
+			sequential = sequential.Replay(1000, []Edit{e})
 		}
-		if together := tree.Replay(1000, edits); together.Digest() != one.Digest() {
-			t.Fatalf("batch %v differs by %v", edits, Diff(one, together))
+		if batched := tree.Replay(1000, edits); batched.Digest() != sequential.Digest() {
+			t.Fatalf("batch %v differs by %v", edits, Diff(sequential, batched))
 		}
 	})
 }
--- a/internal/settings/quarantine.go
+++ b/internal/settings/quarantine.go
@@ -28,14 +28,14 @@
 
 func quarantineSettings() []Setting {
 	return []Setting{
-		text(NameQuarantineRequest, "method, host, path, caller", "The request that the node's fingerprint stands for.", func(e *Effective) *string { return &e.Quarantine.Request }),
-		count(NameQuarantineEnds, "leaves", "0", "How many leaves have ended under attempts of the request that no leaf answered.", func(e *Effective) *int { return &e.Quarantine.Ends }),
-		count(NameQuarantineCrashes, "attempts", "0", "Under how many attempts of the request leaves have ended.", func(e *Effective) *int { return &e.Quarantine.Crashes }),
-		count(NameQuarantineAttempts, "attempts", "0", "How many attempts of the request have reached leaves without an answer, one after the other.", func(e *Effective) *int { return &e.Quarantine.Attempts }),
-		count(NameQuarantineVariants, "names", "0", "How many narrower names the attempts had: queries, or callers.", func(e *Effective) *int { return &e.Quarantine.Variants }),
+		textSetting(NameQuarantineRequest, "method, host, path, caller", "The request that the node's fingerprint stands for.", func(e *Effective) *string { return &e.Quarantine.Request }),
+		countSetting(NameQuarantineEnds, "leaves", "0", "How many leaves have ended under attempts of the request that no leaf answered.", func(e *Effective) *int { return &e.Quarantine.Ends }),
+		countSetting(NameQuarantineCrashes, "attempts", "0", "Under how many attempts of the request leaves have ended.", func(e *Effective) *int { return &e.Quarantine.Crashes }),
+		countSetting(NameQuarantineAttempts, "attempts", "0", "How many attempts of the request have reached leaves without an answer, one after the other.", func(e *Effective) *int { return &e.Quarantine.Attempts }),
+		countSetting(NameQuarantineVariants, "names", "0", "How many narrower names the attempts had: queries, or callers.", func(e *Effective) *int { return &e.Quarantine.Variants }),
 		{Name: NameQuarantineBlocked, Kind: Bool, Unit: "true or false", Default: "false",
-			Doc:  "Whether the request is refused before it reaches a leaf. Until then it is tried at one leaf at a time.",
-			bind: func(e *Effective, _ *Tier, v *value) { e.Quarantine.Blocked = v.num == 1 }},
-		text(NameQuarantineSeen, "RFC 3339 time", "When the last attempt of the request was reported.", func(e *Effective) *string { return &e.Quarantine.Seen }),
+			Doc:    "Whether the request is refused before it reaches a leaf. Until then it is tried at one leaf at a time.",
+			assign: func(e *Effective, _ *Tier, v *value) { e.Quarantine.Blocked = v.integer == 1 }},
+		textSetting(NameQuarantineSeen, "RFC 3339 time", "When the last attempt of the request was reported.", func(e *Effective) *string { return &e.Quarantine.Seen }),
 	}
 }
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -8,16 +8,16 @@
 )
 
 //go:embed reference.md.tmpl
-var referenceText string
+var referenceTemplateText string
 
-var reference = template.Must(template.New("reference").Funcs(template.FuncMap{
+var referenceTemplate = template.Must(template.New("reference").Funcs(template.FuncMap{
 	"join":  strings.Join,
-	"where": where,
-	"limit": limit,
-}).Parse(referenceText))
+	"where": placement,
+	"limit": allowedValues,
+}).Parse(referenceTemplateText))
 
 // conflict is a rejected combination of settings on the reference page.
-type contradiction struct {
+type conflict struct {
 	Names []string
 	Why   string
 	Fix   string
@@ -27,18 +27,18 @@
 func WriteReference(w io.Writer) error {
 	page := struct {
 		Settings       []Setting
-		Contradictions []contradiction
+		Contradictions []conflict
 		MaxDepth       int
 		MaxLeaves      int
 	}{Settings: Schema(), MaxDepth: MaxDepth, MaxLeaves: MaxLeaves}
-	for _, r := range rules {
-		page.Contradictions = append(page.Contradictions, contradiction{Names: r.names, Why: r.why, Fix: r.fix})
+	for _, r := range conflictRules {
+		page.Contradictions = append(page.Contradictions, conflict{Names: r.names, Why: r.why, Fix: r.fix})
 	}
-	return reference.Execute(w, page)
+	return referenceTemplate.Execute(w, page)
 }
 
 // placement describes the nodes at which a setting may be set.
-func where(s Setting) string {
+func placement(s Setting) string {
 	switch {
 	case s.RootOnly:
 		return "at the root only; it holds for the whole tier"
@@ -49,7 +49,7 @@
 }
 
 // allowedValues describes the values that a setting accepts.
-func limit(s Setting) string {
+func allowedValues(s Setting) string {
 	switch {
 	case len(s.Choices) > 0:
 		return strings.Join(s.Choices, " or ")
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -10,7 +10,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var update = flag.Bool("update", false, "regenerate the reference page of settings")
+var updateReference = flag.Bool("update", false, "regenerate the reference page of settings")
 
 // TestReference checks that the committed reference page matches the schema.
 func TestReference(t *testing.T) {
@@ -19,7 +19,7 @@
 	if err := WriteReference(&want); err != nil {
 		t.Fatal(err)
 	}
-	if *update {
+	if *updateReference {
 		if err := os.WriteFile(page, want.Bytes(), 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 
 // TestSchemaIsComplete checks that each setting has the fields that the reference page,
 // the flags and the validation need.
-func TestSchema(t *testing.T) {
+func TestSchemaIsComplete(t *testing.T) {
 	Convey("Each setting is complete", t, func() {
 		for _, s := range Schema() {
 			So(isSegment(s.Name), ShouldBeTrue)
@@ -47,8 +47,8 @@
 		}
 	})
 	Convey("The defaults violate no conflict rule", t, func() {
-		for _, r := range rules {
-			So(r.broken(&current.def, current.defTier), ShouldBeFalse)
+		for _, r := range conflictRules {
+			So(r.violated(&currentSchema.defaults, currentSchema.tierDefaults), ShouldBeFalse)
 			for _, name := range r.names {
 				_, known := Lookup(name)
 				So(known, ShouldBeTrue)
@@ -63,7 +63,7 @@
 // operator's action. A default therefore never changes; a setting that needs another
 // default gets a new name, and the old setting is removed.
 func TestDefaultsNeverChange(t *testing.T) {
-	released := map[string]string{
+	releasedDefaults := map[string]string{
 		"leaves": "", "drained": "", "leaf-slots": "2", "leaf-connections": "30", "connect-cost": "6ms",
 		"leaf-tls": "false", "homes": "2", "priority": "ordinary", "goal": "coverage", "snapshot": "joint",
 		"deadline-default": "1s", "deadline-max": "4s", "early-coverage": "0", "body-limit": "1MiB",
@@ -83,9 +83,9 @@
 	}
 	Convey("Each setting has the default it was released with", t, func() {
 		for _, s := range Schema() {
-			text, listed := released[s.Name]
+			want, listed := releasedDefaults[s.Name]
 			So(listed, ShouldBeTrue)
-			So(s.Default, ShouldEqual, text)
+			So(s.Default, ShouldEqual, want)
 		}
 	})
 }
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -22,8 +22,8 @@
 	Inherits bool // descendants use the value unless they set their own
 	RootOnly bool // may be set only at the root
 
-	min, max, def *value
-	bind          func(e *Effective, t *Tier, v *value)
+	min, max, defaultValue *value
+	assign                 func(e *Effective, t *Tier, v *value)
 }
 
 // Env returns the environment variable of the setting's flag.
@@ -32,21 +32,21 @@
 }
 
 // Schema returns every setting, in the order of the reference page.
-func Schema() []Setting { return slices.Clone(current.settings) }
+func Schema() []Setting { return slices.Clone(currentSchema.settings) }
 
 // Lookup returns the setting with the given name.
-func Lookup(name string) (*Setting, bool) { return current.lookup(name) }
+func Lookup(name string) (*Setting, bool) { return currentSchema.lookup(name) }
 
 // schema is a set of settings. Outside tests there is one, currentSchema. Tests create
 // others to check trees written by a release with more settings.
 type schema struct {
-	settings []Setting
-	index    map[string]int
-	def      Effective
-	defTier  Tier
+	settings     []Setting
+	index        map[string]int
+	defaults     Effective
+	tierDefaults Tier
 }
 
-var current = newSchema(table())
+var currentSchema = newSchema(allSettings())
 
 // newSchema parses the bounds and defaults of settings. They are constants of the
 // program, so an invalid one is a programming error and panics at startup.
@@ -55,18 +55,18 @@
 	for i := range settings {
 		s := &settings[i]
 		sc.index[s.Name] = i
-		s.min, s.max = s.constant(s.Min), s.constant(s.Max)
-		if s.def = s.constant(s.Default); s.def != nil {
-			s.bind(&sc.def, &sc.defTier, s.def)
+		s.min, s.max = s.mustParse(s.Min), s.mustParse(s.Max)
+		if s.defaultValue = s.mustParse(s.Default); s.defaultValue != nil {
+			s.assign(&sc.defaults, &sc.tierDefaults, s.defaultValue)
 		}
 	}
-	sc.def.Path = Root
+	sc.defaults.Path = Root
 	return sc
 }
 
 // mustParse parses a bound or default of s and panics if it is invalid. It returns nil
 // for an empty text.
-func (s *Setting) constant(text string) *value {
+func (s *Setting) mustParse(text string) *value {
 	if text == "" {
 		return nil
 	}
--- a/internal/settings/shared.go
+++ b/internal/settings/shared.go
@@ -8,18 +8,18 @@
 //
 // The index contains only the services whose leaves changed, to save memory; the leaves
 // of all services are looked up in it.
-func sharedLeaves(t *Tree, moved []*Effective) contract.Faults {
-	if len(moved) == 0 {
+func checkSharedLeaves(t *Tree, changed []*Effective) contract.Faults {
+	if len(changed) == 0 {
 		return nil
 	}
-	ix := newLeafIndex(moved)
-	for _, path := range t.top.services {
+	index := newLeafIndex(changed)
+	for _, path := range t.resolvedRoot.services {
 		e, _ := t.Effective(path)
 		for i := range e.Leaves {
-			ix.meet(e, &e.Leaves[i])
+			index.checkLeaf(e, &e.Leaves[i])
 		}
 	}
-	return ix.faults
+	return index.faults
 }
 
 // leafIndex maps leaf names and addresses to the changed query service that declares
@@ -29,38 +29,38 @@
 	faults       contract.Faults
 }
 
-func newLeafIndex(moved []*Effective) *leafIndex {
+func newLeafIndex(changed []*Effective) *leafIndex {
 	n := 0
-	for _, e := range moved {
+	for _, e := range changed {
 		n += len(e.Leaves)
 	}
-	ix := &leafIndex{names: make(map[string]*Effective, n), addrs: make(map[string]*Effective, n)}
-	for _, e := range moved {
+	index := &leafIndex{names: make(map[string]*Effective, n), addrs: make(map[string]*Effective, n)}
+	for _, e := range changed {
 		for _, l := range e.Leaves {
-			ix.names[l.Name] = e
-			ix.addrs[l.Addr] = e
+			index.names[l.Name] = e
+			index.addrs[l.Addr] = e
 		}
 	}
-	return ix
+	return index
 }
 
 // checkLeaf reports a leaf of e whose name or address a changed service also declares. A
 // conflict between two changed services is reported once, because the index contains
 // only the later one.
-func (ix *leafIndex) meet(e *Effective, l *Leaf) {
-	if moved, ok := ix.addrs[l.Addr]; ok && moved != e {
-		ix.fault(moved, e, "address", l.Addr)
+func (ix *leafIndex) checkLeaf(e *Effective, l *Leaf) {
+	if declaring, ok := ix.addrs[l.Addr]; ok && declaring != e {
+		ix.addFault(declaring, e, "address", l.Addr)
 		return
 	}
-	if moved, ok := ix.names[l.Name]; ok && moved != e {
-		ix.fault(moved, e, "name", l.Name)
+	if declaring, ok := ix.names[l.Name]; ok && declaring != e {
+		ix.addFault(declaring, e, "name", l.Name)
 	}
 }
 
-func (ix *leafIndex) fault(moved, other *Effective, what, text string) {
+func (ix *leafIndex) addFault(declaring, other *Effective, attribute, text string) {
 	ix.faults = append(ix.faults, contract.Fault{
-		Field: fieldOf(moved.Path, nameLeaves), Value: text,
-		Why: "the " + what + " is that of a leaf of " + other.Path + " as well",
+		Field: fieldOf(declaring.Path, nameLeaves), Value: text,
+		Why: "the " + attribute + " is that of a leaf of " + other.Path + " as well",
 		Fix: "declare a target in one query service, under one name and address",
 	})
 }
--- a/internal/settings/size_test.go
+++ b/internal/settings/size_test.go
@@ -9,7 +9,7 @@
 
 // leafListEdits returns edits that declare the given number of query services with the
 // given number of leaves each.
-func sizedEdits(services, leaves int) []Edit {
+func leafListEdits(services, leaves int) []Edit {
 	edits := make([]Edit, 0, services+1)
 	edits = append(edits, Edit{Path: "region", Name: "priority", Value: "urgent"})
 	for s := range services {
@@ -25,13 +25,13 @@
 
 // treeShapes are two trees with 23,000 leaves, and smaller ones that show how the cost
 // grows with the size.
-var shapes = []struct{ services, leaves int }{{6, 470}, {12, 470}, {24, 470}, {49, 470}, {11500, 2}}
+var treeShapes = []struct{ services, leaves int }{{6, 470}, {12, 470}, {24, 470}, {49, 470}, {11500, 2}}
 
 // benchmarkShapes runs a benchmark on a tree of each shape.
-func eachShape(b *testing.B, run func(b *testing.B, t *Tree)) {
-	for _, sh := range shapes {
-		b.Run(fmt.Sprintf("services=%d/leaves=%d", sh.services, sh.services*sh.leaves), func(b *testing.B) {
-			t := mustApply(b, New(), 1, sizedEdits(sh.services, sh.leaves)...)
+func benchmarkShapes(b *testing.B, run func(b *testing.B, t *Tree)) {
+	for _, shape := range treeShapes {
+		b.Run(fmt.Sprintf("services=%d/leaves=%d", shape.services, shape.services*shape.leaves), func(b *testing.B) {
+			t := mustApply(b, New(), 1, leafListEdits(shape.services, shape.leaves)...)
 			b.ReportAllocs()
 			b.ResetTimer()
 			run(b, t)
@@ -39,18 +39,18 @@
 	}
 }
 
-func BenchmarkApplyOneSetting(b *testing.B) {
+func BenchmarkApplySettingOfOneService(b *testing.B) {
 	values := []string{"10ms", "20ms"}
-	eachShape(b, func(b *testing.B, t *Tree) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		for i := range b.N {
 			t = mustApply(b, t, uint64(i), Edit{Path: "region/desk/service-00001", Name: "hedge-after", Value: values[i%2]})
 		}
 	})
 }
 
-func BenchmarkApplyAtRoot(b *testing.B) {
+func BenchmarkApplySettingAtRoot(b *testing.B) {
 	values := []string{"10ms", "20ms"}
-	eachShape(b, func(b *testing.B, t *Tree) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		for i := range b.N {
 			t = mustApply(b, t, uint64(i), Edit{Path: "/", Name: "hedge-after", Value: values[i%2]})
 		}
@@ -59,8 +59,8 @@
 
 // BenchmarkApplyLeafList replaces the leaf list of one service. Apply checks the names and
 // addresses against all leaves of the tree.
-func BenchmarkApplyLeaves(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
+func BenchmarkApplyLeafList(b *testing.B) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		e, _ := t.Effective("region/desk/service-00001")
 		values := []string{FormatLeaves(e.Leaves[1:]), FormatLeaves(e.Leaves)}
 		for i := range b.N {
@@ -69,8 +69,8 @@
 	})
 }
 
-func BenchmarkReplayLeaves(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
+func BenchmarkReplayLeafList(b *testing.B) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		e, _ := t.Effective("region/desk/service-00001")
 		values := []string{FormatLeaves(e.Leaves[1:]), FormatLeaves(e.Leaves)}
 		for i := range b.N {
@@ -80,7 +80,7 @@
 }
 
 func BenchmarkEffective(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		for range b.N {
 			if _, ok := t.Effective("region/desk/service-00003"); !ok {
 				b.Fatal("the service does not exist")
@@ -90,7 +90,7 @@
 }
 
 func BenchmarkServices(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		for range b.N {
 			if len(t.Services("region/desk")) == 0 {
 				b.Fatal("the services do not exist")
@@ -100,7 +100,7 @@
 }
 
 func BenchmarkEncode(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		var n int
 		for range b.N {
 			n = len(t.Encode())
@@ -110,11 +110,11 @@
 }
 
 func BenchmarkDecode(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
-		text := t.Encode()
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
+		encoded := t.Encode()
 		b.ResetTimer()
 		for range b.N {
-			if _, err := Decode(text); err != nil {
+			if _, err := Decode(encoded); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -122,7 +122,7 @@
 }
 
 func BenchmarkParseFile(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		text := t.ExportFile()
 		b.ResetTimer()
 		for range b.N {
@@ -134,7 +134,7 @@
 }
 
 func BenchmarkPlanAtRoot(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		next := mustApply(b, t, 2, Edit{Path: "/", Name: "hedge-after", Value: "10ms"})
 		b.ResetTimer()
 		for range b.N {
@@ -146,7 +146,7 @@
 }
 
 func BenchmarkDiffOneSetting(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
 		next := mustApply(b, t, 2, Edit{Path: "region/desk/service-00001", Name: "hedge-after", Value: "10ms"})
 		b.ResetTimer()
 		for range b.N {
@@ -158,14 +158,14 @@
 }
 
 // BenchmarkTreeMemory reports the heap memory of a decoded tree.
-func BenchmarkResident(b *testing.B) {
-	eachShape(b, func(b *testing.B, t *Tree) {
-		text := t.Encode()
+func BenchmarkTreeMemory(b *testing.B) {
+	benchmarkShapes(b, func(b *testing.B, t *Tree) {
+		encoded := t.Encode()
 		var before, after runtime.MemStats
 		for range b.N {
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			got, err := Decode(text)
+			got, err := Decode(encoded)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -9,22 +9,22 @@
 
 // Tree is an immutable tree of settings. It is safe for concurrent use.
 type Tree struct {
-	schema *schema
-	root   *node
-	top    *resolved
-	tier   Tier
+	schema       *schema
+	root         *node
+	resolvedRoot *resolvedNode
+	tier         Tier
 }
 
 // New returns an empty tree, in which all settings have their defaults.
-func New() *Tree { return newTree(current, &node{}, nil) }
+func New() *Tree { return newTree(currentSchema, &node{}, nil) }
 
 func newTree(sc *schema, root *node, old *Tree) *Tree {
 	root.seal()
-	t := &Tree{schema: sc, root: root, tier: sc.tier(root)}
+	t := &Tree{schema: sc, root: root, tier: sc.resolveTier(root)}
 	if old == nil {
-		t.top = sc.resolve(root, "", &sc.def, nil, nil)
+		t.resolvedRoot = sc.resolve(root, "", &sc.defaults, nil, nil)
 	} else {
-		t.top = sc.resolve(root, "", &sc.def, old.top, &sc.def)
+		t.resolvedRoot = sc.resolve(root, "", &sc.defaults, old.resolvedRoot, &sc.defaults)
 	}
 	return t
 }
@@ -55,12 +55,12 @@
 	return next
 }
 
-func (t *Tree) edit(version uint64, edits []Edit, lenient bool) (*Tree, contract.Faults) {
-	ed := editor{schema: t.schema, root: t.root, version: version, lenient: lenient}
+func (t *Tree) edit(version uint64, edits []Edit, replay bool) (*Tree, contract.Faults) {
+	ed := editor{schema: t.schema, root: t.root, version: version, replay: replay}
 	for _, e := range edits {
 		ed.apply(e)
 	}
-	if len(ed.faults) > 0 && !lenient {
+	if len(ed.faults) > 0 && !replay {
 		return nil, ed.faults
 	}
 	if ed.root == t.root {
@@ -74,8 +74,8 @@
 func Canonical(edits []Edit) []Edit {
 	out := make([]Edit, len(edits))
 	for i, e := range edits {
-		e.Path = showPath(trimPath(e.Path))
-		if s, ok := current.lookup(e.Name); ok && e.Op == Set {
+		e.Path = displayPath(trimPath(e.Path))
+		if s, ok := currentSchema.lookup(e.Name); ok && e.Op == Set {
 			if v, err := s.parse(e.Value); err == nil {
 				e.Value = v.text
 			}
@@ -93,10 +93,10 @@
 // EqualExcept reports whether t and o are equal, ignoring the child of the root with the
 // given name and the versions of the values set at the root.
 func (t *Tree) SameBut(o *Tree, name string) bool {
-	if !slices.EqualFunc(t.root.stated, o.root.stated, func(a, b stated) bool { return a.name == b.name && a.text == b.text }) {
+	if !slices.EqualFunc(t.root.assignments, o.root.assignments, func(a, b assignment) bool { return a.name == b.name && a.text == b.text }) {
 		return false
 	}
-	others := func(n *node) []uint64 {
+	otherDigests := func(n *node) []uint64 {
 		var out []uint64
 		for _, c := range n.children {
 			if c.name != name {
@@ -105,7 +105,7 @@
 		}
 		return out
 	}
-	return slices.Equal(others(t.root), others(o.root))
+	return slices.Equal(otherDigests(t.root), otherDigests(o.root))
 }
 
 // Tier returns the settings that may be set only at the root.
@@ -131,8 +131,8 @@
 	return r.services
 }
 
-func (t *Tree) lookup(path string) *resolved {
-	r, rest := t.top, trimPath(path)
+func (t *Tree) lookup(path string) *resolvedNode {
+	r, rest := t.resolvedRoot, trimPath(path)
 	if strings.HasSuffix(rest, Root) {
 		return nil
 	}
@@ -150,8 +150,8 @@
 	if r == nil {
 		return nil
 	}
-	out := make([]string, len(r.decl.children))
-	for i, c := range r.decl.children {
+	out := make([]string, len(r.node.children))
+	for i, c := range r.node.children {
 		out[i] = c.name
 	}
 	return out
@@ -163,9 +163,9 @@
 	if r == nil {
 		return nil
 	}
-	out := make(map[string]string, len(r.decl.stated))
-	for _, s := range r.decl.stated {
-		out[s.name] = s.text
+	out := make(map[string]string, len(r.node.assignments))
+	for _, a := range r.node.assignments {
+		out[a.name] = a.text
 	}
 	return out
 }
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -10,7 +10,7 @@
 
 // exampleTree returns a tree with one region, two groups of services and three query
 // services.
-func shop(t testing.TB) *Tree {
+func exampleTree(t testing.TB) *Tree {
 	t.Helper()
 	return mustApply(t, New(), 1,
 		Edit{Path: "/", Name: "deadline-default", Value: "220ms"},
@@ -32,7 +32,7 @@
 }
 
 // applyFaults returns the faults of applying edits.
-func faultsOf(t testing.TB, from *Tree, edits ...Edit) contract.Faults {
+func applyFaults(t testing.TB, from *Tree, edits ...Edit) contract.Faults {
 	t.Helper()
 	_, err := from.Apply(99, edits)
 	if err == nil {
@@ -46,7 +46,7 @@
 }
 
 // faultFields returns the Field of each fault.
-func fields(faults contract.Faults) []string {
+func faultFields(faults contract.Faults) []string {
 	out := make([]string, len(faults))
 	for i, f := range faults {
 		out[i] = f.Field
@@ -56,7 +56,7 @@
 
 func TestInheritance(t *testing.T) {
 	Convey("Given a tree with two groups of services", t, func() {
-		tree := shop(t)
+		tree := exampleTree(t)
 		s1, ok := tree.Effective("gj-west/storefront/s1")
 		So(ok, ShouldBeTrue)
 
@@ -78,10 +78,10 @@
 		})
 		Convey("Explain names the node and the version that set each value", func() {
 			next := mustApply(t, tree, 7, Edit{Path: "gj-west/storefront", Name: "homes", Value: "1"})
-			xs, err := next.Explain("gj-west/storefront/s1")
+			explanations, err := next.Explain("gj-west/storefront/s1")
 			So(err, ShouldBeNil)
 			got := map[string]Explained{}
-			for _, x := range xs {
+			for _, x := range explanations {
 				got[x.Name] = x
 			}
 			So(got["homes"], ShouldResemble, Explained{Name: "homes", Value: "1", StatedAt: "gj-west/storefront", Version: 7})
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -34,22 +34,22 @@
 
 // maxNumberLen limits the length in bytes of a number with its unit, to prevent an
 // overflow of int64.
-const maxNumberText = 24
+const maxNumberLen = 24
 
 // maxTextLen limits the length of a text in bytes. The longest text is the list of a
 // route's shards.
-const maxText = 256 << 10
+const maxTextLen = 256 << 10
 
 // value is a parsed value. The kind of the setting determines which field is used.
 type value struct {
-	text   string // canonical form
-	num    int64  // count, nanoseconds, bytes, 0 or 1, index of the choice
-	ratio  float64
-	leaves []Leaf
-	names  []string
+	text    string // canonical form
+	integer int64  // count, nanoseconds, bytes, 0 or 1, index of the choice
+	ratio   float64
+	leaves  []Leaf
+	names   []string
 }
 
-func (v *value) duration() time.Duration { return time.Duration(v.num) }
+func (v *value) duration() time.Duration { return time.Duration(v.integer) }
 
 // parse parses text as a value of s and normalizes it, so that different spellings of a
 // value yield the same text.
@@ -58,7 +58,7 @@
 	if text == "" {
 		return nil, errors.New("the value is empty")
 	}
-	v, err := s.parseKind(text)
+	v, err := s.parseByKind(text)
 	if err != nil {
 		return nil, err
 	}
@@ -75,15 +75,15 @@
 	if s.Kind == Ratio {
 		return a.ratio < b.ratio
 	}
-	return a.num < b.num
+	return a.integer < b.integer
 }
 
-func (s *Setting) parseKind(text string) (*value, error) {
+func (s *Setting) parseByKind(text string) (*value, error) {
 	switch s.Kind {
 	case LeafList:
 		return parseLeafList(text)
 	case NameList:
-		names, err := parseNames(text)
+		names, err := parseNameList(text)
 		return &value{text: strings.Join(names, ","), names: names}, err
 	case Choice:
 		return s.parseChoice(text)
@@ -92,7 +92,7 @@
 	case Text:
 		return parseText(text)
 	}
-	if len(text) > maxNumberText {
+	if len(text) > maxNumberLen {
 		return nil, errors.New("the number is too long")
 	}
 	return s.parseNumber(text)
@@ -116,12 +116,12 @@
 	if i < 0 {
 		return nil, errors.Newf("it is none of %s", strings.Join(s.Choices, ", "))
 	}
-	return &value{text: text, num: int64(i)}, nil
+	return &value{text: text, integer: int64(i)}, nil
 }
 
 func parseText(text string) (*value, error) {
-	if len(text) > maxText {
-		return nil, errors.Newf("the text is longer than %d bytes", maxText)
+	if len(text) > maxTextLen {
+		return nil, errors.Newf("the text is longer than %d bytes", maxTextLen)
 	}
 	if strings.ContainsAny(text, "\r\n\x00") {
 		return nil, errors.New("the text has a line break or a zero byte")
@@ -132,7 +132,7 @@
 func parseBool(text string) (*value, error) {
 	switch text {
 	case "true":
-		return &value{text: text, num: 1}, nil
+		return &value{text: text, integer: 1}, nil
 	case "false":
 		return &value{text: text}, nil
 	}
@@ -144,7 +144,7 @@
 	if err != nil {
 		return nil, errors.New("it is not a whole number without a unit")
 	}
-	return &value{text: strconv.FormatInt(n, 10), num: n}, nil
+	return &value{text: strconv.FormatInt(n, 10), integer: n}, nil
 }
 
 func parseRatio(text string) (*value, error) {
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, errors.New("it is not a duration such as 20ms, 1.5s or 2m")
 	}
-	return &value{text: formatDuration(d), num: int64(d)}, nil
+	return &value{text: formatDuration(d), integer: int64(d)}, nil
 }
 
 // formatDuration formats d like time.Duration.String, without trailing zero units: 2m
@@ -188,7 +188,7 @@
 	if err != nil {
 		return nil, errors.New("it is not a size such as 64KiB or 1MiB")
 	}
-	return &value{text: formatBytes(n), num: n}, nil
+	return &value{text: formatBytes(n), integer: n}, nil
 }
 
 // formatBytes formats n in the largest unit that divides it.
--- a/internal/vm/wire.go
+++ b/internal/vm/wire.go
@@ -68,8 +68,8 @@
 		return nil
 	}
 	m := &Membership{Epoch: w.GetEpoch(), Members: make([]Member, len(w.GetMembers()))}
-	for i, v := range w.GetMembers() {
-		m.Members[i] = FromWire(v)
+	for i, member := range w.GetMembers() {
+		m.Members[i] = FromWire(member)
 	}
 	sortMembers(m.Members)
 	return m
@@ -118,8 +118,8 @@
 	for _, name := range d.GetRemoves() {
 		changed[name] = nil
 	}
-	for _, v := range d.GetUpserts() {
-		changed[v.GetName()] = v
+	for _, member := range d.GetUpserts() {
+		changed[member.GetName()] = member
 	}
 	to := &Membership{Epoch: d.GetToEpoch(), Members: make([]Member, 0, len(old)+len(d.GetUpserts()))}
 	for _, m := range old {
@@ -127,9 +127,9 @@
 			to.Members = append(to.Members, m)
 		}
 	}
-	for _, v := range changed {
-		if v != nil {
-			to.Members = append(to.Members, FromWire(v))
+	for _, member := range changed {
+		if member != nil {
+			to.Members = append(to.Members, FromWire(member))
 		}
 	}
 	sortMembers(to.Members)
@@ -144,11 +144,11 @@
 		h.WriteString(s)
 		h.Write([]byte{0})
 	}
-	var tail [13]byte
-	binary.LittleEndian.PutUint64(tail[:], m.Incarnation)
-	tail[8] = byte(m.Phase)
-	binary.LittleEndian.PutUint32(tail[9:], m.Millicores)
-	h.Write(tail[:])
+	var fixed [13]byte
+	binary.LittleEndian.PutUint64(fixed[:], m.Incarnation)
+	fixed[8] = byte(m.Phase)
+	binary.LittleEndian.PutUint32(fixed[9:], m.Millicores)
+	h.Write(fixed[:])
 	return h.Sum64()
 }
 
--- a/internal/vm/wire_test.go
+++ b/internal/vm/wire_test.go
@@ -40,16 +40,16 @@
 // A daemon that receives deltas must have the same list as one that receives the whole
 // list. Shares are computed from it, so two different lists at one epoch would allocate
 // a leaf's slots twice. A delta from another epoch must be rejected.
-func TestDeltaLeadsToSameMembership(t *testing.T) {
+func TestApplyDeltaYieldsTargetMembership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawMembership(t, 4), drawMembership(t, 5)
-		got, err := Apply(from, overWire(t, Delta(from, to)))
+		got, err := Apply(from, roundTrip(t, Delta(from, to)))
 		if err != nil || !reflect.DeepEqual(got, to) {
 			t.Fatalf("got %+v (%v), want %+v", got, err, to)
 		}
-		whole, err := Apply(from, overWire(t, Delta(nil, to)))
-		if err != nil || !reflect.DeepEqual(whole, to) {
-			t.Fatalf("full delta: got %+v (%v), want %+v", whole, err, to)
+		full, err := Apply(from, roundTrip(t, Delta(nil, to)))
+		if err != nil || !reflect.DeepEqual(full, to) {
+			t.Fatalf("full delta: got %+v (%v), want %+v", full, err, to)
 		}
 		if _, err := Apply(to, Delta(from, to)); err == nil {
 			t.Fatal("a delta from epoch 4 was applied to epoch 5")
@@ -58,7 +58,7 @@
 }
 
 // roundTrip encodes and decodes a delta.
-func overWire(t *rapid.T, d *wire.MembershipDelta) *wire.MembershipDelta {
+func roundTrip(t *rapid.T, d *wire.MembershipDelta) *wire.MembershipDelta {
 	body, err := proto.Marshal(d)
 	if err != nil {
 		t.Fatal(err)
