--- a/internal/domain/homes_test.go
+++ b/internal/domain/homes_test.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/vm"
 )
 
-// TestMain gives rapid a fixed seed, so that every run has the same verdict.
+// TestMain fixes the seed of rapid, so that every run gives the same result.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "4", "rapid.checks": "500", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -24,7 +24,9 @@
 	os.Exit(m.Run())
 }
 
-func membership(n, domains int) *vm.Membership {
+// newMembership returns n Serving members, distributed over the given number of failure
+// domains.
+func newMembership(n, domains int) *vm.Membership {
 	m := &vm.Membership{Epoch: 1}
 	for i := range n {
 		m.Members = append(m.Members, vm.Member{
@@ -36,14 +38,14 @@
 }
 
 func drawMembership(t *rapid.T) *vm.Membership {
-	m := membership(rapid.IntRange(1, 30).Draw(t, "members"), rapid.IntRange(1, 6).Draw(t, "domains"))
+	m := newMembership(rapid.IntRange(1, 30).Draw(t, "members"), rapid.IntRange(1, 6).Draw(t, "domains"))
 	for i := range m.Members {
 		m.Members[i].Phase = rapid.SampledFrom([]vm.Phase{vm.Serving, vm.Serving, vm.Serving, vm.Starting, vm.Draining, vm.Gone}).Draw(t, "phase")
 	}
 	return m
 }
 
-func namesOf(ms []vm.Member) map[string]vm.Member {
+func membersByName(ms []vm.Member) map[string]vm.Member {
 	out := make(map[string]vm.Member)
 	for _, m := range ms {
 		out[m.Name] = m
@@ -51,88 +53,88 @@
 	return out
 }
 
-// One daemon leaves or joins. If homes moved that it has no part in, permits and
-// connections would move between daemons that nothing has happened to, and each
-// restart would cost the whole tier capacity. A home may change only to that
-// daemon or from it, and at most one does.
-func TestOneMemberMovesOneHome(t *testing.T) {
+// When one daemon leaves or joins, only a home on that daemon may be reassigned, and at
+// most one. If other homes changed too, permits and connections would move between daemons
+// that are not involved, and each restart would reduce the capacity of the whole tier.
+func TestMemberChangeMovesAtMostOneHome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		with := drawMembership(t)
 		n := rapid.IntRange(1, 6).Draw(t, "homes")
 		key := rapid.StringMatching(`[a-z]{1,8}`).Draw(t, "key")
-		gone := rapid.IntRange(0, len(with.Members)-1).Draw(t, "gone")
-		without := &vm.Membership{Epoch: 2, Members: slices.Delete(slices.Clone(with.Members), gone, gone+1)}
-		before, after := namesOf(Homes(with, key, n)), namesOf(Homes(without, key, n))
+		removed := rapid.IntRange(0, len(with.Members)-1).Draw(t, "gone")
+		without := &vm.Membership{Epoch: 2, Members: slices.Delete(slices.Clone(with.Members), removed, removed+1)}
+		before, after := membersByName(Homes(with, key, n)), membersByName(Homes(without, key, n))
 		for name := range before {
-			if _, kept := after[name]; !kept && name != with.Members[gone].Name {
-				t.Fatalf("%s is home no more, although %s left", name, with.Members[gone].Name)
+			if _, kept := after[name]; !kept && name != with.Members[removed].Name {
+				t.Fatalf("%s is no longer a home after %s left", name, with.Members[removed].Name)
 			}
 		}
 		added := 0
 		for name := range after {
-			if _, had := before[name]; !had {
+			if _, existed := before[name]; !existed {
 				added++
 			}
 		}
-		if _, was := before[with.Members[gone].Name]; added > 1 || (added == 1 && !was) {
-			t.Fatalf("%d homes came in for %s", added, with.Members[gone].Name)
+		if _, wasHome := before[with.Members[removed].Name]; added > 1 || (added == 1 && !wasHome) {
+			t.Fatalf("%d homes were added after %s left", added, with.Members[removed].Name)
 		}
 	})
 }
 
-// Homes in one failure domain are lost together. None gets a further home while
-// another one with a Serving daemon to spare has fewer.
-func TestHomesSpreadOverDomains(t *testing.T) {
+// Homes in one failure domain fail together. A failure domain must not get another home
+// while a domain with an unused Serving daemon has fewer homes.
+func TestHomesAreSpreadOverFailureDomains(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMembership(t)
 		n := rapid.IntRange(1, 6).Draw(t, "homes")
 		homes := Homes(m, "service", n)
-		serving, used := make(map[string]int), make(map[string]int)
+		servingPerDomain, homesPerDomain := make(map[string]int), make(map[string]int)
 		total := 0
 		for _, member := range m.Members {
 			if member.Phase == vm.Serving {
-				serving[member.Domain]++
+				servingPerDomain[member.Domain]++
 				total++
 			}
 		}
 		for _, h := range homes {
 			if h.Phase != vm.Serving {
-				t.Fatalf("%s is home in phase %d", h.Name, h.Phase)
+				t.Fatalf("%s is a home in phase %d", h.Name, h.Phase)
 			}
-			used[h.Domain]++
+			homesPerDomain[h.Domain]++
 		}
-		if len(namesOf(homes)) != min(n, total) {
-			t.Fatalf("%d homes of %d wanted, %d serve", len(homes), n, total)
+		if len(membersByName(homes)) != min(n, total) {
+			t.Fatalf("got %d homes, want %d, with %d Serving members", len(homes), n, total)
 		}
-		for a := range used {
-			for b := range serving {
-				if used[a] > used[b]+1 && serving[b] > used[b] {
-					t.Fatalf("%s has %d homes, %s only %d", a, used[a], b, used[b])
+		for a := range homesPerDomain {
+			for b := range servingPerDomain {
+				if homesPerDomain[a] > homesPerDomain[b]+1 && servingPerDomain[b] > homesPerDomain[b] {
+					t.Fatalf("%s has %d homes, but %s has only %d", a, homesPerDomain[a], b, homesPerDomain[b])
 				}
 			}
 		}
 	})
 }
 
-// The shares of a leaf over its homes are all of it and no more.
-func TestShareSumsToTotal(t *testing.T) {
+// The shares of all homes of a leaf must sum to its total and differ by at most one.
+// Shares that sum to more would overload the leaf.
+func TestSharesSumToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 200).Draw(t, "total")
 		homes := rapid.IntRange(1, 9).Draw(t, "homes")
 		leaf := rapid.IntRange(0, 1<<31).Draw(t, "leaf")
 		sum, least, greatest := 0, total, 0
 		for i := range homes {
-			part := Share(total, homes, i, leaf)
-			sum, least, greatest = sum+part, min(least, part), max(greatest, part)
+			share := Share(total, homes, i, leaf)
+			sum, least, greatest = sum+share, min(least, share), max(greatest, share)
 		}
 		if sum != total || greatest > least+1 {
-			t.Fatalf("parts sum to %d of %d, from %d to %d", sum, total, least, greatest)
+			t.Fatalf("shares sum to %d of %d, minimum %d, maximum %d", sum, total, least, greatest)
 		}
 	})
 }
 
-// Every leaf is in exactly one group, and GroupIndex finds it.
-func TestGroupsCoverLeaves(t *testing.T) {
+// Every leaf must be in exactly one group, and GroupIndex must return that group.
+func TestGroupsPartitionLeaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leaves := make([]settings.Leaf, rapid.IntRange(1, 500).Draw(t, "leaves"))
 		next := 0
@@ -144,7 +146,7 @@
 				next++
 			}
 			if len(leaves) >= GroupSize && (g.Leaves < GroupSize || g.Leaves >= 2*GroupSize) {
-				t.Fatalf("a group of %d leaves", g.Leaves)
+				t.Fatalf("a group has %d leaves", g.Leaves)
 			}
 		}
 		if next != len(leaves) {
--- a/internal/settings/advice.go
+++ b/internal/settings/advice.go
@@ -6,11 +6,12 @@
 	"github.com/agnivade/levenshtein"
 )
 
-// suggest names the setting nearest to an unknown name.
-func (sc *schema) suggest(name string) string {
-	const furthest = 4 // edits; beyond it a name is no misspelling
-	best, distance := "", furthest+1
-	if len(name) <= maxNumberText {
+// suggestName returns the fix for an unknown setting name: the known name with the
+// smallest edit distance, or a pointer to the reference page when none is close.
+func (sc *schema) suggestName(name string) string {
+	const maxDistance = 4 // edits; a name further away is not treated as a misspelling
+	best, distance := "", maxDistance+1
+	if len(name) <= maxNumberLen {
 		for i := range sc.settings {
 			s := sc.settings[i].Name
 			if d := levenshtein.ComputeDistance(strings.ToLower(name), s); d < distance {
@@ -24,13 +25,13 @@
 	return "did you mean " + best + "?"
 }
 
-// fix says how a value of the setting is written.
-func (s *Setting) fix() string {
+// valueHint returns the fix for a rejected value: how a value of the setting is written.
+func (s *Setting) valueHint() string {
 	switch s.Kind {
 	case Choice:
 		return "write " + strings.Join(s.Choices, " or ")
 	case LeafList:
-		return leafForm
+		return leafListHint
 	case NameList:
 		return "write names separated by commas"
 	case Bool:
@@ -39,8 +40,10 @@
 	return "write a " + s.Kind.String() + " from " + s.Min + " to " + s.Max + ", such as " + s.Default
 }
 
-// misplaced says why a setting can't stand at the root, or below it.
-func (s *Setting) misplaced(atRoot bool) (why, fix string) {
+// checkPlacement returns why the setting may not be set at the root, or at a node
+// below the root, and how to correct it. It returns empty strings if the placement
+// is valid.
+func (s *Setting) checkPlacement(atRoot bool) (why, fix string) {
 	switch {
 	case s.RootOnly && !atRoot:
 		return "only the root may state this setting", "set it at " + Root
@@ -50,11 +53,13 @@
 	return "", ""
 }
 
-const shownValue = 200 // bytes of a value that a fault repeats
+// maxFaultValueLen is how many bytes of a rejected value a fault includes.
+const maxFaultValueLen = 200
 
-func short(text string) string {
-	if len(text) <= shownValue {
+// truncateForFault shortens text to maxFaultValueLen bytes of valid UTF-8.
+func truncateForFault(text string) string {
+	if len(text) <= maxFaultValueLen {
 		return text
 	}
-	return strings.ToValidUTF8(text[:shownValue], "") + "..."
+	return strings.ToValidUTF8(text[:maxFaultValueLen], "") + "..."
 }
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -8,55 +8,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// node is what an operator stated at one path, and below it. A sealed node is
-// never changed, so trees share it.
+// node holds the values that operators set at one path, and the nodes below it. A
+// sealed node is immutable, so several trees can share it.
 type node struct {
-	name     string
-	stated   []stated // sorted by name
-	children []*node  // sorted by name, none of them empty
-	digest   uint64
-	sealed   bool
+	name        string
+	assignments []assignment // sorted by name
+	children    []*node      // sorted by name; a sealed node has no empty children
+	digest      uint64
+	sealed      bool
 }
 
-// stated is one value as an operator stated it.
-type stated struct {
+// assignment is a value that an operator set at a node.
+type assignment struct {
 	name    string
 	text    string
 	version uint64
-	val     *value // nil when this release's schema does not know or take it
+	val     *value // nil if this release does not know the setting or rejects the value
 }
 
-func (n *node) find(name string) (int, bool) {
+// findChild returns the index of the named child, or the index at which to insert it and
+// false.
+func (n *node) findChild(name string) (int, bool) {
 	return slices.BinarySearchFunc(n.children, name, func(c *node, name string) int { return cmp.Compare(c.name, name) })
 }
 
 func (n *node) child(name string) *node {
-	if i, ok := n.find(name); ok {
+	if i, ok := n.findChild(name); ok {
 		return n.children[i]
 	}
 	return nil
 }
 
-func (n *node) findStated(name string) (int, bool) {
-	return slices.BinarySearchFunc(n.stated, name, func(s stated, name string) int { return cmp.Compare(s.name, name) })
+// findAssignment returns the index of the named assignment, or the index at which to
+// insert it and false.
+func (n *node) findAssignment(name string) (int, bool) {
+	return slices.BinarySearchFunc(n.assignments, name, func(a assignment, name string) int { return cmp.Compare(a.name, name) })
 }
 
-func (n *node) states(name string) bool {
-	_, ok := n.findStated(name)
+// hasAssignment reports whether n sets the named setting.
+func (n *node) hasAssignment(name string) bool {
+	_, ok := n.findAssignment(name)
 	return ok
 }
 
-// holds reports whether n states a value of that name that has an effect.
-func (n *node) holds(name string) bool {
-	i, ok := n.findStated(name)
-	return ok && n.stated[i].val != nil
+// hasEffectiveAssignment reports whether n sets the named setting to a value that this
+// release understands.
+func (n *node) hasEffectiveAssignment(name string) bool {
+	i, ok := n.findAssignment(name)
+	return ok && n.assignments[i].val != nil
 }
 
-func (n *node) empty() bool { return len(n.stated) == 0 && len(n.children) == 0 }
+func (n *node) isEmpty() bool { return len(n.assignments) == 0 && len(n.children) == 0 }
 
-// seal drops empty nodes and computes the digests of the nodes that changed. A
-// digest covers those of the children, so the cost of a change is that of the
-// changed path and not of the tree.
+// seal removes empty nodes below n, computes the digests of the changed nodes and makes
+// them immutable. The digest of a node covers the digests of its children, so the cost
+// of a change grows with the changed paths and not with the tree.
 func (n *node) seal() {
 	if n.sealed {
 		return
@@ -64,18 +70,18 @@
 	for _, c := range n.children {
 		c.seal()
 	}
-	n.children = slices.DeleteFunc(n.children, (*node).empty)
-	n.digest = n.sum()
+	n.children = slices.DeleteFunc(n.children, (*node).isEmpty)
+	n.digest = n.computeDigest()
 	n.sealed = true
 }
 
-func (n *node) sum() uint64 {
-	buf := appendText(nil, n.name)
-	buf = binary.AppendUvarint(buf, uint64(len(n.stated)))
-	for _, s := range n.stated {
-		buf = appendText(buf, s.name)
-		buf = appendText(buf, s.text)
-		buf = binary.AppendUvarint(buf, s.version)
+func (n *node) computeDigest() uint64 {
+	buf := appendString(nil, n.name)
+	buf = binary.AppendUvarint(buf, uint64(len(n.assignments)))
+	for _, a := range n.assignments {
+		buf = appendString(buf, a.name)
+		buf = appendString(buf, a.text)
+		buf = binary.AppendUvarint(buf, a.version)
 	}
 	for _, c := range n.children {
 		buf = binary.LittleEndian.AppendUint64(buf, c.digest)
@@ -83,7 +89,8 @@
 	return xxhash.Sum64(buf)
 }
 
-func appendText(buf []byte, s string) []byte {
+// appendString appends s with a length prefix.
+func appendString(buf []byte, s string) []byte {
 	buf = binary.AppendUvarint(buf, uint64(len(s)))
 	return append(buf, s...)
 }
--- a/internal/settings/obsolete_test.go
+++ b/internal/settings/obsolete_test.go
@@ -6,10 +6,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// olderSchema is the schema of a release that still had one more setting, and
-// took a goal that this one doesn't.
-func olderSchema() *schema {
-	settings := table()
+// schemaOfOlderRelease returns a schema with one more setting and one more value of goal
+// than the current one.
+func schemaOfOlderRelease() *schema {
+	settings := allSettings()
 	for i := range settings {
 		if settings[i].Name == "goal" {
 			settings[i].Choices = append(settings[i].Choices, "cost")
@@ -17,16 +17,16 @@
 	}
 	return newSchema(append(settings, Setting{
 		Name: "cache-size", Kind: Bytes, Min: "1KiB", Max: "1GiB", Default: "1MiB", Inherits: true,
-		bind: func(*Effective, *Tier, *value) {},
+		assign: func(*Effective, *Tier, *value) {},
 	}))
 }
 
-// A tree written by an older release states a setting that this release has
-// dropped. Were it refused, a control VM could not read its own log after the
-// update, and daemons of the two releases would hold different trees.
-func TestObsoleteSettings(t *testing.T) {
+// A tree written by an older release contains a setting that this release has removed. If
+// it were rejected, a control VM could not read its own log after an upgrade, and daemons
+// of the two releases would have different trees.
+func TestObsoleteSettingsAreKeptWithoutEffect(t *testing.T) {
 	Convey("Given a tree of a release with one more setting", t, func() {
-		older := newTree(olderSchema(), &node{}, nil)
+		older := newTree(schemaOfOlderRelease(), &node{}, nil)
 		edits := []Edit{
 			{Path: "gj-west", Name: "cache-size", Value: "4MiB"},
 			{Path: "gj-west", Name: "goal", Value: "cost"},
@@ -38,47 +38,47 @@
 		tree, err := Decode(older.Encode())
 		So(err, ShouldBeNil)
 
-		Convey("this release keeps it, byte for byte", func() {
+		Convey("this release keeps it byte for byte", func() {
 			So(tree.Digest(), ShouldEqual, older.Digest())
 			So(tree.Encode(), ShouldResemble, older.Encode())
 		})
 		Convey("replaying the accepted change gives the same tree as the snapshot", func() {
 			So(New().Replay(4, edits).Digest(), ShouldEqual, older.Digest())
 		})
-		Convey("it has no effect, and what is inherited holds in the place of a value no longer taken", func() {
+		Convey("it has no effect, and a value that is no longer valid is replaced by the inherited one", func() {
 			e, _ := tree.Effective("gj-west/s")
 			So(e.Goal, ShouldEqual, Coverage)
 			So(e.Homes, ShouldEqual, 1)
 		})
-		Convey("Explain lists it as obsolete, with where and when it was stated", func() {
-			xs, err := tree.Explain("gj-west/desk")
+		Convey("Explain lists it as obsolete with the node and version that set it", func() {
+			explanations, err := tree.Explain("gj-west/desk")
 			So(err, ShouldBeNil)
-			So(xs[len(xs)-3:], ShouldResemble, []Explained{
+			So(explanations[len(explanations)-3:], ShouldResemble, []Explained{
 				{Name: "cache-size", Value: "4MiB", StatedAt: "gj-west", Version: 4, Obsolete: true},
 				{Name: "goal", Value: "cost", StatedAt: "gj-west", Version: 4, Obsolete: true},
 				{Name: "cache-size", Value: "8MiB", StatedAt: "gj-west/desk", Version: 4, Obsolete: true},
 			})
 		})
-		Convey("it can't be set again", func() {
-			faults := faultsOf(t, tree, Edit{Path: "gj-west", Name: "cache-size", Value: "2MiB"})
-			So(fields(faults), ShouldResemble, []string{"gj-west:cache-size"})
+		Convey("it cannot be set again", func() {
+			faults := applyFaults(t, tree, Edit{Path: "gj-west", Name: "cache-size", Value: "2MiB"})
+			So(faultFields(faults), ShouldResemble, []string{"gj-west:cache-size"})
 			So(faults[0].Why, ShouldContainSubstring, "obsolete")
 			So(faults[0].Fix, ShouldContainSubstring, "unset")
 		})
-		Convey("it can be unset, which alters no effective value", func() {
+		Convey("it can be unset without changing any effective value", func() {
 			next := mustApply(t, tree, 5, Edit{Path: "gj-west", Name: "cache-size", Op: Unset}, Edit{Path: "gj-west", Name: "goal", Op: Unset})
 			So(Plan(tree, next), ShouldBeEmpty)
-			xs, _ := next.Explain("gj-west/s")
-			for _, x := range xs {
-				So(x.Obsolete, ShouldBeFalse)
+			explanations, _ := next.Explain("gj-west/s")
+			for _, explanation := range explanations {
+				So(explanation.Obsolete, ShouldBeFalse)
 			}
 		})
-		Convey("other changes are taken beside it, and a known name replaces its old value", func() {
+		Convey("other changes are accepted, and a valid value replaces the obsolete one", func() {
 			next := mustApply(t, tree, 5, Edit{Path: "gj-west", Name: "goal", Value: "tail"}, Edit{Path: "/", Name: "daemon-lease", Value: "7s"})
 			e, _ := next.Effective("gj-west/s")
 			So(e.Goal, ShouldEqual, Tail)
 		})
-		Convey("the file form leaves it out, so that applying the file drops it", func() {
+		Convey("an exported file omits it, so applying the file removes it", func() {
 			file, err := ParseFile(tree.ExportFile())
 			So(err, ShouldBeNil)
 			So(Diff(tree, file), ShouldResemble, []Edit{
@@ -90,12 +90,11 @@
 	})
 }
 
-// A daemon of this release follows a leader of a later one, whose schema writes
-// values in another form, has wider ranges, and lets a query service have nodes
-// below it. The daemon must come to the leader's digest, and take nothing for
-// effective that it does not understand.
-func TestReplayOfLaterRelease(t *testing.T) {
-	Convey("Given a change that this release would refuse", t, func() {
+// A daemon of this release replays changes from a leader of a later release, whose schema
+// has another canonical form and wider ranges and allows nodes below a query service. The
+// daemon must reach the leader's digest and must not apply values it does not understand.
+func TestReplayKeepsValuesOfLaterRelease(t *testing.T) {
+	Convey("Given a change that this release would reject", t, func() {
 		tree := New().Replay(3, []Edit{
 			{Path: "/", Name: "daemon-lease", Value: "20m"},
 			{Path: "/", Name: "hedge-after", Value: "0.02s"},
@@ -104,13 +103,13 @@
 			{Path: "x/y", Name: "new-setting", Value: "1"},
 			{Path: "x/y", Name: "leaves", Op: Unset},
 		})
-		Convey("each value stays as it is written", func() {
-			xs, err := tree.Explain("/")
+		Convey("each value is kept as written", func() {
+			explanations, err := tree.Explain("/")
 			So(err, ShouldBeNil)
-			So(xs, ShouldContain, Explained{Name: "hedge-after", Value: "0.02s", StatedAt: "/", Version: 3})
-			So(xs[len(xs)-1], ShouldResemble, Explained{Name: "daemon-lease", Value: "20m", StatedAt: "/", Version: 3, Obsolete: true})
+			So(explanations, ShouldContain, Explained{Name: "hedge-after", Value: "0.02s", StatedAt: "/", Version: 3})
+			So(explanations[len(explanations)-1], ShouldResemble, Explained{Name: "daemon-lease", Value: "20m", StatedAt: "/", Version: 3, Obsolete: true})
 		})
-		Convey("what is understood holds, and the default in the place of the rest", func() {
+		Convey("known values take effect, and unknown ones are replaced by the default", func() {
 			e, _ := tree.Effective("x")
 			So(e.HedgeAfter.String(), ShouldEqual, "20ms")
 			So(tree.Tier().DaemonLease.String(), ShouldEqual, "6s")
@@ -118,15 +117,15 @@
 		Convey("leaves are not inherited", func() {
 			e, _ := tree.Effective("x/y")
 			So(e.Leaves, ShouldBeEmpty)
-			xs, _ := tree.Explain("x/y")
-			for _, x := range xs {
+			explanations, _ := tree.Explain("x/y")
+			for _, x := range explanations {
 				So(x.Name, ShouldNotEqual, "leaves")
 			}
 		})
-		Convey("it decodes to the same tree", func() {
-			again, err := Decode(tree.Encode())
+		Convey("its encoding decodes to the same tree", func() {
+			decoded, err := Decode(tree.Encode())
 			So(err, ShouldBeNil)
-			So(Plan(tree, again), ShouldBeEmpty)
+			So(Plan(tree, decoded), ShouldBeEmpty)
 		})
 	})
 }
--- a/internal/settings/reference.go
+++ b/internal/settings/reference.go
@@ -8,37 +8,37 @@
 )
 
 //go:embed reference.md.tmpl
-var referenceText string
+var referenceTemplateText string
 
-var reference = template.Must(template.New("reference").Funcs(template.FuncMap{
+var referenceTemplate = template.Must(template.New("reference").Funcs(template.FuncMap{
 	"join":  strings.Join,
-	"where": where,
-	"limit": limit,
-}).Parse(referenceText))
+	"where": placement,
+	"limit": allowedValues,
+}).Parse(referenceTemplateText))
 
-// contradiction is a refused combination as the reference page shows it.
-type contradiction struct {
+// conflict is a rejected combination of settings on the reference page.
+type conflict struct {
 	Names []string
 	Why   string
 	Fix   string
 }
 
-// WriteReference writes the reference page of settings, made from the schema.
+// WriteReference writes the reference page of all settings, generated from the schema.
 func WriteReference(w io.Writer) error {
 	page := struct {
 		Settings       []Setting
-		Contradictions []contradiction
+		Contradictions []conflict
 		MaxDepth       int
 		MaxLeaves      int
 	}{Settings: Schema(), MaxDepth: MaxDepth, MaxLeaves: MaxLeaves}
-	for _, r := range rules {
-		page.Contradictions = append(page.Contradictions, contradiction{Names: r.names, Why: r.why, Fix: r.fix})
+	for _, r := range conflictRules {
+		page.Contradictions = append(page.Contradictions, conflict{Names: r.names, Why: r.why, Fix: r.fix})
 	}
-	return reference.Execute(w, page)
+	return referenceTemplate.Execute(w, page)
 }
 
-// where says at which nodes a setting may stand.
-func where(s Setting) string {
+// placement describes the nodes at which a setting may be set.
+func placement(s Setting) string {
 	switch {
 	case s.RootOnly:
 		return "at the root only; it holds for the whole tier"
@@ -48,8 +48,8 @@
 	return "at a query service; it is not inherited"
 }
 
-// limit says what values a setting takes.
-func limit(s Setting) string {
+// allowedValues describes the values that a setting accepts.
+func allowedValues(s Setting) string {
 	switch {
 	case len(s.Choices) > 0:
 		return strings.Join(s.Choices, " or ")
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -8,8 +8,9 @@
 	"pearmoor/internal/contract"
 )
 
-// shop returns a tree of one region with two desks, three query services.
-func shop(t testing.TB) *Tree {
+// exampleTree returns a tree with one region, two groups of services and three query
+// services.
+func exampleTree(t testing.TB) *Tree {
 	t.Helper()
 	return mustApply(t, New(), 1,
 		Edit{Path: "/", Name: "deadline-default", Value: "220ms"},
@@ -30,8 +31,8 @@
 	return next
 }
 
-// faultsOf returns the faults that edits meet.
-func faultsOf(t testing.TB, from *Tree, edits ...Edit) contract.Faults {
+// applyFaults returns the faults of applying edits.
+func applyFaults(t testing.TB, from *Tree, edits ...Edit) contract.Faults {
 	t.Helper()
 	_, err := from.Apply(99, edits)
 	if err == nil {
@@ -39,12 +40,13 @@
 	}
 	faults, ok := err.(contract.Faults)
 	if !ok {
-		t.Fatalf("the error is a %T", err)
+		t.Fatalf("the error has type %T, want contract.Faults", err)
 	}
 	return faults
 }
 
-func fields(faults contract.Faults) []string {
+// faultFields returns the Field of each fault.
+func faultFields(faults contract.Faults) []string {
 	out := make([]string, len(faults))
 	for i, f := range faults {
 		out[i] = f.Field
@@ -53,19 +55,19 @@
 }
 
 func TestInheritance(t *testing.T) {
-	Convey("Given a tree of two desks", t, func() {
-		tree := shop(t)
+	Convey("Given a tree with two groups of services", t, func() {
+		tree := exampleTree(t)
 		s1, ok := tree.Effective("gj-west/storefront/s1")
 		So(ok, ShouldBeTrue)
 
-		Convey("a service takes what the nearest node above it states, and the defaults", func() {
+		Convey("a service inherits from the nearest ancestor that sets a value, or has the default", func() {
 			So(s1.Priority, ShouldEqual, Urgent)
 			So(s1.Goal, ShouldEqual, Tail)
 			So(s1.DeadlineDefault.String(), ShouldEqual, "220ms")
 			So(s1.LeafSlots, ShouldEqual, 2)
 			So(FormatLeaves(s1.Leaves), ShouldEqual, "s1-a=10.0.0.1:80@anand-hall,s1-b=10.0.0.2:80@kheda-rack")
 		})
-		Convey("the sibling desk doesn't", func() {
+		Convey("a sibling node does not inherit the value", func() {
 			ledger, _ := tree.Effective("gj-west/ledger-desk")
 			So(ledger.Priority, ShouldEqual, Ordinary)
 		})
@@ -76,10 +78,10 @@
 		})
 		Convey("Explain names the node and the version that set each value", func() {
 			next := mustApply(t, tree, 7, Edit{Path: "gj-west/storefront", Name: "homes", Value: "1"})
-			xs, err := next.Explain("gj-west/storefront/s1")
+			explanations, err := next.Explain("gj-west/storefront/s1")
 			So(err, ShouldBeNil)
 			got := map[string]Explained{}
-			for _, x := range xs {
+			for _, x := range explanations {
 				got[x.Name] = x
 			}
 			So(got["homes"], ShouldResemble, Explained{Name: "homes", Value: "1", StatedAt: "gj-west/storefront", Version: 7})
--- a/internal/vm/wire.go
+++ b/internal/vm/wire.go
@@ -10,10 +10,11 @@
 	"pearmoor/internal/link/wire"
 )
 
-// ErrEpoch is returned by Apply when a delta does not start from the given membership.
+// ErrEpochMismatch is returned by ApplyDelta if the delta does not start from the epoch
+// of the given membership.
 var ErrEpoch = errors.New("vm: membership delta starts from another epoch")
 
-// ToWire converts a member to its message.
+// MemberToWire converts a member to its protobuf message.
 func ToWire(m Member) *wire.Vm {
 	return &wire.Vm{
 		Name:        m.Name,
@@ -27,8 +28,8 @@
 	}
 }
 
-// FromWire converts a message to a member. An unknown phase counts as Gone, the
-// phase that gives no rights.
+// MemberFromWire converts a protobuf message to a member. An unknown phase becomes Gone,
+// the phase without any rights.
 func FromWire(w *wire.Vm) Member {
 	phase := Gone
 	if w.GetPhase() < uint32(Gone) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// MembershipToWire converts a whole membership; nil stays nil.
+// MembershipToWire converts a membership to its protobuf message; nil stays nil.
 func MembershipToWire(m *Membership) *wire.Membership {
 	if m == nil {
 		return nil
@@ -60,21 +61,22 @@
 	return w
 }
 
-// MembershipFromWire converts a whole membership; nil stays nil.
+// MembershipFromWire converts a protobuf message to a membership sorted by name; nil stays
+// nil.
 func MembershipFromWire(w *wire.Membership) *Membership {
 	if w == nil {
 		return nil
 	}
 	m := &Membership{Epoch: w.GetEpoch(), Members: make([]Member, len(w.GetMembers()))}
-	for i, v := range w.GetMembers() {
-		m.Members[i] = FromWire(v)
+	for i, member := range w.GetMembers() {
+		m.Members[i] = FromWire(member)
 	}
 	sortMembers(m.Members)
 	return m
 }
 
-// Delta returns the message that turns from into to. A nil from is the empty
-// membership of epoch 0.
+// MembershipDelta returns the delta message that turns from into to. A nil from is the
+// empty membership of epoch 0.
 func Delta(from, to *Membership) *wire.MembershipDelta {
 	d := &wire.MembershipDelta{ToEpoch: to.Epoch}
 	var old []Member
@@ -101,9 +103,9 @@
 	return d
 }
 
-// Apply returns the membership that d makes of from, which stays unchanged. A
-// nil from is the empty membership of epoch 0; a delta with FromEpoch 0 applies
-// to any from, as it states the whole list.
+// ApplyDelta returns the membership that results from applying d to from, which is not
+// modified. A nil from is the empty membership of epoch 0. A delta with FromEpoch 0
+// contains the whole list and applies to any membership.
 func Apply(from *Membership, d *wire.MembershipDelta) (*Membership, error) {
 	var old []Member
 	if d.GetFromEpoch() != 0 {
@@ -116,8 +118,8 @@
 	for _, name := range d.GetRemoves() {
 		changed[name] = nil
 	}
-	for _, v := range d.GetUpserts() {
-		changed[v.GetName()] = v
+	for _, member := range d.GetUpserts() {
+		changed[member.GetName()] = member
 	}
 	to := &Membership{Epoch: d.GetToEpoch(), Members: make([]Member, 0, len(old)+len(d.GetUpserts()))}
 	for _, m := range old {
@@ -125,32 +127,32 @@
 			to.Members = append(to.Members, m)
 		}
 	}
-	for _, v := range changed {
-		if v != nil {
-			to.Members = append(to.Members, FromWire(v))
+	for _, member := range changed {
+		if member != nil {
+			to.Members = append(to.Members, FromWire(member))
 		}
 	}
 	sortMembers(to.Members)
 	return to, nil
 }
 
-// Digest identifies the member with every field that a heartbeat states, so that
-// an unchanged heartbeat can be sent as this one number.
+// Digest returns a hash of all fields that a heartbeat contains, so that an unchanged
+// heartbeat can be sent as the hash alone.
 func (m Member) Digest() uint64 {
 	h := xxhash.New()
 	for _, s := range [...]string{m.Name, m.Domain, m.Region, m.PeerAddr, m.CallerAddr} {
 		h.WriteString(s)
 		h.Write([]byte{0})
 	}
-	var tail [13]byte
-	binary.LittleEndian.PutUint64(tail[:], m.Incarnation)
-	tail[8] = byte(m.Phase)
-	binary.LittleEndian.PutUint32(tail[9:], m.Millicores)
-	h.Write(tail[:])
+	var fixed [13]byte
+	binary.LittleEndian.PutUint64(fixed[:], m.Incarnation)
+	fixed[8] = byte(m.Phase)
+	binary.LittleEndian.PutUint32(fixed[9:], m.Millicores)
+	h.Write(fixed[:])
 	return h.Sum64()
 }
 
-// Same reports whether two identities are one run of one daemon.
+// SameIncarnation reports whether two identities denote the same run of the same daemon.
 func (id Identity) Same(o Identity) bool {
 	return id.Name == o.Name && id.Incarnation == o.Incarnation
 }
