--- a/internal/control/backfill.go
+++ b/internal/control/backfill.go
@@ -13,13 +13,14 @@
 
 const (
 	backfillEvery   = time.Second
-	backfillRecords = 500     // asked for at once
-	backfillBytes   = 2 << 20 // sent at once, but at least one record
+	backfillRecords = 500     // records requested in one call
+	backfillBytes   = 2 << 20 // size of one reply, which always holds at least one record
 	backfillTimeout = 5 * time.Second
 )
 
-// Trail implements wire.DRPCQuorumServer. It answers from this VM's own disk and
-// memory, whoever leads.
+// Trail implements wire.DRPCQuorumServer. It serves the audit records that this VM
+// holds on disk and in memory, whether or not it is the leader. Only records of
+// changes that are in force everywhere are returned.
 func (s *quorumServer) Trail(_ context.Context, req *wire.TrailRequest) (*wire.TrailReply, error) {
 	records, err := s.records(max(req.FromVersion, 1), min(int(req.Limit), backfillRecords))
 	if err != nil {
@@ -36,23 +37,24 @@
 	return out, nil
 }
 
-// trailGap returns the versions that the trail lacks and the state no longer
-// holds: a VM that joined by a snapshot has only the newest records. Without them
-// a group whose VMs were replaced one by one over the years would have lost its
-// trail.
+// trailGap returns the range of versions whose records are neither in the audit
+// trail nor in the replicated state. A VM that joined by a snapshot starts with the
+// newest records only. If the older ones were not fetched from other members, the
+// group would lose them once every original VM has been replaced.
 func (n *Node) trailGap() (from, to uint64, ok bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	return n.gap()
 }
 
-// gap is trailGap for callers that hold the lock.
+// trailGapLocked is trailGap for callers that hold n.mu.
 func (n *Node) gap() (from, to uint64, ok bool) {
 	from, first := n.trail.Last()+1, n.state.FirstRecord()
 	return from, first - 1, from < first
 }
 
-// runBackfill fills gaps of the trail from other control VMs.
+// runBackfill fetches records that the audit trail lacks from the other control VMs
+// until ctx is done.
 func (n *Node) runBackfill(ctx context.Context) {
 	ticker := time.NewTicker(backfillEvery)
 	defer ticker.Stop()
@@ -71,9 +73,9 @@
 	}
 }
 
-// fillGap appends what the other VMs hold of the versions from..to, oldest first,
-// and reports whether that changed anything. Versions are given up only when
-// every other member has answered that it lacks them.
+// fillTrailGap appends the records of versions from..to that other members hold,
+// oldest first, and reports whether the trail advanced. Versions are skipped for good
+// only when every other member has answered that it lacks them.
 func (n *Node) fillGap(ctx context.Context, from, to uint64) bool {
 	conf := n.lead.Load().conf
 	if conf == nil {
@@ -90,12 +92,13 @@
 	if len(best) > 0 {
 		missing = min(to, best[0].Version-1)
 	}
-	klog.Warningf("control: no control VM holds the audit records from version %d to %d any more", from, missing)
+	klog.Warningf("control: audit records of versions %d to %d are lost: no control VM holds them", from, missing)
 	return n.appendTrail(ctx, best, to, missing)
 }
 
-// oldestRecords asks the other members for records from a version on, and returns
-// those that begin the earliest. all tells whether every member answered.
+// fetchOldestRecords asks the other members for records starting at version from and
+// returns the batch that starts at the lowest version. allAnswered is false if a call
+// to any member failed.
 func (n *Node) oldestRecords(ctx context.Context, conf *quorum.Conf, from uint64) (best []*wire.AuditRecord, all bool) {
 	all = true
 	for _, m := range conf.GetMembers() {
@@ -104,7 +107,7 @@
 		}
 		records, err := n.askTrail(ctx, m.PeerAddr, from)
 		if err != nil {
-			klog.V(1).Infof("control: no audit records from control VM %d: %v", m.Id, err)
+			klog.V(1).Infof("control: fetching audit records from control VM %d failed: %v", m.Id, err)
 			all = false
 			continue
 		}
@@ -130,8 +133,8 @@
 	return r.GetRecords(), err
 }
 
-// appendTrail hands records to the driver, which owns the trail. Versions up to
-// missing are given up.
+// appendTrail appends records up to version to on the driver's goroutine, which owns
+// the trail, and reports whether it has run. Versions up to lostUpTo are skipped.
 func (n *Node) appendTrail(ctx context.Context, records []*wire.AuditRecord, to, missing uint64) bool {
 	done := make(chan struct{})
 	err := n.driver.call(ctx, func() {
@@ -142,12 +145,12 @@
 				n.trail.Append(r)
 			}
 		}
-		n.driver.flushed = 0 // the driver writes them when this call is done
+		n.driver.flushed = 0 // makes the driver flush the trail right after this call
 		n.mu.RLock()
 		defer n.mu.RUnlock()
 		if _, _, gap := n.gap(); !gap {
 			n.recordInForce()
-			klog.Infof("control: the audit trail is whole again up to version %d", n.trail.Last())
+			klog.Infof("control: audit trail is complete up to version %d", n.trail.Last())
 		}
 	})
 	if err != nil {
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/vm"
 )
 
-// startBench founds a group with production timing.
+// startBench starts a control group with the default timing.
 func startBench(b *testing.B, n int) *cluster {
 	b.Helper()
 	return startCluster(b, n)
@@ -21,9 +21,9 @@
 
 func leaseOf(i uint64) string { return fmt.Sprintf("%ds", 10+i%50) }
 
-// BenchmarkChange makes one change after another on the newest version: the time
-// of each is from the operator's call to the reply, with the change synced on a
-// majority and applied.
+// BenchmarkChange makes consecutive changes, each based on the newest version. The time of
+// a change is from the operator's call to the reply, which follows after the change is
+// synced on a majority and applied.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1, 3, 5} {
 		b.Run(fmt.Sprintf("vms=%d", n), func(b *testing.B) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// BenchmarkInForce makes a change and waits until it is in force everywhere, with
-// daemons that hold a call at the leader and confirm what they learn at once.
+// BenchmarkInForce makes a change and waits until it is in force everywhere. The daemons
+// keep a Sync call open at the leader and confirm each new version at once.
 func BenchmarkInForce(b *testing.B) {
 	for _, n := range []int{12, 100, 300} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -58,7 +58,7 @@
 				d := newFakeDaemon(dialVM(b, lead), fmt.Sprintf("entry-%04d", i))
 				wg.Go(func() { d.follow(ctx) })
 			}
-			eventually(b, "all are members", func() bool {
+			eventually(b, "all daemons are members", func() bool {
 				v := lead.node.view()
 				return v.pending == nil && len(v.settled.Members) == n
 			})
@@ -75,7 +75,7 @@
 	}
 }
 
-// follow holds one call after another and confirms what it learns.
+// run keeps a Sync call open until ctx is done and confirms each new version and epoch.
 func (d *fakeDaemon) follow(ctx context.Context) {
 	d.req.WaitMs = 1000
 	hb := d.req.Heartbeats[0]
@@ -90,8 +90,9 @@
 	}
 }
 
-// BenchmarkLeaderCutOff cuts the leader off silently and measures until another
-// VM has accepted a change, with an operator's tool that tries all of them.
+// BenchmarkLeaderCutOff partitions the leader from the other VMs without connection errors
+// and measures the time until another VM accepts a change. The operator's tool tries all
+// of them.
 func BenchmarkLeaderCutOff(b *testing.B) {
 	c := startBench(b, 3)
 	defer c.stopAll()
@@ -104,7 +105,7 @@
 		b.StartTimer()
 		start := time.Now()
 		c.cut(lead, true)
-		eventually(b, "the next change", func() bool {
+		eventually(b, "another VM accepts the next change", func() bool {
 			for _, v := range c.vms {
 				if v == lead {
 					continue
@@ -120,14 +121,14 @@
 		longest = max(longest, time.Since(start))
 		b.StopTimer()
 		c.cut(lead, false)
-		eventually(b, "the old leader follows", func() bool { return lead.node.view().version == version })
+		eventually(b, "the old leader has caught up", func() bool { return lead.node.view().version == version })
 		b.StartTimer()
 	}
 	b.ReportMetric(float64(longest.Milliseconds()), "longest-ms")
 }
 
-// BenchmarkRestart opens a data folder with 10,000 changes behind it, until the
-// lone VM leads again.
+// BenchmarkRestart restarts the only control VM of a group on a data folder with 10,000
+// changes and measures the time until it leads again.
 func BenchmarkRestart(b *testing.B) {
 	const changes = 10_000
 	v := startVM(b, Config{ID: 1, Name: "ctl-1", DataDir: b.TempDir(), Bootstrap: true}, listen(b, "127.0.0.1:0"))
@@ -174,8 +175,9 @@
 	return sum
 }
 
-// BenchmarkSync is the leader's work for one exchange of a relay with 70 daemons
-// at rest, among 3,600: heartbeats in full, and in the short form.
+// BenchmarkSync measures the leader's work for one Sync call of a relay with 70 daemons
+// whose state does not change, with 3,600 daemons in all. It covers heartbeats in full and
+// in short form, and the membership delta when one daemon joins.
 func BenchmarkSync(b *testing.B) {
 	const daemons, perRelay = 3600, 70
 	v := startVM(b, Config{ID: 1, Name: "ctl-1", DataDir: b.TempDir(), Bootstrap: true}, listen(b, "127.0.0.1:0"))
@@ -208,7 +210,7 @@
 		}
 		return last
 	}
-	eventually(b, "all are members", func() bool {
+	eventually(b, "all daemons are members", func() bool {
 		syncAll()
 		view := v.node.view()
 		return view.pending == nil && len(view.settled.Members) == daemons
@@ -236,7 +238,7 @@
 	}
 	run("short", short)
 
-	// A daemon joins 3,600 others: what the leader does per relay for the epoch.
+	// One daemon joins the 3,600 others: the leader computes this delta once per relay.
 	settled := v.node.view().settled
 	next := &vm.Membership{Epoch: settled.Epoch + 1, Members: append([]vm.Member(nil), settled.Members...)}
 	next.Members = append(next.Members, vm.FromWire(serving("zz", 1)))
--- a/internal/control/cluster_test.go
+++ b/internal/control/cluster_test.go
@@ -10,13 +10,13 @@
 	"pearmoor/internal/link/wire"
 )
 
-// cluster is a control group on loopback.
+// cluster is a control group whose VMs listen on loopback ports.
 type cluster struct {
 	t   testing.TB
 	vms map[uint64]*testVM
 }
 
-// startCluster founds a group of n control VMs.
+// startCluster starts a new group of n control VMs.
 func startCluster(t testing.TB, n int, adjust ...func(*Config)) *cluster {
 	t.Helper()
 	c := &cluster{t: t, vms: make(map[uint64]*testVM)}
@@ -41,7 +41,7 @@
 	}
 }
 
-// stopAll stops every VM at once.
+// stopAll stops all VMs concurrently.
 func (c *cluster) stopAll() {
 	c.cancelAll()
 	for _, v := range c.vms {
@@ -49,7 +49,7 @@
 	}
 }
 
-// leader waits for a leader other than those excluded.
+// leader waits for a leader whose ID is not in except and returns it.
 func (c *cluster) leader(except ...uint64) *testVM {
 	c.t.Helper()
 	var found *testVM
@@ -69,7 +69,7 @@
 	return found
 }
 
-// addBlank starts a VM without a group and returns it.
+// addEmptyVM starts a VM with an empty data folder that belongs to no group.
 func (c *cluster) addBlank(id uint64, adjust ...func(*Config)) *testVM {
 	cfg := Config{ID: id, Name: fmt.Sprint("ctl-", id), DataDir: c.t.TempDir()}
 	for _, f := range adjust {
@@ -85,8 +85,8 @@
 	delete(c.vms, id)
 }
 
-// change sends one request to whoever leads, following the leader and resending
-// under one change id until the outcome is known; nil if it never is.
+// change sends req to the current leader and resends it, with the same change id, until
+// the outcome is known. It returns nil if that does not happen within waitTimeout.
 func (c *cluster) change(req *wire.ChangeRequest) *wire.ChangeReply {
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(pollEvery) {
 		for _, v := range c.vms {
@@ -105,16 +105,16 @@
 	c.t.Helper()
 	r := c.change(changeRequest(id, base, "daemon-lease", lease))
 	if r == nil {
-		c.t.Fatalf("not within %v: the outcome of change %s", patience, id)
+		c.t.Fatalf("outcome of change not known within %v: change %s", patience, id)
 	}
 	return r
 }
 
-// mustGroup changes the group through whoever leads, until it is done.
+// mustChangeGroup sends req to the current leader and retries until the group is changed.
 func (c *cluster) mustGroup(req *wire.GroupRequest) {
 	c.t.Helper()
 	why := ""
-	eventually(c.t, "the group's change", func() bool {
+	eventually(c.t, "the group is changed", func() bool {
 		for _, v := range c.vms {
 			ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 			cl := dialVM(c.t, v)
@@ -141,7 +141,7 @@
 	return c.control().Change(ctx, req)
 }
 
-// cut stops everything between one VM and the others, or lets it pass again.
+// setPartitioned blocks all connections between v and the other VMs, or unblocks them.
 func (c *cluster) cut(v *testVM, cut bool) {
 	for _, o := range c.vms {
 		if o != v {
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -12,31 +12,32 @@
 	"pearmoor/internal/vm"
 )
 
-// Config is what a control VM needs.
+// Config configures a control VM.
 type Config struct {
-	ID       uint64 // of this VM in the group; not 0, never used again once removed
+	ID       uint64 // member ID of this VM in the group; not 0, and never reused after removal
 	Name     string
 	DataDir  string
-	PeerAddr string // host:port where the other control VMs and daemons reach this one
+	PeerAddr string // host:port at which the other control VMs and the daemons reach this VM
 
-	// Bootstrap founds a new group of Voters, by id their peer addresses; with no
-	// Voters, of this VM alone. It only has an effect on an empty data folder. A
-	// VM with neither a journal nor Bootstrap waits to be added to a group.
+	// Bootstrap makes a VM with an empty data folder a founding member of a new
+	// group. Voters maps the member IDs of the founders to their peer addresses; if
+	// it is empty, the group consists of this VM only. A VM with an empty data
+	// folder and without Bootstrap waits to be added to a group.
 	Bootstrap bool
 	Voters    map[uint64]string
 
 	Conns relay.Conns
 	Clock vm.Clock // nil: vm.Now
 
-	Tick            time.Duration // of the quorum machine; 0: DefaultTick
-	ReserveBytes    uint64        // free space below which changes are refused; 0: DefaultReserveBytes
-	SnapshotEntries uint64        // entries between two snapshots; 0: DefaultSnapshotEntries
-	AuditBytes      int64         // of the audit trail, above which its oldest records go; 0: it is kept whole
-	FS              journal.FS    // nil: the machine's own
-	Upkeep          Upkeep        // of the group; the zero value leaves it to operators
+	Tick            time.Duration // tick interval of the quorum machine; 0: DefaultTick
+	ReserveBytes    uint64        // free disk space below which changes are rejected; 0: DefaultReserveBytes
+	SnapshotEntries uint64        // log entries between two snapshots; 0: DefaultSnapshotEntries
+	AuditBytes      int64         // size of the audit trail above which its oldest records are deleted; 0: unlimited
+	FS              journal.FS    // nil: the operating system's
+	Upkeep          Upkeep        // automatic changes of the group; the zero value disables them
 }
 
-// Defaults of Config.
+// Defaults for fields of Config.
 const (
 	DefaultTick            = 100 * time.Millisecond
 	DefaultReserveBytes    = 64 << 20
@@ -69,20 +70,21 @@
 			fs = append(fs, contract.Fault{Field: field, Value: value, Why: why, Fix: fix})
 		}
 	}
-	require(c.ID != 0, "ID", "0", "0 means nobody", "use 1 or more")
-	require(c.DataDir != "", "DataDir", "", "votes and the log need a disk", "name a folder")
-	require(c.PeerAddr != "", "PeerAddr", "", "other VMs must reach this one", "use host:port")
-	require(c.Conns != nil, "Conns", "", "other VMs can't be reached", "pass a peer.Pool")
+	require(c.ID != 0, "ID", "0", "0 is not a member ID", "use 1 or more")
+	require(c.DataDir != "", "DataDir", "", "votes and the log must be stored on disk", "set a folder")
+	require(c.PeerAddr != "", "PeerAddr", "", "other VMs need an address to reach this VM", "use host:port")
+	require(c.Conns != nil, "Conns", "", "without it other VMs can't be reached", "pass a peer.Pool")
 	if c.Bootstrap && len(c.Voters) > 0 {
 		require(c.Voters[c.ID] == c.PeerAddr, "Voters", fmt.Sprint(c.Voters),
-			fmt.Sprintf("this VM's id %d is not there with its address %s", c.ID, c.PeerAddr), "list every founding VM, this one included")
+			fmt.Sprintf("there is no entry for this VM's id %d with its address %s", c.ID, c.PeerAddr), "list every founding VM, including this one")
 	}
 	require(len(c.Voters) <= quorum.MaxMembers, "Voters", fmt.Sprint(len(c.Voters)),
-		"a group is too large", fmt.Sprintf("use at most %d", quorum.MaxMembers))
+		"the group is too large", fmt.Sprintf("use at most %d", quorum.MaxMembers))
 	return fs.ErrOrNil()
 }
 
-// genesis returns the snapshot with which the founders start, alike on each.
+// bootstrapSnapshot returns the initial snapshot of a new group. It is identical on every
+// founder, so their logs start from the same state.
 func (c *Config) genesis() (*quorum.Snapshot, error) {
 	voters := c.Voters
 	if len(voters) == 0 {
--- a/internal/control/deliver.go
+++ b/internal/control/deliver.go
@@ -7,11 +7,11 @@
 	"pearmoor/internal/quorum"
 )
 
-// quorumServer takes messages of the other control VMs.
+// quorumServer serves calls from the other control VMs.
 type quorumServer struct{ *Node }
 
-// Deliver implements wire.DRPCQuorumServer. What the driver can't keep up with is
-// dropped, as on any lossy link.
+// Deliver implements wire.DRPCQuorumServer. It drops messages while the driver's queue
+// is full; the quorum machine tolerates message loss.
 func (s *quorumServer) Deliver(_ context.Context, in *wire.QuorumMessage) (*wire.QuorumAck, error) {
 	s.links.learn(in.From, in.FromAddr)
 	s.links.learnName(in.From, in.FromName)
@@ -28,7 +28,7 @@
 	return &wire.QuorumAck{}, nil
 }
 
-// Hello implements wire.DRPCQuorumServer.
+// Hello implements wire.DRPCQuorumServer. It returns the identity of this VM.
 func (s *quorumServer) Hello(context.Context, *wire.HelloRequest) (*wire.HelloReply, error) {
 	return &wire.HelloReply{
 		Id: s.cfg.ID, Disk: s.disk, Name: s.cfg.Name, PeerAddr: s.cfg.PeerAddr,
--- a/internal/control/disk_test.go
+++ b/internal/control/disk_test.go
@@ -13,12 +13,12 @@
 	"pearmoor/internal/link/wire"
 )
 
-// badDisk is the machine's file system with faults that a test switches on.
+// faultyDisk is the operating system's file system with faults that a test switches on.
 type badDisk struct {
 	journal.OS
-	full     atomic.Bool // writes fail
-	low      atomic.Bool // little room is left
-	failSync atomic.Bool
+	full     atomic.Bool // writes fail with ENOSPC
+	low      atomic.Bool // Free reports little free space
+	failSync atomic.Bool // syncs fail with EIO
 }
 
 func (d *badDisk) Free(dir string) (uint64, error) {
@@ -67,13 +67,13 @@
 		eventually(t, "it leads", v.leads)
 		c := dialVM(t, v)
 		So(c.change("a", 0, "daemon-lease", "10s").Version, ShouldEqual, 1)
-		// The leader writes on its own that the change is in force. If that write met the
-		// faulty disk first, the next change would rightly be refused as not done.
+		// The leader writes an entry that the change is in force. Wait for it: if that
+		// write hit the fault first, the next change would be refused as not done.
 		eventually(t, "the change is in force", func() bool { return v.node.view().inForce == 1 })
 
-		// The disk is nearly full. A change could still be written, but then there
-		// might be no room left for votes and snapshots.
-		Convey("with little room left a change is refused and said to be refused, until there is room", func() {
+		// The disk is nearly full. Writing the change would still succeed, but could
+		// leave no space for votes and snapshots.
+		Convey("with little free space a change is refused as not accepted, until space is freed", func() {
 			disk.low.Store(true)
 			_, err := tryChange(t, v, changeRequest("b", 1, "daemon-lease", "11s"))
 			So(err, ShouldNotBeNil)
@@ -83,14 +83,14 @@
 			So(c.change("b", 1, "daemon-lease", "11s").Version, ShouldEqual, 2)
 		})
 
-		// The disk fills up while a change is being written. The operator can't be
-		// told an outcome; sent again later, the change is made once.
-		Convey("a change caught by a full disk is made once when it is resent after there is room", func() {
+		// The disk becomes full while a change is written, so its outcome is not known.
+		// When it is resent after space was freed, it must be made exactly once.
+		Convey("a change interrupted by a full disk is made once when it is resent after space is freed", func() {
 			disk.full.Store(true)
 			_, err := tryChange(t, v, changeRequest("b", 1, "daemon-lease", "11s"))
 			So(err, ShouldNotBeNil)
 			So(peer.IsNotDone(err), ShouldBeFalse)
-			eventually(t, "new ones are refused", func() bool {
+			eventually(t, "new changes are refused", func() bool {
 				_, err := tryChange(t, v, changeRequest("c", 1, "daemon-lease", "12s"))
 				return err != nil && v.node.full.Load()
 			})
@@ -106,9 +106,9 @@
 			So(again.Version, ShouldEqual, 2)
 		})
 
-		// A sync fails. What the disk holds is unknown, so the process has to end
-		// and read back what is there; the caller is not told that the change was
-		// accepted.
+		// A sync fails, so the contents of the disk are unknown. The process must exit
+		// and read the disk again after a restart, and the change must not be reported
+		// as accepted.
 		Convey("a failed sync ends the control VM, and nothing is reported as accepted", func() {
 			disk.failSync.Store(true)
 			r, err := tryChange(t, v, changeRequest("b", 1, "daemon-lease", "11s"))
--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -14,16 +14,16 @@
 const (
 	inboxSize    = 4096
 	callsSize    = 1024
-	maxBurst     = 256             // messages and calls taken between two looks at the clock
-	handOverTime = 2 * time.Second // a stopping leader waits this long for its successor
-	maxLateTicks = 100             // more missed ticks than this say nothing new
-	// slowTicks is how long one turn of the driver may take before it is told of. A VM
-	// that stands still for ElectionTicks is replaced as the leader.
+	maxBurst     = 256             // messages and calls handled in one turn, after which overdue ticks are delivered
+	handOverTime = 2 * time.Second // how long a stopping leader waits until another member has taken over
+	maxLateTicks = 100             // missed ticks that are delivered after a pause; more would have no further effect
+	// slowTurnTicks is the duration of one turn of the driver, in ticks, from which it is
+	// logged. A leader that is blocked for ElectionTicks loses its leadership.
 	slowTicks = 3
 )
 
-// driver owns the quorum machine and the journal; everything in it is touched by
-// its goroutine only, but for the two channels.
+// driver owns the quorum machine and the journal. Its fields are accessed only by the
+// goroutine that executes run, except for the channels inbox and calls.
 type driver struct {
 	node    *Node
 	machine *quorum.Machine
@@ -34,15 +34,15 @@
 	inbox chan *quorum.Message
 	calls chan func()
 
-	waiting     map[uint64]waiter // proposals by log index
-	started     vm.Instant        // instant of tick 0
+	waiting     map[uint64]waiter // callers waiting for their proposals, by log index
+	started     vm.Instant        // instant of tick 0; moved forward when missed ticks are skipped
 	ticks       int64
 	applied     uint64
 	appliedTerm uint64
 	snapshot    uint64 // index of the newest snapshot
-	ledTerm     uint64 // term in which this VM last became a ready leader
+	ledTerm     uint64 // last term in which this VM started to lead, see startLeading
 	flushed     vm.Instant
-	// What the turn under way spent on the journal and on the state.
+	// Time that the current turn has spent writing the journal and applying entries.
 	saveTook, applyTook time.Duration
 }
 
@@ -54,7 +54,8 @@
 	}
 }
 
-// run drives the machine until ctx ends or something fails for good.
+// run executes the driver's loop. When ctx is done it transfers leadership, if this VM
+// leads, and returns. It returns an error if the journal or the state has failed.
 func (d *driver) run(ctx context.Context) error {
 	defer d.failWaiting(errStopUnknown)
 	ticker := time.NewTicker(d.tick)
@@ -73,8 +74,8 @@
 		case <-handOver:
 			return nil
 		}
-		// Ticks first: after a pause the machine has to know that time has
-		// passed before it believes anything that waited meanwhile.
+		// Deliver ticks first: after a pause the machine has to account for the
+		// elapsed time before it handles messages that were queued meanwhile.
 		began := d.clock()
 		d.deliverTicks()
 		d.take(call, msg)
@@ -99,8 +100,8 @@
 	}
 }
 
-// take passes on the given call or message and what else waits, up to a burst:
-// one sync of the journal then serves them all.
+// dispatch handles the given call or message and further queued ones, up to maxBatch,
+// so that one sync of the journal covers all of them.
 func (d *driver) take(call func(), msg *quorum.Message) {
 	for range maxBurst {
 		if call != nil {
@@ -127,11 +128,12 @@
 
 func (d *driver) step(msg *quorum.Message) {
 	if err := d.machine.Step(msg); err != nil {
-		klog.V(1).Infof("control: message dropped: %v", err)
+		klog.V(1).Infof("control: dropped a message from a control VM: %v", err)
 	}
 }
 
-// reportSlow tells of a turn during which no message was taken and none sent.
+// logSlowTurn logs a turn that took slowTurnTicks or longer. During a turn the driver
+// receives no messages.
 func (d *driver) reportSlow(began vm.Instant) {
 	if took := d.clock().Sub(began); took >= slowTicks*d.tick {
 		klog.Warningf("control: stood still for %v, applied=%d save=%v apply=%v waiting=%d", took, d.applied, d.saveTook, d.applyTook, len(d.inbox))
@@ -139,7 +141,8 @@
 	d.saveTook, d.applyTook = 0, 0
 }
 
-// settle carries out all work that the machine has, and shows the outcome.
+// processAllReady processes the machine's pending work, writes a snapshot if one is due
+// and publishes the resulting leadership.
 func (d *driver) settle(ctx context.Context) error {
 	for d.machine.HasReady() {
 		if err := d.process(ctx); err != nil {
@@ -153,8 +156,9 @@
 	return nil
 }
 
-// publish shows who leads. A leader is shown only once it has applied an entry
-// of its own term, so that its state holds every change accepted before it.
+// publishLeadership makes the current leadership visible to RPC handlers. This VM is
+// published as the leader only after it has applied an entry of its own term: its state
+// then contains every change accepted in earlier terms.
 func (d *driver) publish() {
 	st := d.machine.Status()
 	ready := st.Role == quorum.Leader && d.appliedTerm == st.Term
@@ -177,21 +181,24 @@
 
 func (d *driver) electionTime() time.Duration { return time.Duration(d.electionTicks()) * d.tick }
 
-// beginStop hands leadership over, if there is somebody to take it.
+// transferLeadership starts a transfer of leadership to another member. It returns a
+// channel that fires when run should stop waiting for the transfer, which is at once if
+// this VM does not lead, has no peers or can't start the transfer.
 func (d *driver) beginStop() <-chan time.Time {
 	st := d.machine.Status()
 	if st.Role != quorum.Leader || len(st.Peers) == 0 {
 		return time.After(0)
 	}
 	if err := d.machine.Transfer(0); err != nil {
-		klog.Warningf("control: leadership is not handed over: %v", err)
+		klog.Warningf("control: leadership transfer failed: %v", err)
 		return time.After(0)
 	}
-	klog.Infof("control: handing leadership over before the stop")
+	klog.Infof("control: transferring leadership before stopping")
 	return time.After(handOverTime)
 }
 
-// call runs f on the driver's goroutine; false means that it never will.
+// call queues f to run on the driver's goroutine. It returns an error if f was not queued
+// because ctx is done or the node has stopped.
 func (d *driver) call(ctx context.Context, f func()) error {
 	select {
 	case d.calls <- f:
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	dutyEvery    = 100 * time.Millisecond // for what only time brings about: leases that run out
-	dutyPause    = 10 * time.Millisecond  // gathers the news of several calls
-	epochPause   = 100 * time.Millisecond // gathers joins and leaves into one epoch
-	followWithin = 3 * time.Second        // a daemon that lags further behind gets no lease
+	dutyEvery    = 100 * time.Millisecond // how often conditions that depend on time alone, such as expired leases, are checked
+	dutyPause    = 10 * time.Millisecond  // after a wake-up, so that one run covers the heartbeats of several calls
+	epochPause   = 100 * time.Millisecond // collects joins and departures into one epoch
+	followWithin = 3 * time.Second        // a daemon that has not confirmed a version after this time gets no lease
 	proposeTime  = 5 * time.Second
 )
 
 var daemonGauge = metrics.GetOrRegisterGauge("control.daemons", metrics.DefaultRegistry)
 
-// takeOver prepares this VM to lead. Its predecessor may have granted leases
-// until the moment it could no longer count on its quorum, at most electionTime
-// before now by the clocks of the voters; none of them outlasts the grace.
+// startLeading prepares this VM to lead in term. The previous leader may have granted
+// leases until it could no longer rely on its quorum, at most electionTimeout before now
+// by the clocks of the voters. All of these leases expire within the grace period.
 func (n *Node) takeOver(term uint64, electionTime time.Duration) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -36,18 +36,19 @@
 	n.wakeDuties()
 }
 
-// duties is what the leader does besides answering calls.
+// leaderLoop performs the leader's periodic work: it updates the lease terms and proposes
+// membership epochs, the version in force and the lease bound.
 type duties struct {
 	*Node
 	term    uint64
 	follow  follow
-	changed vm.Instant // when the wanted membership was first seen to differ; 0: it does not
-	looked  vm.Instant // when that was last looked for
+	changed vm.Instant // when the daemons were first seen to differ from the settled membership; 0: no difference
+	looked  vm.Instant // when the daemons were last compared with the settled membership
 	pending epochAge
-	shorten vm.Instant // since when a shorter lease has been in force everywhere; 0: no
+	shorten vm.Instant // since when a lease shorter than the bound has been in force everywhere; 0: not the case
 }
 
-// epochAge remembers since when an epoch has been pending.
+// pendingEpoch records since when an epoch has been pending; epoch 0 means none is.
 type epochAge struct {
 	epoch uint64
 	since vm.Instant
@@ -80,7 +81,7 @@
 	}
 }
 
-// view is the part of the state that the duties look at.
+// stateView is a copy of the parts of the state that the leader loop reads.
 type view struct {
 	version, inForce uint64
 	lease, bound     time.Duration
@@ -98,7 +99,7 @@
 	}
 }
 
-// round looks at everything once and proposes what is due.
+// runOnce checks all conditions once and proposes the commands that are due.
 func (d *duties) round(ctx context.Context) {
 	v, now := d.view(), d.cfg.Clock()
 	d.setTerms(&v, now)
@@ -119,7 +120,7 @@
 	ctx, cancel := context.WithTimeout(ctx, proposeTime)
 	defer cancel()
 	if _, err := d.propose(ctx, c); err != nil {
-		klog.V(1).Infof("control: %T not done, will be tried again: %v", c.Body, err)
+		klog.V(1).Infof("control: proposal of %T failed, will be retried: %v", c.Body, err)
 	}
 }
 
@@ -131,16 +132,18 @@
 	} else if d.pending.epoch != v.pending.Epoch {
 		d.pending = epochAge{v.pending.Epoch, now}
 	}
-	// Requests in flight end within a lease, so by then every daemon that
-	// follows fits its smaller shares.
+	// Requests in flight end within a lease, so after that time every daemon that
+	// has received the epoch fits into its smaller shares. One that has not
+	// acknowledged the epoch by then gets no further lease.
 	if d.pending.epoch != 0 && now.Sub(d.pending.since) > v.lease+followWithin {
 		t.Epoch = d.pending.epoch
 	}
 	d.terms.Store(t)
 }
 
-// nextEpoch settles the pending epoch when everybody respects it, or makes one of
-// the joins and leaves gathered since the last.
+// epochCommand returns the next command for the daemon membership, or nil. It settles
+// the pending epoch once every member respects it. If none is pending, it proposes an
+// epoch with the joins and departures since the last one.
 func (d *duties) nextEpoch(v *view, now vm.Instant) *wire.Command {
 	if v.pending != nil {
 		if !d.table.Respected(v.pending.Epoch, now, v.settled, v.pending) {
@@ -182,8 +185,9 @@
 	}}}
 }
 
-// nextLeaseBound lowers the bound on leases still held, once a shorter lease has
-// been in force everywhere for as long as the longer one lasted.
+// leaseBoundCommand returns a command that lowers the upper bound of the leases that
+// daemons may hold, or nil. The bound can be lowered once a shorter lease has been in
+// force everywhere for longer than the old bound: no lease granted before is then valid.
 func (d *duties) nextLeaseBound(v *view, now vm.Instant) *wire.Command {
 	if v.bound <= v.lease || v.inForce < v.version {
 		d.shorten = 0
@@ -200,7 +204,7 @@
 	}}}
 }
 
-// follow remembers when the newest versions were accepted.
+// acceptedVersions records when the newest versions were accepted, in ascending order.
 type follow struct{ list []versionAt }
 
 type versionAt struct {
@@ -214,7 +218,8 @@
 	}
 }
 
-// due returns the newest version that every daemon has had time to confirm.
+// newestDue returns the newest version that was accepted at least maxConfirmDelay ago, so
+// that every daemon has had time to confirm it, or 0. It drops the versions before it.
 func (f *follow) due(now vm.Instant) uint64 {
 	due := -1
 	for i := range f.list {
--- a/internal/control/duties_test.go
+++ b/internal/control/duties_test.go
@@ -11,14 +11,14 @@
 	"pearmoor/internal/vm"
 )
 
-// skipClock is the real clock plus the time that a test has skipped.
+// offsetClock is the real clock plus an offset that a test advances.
 type skipClock struct{ skipped atomic.Int64 }
 
 func (c *skipClock) now() vm.Instant { return vm.Now().Add(time.Duration(c.skipped.Load())) }
 
 func (c *skipClock) skip(d time.Duration) { c.skipped.Add(int64(d)) }
 
-// fakeDaemon heartbeats by hand.
+// fakeDaemon sends one heartbeat per call of heartbeat.
 type fakeDaemon struct {
 	c   *client
 	req *wire.SyncRequest
@@ -28,12 +28,12 @@
 	return &fakeDaemon{c, &wire.SyncRequest{Heartbeats: []*wire.Heartbeat{{Vm: serving(name, 1)}}}}
 }
 
-// beat syncs once. It takes the epochs of the reply as known, and acknowledges
-// and confirms them if follow is set.
+// heartbeat makes one Sync call. If acknowledge is set, the next call acknowledges the
+// epoch and confirms the configuration version of the reply.
 func (d *fakeDaemon) beat(follow bool) *wire.SyncReply {
 	d.c.t.Helper()
 	var r *wire.SyncReply
-	eventually(d.c.t, "an answer from the leader", func() bool {
+	eventually(d.c.t, "the leader answers", func() bool {
 		var err error
 		r, err = d.c.spread().Sync(callCtx(d.c.t), d.req)
 		return err == nil && r.Redirect == "" && (r.Granted || len(r.Refused) > 0)
@@ -45,7 +45,8 @@
 	return r
 }
 
-// settle beats until both daemons are settled members and holds no epoch pending.
+// heartbeatUntilSettled sends heartbeats until all daemons ds are settled members and no
+// epoch is pending. It returns the settled epoch.
 func settle(t *testing.T, ds ...*fakeDaemon) uint64 {
 	t.Helper()
 	var last *wire.SyncReply
@@ -64,13 +65,13 @@
 	return last.SettledEpoch
 }
 
-// stays holds that ok is true for a while: long enough for many rounds of the
-// leader's duties.
+// consistently checks that ok returns true for 250 ms, during which the leader loop runs
+// several times.
 func stays(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(250 * time.Millisecond); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if !ok() {
-			t.Fatalf("no longer: %s", what)
+			t.Fatalf("no longer holds: %s", what)
 		}
 	}
 }
@@ -87,10 +88,10 @@
 		epoch := settle(t, a, b)
 		lease := v.node.view().lease
 
-		// b is cut off without a word. Until its lease has run out it may still be
-		// sending to leaves; and a's own requests may not yet fit the shares that
-		// the next epoch gives it.
-		Convey("the silent one's share moves on only after its lease, and only once the other has acknowledged", func() {
+		// b stops sending heartbeats without notice. It may send to leaves until its
+		// lease has expired. And requests of a in flight may exceed the shares of the
+		// next epoch until a has acknowledged it.
+		Convey("the silent daemon's share is reassigned only after its lease has expired and the other daemon has acknowledged the epoch", func() {
 			clock.skip(lease - time.Second)
 			stays(t, "b is a member", func() bool {
 				r := a.beat(true)
@@ -103,9 +104,9 @@
 			eventually(t, "it settles", func() bool { return a.beat(true).SettledEpoch > epoch })
 		})
 
-		// The control VM restarts right after b fell silent. The new leader does
-		// not know when b's lease was granted, so it has to assume the latest.
-		Convey("a new leader waits for every lease that its predecessor may have granted", func() {
+		// The control VM restarts right after b became silent. The new leader does not
+		// know when b's lease was granted, so it must assume the latest possible time.
+		Convey("a new leader waits until all leases that its predecessor may have granted have expired", func() {
 			v = v.restart()
 			eventually(t, "it leads again", v.leads)
 			c = dialVM(t, v)
@@ -113,7 +114,7 @@
 			r := c.change("x", 0, "deadline-max", "3s")
 			So(r.Outcome, ShouldEqual, wire.Outcome_ACCEPTED)
 			clock.skip(lease - time.Second)
-			stays(t, "b is a member and holds the change up", func() bool {
+			stays(t, "b is a member and the change waits for its confirmation", func() bool {
 				r := a.beat(true)
 				f, err := c.control().InForce(callCtx(t), &wire.InForceRequest{Version: 1})
 				return r.SettledEpoch == epoch && r.PendingEpoch == 0 && r.InForce == 0 &&
@@ -129,9 +130,9 @@
 			So(f.InForceUnixMs, ShouldBeGreaterThan, 0)
 		})
 
-		// b stops in good order: it has said that it is gone, so nothing waits for
-		// its lease.
-		Convey("a daemon that says it is gone frees its share without waiting for its lease", func() {
+		// b shuts down properly and reports the phase Gone, so its lease need not be
+		// waited for.
+		Convey("a daemon that reports the phase Gone frees its share without waiting for its lease", func() {
 			b.req.Heartbeats[0].Vm.Phase = uint32(vm.Gone)
 			_, err := c.spread().Sync(callCtx(t), b.req)
 			So(err, ShouldBeNil)
@@ -139,11 +140,11 @@
 			So(time.Duration(clock.skipped.Load()), ShouldEqual, 0)
 		})
 
-		// b is restarted under its name at once. Its old run's requests may still be
-		// with the leaves.
-		Convey("a restarted daemon gets its share back only after its old run's lease", func() {
+		// b is restarted at once under the same name. Requests of its previous
+		// incarnation may still be running on the leaves.
+		Convey("a restarted daemon gets its share back only after the lease of its previous incarnation has expired", func() {
 			b.req.Heartbeats[0].Vm.Incarnation = 2
-			eventually(t, "an epoch with the new run is pending", func() bool {
+			eventually(t, "an epoch with the new incarnation is pending", func() bool {
 				b.beat(true)
 				return a.beat(true).PendingEpoch > epoch
 			})
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -16,8 +16,8 @@
 	helloTimeout = 2 * time.Second
 )
 
-// Group implements wire.DRPCControlServer: it changes the control group by one
-// VM. A request that was already carried out, sent again, is done at once.
+// Group implements wire.DRPCControlServer. It adds one VM to the control group or
+// removes one. A resend of a request that was already carried out succeeds at once.
 func (s *operatorServer) Group(ctx context.Context, req *wire.GroupRequest) (*wire.GroupReply, error) {
 	redirect, err := s.toLeader()
 	if err != nil || redirect != "" {
@@ -45,8 +45,8 @@
 	return reply, nil
 }
 
-// transient reports whether err says no more than that leadership has moved or
-// is not ready: the request itself may be right, and asking again may do it.
+// isTransient reports whether err means that nothing was proposed because leadership
+// has moved or is not ready. The request itself may be valid, so a retry may succeed.
 func transient(err error) bool {
 	var refused *quorum.ConfError
 	return err != nil && peer.IsNotDone(err) && !errors.As(err, &refused)
@@ -71,7 +71,8 @@
 	return n.retryConf(ctx, quorum.ConfChange{Op: quorum.Promote, Member: m})
 }
 
-// askMember asks the VM to be added who it is: the group binds its id to its disk.
+// fetchMember asks the VM that is to be added for its identity. The group binds a member
+// ID to the disk that the VM reports, so that the ID is never used with another disk.
 func (n *Node) askMember(ctx context.Context, req *wire.GroupRequest) (*quorum.Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
@@ -98,14 +99,16 @@
 	conf := n.lead.Load().conf
 	if memberOf(conf, id) == nil {
 		if id <= conf.GetMaxId() {
-			return nil // removed before
+			return nil // already removed
 		}
 		return errors.Newf("control: id=%d is no member of the control group; see the status for those that are", id)
 	}
 	return n.retryConf(ctx, quorum.ConfChange{Op: quorum.Remove, Member: &quorum.Member{Id: id}})
 }
 
-// retryConf proposes a step until it is taken, as long as it is only too early.
+// proposeConfWithRetry proposes a membership change and retries while the group is not
+// ready for it: the member has not caught up, another change is pending, or the leader
+// is not ready.
 func (n *Node) retryConf(ctx context.Context, c quorum.ConfChange) error {
 	for {
 		err := n.proposeConf(ctx, c)
@@ -130,7 +133,7 @@
 	return nil
 }
 
-// group returns the control group as this VM sees it.
+// groupStatus returns the members of the control group as known to this VM.
 func (n *Node) group() []*wire.ControlVm {
 	l := n.lead.Load()
 	match := map[uint64]uint64{l.status.ID: l.status.LastIndex}
@@ -147,9 +150,9 @@
 	return out
 }
 
-// nameOf returns a member's name. The group's founders are recorded without one,
-// since each knows only its own when it starts; the others tell it with every
-// message.
+// memberName returns a member's name. Founders are recorded in the group without a
+// name, because each founder knows only its own name at the start. Their names are taken
+// from the messages that they send.
 func (n *Node) nameOf(m *quorum.Member) string {
 	switch {
 	case m.Name != "":
--- a/internal/control/group_test.go
+++ b/internal/control/group_test.go
@@ -24,7 +24,7 @@
 				if v == first {
 					continue
 				}
-				eventually(t, "the redirect", func() bool {
+				eventually(t, "the VM redirects to the leader", func() bool {
 					cl := dialVM(t, v)
 					defer cl.close()
 					r, err := cl.control().Change(callCtx(t), changeRequest("x", 0, "daemon-lease", "20s"))
@@ -34,10 +34,10 @@
 			}
 		})
 
-		// The leader accepts a change and is lost before the operator hears of it.
-		// The tool sends the change again to whoever leads then, and must be told
-		// the first outcome, also after that one was restarted too.
-		Convey("a change resent after the leader is lost, and again after a restart, is the first one", func() {
+		// The leader accepts a change and fails before the operator gets the reply. The
+		// tool resends the change to the next leader and must get the first outcome,
+		// also after all remaining VMs were restarted.
+		Convey("a change resent after the leader is lost, and again after a restart, gets the first outcome", func() {
 			c.stop(first.cfg.ID)
 			again := c.mustChange("a", 0, "10s")
 			So(again.Resend, ShouldBeTrue)
@@ -52,10 +52,10 @@
 			So(c.mustChange("c", 2, "12s").Version, ShouldEqual, 3)
 		})
 
-		// Everything has lost power and one control VM is back first. Daemons that are
-		// back too know nothing and turn every caller away until a leader is elected,
-		// though the disk beside them holds what the group has agreed on.
-		Convey("one VM that is back alone tells daemons what was agreed on, and grants nothing", func() {
+		// The whole tier lost power and one control VM is back first. Daemons that have
+		// restarted have no state. Without the committed state from that VM's disk they
+		// would reject all callers until a leader is elected.
+		Convey("a VM that restarts alone serves the committed state to daemons and grants nothing", func() {
 			So(c.mustChange("b", 1, "11s").Version, ShouldEqual, 2)
 			want := first.digest()
 			for id := range c.vms {
@@ -66,15 +66,15 @@
 			cl := dialVM(t, alone)
 			Reset(cl.close)
 			var r *wire.SyncReply
-			eventually(t, "what is on the disk", func() bool {
+			eventually(t, "the VM serves the state on its disk", func() bool {
 				var err error
 				r, err = cl.spread().Sync(callCtx(t), &wire.SyncRequest{})
 				return err == nil && r.ConfigVersion > 0
 			})
 			So(r.Granted, ShouldBeFalse)
 			So(r.Redirect, ShouldBeEmpty)
-			// The commit of the newest change is on the disk only if something was
-			// written after it.
+			// The commit index that covers the newest change is on disk only if a later
+			// write included it.
 			So(r.ConfigVersion, ShouldBeBetweenOrEqual, 1, 2)
 			So(len(r.Snapshot)+len(r.Packed), ShouldBeGreaterThan, 0)
 			if r.ConfigVersion == 2 {
@@ -85,10 +85,10 @@
 			So(known.ConfigVersion, ShouldEqual, 0)
 		})
 
-		// The VM that is back has only just opened its disk when the first daemon asks it,
-		// itself before all. Told at once that it knows nothing, the daemon turns to VMs
-		// that are not back and comes again 0.2 s later.
-		Convey("a daemon that asks a VM which reads its disk is answered when that is read", func() {
+		// The VM is still reading its disk when the first daemon, usually the one on the
+		// same VM, calls Sync. With an immediate empty reply, the daemon would turn to VMs
+		// that are still down and retry 0.2 s later.
+		Convey("a Sync call to a VM that is reading its disk is answered after the disk is read", func() {
 			So(c.mustChange("b", 1, "11s").Version, ShouldEqual, 2)
 			for id := range c.vms {
 				c.stop(id)
@@ -103,8 +103,8 @@
 			So(r.ConfigVersion, ShouldBeBetweenOrEqual, 1, 2)
 		})
 
-		// Operators race: all saw the same version, and send at once.
-		Convey("of many changes on one version exactly one is accepted, the others name it", func() {
+		// Several operators read the same version and send their changes concurrently.
+		Convey("of many changes based on one version exactly one is accepted, and the others get it as the conflict", func() {
 			const racers = 12
 			replies := make(chan *wire.ChangeReply, racers)
 			for i := range racers {
@@ -134,10 +134,10 @@
 			}
 		})
 
-		// A VM is lost for good and replaced. The group counts the new one only
-		// once it has everything, so that losing a second VM right after the
-		// repair neither loses a change nor stops the group.
-		Convey("two VMs are lost, the second right after the first was replaced", func() {
+		// A VM is permanently lost and replaced. The new VM becomes a voter only after
+		// it has caught up, so losing a second VM right after the replacement must
+		// neither lose a change nor block the group.
+		Convey("a second VM is lost right after the first was replaced", func() {
 			So(c.mustChange("b", 1, "11s").Version, ShouldEqual, 2)
 			c.stop(first.cfg.ID)
 			lead := c.leader()
@@ -148,7 +148,7 @@
 			So(c.mustChange("b", 1, "11s").Resend, ShouldBeTrue)
 			So(c.mustChange("c", 2, "12s").Version, ShouldEqual, 3)
 
-			Convey("and the lost one comes back with an empty disk under its old id", func() {
+			Convey("and the first VM returns with an empty disk under its old id", func() {
 				cfg := first.cfg
 				cfg.DataDir = t.TempDir()
 				old := startVM(t, cfg, listen(t, cfg.PeerAddr))
@@ -163,9 +163,9 @@
 	})
 }
 
-// A control VM is away while the others compact their logs, then comes back: it
-// gets a snapshot in pieces and goes on from there, also after a restart of its
-// own. The log stays bounded meanwhile, and the audit trail stays whole.
+// A control VM is partitioned while the others compact their logs. When it is reachable
+// again, it must receive a snapshot in chunks and continue from it, also after a restart.
+// Meanwhile the log must stay bounded, and the audit trail must stay complete.
 func TestFollowerBehindTheLog(t *testing.T) {
 	t.Parallel()
 	Convey("Given a follower that missed more changes than the log keeps", t, func() {
@@ -188,10 +188,10 @@
 		lead = c.leader(away.cfg.ID)
 		So(lead.node.lead.Load().status.First, ShouldBeGreaterThan, changes/2)
 		c.cut(away, false)
-		eventually(t, "it has everything", func() bool { return away.node.view().version == changes })
+		eventually(t, "it has all changes", func() bool { return away.node.view().version == changes })
 		away = away.restart()
 		c.vms[away.cfg.ID] = away
-		eventually(t, "it has everything again", func() bool { return away.node.view().version == changes })
+		eventually(t, "it has all changes again", func() bool { return away.node.view().version == changes })
 		So(away.digest(), ShouldEqual, lead.digest())
 		records, err := away.node.records(1, 3)
 		So(err, ShouldBeNil)
@@ -200,9 +200,9 @@
 	})
 }
 
-// Over the years every control VM is replaced. A new one gets the newest changes
-// with its snapshot; the older part of the audit trail must come along too, or it
-// would be gone with the last of the old VMs.
+// A new member receives a snapshot with the newest audit records only. It must fetch the
+// older records from the other members; otherwise they would be lost once every original
+// control VM has been replaced.
 func TestNewVMTakesOverTheWholeTrail(t *testing.T) {
 	t.Parallel()
 	Convey("Given a control VM with more changes than a snapshot holds", t, func() {
@@ -224,28 +224,28 @@
 		}
 		So(lead.firstRecord(), ShouldBeGreaterThan, 10)
 
-		Convey("a VM that joins and outlives it can name the author of the first change, until its own files are lost", func() {
+		Convey("a VM that joins and replaces it can return the first audit record, until its own files are lost", func() {
 			v := c.addBlank(2, small)
 			c.mustGroup(&wire.GroupRequest{Op: wire.GroupOp_GROUP_ADD, PeerAddr: v.cfg.PeerAddr})
 			So(v.firstRecord(), ShouldBeGreaterThan, 10)
-			eventually(t, "its trail is whole", func() bool {
+			eventually(t, "its audit trail is complete", func() bool {
 				records, err := v.node.records(1, changes)
 				return err == nil && len(records) == changes
 			})
 			c.mustGroup(&wire.GroupRequest{Op: wire.GroupOp_GROUP_REMOVE, Id: 1})
 			c.stop(1)
-			eventually(t, "it leads alone", v.leads)
+			eventually(t, "it leads a group of one", v.leads)
 			v = v.restart()
 			c.vms[2] = v
-			eventually(t, "it leads alone again", v.leads)
+			eventually(t, "it leads a group of one again", v.leads)
 			a, err := dialVM(t, v).control().Audit(callCtx(t), &wire.AuditRequest{FromVersion: 1, Limit: 2})
 			So(err, ShouldBeNil)
 			So(len(a.Records), ShouldEqual, 2)
 			So(a.Records[0].Operator, ShouldEqual, "asha")
 			So(a.Records[0].ChangeId, ShouldEqual, "c0")
 
-			// Now nobody holds the older records any more. The trail must not wait
-			// for them for ever: the newer ones would be lost as well.
+			// No member holds the older records any more. The trail must not wait for
+			// them forever, or the newer records would be lost as well.
 			v.stop()
 			old, err := filepath.Glob(filepath.Join(v.cfg.DataDir, "audit-*"))
 			So(err, ShouldBeNil)
@@ -255,9 +255,9 @@
 			}
 			v = v.restart()
 			c.vms[2] = v
-			eventually(t, "it leads without its trail", v.leads)
+			eventually(t, "it leads without its old audit trail", v.leads)
 			So(dialVM(t, v).change("next", changes, "daemon-lease", "9s").Version, ShouldEqual, changes+1)
-			eventually(t, "the next record is in the trail", func() bool { return v.node.trail.Last() == changes+1 })
+			eventually(t, "the next record is in the audit trail", func() bool { return v.node.trail.Last() == changes+1 })
 			a, err = dialVM(t, v).control().Audit(callCtx(t), &wire.AuditRequest{FromVersion: 1, Limit: 1})
 			So(err, ShouldBeNil)
 			So(a.Records[0].Version, ShouldEqual, v.firstRecord())
@@ -265,13 +265,13 @@
 	})
 }
 
-// A leader's links to the other control VMs are cut silently: nothing answers and
-// nothing is refused. Operators and daemons still reach it, and it believes for a
-// while that it leads. It must accept, confirm and grant nothing from the moment
-// another leader can exist.
+// A leader is partitioned from the other control VMs without connection errors: calls get
+// no answer and are not refused. Operators and daemons can still reach it, and for a while
+// it considers itself the leader. From the moment at which another leader can be elected it
+// must not accept or confirm any change and must not grant any lease.
 func TestLeaderCutOffSilently(t *testing.T) {
 	t.Parallel()
-	Convey("Given three control VMs whose links can be cut", t, func() {
+	Convey("Given three control VMs that can be partitioned", t, func() {
 		c := startCluster(t, 3)
 		Reset(c.cancelAll)
 		lead, cut := c.leader(), false
@@ -285,7 +285,7 @@
 			r, err := cl.spread().Sync(callCtx(t), &wire.SyncRequest{Heartbeats: []*wire.Heartbeat{{Vm: serving("entry-1", 1)}}})
 			return err == nil && r.Granted
 		}
-		eventually(t, "the leader grants", granted)
+		eventually(t, "the leader grants a lease", granted)
 
 		cut = true
 		c.cut(lead, true)
@@ -299,9 +299,9 @@
 		So(next == lead, ShouldBeFalse)
 		So(c.mustChange("new", 1, "30s").Version, ShouldEqual, 2)
 
-		Convey("healed, it follows and holds the new leader's change", func() {
+		Convey("after the partition heals, it follows and receives the new leader's change", func() {
 			c.cut(lead, false)
-			eventually(t, "the change arrives", func() bool { return lead.node.view().version == 2 })
+			eventually(t, "the old leader has the change", func() bool { return lead.node.view().version == 2 })
 		})
 	})
 }
--- a/internal/control/harness_test.go
+++ b/internal/control/harness_test.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	patience  = 60 * time.Second // upper limit of every wait in these tests
+	patience  = 60 * time.Second // upper limit of each wait in these tests
 	pollEvery = 5 * time.Millisecond
 )
 
-// testVM is a control VM that answers on a loopback port.
+// testVM is a control VM that serves on a loopback port.
 type testVM struct {
 	t      testing.TB
 	cfg    Config
@@ -28,12 +28,12 @@
 	links  *cutConns
 	cancel context.CancelFunc
 	ran    chan struct{}  // closed when Run has returned
-	served sync.WaitGroup // until connections are drained too
+	served sync.WaitGroup // Run and Serve; Serve returns after connections are drained
 	err    error
 }
 
-// cutConns are connections that can be cut silently, by address: a call then gets
-// no answer and no refusal.
+// blockableConns is a connection pool whose connections can be blocked by address. A call
+// to a blocked address neither succeeds nor is refused until its context is done.
 type cutConns struct {
 	*peer.Pool
 	mu  sync.Mutex
@@ -67,7 +67,7 @@
 	return lis
 }
 
-// startVM opens and runs a control VM on lis.
+// startVM opens a control VM, runs it and serves on lis.
 func startVM(t testing.TB, cfg Config, lis net.Listener) *testVM {
 	t.Helper()
 	return startVMWith(t, cfg, lis, nil)
@@ -100,13 +100,13 @@
 	return v
 }
 
-// stop ends the VM; its server may still be closing idle connections.
+// stop stops the VM. Its server may still be closing idle connections when stop returns.
 func (v *testVM) stop() {
 	v.cancel()
 	<-v.ran
 }
 
-// restart runs the VM again on the same folder and address.
+// restart stops the VM and starts it again with the same data folder and address.
 func (v *testVM) restart() *testVM {
 	v.t.Helper()
 	v.stop()
@@ -119,7 +119,7 @@
 	return startVM(v.t, v.cfg, lis)
 }
 
-// eventually waits until ok holds.
+// eventually waits until ok returns true and fails the test after waitTimeout.
 func eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(pollEvery) {
@@ -127,7 +127,7 @@
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("condition not met within %v: %s", patience, what)
 }
 
 func (v *testVM) leads() bool { return v.node.lead.Load().confirmed(v.node.cfg.Clock()) }
@@ -144,7 +144,7 @@
 	return v.node.state.Tree().Digest()
 }
 
-// client is an operator or a daemon that talks to one control VM.
+// client is a connection of an operator or a daemon to one control VM.
 type client struct {
 	t    testing.TB
 	pool *peer.Pool
@@ -173,7 +173,7 @@
 
 func (c *client) spread() wire.DRPCSpreadClient { return wire.NewDRPCSpreadClient(c.conn) }
 
-// change sends one edit of the root.
+// change sends a change with one edit of the tree's root.
 func (c *client) change(id string, base uint64, name, value string) *wire.ChangeReply {
 	c.t.Helper()
 	r, err := c.control().Change(callCtx(c.t), changeRequest(id, base, name, value))
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -12,13 +12,14 @@
 	"pearmoor/internal/vm"
 )
 
-// leadership is what the driver last knew of who leads; it is immutable.
+// leadership is a snapshot of who leads the group, published by the driver. It must not be
+// modified after setLeadership.
 type leadership struct {
 	term   uint64
-	leader uint64 // 0: none known
-	addr   string // the leader's peer address; empty if unknown
-	self   bool   // this VM leads and has applied an entry of its term
-	active vm.Instant
+	leader uint64     // member ID of the leader; 0: unknown
+	addr   string     // peer address of the leader; empty if unknown
+	self   bool       // whether this VM leads and has applied an entry of its own term
+	active vm.Instant // until when no other leader can have been elected
 	conf   *quorum.Conf
 	status quorum.Status
 	lost   chan struct{} // closed when this VM stops leading in the term
@@ -40,7 +41,8 @@
 	leaderGauge.Update(leads)
 }
 
-// setLeadership shows l, and ends the calls held under a leadership that is over.
+// setLeadership publishes l. If this VM no longer leads in the previous term, it releases
+// the calls that are held on behalf of that leadership.
 func (n *Node) setLeadership(l *leadership) {
 	old := n.lead.Load()
 	switch {
@@ -65,15 +67,15 @@
 	}
 }
 
-// reportRefusal tells the operator when the group does not take this VM for the
-// member whose id it has: its disk was replaced, or it was removed.
+// logRefusal logs that the group no longer accepts this VM as the member whose ID it
+// uses, because the disk was replaced or the member was removed.
 func (n *Node) reportRefusal(old, l *leadership) {
 	if why := l.status.Refused; why != old.status.Refused && why != quorumpb.Refusal_NONE {
-		klog.Errorf("control: the group refuses this VM as member %d (%v); start it on an empty folder with an id never used, and add it to the group", n.cfg.ID, why)
+		klog.Errorf("control: the group rejects this VM as member %d (%v); start it on an empty folder with an id that was never used, and add it to the group", n.cfg.ID, why)
 	}
 }
 
-// controlAddrs returns the peer addresses of the control group.
+// controlAddrs returns the peer addresses of the members of the control group.
 func (l *leadership) controlAddrs() []string {
 	var out []string
 	for _, m := range l.conf.GetMembers() {
@@ -82,12 +84,12 @@
 	return out
 }
 
-// confirmed reports whether this VM leads and no other can have been elected by
-// now. A driver that hangs, on a full disk or a paused VM, stops renewing the
-// instant, so that calls served beside it see the truth.
+// confirmed reports whether this VM leads and no other VM can have been elected by now.
+// A driver that is blocked, by a full disk or because the VM was paused, does not extend
+// activeUntil, so RPC handlers on other goroutines stop relying on the leadership.
 func (l *leadership) confirmed(now vm.Instant) bool { return l.self && now < l.active }
 
-// redirect returns the leader's address if it is another VM.
+// redirectAddr returns the leader's address if another VM leads, else "".
 func (l *leadership) redirect() string {
 	if l.self {
 		return ""
@@ -95,8 +97,8 @@
 	return l.addr
 }
 
-// activeFor returns how long after the last tick a leader may rely on its
-// quorum: while QuorumActive would hold if nothing more was heard.
+// quorumActiveFor returns for how long after the last tick QuorumActive holds on the
+// leader if it receives no further message from the voters.
 func activeFor(st *quorum.Status, electionTicks int, tick time.Duration) time.Duration {
 	if st.Role != quorum.Leader {
 		return 0
@@ -112,10 +114,12 @@
 		return 0
 	}
 	slices.Sort(ages)
-	age := ages[len(ages)/2] // a strict majority is at most this old
+	age := ages[len(ages)/2] // a strict majority was heard from at most this many ticks ago
 	return time.Duration(electionTicks*3/4-age) * tick
 }
 
+// contactAge returns the number of ticks since the leader last heard from a member: 0 for
+// itself, noContactAge for a member that it has not heard from.
 func ageOf(st *quorum.Status, id uint64, never int) int {
 	if id == st.ID {
 		return 0
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -19,7 +19,7 @@
 	"pearmoor/internal/relay"
 )
 
-// Node is one control VM.
+// Node is the running instance of a control VM.
 type Node struct {
 	cfg  Config
 	disk uint64
@@ -30,7 +30,7 @@
 	table   *presence.Table
 	history *relay.History
 	expand  relay.Expander
-	wake    chan struct{} // tells the leader's duties that something is new
+	wake    chan struct{} // wakes the leader loop before its next interval
 
 	mu    sync.RWMutex // guards state
 	state *state.State
@@ -38,15 +38,15 @@
 	lead  atomic.Pointer[leadership]
 	terms atomic.Pointer[presence.Terms]
 	full  atomic.Bool
-	// releases holds a token while a release is laid over the tree.
+	// releaseSem is a semaphore that is held while a release is merged into the tree.
 	releases chan struct{}
 	crashes  *crashReports
-	aheadAt  atomic.Int64  // vm.Instant of the last word on daemons of another group
+	aheadAt  atomic.Int64  // vm.Instant of the last log line about a daemon that is ahead of this group
 	stopped  chan struct{} // closed when Run ends
 }
 
-// Open reads the data folder and prepares the control VM. Nothing is sent or
-// answered before Run.
+// Open reads the data folder and returns a control VM that is ready to run. It sends no
+// message before Run.
 func Open(cfg Config) (*Node, error) {
 	cfg = cfg.withDefaults()
 	if err := cfg.validate(); err != nil {
@@ -98,8 +98,9 @@
 	return n, nil
 }
 
-// prepareDisk names an empty data folder, founds the group on it if asked to, and
-// refuses a folder that is another VM's.
+// initDataDir writes an identity and the initial state to an empty data folder, which
+// includes the bootstrap snapshot if cfg.Bootstrap is set. It returns an error for a
+// folder that belongs to another VM.
 func prepareDisk(cfg *Config, j *journal.Journal, st *journal.Stored) error {
 	if st.Identity == nil {
 		st.Identity = &wire.DiskIdentity{Disk: rand.Uint64() | 1, Id: cfg.ID, Name: cfg.Name}
@@ -123,9 +124,9 @@
 	return j.Save(st.Snapshot, st.HardState, nil, true)
 }
 
-// Run drives the control VM until ctx ends, then hands leadership over and
-// closes the data folder. An error means that the process must end: what the
-// disk holds is unknown, or the log can't be applied.
+// Run runs the control VM until ctx is done, then transfers leadership and closes the
+// data folder. After an error the process must exit: the contents of the disk are
+// unknown, or the log can't be applied.
 func (n *Node) Run(ctx context.Context) error {
 	defer close(n.stopped)
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
@@ -145,7 +146,7 @@
 	return err
 }
 
-// Register adds the control VM's servers to mux.
+// Register registers the control VM's RPC services with mux.
 func (n *Node) Register(mux drpc.Mux) error {
 	if err := wire.DRPCRegisterControl(mux, &operatorServer{n}); err != nil {
 		return err
@@ -159,8 +160,8 @@
 	return wire.DRPCRegisterQuorum(mux, &quorumServer{n})
 }
 
-// publishState shows the newest state to daemons and waiting callers; after is
-// the version already shown.
+// publishState makes the current state available to Sync calls and to other waiting
+// calls. oldVersion is the version that was published last.
 func (n *Node) publishState(after uint64) {
 	st := n.state
 	versionGauge.Update(int64(st.Version()))
@@ -171,9 +172,9 @@
 	}, st.Deltas(after))
 }
 
-// recordInForce passes the records of changes that have come into force to the
-// trail; those it already has are left out by it. While older ones are missing
-// it waits for them, since the trail is in order.
+// appendInForceRecords appends the records of changes that are in force everywhere to
+// the audit trail, starting after the last record in it. The trail is ordered by
+// version, so nothing is appended while older records are missing; see fillTrailGap.
 func (n *Node) recordInForce() {
 	if _, _, gap := n.gap(); gap {
 		return
--- a/internal/control/node_test.go
+++ b/internal/control/node_test.go
@@ -15,13 +15,13 @@
 
 func TestOneControlVM(t *testing.T) {
 	t.Parallel()
-	Convey("Given one control VM that founded its group", t, func() {
+	Convey("Given a control group of one VM", t, func() {
 		v := startVM(t, Config{ID: 1, Name: "ctl-1", DataDir: t.TempDir(), Bootstrap: true}, listen(t, "127.0.0.1:0"))
 		Reset(func() { v.cancel() })
 		eventually(t, "it leads", v.leads)
 		c := dialVM(t, v)
 
-		Convey("a change is accepted, in force, read back, and still there after a restart", func() {
+		Convey("a change is accepted, comes into force, and is still known after a restart", func() {
 			So(c.change("c1", 0, "daemon-lease", "10s").Outcome, ShouldEqual, wire.Outcome_ACCEPTED)
 			f, err := c.control().InForce(callCtx(t), &wire.InForceRequest{Version: 1, WaitMs: 10_000})
 			So(err, ShouldBeNil)
@@ -43,10 +43,10 @@
 			So(a.Records[0].Unauthenticated, ShouldBeTrue)
 		})
 
-		// The only control VM lost its disk and founded its group anew, while the
-		// daemons still hold the old group's configuration and shares. They must not
-		// get leases for them from a group that knows nothing of those shares.
-		Convey("a daemon that knows more than the group gets no lease", func() {
+		// The only control VM lost its disk and founded its group again, while daemons
+		// still have the old group's configuration and shares. The new group does not
+		// know these shares, so it must not grant leases for them.
+		Convey("a daemon with a newer state than the group's gets no lease", func() {
 			for _, req := range []*wire.SyncRequest{{HaveConfig: 3}, {HaveSettled: 2}} {
 				req.Heartbeats = []*wire.Heartbeat{{Vm: serving("entry-1", 7)}}
 				r, err := c.spread().Sync(callCtx(t), req)
@@ -57,7 +57,7 @@
 			So(v.node.table.Len(), ShouldEqual, 0)
 		})
 
-		Convey("a daemon joins: it gets a lease, then an epoch that settles once it has acknowledged it", func() {
+		Convey("a joining daemon gets a lease, then an epoch that settles after it has acknowledged it", func() {
 			req := &wire.SyncRequest{Heartbeats: []*wire.Heartbeat{{Vm: serving("entry-1", 7)}}, WaitMs: 1000}
 			r, err := c.spread().Sync(callCtx(t), req)
 			So(err, ShouldBeNil)
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -17,11 +17,11 @@
 	"pearmoor/internal/settings"
 )
 
-// Bounds of one change.
+// Limits of one change request.
 const (
 	maxEdits       = 100_000
 	maxChangeBytes = 8 << 20
-	maxNameBytes   = 256 // of a change id and an operator's name
+	maxNameBytes   = 256 // length of a change id and of an operator's name
 	maxReasonBytes = 4096
 )
 
@@ -31,11 +31,11 @@
 	changeTimer   = metrics.GetOrRegisterTimer("control.changes.latency", metrics.DefaultRegistry)
 )
 
-// operatorServer answers operators' tools.
+// operatorServer serves operators' tools.
 type operatorServer struct{ *Node }
 
-// toLeader returns the address to ask instead, or an error if none is known; both
-// are empty on the leader.
+// leaderRedirect returns "" on the leader. On any other VM it returns the leader's
+// address, or an error if no leader is known.
 func (n *Node) toLeader() (redirect string, err error) {
 	l := n.lead.Load()
 	if l.self {
@@ -47,7 +47,7 @@
 	return l.addr, nil
 }
 
-// Change implements wire.DRPCControlServer.
+// Change implements wire.DRPCControlServer. It makes one change of the settings tree.
 func (s *operatorServer) Change(ctx context.Context, req *wire.ChangeRequest) (*wire.ChangeReply, error) {
 	redirect, err := s.toLeader()
 	if err != nil || redirect != "" {
@@ -67,8 +67,9 @@
 	return reply, nil
 }
 
-// redirected turns a proposal that was lost to another leader into a redirect:
-// it is certain that nothing was accepted, so asking the other one is safe.
+// redirectIfNotProposed turns errors which mean that another leader took over into a
+// redirect to that leader. With these errors it is certain that nothing was accepted, so
+// sending the change to the other leader is safe. Other errors are returned unchanged.
 func (s *operatorServer) redirected(err error) (*wire.ChangeReply, error) {
 	var not *quorum.NotLeaderError
 	if errors.As(err, &not) || errors.Is(err, errLost) || errors.Is(err, quorum.ErrTransferring) {
@@ -87,7 +88,8 @@
 	return s.changeAs(ctx, req, op, verified)
 }
 
-// changeAs makes a change in an operator's name.
+// changeAs makes a change on behalf of operator op. verified tells whether the name was
+// authenticated.
 func (s *operatorServer) changeAs(ctx context.Context, req *wire.ChangeRequest, op string, verified bool) (*wire.ChangeReply, error) {
 	if fs := checkRequest(req); len(fs) > 0 {
 		return &wire.ChangeReply{Outcome: wire.Outcome_INVALID, Faults: fs}, nil
@@ -118,9 +120,10 @@
 	return res.Reply, nil
 }
 
-// withWinner completes a conflict from the trail on disk when the winner is no
-// longer kept in memory. The winner may be this very change, sent again after
-// its id was forgotten.
+// withConflictRecord adds the record of the change that won the conflict to reply,
+// reading it from the audit trail on disk if it is no longer in memory. That change may
+// be this one, resent after its id was dropped from memory: the reply is then that of a
+// resend.
 func (s *operatorServer) withWinner(req *wire.ChangeRequest, reply *wire.ChangeReply) (*wire.ChangeReply, error) {
 	if reply.Conflict == nil {
 		recs, err := s.trail.Read(req.BaseVersion+1, 1)
@@ -137,8 +140,8 @@
 	return reply, nil
 }
 
-// operatorOf returns who asks: by certificate, or on a plain-text connection by
-// the caller's own word.
+// operatorIdentity returns the name of the operator. It is verified if it comes from a
+// client certificate. On a plain-text connection it is the name that the peer states.
 func operatorOf(ctx context.Context, req *wire.ChangeRequest) (name string, verified bool, err error) {
 	id, ok := peer.FromContext(ctx)
 	if ok && id.Verified {
@@ -174,6 +177,7 @@
 	return fs
 }
 
+// truncate shortens s for use in an error message.
 func shorten(s string) string {
 	const most = 64
 	if len(s) <= most {
@@ -182,8 +186,9 @@
 	return s[:most] + "..."
 }
 
-// checkRoom refuses a change while there is still enough room on the disk for
-// what the group needs to go on: votes, epochs and snapshots.
+// checkFreeSpace returns an error if less than ReserveBytes are free on the disk. The
+// reserve is kept for writes that the group needs to keep running: votes, epochs and
+// snapshots.
 func (n *Node) checkRoom() error {
 	free, err := n.driver.journal.Free()
 	if err != nil {
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -12,8 +12,8 @@
 	"pearmoor/internal/quorum"
 )
 
-// The errors that a caller of a control VM sees as text. Those marked with
-// peer.NotDone are certain: nothing was changed.
+// Errors whose text is returned to callers of a control VM. If an error is marked with
+// peer.NotDone, it is certain that nothing was changed.
 var (
 	errStopped     = peer.NotDone(errors.New("control: this control VM is stopping; ask another one"))
 	errNoLeader    = peer.NotDone(errors.New("control: no leader is known; try again"))
@@ -24,22 +24,22 @@
 	errStopUnknown = errors.New("control: this control VM stopped, and the outcome is not known; resend with the same change id")
 )
 
-// outcome is what became of a proposal.
+// proposalResult is the result of a proposal.
 type outcome struct {
 	result state.Result
 	err    error
 }
 
-// waiter waits for the entry that was proposed in a term.
+// waiter waits until the entry that was proposed in a term is applied.
 type waiter struct {
 	term uint64
-	done chan outcome // has room for one
+	done chan outcome // buffered, capacity 1
 }
 
 func (w waiter) finish(o outcome) { w.done <- o }
 
-// settle answers the waiter when the entry at its index has been applied. Another
-// term there means that a new leader put its own entry in place of ours.
+// complete finishes the waiter when an entry with the given term has been applied at its
+// index. If the term differs, a new leader has replaced the proposed entry with its own.
 func (w waiter) settle(term uint64, res state.Result) {
 	if term != w.term {
 		w.finish(outcome{err: errLost})
@@ -55,7 +55,7 @@
 	}
 }
 
-// propose adds a command to the log and waits until it is applied here.
+// propose appends a command to the log and waits until this VM has applied it.
 func (n *Node) propose(ctx context.Context, c *wire.Command) (state.Result, error) {
 	data, err := proto.Marshal(c)
 	if err != nil {
@@ -64,12 +64,15 @@
 	return n.await(ctx, func(m *quorum.Machine) (uint64, uint64, error) { return m.Propose(data) })
 }
 
-// proposeConf changes the control group by one step.
+// proposeConf proposes one membership change of the control group and waits until this
+// VM has applied it.
 func (n *Node) proposeConf(ctx context.Context, c quorum.ConfChange) error {
 	_, err := n.await(ctx, func(m *quorum.Machine) (uint64, uint64, error) { return m.ProposeConf(c) })
 	return err
 }
 
+// proposeAndWait calls propose, which returns the index and term of the new entry, on the
+// driver's goroutine and waits until this VM has applied the entry.
 func (n *Node) await(ctx context.Context, put func(*quorum.Machine) (uint64, uint64, error)) (state.Result, error) {
 	if n.full.Load() {
 		return state.Result{}, errFull
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// quarantineOperator names this program in the audit trail.
+	// quarantineOperator is the operator name of these changes in the audit trail.
 	quarantineOperator = "pearmoor"
-	// maxCrashReports bounds the reports of one call.
+	// maxCrashReports is the maximum number of reports that one call handles.
 	maxCrashReports = 1_000
-	// maxCrashTries bounds how often reports are joined to a tree that operators change
-	// meanwhile.
+	// maxCrashReportAttempts is how often a change is attempted when operators change the
+	// tree at the same time.
 	maxCrashTries = 16
 )
 
-// crashReports gathers the reports of several daemons into one change.
+// crashReportQueue collects the reports of several daemons, to make one change of them.
 type crashReports struct {
 	ledger *quarantine.Coordinator
-	token  chan struct{} // held while a change is made
+	token  chan struct{} // semaphore that is held while a change is made
 
 	mu      sync.Mutex
 	waiting []crashReport
@@ -38,7 +38,7 @@
 
 type crashReport struct {
 	*quarantine.Report
-	done chan error // has room for one
+	done chan error // buffered for all reports of the call
 }
 
 func newCrashReports(clock vm.Clock) *crashReports {
@@ -59,13 +59,13 @@
 	return out
 }
 
-// quarantineServer answers daemons that tell of requests that crash leaves.
+// quarantineServer serves daemons that report requests which may crash leaves.
 type quarantineServer struct{ *operatorServer }
 
 var errBadFingerprint = peer.Permanent(errors.New("control: a fingerprint is 16 bytes"))
 
-// Report implements wire.DRPCQuarantineServer. It returns once what the reports change is
-// agreed on. A report that is sent again counts as one of the same attempt.
+// Report implements wire.DRPCQuarantineServer. It returns after the change that results
+// from the reports has been accepted. A resent report counts for the same attempt.
 func (s quarantineServer) Report(ctx context.Context, req *wire.CrashReports) (*wire.CrashReportsReply, error) {
 	redirect, err := s.toLeader()
 	if err != nil || redirect != "" {
@@ -102,7 +102,8 @@
 	return &wire.CrashReportsReply{}, err
 }
 
-// joinCrashes makes one change of all reports that wait.
+// applyQueuedReports makes one change of all queued reports and reports its result to each
+// of the calls that wait.
 func (s quarantineServer) joinCrashes(ctx context.Context) {
 	waiting := s.crashes.take()
 	if len(waiting) == 0 {
@@ -162,7 +163,8 @@
 	}
 }
 
-// Trial implements wire.DRPCQuarantineServer.
+// Trial implements wire.DRPCQuarantineServer. It grants or releases the right to run a
+// quarantined request once, to find out whether it still crashes leaves.
 func (s quarantineServer) Trial(_ context.Context, req *wire.TrialRequest) (*wire.TrialReply, error) {
 	redirect, err := s.toLeader()
 	if err != nil || redirect != "" {
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -23,8 +23,9 @@
 	return peer.Permanent(errors.Newf("control: version=%d does not exist; the newest is %d", version, newest))
 }
 
-// confirm returns an error unless this VM is the leader beyond doubt, so that
-// what it is about to answer is the newest there is.
+// confirmLeadership returns an error unless this VM leads and no other leader can have
+// been elected. Handlers call it after reading the state: on success, the state that they
+// have read was the newest one.
 func (n *Node) confirm() error {
 	if n.lead.Load().confirmed(n.cfg.Clock()) {
 		return nil
@@ -32,7 +33,7 @@
 	return errUnconfirmed
 }
 
-// Read implements wire.DRPCControlServer.
+// Read implements wire.DRPCControlServer. It returns the settings tree of a version.
 func (s *operatorServer) Read(_ context.Context, req *wire.ReadRequest) (*wire.ReadReply, error) {
 	redirect, err := s.toLeader()
 	if err != nil || redirect != "" {
@@ -45,9 +46,9 @@
 	return &wire.ReadReply{Version: version, Snapshot: tree.Encode()}, s.confirm()
 }
 
-// treeAt returns the tree of a version, 0 for the newest. An older one is built
-// by undoing the changes since; its values are those of the version, but they
-// are marked as stated by the changes that were undone.
+// treeAt returns the settings tree of a version and its number; version 0 means the
+// newest. An older tree is built by undoing the later changes. Its values are those of
+// the requested version, but they are attributed to the changes that were undone.
 func (n *Node) treeAt(version uint64) (*settings.Tree, uint64, error) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
@@ -68,7 +69,8 @@
 	return st.Tree().Replay(version, undo), version, nil
 }
 
-// Audit implements wire.DRPCControlServer.
+// Audit implements wire.DRPCControlServer. It returns audit records in ascending order
+// from req.FromVersion, or the newest ones in descending order if that is 0.
 func (s *operatorServer) Audit(_ context.Context, req *wire.AuditRequest) (*wire.AuditReply, error) {
 	redirect, err := s.toLeader()
 	if err != nil || redirect != "" {
@@ -95,8 +97,8 @@
 	return &wire.AuditReply{Records: records}, s.confirm()
 }
 
-// records returns up to limit records from a version on, from the trail on disk
-// as far as they are no longer in memory.
+// records returns up to limit audit records starting at version from. Records that are
+// no longer in memory are read from the audit trail on disk.
 func (n *Node) records(from uint64, limit int) ([]*wire.AuditRecord, error) {
 	n.mu.RLock()
 	first := n.state.FirstRecord()
@@ -122,7 +124,9 @@
 	return out, nil
 }
 
-// InForce implements wire.DRPCControlServer.
+// InForce implements wire.DRPCControlServer. It waits until a version is in force
+// everywhere. If that does not happen within the wait time, it returns the names of the
+// daemons that have not confirmed the version.
 func (s *operatorServer) InForce(ctx context.Context, req *wire.InForceRequest) (*wire.InForceReply, error) {
 	redirect, err := s.toLeader()
 	if err != nil || redirect != "" {
@@ -150,6 +154,7 @@
 	}
 }
 
+// inForceUnixMs returns when a version came into force everywhere, or 0 if that is unknown.
 func (n *Node) inForceAt(version uint64) int64 {
 	records, err := n.records(max(version, 1), 1)
 	if err != nil || len(records) == 0 || records[0].Version != version {
@@ -158,8 +163,8 @@
 	return records[0].InForceUnixMs
 }
 
-// Status implements wire.DRPCControlServer. Every control VM answers with what
-// it knows; what it knows of daemons is empty unless it leads.
+// Status implements wire.DRPCControlServer. Every control VM answers from its own state.
+// Only the leader returns the status of daemons.
 func (s *operatorServer) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	l := s.lead.Load()
 	v := s.view()
--- a/internal/control/ready.go
+++ b/internal/control/ready.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	fullRetry  = 500 * time.Millisecond // how often a full disk is tried again
-	flushEvery = 5 * time.Second        // of the audit trail
+	fullRetry  = 500 * time.Millisecond // interval between attempts to write to a full disk
+	flushEvery = 5 * time.Second        // interval between flushes of the audit trail
 )
 
 var (
@@ -27,7 +27,7 @@
 	inForceGauge = metrics.GetOrRegisterGauge("control.config.in_force", metrics.DefaultRegistry)
 )
 
-// process carries out one Ready in the order that package quorum asks for.
+// processReady processes one Ready of the machine in the order that package quorum requires.
 func (d *driver) process(ctx context.Context) error {
 	rd := d.machine.Ready()
 	d.node.links.send(rd.Early)
@@ -47,9 +47,10 @@
 	return nil
 }
 
-// save makes the Ready durable. A full disk stops this VM's part in the group
-// until there is room: it sends nothing, so the others elect another leader, and
-// new proposals are refused. Any other failure ends the process.
+// save writes the Ready to the journal. If the disk is full, it retries until there is
+// free space. Meanwhile this VM sends no messages, so the other members elect another
+// leader if it was the leader, and new proposals are rejected. Any other error ends the
+// process.
 func (d *driver) save(ctx context.Context, rd *quorum.Ready) error {
 	start := time.Now()
 	err := d.journal.Save(rd.Snapshot, rd.HardState, rd.Entries, rd.MustSync)
@@ -67,18 +68,18 @@
 	for errors.Is(err, journal.ErrFull) {
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(err, "control: stopped while waiting")
+			return errors.Wrap(err, "control: stopped while waiting for free disk space")
 		case <-time.After(fullRetry):
 		}
 		err = d.journal.Save(rd.Snapshot, rd.HardState, rd.Entries, rd.MustSync)
 	}
 	if err == nil {
-		klog.Infof("control: the disk has room again")
+		klog.Infof("control: the disk has free space again")
 	}
 	return err
 }
 
-// restore replaces the state by a snapshot from the leader.
+// restore replaces the state with a snapshot from the leader.
 func (d *driver) restore(snap *quorum.Snapshot) error {
 	st, err := state.Decode(snap.Data)
 	if err != nil {
@@ -102,7 +103,8 @@
 	return nil
 }
 
-// apply applies committed entries and answers those who proposed them here.
+// apply applies committed entries to the state and completes the waiters of those that
+// were proposed on this VM.
 func (d *driver) apply(entries []*quorum.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -142,9 +144,10 @@
 	return nil
 }
 
-// compact replaces the beginning of the log by a snapshot once it has grown, and
-// writes the audit trail now and then. The trail goes first: the records of
-// entries that are compacted away are nowhere else. On a full disk both wait.
+// compact flushes the audit trail every trailFlushInterval and compacts the log into a
+// snapshot after SnapshotEntries entries. The trail is flushed before the snapshot,
+// because the records of compacted entries exist nowhere else. If the disk is full, both
+// are retried later.
 func (d *driver) compact() error {
 	now := d.clock()
 	due := d.applied-d.snapshot >= d.node.cfg.SnapshotEntries
@@ -158,7 +161,7 @@
 		err = d.saveSnapshot()
 	}
 	if errors.Is(err, journal.ErrFull) {
-		klog.Warningf("control: no snapshot written: %v", err)
+		klog.Warningf("control: audit trail or snapshot not written: %v", err)
 		return nil
 	}
 	return err
@@ -176,7 +179,7 @@
 	if err != nil {
 		return err
 	}
-	keep := d.node.cfg.SnapshotEntries / 2 // for members that are a little behind
+	keep := d.node.cfg.SnapshotEntries / 2 // entries kept for members that lag slightly behind
 	snap, err := d.machine.Compact(d.applied, data, keep)
 	if err != nil {
 		return err
--- a/internal/control/release.go
+++ b/internal/control/release.go
@@ -15,14 +15,13 @@
 	"pearmoor/internal/settings"
 )
 
-// maxReleaseTries bounds how often a release is laid over a tree that operators
-// change meanwhile.
+// maxReleaseAttempts is how often a release is merged into the tree when operators change
+// the tree at the same time.
 const maxReleaseTries = 16
 
-// PutRelease implements wire.DRPCControlServer. A release with a number above the
-// one held becomes a change of the settings tree; any other changes nothing, and
-// the reply says which one is held. A resend is such another one, whether the
-// first reply was lost or not.
+// PutRelease implements wire.DRPCControlServer. A release with a higher number than the
+// release in the settings tree becomes a change of the tree. Any other release, including
+// a resend, changes nothing, and the reply contains the number of the current release.
 func (s *operatorServer) PutRelease(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseReply, error) {
 	redirect, err := s.toLeader()
 	if err != nil || redirect != "" {
@@ -35,8 +34,8 @@
 	if err := rel.Validate(); err != nil {
 		return &wire.ReleaseReply{Faults: settings.FaultsToWire(err)}, nil
 	}
-	// One at a time: two that are laid over the same tree would lose the race of
-	// their base versions in turn.
+	// Releases are merged one at a time: concurrent ones would be based on the same
+	// version, so that all but one would conflict and have to be retried.
 	select {
 	case s.releases <- struct{}{}:
 		defer func() { <-s.releases }()
@@ -79,10 +78,11 @@
 	return nil, peer.NotDone(errors.Newf("control: release %d lost %d races with operators' changes; send it again", rel.Number, maxReleaseTries))
 }
 
-// Newest implements wire.DRPCControlServer. It answers only on a leader that is sure to
-// lead, so no newer tree has been acknowledged by anybody. The tree itself comes to every
-// daemon by Sync, packed and as changes: sent with each read, a long one would not come over
-// a narrow link within a call's limit.
+// Newest implements wire.DRPCControlServer. It returns the version and digest of the newest
+// settings tree. Only a confirmed leader answers, so no newer tree has been acknowledged.
+// The tree itself is not part of the reply: daemons receive it through Sync, compressed and
+// as deltas, while sending a large tree with each read over a slow link would exceed the
+// time limit of the call.
 func (s *operatorServer) Newest(context.Context, *wire.NewestRequest) (*wire.NewestReply, error) {
 	redirect, err := s.toLeader()
 	if err != nil || redirect != "" {
--- a/internal/control/seat.go
+++ b/internal/control/seat.go
@@ -19,27 +19,30 @@
 	"pearmoor/internal/vm"
 )
 
-// Seat is a VM's place in a control group that keeps itself whole: it founds the
-// group with the others that were named, joins one when its data folder is empty,
-// and joins anew when the group has let it go.
+// GroupMember keeps a VM a member of the control group without an operator. It founds the
+// group together with the other founders, joins an existing group if the data folder is
+// empty, and joins again with an empty data folder after the group has removed the VM.
 type Seat struct {
 	cfg  SeatConfig
 	node atomic.Pointer[Node]
 }
 
-// SeatConfig is what a Seat needs. Config.ID, Bootstrap and Voters are the seat's
-// to fill in.
+// GroupMemberConfig configures a GroupMember, which sets Config.ID, Config.Bootstrap and
+// Config.Voters itself.
 type SeatConfig struct {
 	Config
-	// Found is true when the whole tier starts for the first time.
+	// FirstStart is true when the whole tier starts for the first time. Only then a
+	// founder may found the group.
 	Found bool
-	// Founders returns the peer addresses of the group's founders, the same on each,
-	// once they are known.
+	// Founders waits until the peer addresses of the group's founders are known and
+	// returns them. The result must be identical on every founder.
 	Founders func(ctx context.Context) []string
-	// Contacts returns peer addresses where the group may be found, best first.
+	// Contacts returns peer addresses of VMs to ask for admission to the group, in
+	// order of preference.
 	Contacts func() []string
-	// OnNode is called when the seat has another node, nil for none. What the
-	// node serves is its caller's to offer and to take back.
+	// OnNodeChange is called with each new node, and with nil after the node has
+	// stopped. It is responsible for registering the node's RPC services and for
+	// removing them.
 	OnNode func(*Node)
 }
 
@@ -47,21 +50,22 @@
 	joinRetry    = 200 * time.Millisecond
 	joinTimeout  = time.Second
 	refusalCheck = 200 * time.Millisecond
-	// refusalAfter is how long the group must have refused this VM before it
-	// gives its disk up: one refusal may be of a message sent under an older group.
+	// refusalTimeout is how long the group must reject this VM before it deletes its
+	// data. A single rejection may concern a message sent under an older membership.
 	refusalAfter = time.Second
 )
 
-// NewSeat returns a seat that does nothing until Run.
+// NewGroupMember returns a GroupMember. It does nothing until Run.
 func NewSeat(cfg SeatConfig) *Seat {
 	cfg.Config = cfg.Config.withDefaults()
 	return &Seat{cfg: cfg}
 }
 
-// Node returns the node in the seat, nil while there is none.
+// Node returns the running node, or nil if there is none.
 func (s *Seat) Node() *Node { return s.node.Load() }
 
-// Run keeps the seat until ctx ends. An error means that the process must end.
+// Run runs nodes and joins the group again when needed, until ctx is done. After an error
+// the process must exit.
 func (s *Seat) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		cfg, err := s.prepare(ctx)
@@ -69,7 +73,7 @@
 			return err
 		}
 		if cfg == nil {
-			return nil // ctx ended
+			return nil // ctx is done
 		}
 		if err := s.sit(ctx, *cfg); err != nil {
 			return err
@@ -78,13 +82,14 @@
 	return nil
 }
 
-// sit runs a node until ctx ends or the group has refused it for long.
+// runNode runs a node until ctx is done or the group has rejected the node for
+// refusalTimeout. In the latter case it clears the data folder.
 func (s *Seat) sit(ctx context.Context, cfg Config) error {
 	node, err := Open(cfg)
 	if err != nil {
 		return err
 	}
-	klog.Infof("control: member %d opens with version %d, commit %d", cfg.ID, node.state.Version(), node.lead.Load().status.Commit)
+	klog.Infof("control: member %d starts at version %d, commit %d", cfg.ID, node.state.Version(), node.lead.Load().status.Commit)
 	s.node.Store(node)
 	s.cfg.OnNode(node)
 	inner, cancel := context.WithCancel(ctx)
@@ -93,7 +98,7 @@
 	go func() { done <- node.Run(inner) }()
 	refused := s.watch(inner, node, done)
 	if refused {
-		klog.Warningf("control: the group has let member %d go; its data folder is given up and the VM joins anew", cfg.ID)
+		klog.Warningf("control: the group has removed member %d; clearing the data folder and joining under a new id", cfg.ID)
 		cancel()
 	}
 	err = <-done
@@ -105,8 +110,8 @@
 	return err
 }
 
-// watch returns true when the group has refused the node for refusalAfter, and
-// false when ctx or the node has ended.
+// waitUntilRefused returns true when the group has rejected the node for refusalTimeout,
+// and false when ctx is done or the node has stopped.
 func (s *Seat) watch(ctx context.Context, node *Node, done chan error) bool {
 	ticker := time.NewTicker(refusalCheck)
 	defer ticker.Stop()
@@ -132,8 +137,10 @@
 	}
 }
 
-// prepare returns the node's configuration: of the disk's own identity, else of a
-// founder, else of one that has just joined. It is nil when ctx has ended.
+// prepareConfig returns the configuration of the next node. The member ID is that of the
+// identity on disk, if there is one. Otherwise it is a founder's ID if this VM is a
+// founder, or the ID that the group assigns when the VM joins. The result is nil if ctx
+// is done.
 func (s *Seat) prepare(ctx context.Context) (*Config, error) {
 	id, err := journal.ReadIdentity(s.cfg.FS, s.cfg.DataDir)
 	if err != nil {
@@ -156,27 +163,29 @@
 		cfg.Bootstrap = cfg.Bootstrap && id.Id == uint64(at+1)
 		return &cfg, nil
 	}
-	// Without an identity nothing on this disk was ever promised to anybody, or
-	// its removal was broken off by a loss of power.
+	// Without an identity, this disk has never been used as a member, or a power
+	// failure has interrupted clear after it removed the log. Either way it
+	// holds no votes or entries that the group relies on.
 	if err := s.clear(); err != nil {
 		return nil, err
 	}
 	if cfg.Bootstrap {
 		cfg.ID = uint64(at + 1)
-		klog.Infof("control: founds the group as member %d of %v", cfg.ID, founders)
+		klog.Infof("control: founding the group as member %d of %v", cfg.ID, founders)
 		return &cfg, nil
 	}
 	return s.join(ctx, cfg)
 }
 
-// holdsLog reports whether the data folder holds more than its identity: then the
-// group was founded already, and who founds it is not asked again.
+// hasLog reports whether the data folder contains a log. If so, the group has already
+// been founded and the founders are not needed.
 func (s *Seat) holdsLog() bool {
 	names, err := s.cfg.FS.ReadDir(s.cfg.DataDir)
 	return err == nil && slices.ContainsFunc(names, journal.IsLog)
 }
 
-// join asks for a place in the group until it is given one.
+// join asks for admission to the group until it is granted, and writes the identity with
+// the assigned ID to disk. The result is nil if ctx is done.
 func (s *Seat) join(ctx context.Context, cfg Config) (*Config, error) {
 	disk := rand.Uint64() | 1
 	for ctx.Err() == nil {
@@ -187,7 +196,7 @@
 		}
 		ident := &wire.DiskIdentity{Disk: disk, Id: id, Name: cfg.Name}
 		if err := journal.WriteIdentity(cfg.FS, cfg.DataDir, ident); errors.Is(err, journal.ErrFull) {
-			klog.Warningf("control: the disk is full, the VM can't join yet")
+			klog.Warningf("control: the disk is full; the VM can't join the group yet")
 			vm.Sleep(ctx, joinTimeout)
 			continue
 		} else if err != nil {
@@ -199,14 +208,15 @@
 	return nil, nil
 }
 
-// ask asks the contacts in turn, following redirects; 0 means that none could.
+// requestID asks the contacts in turn for admission, following redirects. It returns the
+// assigned member ID, or 0 if no contact granted admission.
 func (s *Seat) ask(ctx context.Context, disk uint64) uint64 {
 	id := uint64(0)
 	others := slices.DeleteFunc(slices.Clone(s.cfg.Contacts()), func(a string) bool { return a == s.cfg.PeerAddr })
 	peer.Walk(ctx, others, func(addr string) (string, bool) {
 		reply, err := s.askOne(ctx, addr, disk)
 		if err != nil {
-			klog.V(1).Infof("control: %s does not let this VM join: %v", addr, err)
+			klog.V(1).Infof("control: join request to %s failed: %v", addr, err)
 			return "", false
 		}
 		id = reply.Id
@@ -226,8 +236,9 @@
 	return wire.NewDRPCQuorumClient(conn).Join(ctx, &wire.JoinRequest{Name: s.cfg.Name, PeerAddr: s.cfg.PeerAddr, Disk: disk})
 }
 
-// clear empties the data folder, the identity last: while that is there, what is
-// left of the log still stands under the id it was written for.
+// clear removes all files from the data folder. The identity is removed last, so
+// that if clearing is interrupted, the rest of the log still belongs to the ID it was
+// written under.
 func (s *Seat) clear() error {
 	fs, dir := s.cfg.FS, s.cfg.DataDir
 	if err := fs.MkdirAll(dir); err != nil {
@@ -253,6 +264,7 @@
 	return errors.Wrap(fs.SyncDir(dir), "control: data folder")
 }
 
+// removalRank orders files for removal: the identity after all others.
 func rank(name string) int {
 	if name == journal.IdentityName {
 		return 1
@@ -260,13 +272,14 @@
 	return 0
 }
 
-// Leads reports whether this VM is the leader beyond doubt.
+// IsLeader reports whether this VM leads and no other VM can have been elected by now.
 func (n *Node) Leads() bool { return n.lead.Load().confirmed(n.cfg.Clock()) }
 
-// Quiet returns the names of the members of the tier that the leader has not heard
-// for that long; none on any other VM. One that is let go stays among them until every
-// daemon knows the membership without it: a daemon that is cut off before it does goes
-// on telling callers of the members it knows, and of who of them is silent.
+// SilentMembers returns the names of the tier's members that the leader has not heard from
+// for at least after. On any other VM the result is empty. A member that is being removed
+// is included until the membership without it has settled: a daemon that is partitioned
+// before it learns of that membership keeps telling callers about the removed member, and
+// must know that it is silent.
 func (n *Node) Quiet(after time.Duration) []string {
 	if !n.Leads() {
 		return nil
@@ -275,7 +288,8 @@
 	return n.table.Quiet(n.cfg.Clock(), after, v.settled, v.pending)
 }
 
-// Group returns the peer addresses of the control group, the leader's first.
+// GroupAddrs returns the peer addresses of the control group, with the leader's first if
+// it is known.
 func (n *Node) Group() []string {
 	l := n.lead.Load()
 	out := l.controlAddrs()
--- a/internal/control/seat_test.go
+++ b/internal/control/seat_test.go
@@ -21,7 +21,7 @@
 	"pearmoor/internal/settings"
 )
 
-// seatVM is a VM with a seat that answers on a loopback port.
+// memberVM is a VM with a GroupMember that serves on a loopback port.
 type seatVM struct {
 	t      testing.TB
 	cfg    SeatConfig
@@ -35,7 +35,7 @@
 // HandleRPC implements drpc.Handler.
 func (v *seatVM) HandleRPC(s drpc.Stream, rpc string) error { return v.mux.Load().HandleRPC(s, rpc) }
 
-// seatTier is a group of VMs that know the founders' addresses and nothing else.
+// memberTier is a set of VMs that are configured with the founders' addresses only.
 type seatTier struct {
 	t        testing.TB
 	dir      string
@@ -48,7 +48,7 @@
 	seatSilent = 300 * time.Millisecond
 )
 
-// foundTier starts a group of n founders.
+// startTier starts a tier whose n VMs found a control group.
 func foundTier(t testing.TB, n int) *seatTier {
 	t.Helper()
 	tier := &seatTier{t: t, dir: t.TempDir(), vms: make(map[string]*seatVM)}
@@ -96,7 +96,7 @@
 	v.cancel = cancel
 	v.done.Go(func() {
 		if err := v.seat.Run(ctx); err != nil {
-			s.t.Errorf("seat at %s: %v", addr, err)
+			s.t.Errorf("group member at %s: %v", addr, err)
 		}
 	})
 	v.done.Go(func() { _ = peer.Serve(ctx, lis, v, nil) })
@@ -111,13 +111,13 @@
 	_ = v.pool.Close()
 }
 
-// stopAt ends the VM at addr.
+// stopAt stops the VM at addr.
 func (s *seatTier) stopAt(addr string) {
 	s.vms[addr].stop()
 	delete(s.vms, addr)
 }
 
-// startAt starts a VM at addr, which is not the tier's first start.
+// startAt starts a VM at addr that does not found a group.
 func (s *seatTier) startAt(addr string) *seatVM {
 	s.t.Helper()
 	var lis net.Listener
@@ -129,7 +129,7 @@
 	return s.start(lis, false)
 }
 
-// put sends a release to the VMs in turn until one has acknowledged it.
+// putRelease sends a release to the VMs in turn until one acknowledges it.
 func (s *seatTier) put(r *route.Release) *wire.ReleaseReply {
 	s.t.Helper()
 	body, err := json.Marshal(r)
@@ -157,27 +157,27 @@
 	return wire.NewDRPCControlClient(conn)
 }
 
-// read returns the newest release: that of the tree which a VM names as the newest.
+// readRelease returns the release of the newest settings tree and checks the tree's digest.
 func (s *seatTier) read() *route.Release {
 	s.t.Helper()
 	out, tree := s.newest()
 	if tree.Digest() != out.Digest {
-		s.t.Errorf("version=%d is named with digest=%x and has digest=%x", out.Version, out.Digest, tree.Digest())
+		s.t.Errorf("version=%d is reported with digest=%x, its tree has digest=%x", out.Version, out.Digest, tree.Digest())
 	}
 	r, err := route.FromTree(tree)
 	if err != nil || r == nil {
-		s.t.Fatalf("version=%d holds no release: %v", out.Version, err)
+		s.t.Fatalf("version=%d contains no release: %v", out.Version, err)
 	}
 	return r
 }
 
-// newest asks the VMs which settings tree is the newest until one says so, and returns that
-// version's tree as it has it.
+// newestTree asks the VMs in turn for the newest version until one returns it. It returns
+// the reply and that VM's settings tree of the version.
 func (s *seatTier) newest() (*wire.NewestReply, *settings.Tree) {
 	s.t.Helper()
 	var out *wire.NewestReply
 	var tree *settings.Tree
-	eventually(s.t, "the newest tree is named", func() bool {
+	eventually(s.t, "a VM returns the newest version", func() bool {
 		for addr, v := range s.vms {
 			var err error
 			if out, err = s.control(addr).Newest(callCtx(s.t), &wire.NewestRequest{}); err != nil || out.Redirect != "" || out.Version == 0 {
@@ -193,8 +193,8 @@
 	return out, tree
 }
 
-// votersAre waits until the group's voters are those at the addresses, and no other
-// member is left.
+// waitForVoters waits until the group consists of exactly the voters at the addresses want,
+// without learners.
 func (s *seatTier) votersAre(want ...string) {
 	s.t.Helper()
 	eventually(s.t, fmt.Sprintf("the voters are %v", want), func() bool {
@@ -229,29 +229,30 @@
 	}
 }
 
-// The highest number holds. What is sent under the number held or a lower one is
-// acknowledged and changes nothing, also with other content.
+// A release with the current number or a lower one must be acknowledged without changing
+// anything, even if its content differs.
 func TestHighestReleaseHolds(t *testing.T) {
 	t.Parallel()
 	tier := foundTier(t, 3)
 	if r := tier.put(releaseNumber(7, time.Second)); !r.Changed || r.Held != 7 {
-		t.Fatalf("first: %+v", r)
+		t.Fatalf("first release: %+v", r)
 	}
 	for _, n := range []uint64{7, 3} {
 		if r := tier.put(releaseNumber(n, 9*time.Second)); r.Changed || r.Held != 7 || len(r.Faults) > 0 {
-			t.Errorf("release %d over 7: %+v", n, r)
+			t.Errorf("release %d after release 7: %+v", n, r)
 		}
 	}
 	if r := tier.read(); r.Number != 7 || r.Routes[0].Timeout != time.Second {
-		t.Errorf("held: %+v", r)
+		t.Errorf("current release: %+v", r)
 	}
 	if r := tier.put(&route.Release{Number: 99, Routes: []route.Route{{Name: "x"}}}); len(r.Faults) == 0 {
-		t.Errorf("an invalid release is taken: %+v", r)
+		t.Errorf("invalid release was accepted: %+v", r)
 	}
 }
 
-// An operator reads back what was acknowledged a moment ago. The tree named as the newest
-// is the one that holds it, each time, and no VM but the leader names one.
+// After a release is acknowledged, the tree that is reported as the newest must contain it,
+// or operators could not read back their own changes. Only the leader may report one, since
+// other VMs may lag behind.
 func TestNewestNamesWhatWasAcknowledged(t *testing.T) {
 	t.Parallel()
 	tier := foundTier(t, 3)
@@ -260,19 +261,19 @@
 		tier.put(releaseNumber(n, time.Duration(n)*time.Second))
 		out, _ := tier.newest()
 		if r := tier.read(); r.Number != n || r.Routes[0].Timeout != time.Duration(n)*time.Second || out.Version <= before || out.GetHeld() != n {
-			t.Errorf("release %d was acknowledged, version=%d after %d holds %+v", n, out.Version, before, r)
+			t.Errorf("release %d was acknowledged, but version=%d after %d contains %+v", n, out.Version, before, r)
 		}
 		before = out.Version
 	}
 	for addr, v := range tier.vms {
 		if out, err := tier.control(addr).Newest(callCtx(t), &wire.NewestRequest{}); err == nil && out.Redirect == "" && !v.seat.Node().Leads() {
-			t.Errorf("%s does not lead and names version=%d", addr, out.Version)
+			t.Errorf("%s does not lead but reports version=%d", addr, out.Version)
 		}
 	}
 }
 
-// Eight orders are on their way together, some with numbers that others overtake.
-// Each is acknowledged, and the highest holds.
+// Eight releases are sent concurrently, so that some arrive after one with a higher number.
+// Each must be acknowledged, and the highest number must win.
 func TestReleasesRace(t *testing.T) {
 	t.Parallel()
 	tier := foundTier(t, 3)
@@ -283,13 +284,14 @@
 	}
 	wg.Wait()
 	if r := tier.read(); r.Number != 14 {
-		t.Errorf("held: %d", r.Number)
+		t.Errorf("current release: %d", r.Number)
 	}
 }
 
-// A VM acknowledges a release and loses its disk at that moment, while the others
-// lose power and keep theirs. The release must still hold, and the VM come back by
-// itself: as a new member, never as the one whose votes and entries are lost.
+// All VMs fail right after a release is acknowledged, and the leader loses its disk. The
+// release must still be current after the restart. The leader's VM must join as a new
+// member: under its old ID it could vote again, contradicting votes and entries that were
+// lost with the disk.
 func TestDiskLostAfterAcknowledgement(t *testing.T) {
 	t.Parallel()
 	tier := foundTier(t, 3)
@@ -311,19 +313,19 @@
 		tier.startAt(addr)
 	}
 	if r := tier.read(); r.Number != 5 {
-		t.Fatalf("held: %d", r.Number)
+		t.Fatalf("current release: %d", r.Number)
 	}
 	tier.votersAre(all...)
 	for addr, v := range tier.vms {
 		if n := v.seat.Node(); addr == lost && n != nil && n.cfg.ID <= 3 {
-			t.Errorf("the VM with the new disk is member %d again", n.cfg.ID)
+			t.Errorf("the VM with the new disk joined under old member ID %d", n.cfg.ID)
 		}
 	}
 	tier.put(releaseNumber(6, time.Second))
 }
 
-// A control VM is gone for good and an empty one comes at another address. The group
-// takes it in and lets the silent one go, so that it bears the next loss.
+// A control VM is permanently lost and an empty VM is started at another address. The group
+// must add the new VM and remove the lost one, so that it tolerates the next loss.
 func TestReplacedAtAnotherAddress(t *testing.T) {
 	t.Parallel()
 	tier := foundTier(t, 3)
@@ -336,8 +338,9 @@
 	tier.put(releaseNumber(2, time.Second))
 }
 
-// A member that was cut off for long was let go, since enough others voted. When it is
-// back, the group refuses it; it gives its disk up and joins anew.
+// A member that was down for long has been removed, since enough other voters responded.
+// When it is back, the group rejects it. It must then clear its data folder and join under
+// a new ID.
 func TestLetGoMemberJoinsAnew(t *testing.T) {
 	t.Parallel()
 	tier := foundTier(t, 4)
@@ -348,13 +351,13 @@
 	back := tier.startAt(away)
 	tier.votersAre(tier.founders...)
 	if n := back.seat.Node(); n == nil || n.cfg.ID <= 4 {
-		t.Errorf("it is back as %+v", n)
+		t.Errorf("node after rejoining: %+v", n)
 	}
 	tier.put(releaseNumber(2, time.Second))
 }
 
-// Three founders, one of which is lost: no voter is removed, since the group would
-// then be smaller than the losses it has to bear allow.
+// One of three founders is lost. It must not be removed from the group, since a group of
+// two voters could not tolerate the loss of a disk.
 func TestGroupIsNotShrunk(t *testing.T) {
 	t.Parallel()
 	tier := foundTier(t, 3)
@@ -364,7 +367,7 @@
 	tier.put(releaseNumber(2, time.Second))
 	for _, v := range tier.vms {
 		if n := v.seat.Node(); n.Leads() && len(n.lead.Load().conf.GetMembers()) != 3 {
-			t.Errorf("the group is %v", n.lead.Load().conf)
+			t.Errorf("members of the group: %v", n.lead.Load().conf)
 		}
 	}
 }
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -13,15 +13,17 @@
 	"pearmoor/internal/vm"
 )
 
-// maxHold bounds how long a Sync is held, so that relays and daemons notice a
-// lost link early.
+// maxSyncWait is the maximum time that a Sync call is held, so that relays and daemons
+// detect a lost connection early.
 const maxHold = 5 * time.Second
 
-// agreedHold bounds how long a daemon without state is held at a VM without state: a VM
-// whose disk is new learns nothing until it has joined the group.
+// maxInitialSyncWait is the maximum time that a Sync call of a daemon without state is held
+// by a VM that has no state either. A VM with a new disk has no state until it has joined
+// the group.
 const agreedHold = 200 * time.Millisecond
 
-// aheadEvery is the least time between two words on daemons of another group.
+// aheadLogInterval is the minimum time between two log lines about daemons that are ahead
+// of this group.
 const aheadEvery = 10 * time.Second
 
 var (
@@ -29,16 +31,16 @@
 	beatMeter = metrics.GetOrRegisterMeter("control.sync.heartbeats", metrics.DefaultRegistry)
 )
 
-// spreadServer answers daemons and relays.
+// spreadServer serves daemons and relays.
 type spreadServer struct{ *Node }
 
-// Sync implements wire.DRPCSpreadServer: it records heartbeats, waits until there
-// is something new, and confirms the daemons' leases.
+// Sync implements wire.DRPCSpreadServer. It records heartbeats, waits until there is a
+// newer state than the caller has, and grants leases to the daemons.
 //
-// A lease is granted from the instant the heartbeat was handled at the latest,
-// and only if this VM still leads when the reply is written: a leader that was
-// cut off or paused in between would grant leases that its successor does not
-// wait for.
+// A lease starts no later than the instant at which the heartbeat was handled. It is
+// granted only if this VM still leads in the same term when the reply is built: a leader
+// that was partitioned or paused in between would grant leases that its successor does
+// not wait for.
 func (s *spreadServer) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncReply, error) {
 	lead := s.lead.Load()
 	if !lead.confirmed(s.cfg.Clock()) {
@@ -65,7 +67,7 @@
 		s.wakeDuties()
 	}
 	if !unknown {
-		// Until there is something that the caller lacks, or this VM no longer leads.
+		// Hold the call until there is news for the caller or this VM stops leading.
 		s.await(ctx, waitOf(req, maxHold), s.lead.Load().lost, func(st *relay.State) bool { return st.HasNews(req) })
 	}
 	reply := &wire.SyncReply{Refused: refused, Resend: unknown, Control: lead.controlAddrs()}
@@ -80,20 +82,18 @@
 	return reply, nil
 }
 
-// fillAgreed gives a daemon that has just started, while no leader is known, what
-// this VM knows to be agreed on.
+// fillCommitted fills reply with the committed state of this VM. It serves daemons that
+// have just started while no leader is known: after a restart of the whole tier, every
+// daemon would otherwise reject all requests until a leader is elected.
 //
-// After a restart of everything each daemon would otherwise reject all requests until a
-// leader is elected.
+// This is safe because committed state is never rolled back and the reply grants nothing:
+// the daemon holds no lease and no share until a leader has confirmed it. The state may be
+// outdated, which the leader's first reply corrects.
 //
-// What is agreed on is never taken back, and nothing is granted with it: the daemon
-// holds no lease and no share until the leader has confirmed it. It may be a little
-// old, which the leader's first reply mends.
-//
-// A VM that has just started itself first has to read its disk, which the daemon waits
-// for: told at once that nothing is known, it turns to VMs that may not be back and comes
-// again 0.2 s later. Of 11 VMs that lost power, those with a disk had their configuration
-// 0.23 s after their start, and have it after 0.08 s now.
+// A VM that has just started has to read its disk first, so the call is held until then.
+// With an immediate empty reply the daemon would turn to VMs that may still be down and
+// retry 0.2 s later. With 11 VMs after a power failure, holding the call shortened the time
+// from the start of a VM with a disk to its configuration from 0.23 s to 0.08 s.
 func (s *spreadServer) fillAgreed(ctx context.Context, req *wire.SyncRequest, reply *wire.SyncReply) {
 	known := func(st *relay.State) bool { return st.ConfigVersion > 0 }
 	if s.await(ctx, waitOf(req, agreedHold), nil, known) {
@@ -101,9 +101,10 @@
 	}
 }
 
-// checkSender holds that the caller's own heartbeat, the first in full or the
-// first short one, names the VM of its certificate. A relay is trusted for the
-// daemons below it.
+// checkSender returns an error unless the caller's own heartbeat names the VM of the
+// caller's certificate. The caller's own heartbeat is the first one in full form or the
+// first one in short form. The other heartbeats are those of daemons that connect through
+// the caller, a relay, which is trusted for them.
 func checkSender(ctx context.Context, req *wire.SyncRequest, hbs []*wire.Heartbeat) error {
 	if len(hbs) == 0 {
 		return nil
@@ -115,11 +116,12 @@
 	return err
 }
 
-// ahead reports whether the caller knows of something that this group never
-// agreed on. A leader knows everything its group has agreed on, so the group must
-// have been founded anew beside or after another one, on disks that were lost.
-// Granting a lease would put the old group's configuration and shares back into
-// work under a group that may hand the same shares to others.
+// callerAhead reports whether the caller has a newer configuration version or epoch than
+// this group. A leader knows everything that its group has committed, so the caller's
+// state must come from another group: this group was founded again, for example after
+// the disks of the old one were lost. A lease would let the daemon work with the old
+// group's configuration and shares, while this group may assign the same shares to other
+// daemons.
 func ahead(req *wire.SyncRequest, st *relay.State) bool {
 	return req.HaveConfig > st.ConfigVersion || req.HaveSettled > st.Settled.Epoch
 }
@@ -134,17 +136,17 @@
 	if len(req.Heartbeats) > 0 {
 		name = req.Heartbeats[0].GetVm().GetName()
 	}
-	klog.Errorf("control: %s knows version %d and epoch %d, this group only %d and %d: it was founded anew; restore the old group's disks, or restart all daemons",
+	klog.Errorf("control: %s has version %d and epoch %d, but this group has only %d and %d, so it was founded again; restore the old group's disks, or restart all daemons",
 		name, req.HaveConfig, req.HaveSettled, st.ConfigVersion, st.Settled.Epoch)
 }
 
-// waitOf is how long the caller would be held, for at most most.
+// syncWait returns how long the caller asks to be held, but at most limit.
 func waitOf(req *wire.SyncRequest, most time.Duration) time.Duration {
 	return min(time.Duration(req.WaitMs)*time.Millisecond, most)
 }
 
-// await waits until the state is enough, and reports whether it is. It is false when the
-// time is up, or ctx ends, or lost is closed, first.
+// waitForState waits until done returns true for the state and reports whether it did. It
+// returns false if wait elapses, ctx is done or lost is closed first.
 func (s *spreadServer) await(ctx context.Context, wait time.Duration, lost <-chan struct{}, enough func(*relay.State) bool) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/control/tls_test.go
+++ b/internal/control/tls_test.go
@@ -11,7 +11,8 @@
 	"pearmoor/internal/link/wire"
 )
 
-// certified issues a certificate and returns a pool and server settings that use it.
+// issueCertificate issues a certificate for id and returns a Reloader, which provides the
+// TLS settings of clients and servers that use it.
 func certified(t *testing.T, a *peer.Authority, dir string, id peer.Identity) *peer.Reloader {
 	t.Helper()
 	f := peer.Files{
@@ -29,12 +30,12 @@
 	return r
 }
 
-// Somebody with a stolen entry VM's certificate, or an operator who claims another
-// name, edits the tree. The trail must name who it was by certificate, and a VM
-// may edit nothing.
+// An operator may state another name in the request, and an entry VM's certificate may be
+// stolen. The audit trail must record the name in the operator's certificate, and a VM's
+// certificate must not be accepted for changes.
 func TestOperatorIsNamedByCertificate(t *testing.T) {
 	t.Parallel()
-	Convey("Given a control VM that demands certificates", t, func() {
+	Convey("Given a control VM that requires client certificates", t, func() {
 		dir := t.TempDir()
 		a, err := peer.NewAuthority(time.Hour)
 		So(err, ShouldBeNil)
@@ -45,7 +46,7 @@
 		Reset(func() { v.cancel() })
 		eventually(t, "it leads", v.leads)
 
-		Convey("an operator is recorded by the certificate's name, whatever the request says", func() {
+		Convey("an operator is recorded under the name in the certificate, regardless of the request", func() {
 			c := dialWith(t, v, operator.ClientConfig())
 			req := changeRequest("a", 0, "daemon-lease", "10s")
 			req.Operator = "somebody-else"
@@ -60,7 +61,7 @@
 			So(err, ShouldNotBeNil)
 		})
 
-		Convey("a VM's certificate changes nothing, but syncs", func() {
+		Convey("a VM's certificate is accepted for Sync but not for changes", func() {
 			c := dialWith(t, v, vmCert.ClientConfig())
 			_, err := c.control().Change(callCtx(t), changeRequest("a", 0, "daemon-lease", "10s"))
 			So(err, ShouldNotBeNil)
@@ -70,7 +71,7 @@
 			So(s.Granted, ShouldBeTrue)
 		})
 
-		Convey("a VM's certificate holds no other VM's lease, nor ends it", func() {
+		Convey("a VM's certificate can neither renew nor end another VM's lease", func() {
 			c := dialWith(t, v, vmCert.ClientConfig())
 			for name, ok := range map[string]bool{"ctl-1": true, "entry-9": false} {
 				_, err := c.spread().Sync(callCtx(t), &wire.SyncRequest{Heartbeats: []*wire.Heartbeat{
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	queueSize      = 512     // messages of one lane to one member; the oldest is dropped
-	batchBytes     = 1 << 20 // of messages in one call
+	queueSize      = 512     // messages per queue; the oldest is dropped when it is full
+	batchBytes     = 1 << 20 // encoded messages in one call; the last message may exceed it
 	deliverTimeout = time.Second
 	deliverPause   = 100 * time.Millisecond // after a failed call
 )
 
-// transport sends the machine's messages. It never blocks the driver: messages
-// to a member that does not take them are dropped, which the machine expects.
+// transport sends the machine's messages to the other members. It never blocks the driver:
+// messages to an unresponsive member are dropped, which the machine tolerates.
 type transport struct {
 	cfg *Config
 
@@ -41,7 +41,7 @@
 	return t
 }
 
-// run keeps the links going until ctx ends.
+// run runs the links until ctx is done.
 func (t *transport) run(ctx context.Context) {
 	t.mu.Lock()
 	t.ctx = ctx
@@ -59,7 +59,7 @@
 	t.wg.Go(func() { l.run(ctx, &l.word) })
 }
 
-// learn notes where a member is reached.
+// setAddr sets the address of a member.
 func (t *transport) learn(id uint64, addr string) {
 	if addr == "" || id == t.cfg.ID {
 		return
@@ -72,7 +72,7 @@
 	}
 }
 
-// learnName notes what a member calls itself.
+// setName sets the name of a member, as stated in its messages.
 func (t *transport) learnName(id uint64, name string) {
 	if name == "" {
 		return
@@ -96,7 +96,8 @@
 	}
 }
 
-// link returns the link to a member, nil if its address is not known.
+// link returns the link to a member, creating it if needed, or nil if the member's address
+// is unknown.
 func (t *transport) link(id uint64) *peerLink {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,27 +116,28 @@
 	return l
 }
 
-// peerLink sends to one member, over two lanes that do not wait for each other.
+// peerLink sends messages to one member through two independent queues.
 //
-// An entry of thousands of edits is under way for tenths of a second, to every member at
-// once. With heartbeats behind it the leader hears nobody for an election time, gives up its
-// place and leaves the order that it was carrying in doubt, as it will the next one of that
-// size. Entries and pieces of snapshots keep their order among themselves, without which a
-// member refuses what follows the one that it has not got and is sent both again.
+// Sending an entry with thousands of edits takes tenths of a second, and the leader sends it
+// to all members at the same time. If heartbeats were queued behind it, the leader would
+// hear from no member for an election timeout and step down, which leaves the outcome of the
+// change unknown; every other change of that size would fail in the same way. Entries and
+// snapshot chunks share a queue to keep their order: a member rejects a message whose
+// predecessor it has not received, and both would have to be sent again.
 type peerLink struct {
 	cfg  *Config
 	id   uint64
 	bulk lane // entries and snapshots
-	word lane // everything else: heartbeats, votes, replies
+	word lane // all other messages: heartbeats, votes, replies
 
 	mu   sync.Mutex
 	addr string
 	down bool
 }
 
-// lane holds the messages of one kind, oldest first.
+// sendQueue is a bounded queue of messages, oldest first.
 type lane struct {
-	ready chan struct{} // holds a token when there are some
+	ready chan struct{} // buffered, capacity 1; signals that messages may be queued
 
 	mu    sync.Mutex
 	queue []*quorum.Message
@@ -176,7 +178,7 @@
 	}
 }
 
-// run sends what a lane holds until ctx ends.
+// run sends the messages of a queue until ctx is done.
 func (l *peerLink) run(ctx context.Context, n *lane) {
 	for {
 		select {
@@ -199,7 +201,8 @@
 	}
 }
 
-// take returns the oldest messages of a lane, up to batchBytes.
+// nextBatch removes the oldest messages from a queue, about maxBatchBytes in all, and
+// returns them.
 func (l *peerLink) take(from *lane) *wire.QuorumMessage {
 	from.mu.Lock()
 	defer from.mu.Unlock()
@@ -212,7 +215,7 @@
 		n++
 		b, err := quorum.Encode(m)
 		if err != nil {
-			klog.Errorf("control: message to control VM %d not sent: %v", l.id, err)
+			klog.Errorf("control: encoding a message to control VM %d failed: %v", l.id, err)
 			continue
 		}
 		batch.Payloads = append(batch.Payloads, b)
@@ -222,8 +225,9 @@
 	return batch
 }
 
-// deliver makes one call. Its limit counts what it carries: the entry of a long change that
-// took longer than the limit would be sent and ended for ever, and its member fall behind.
+// deliver sends a batch in one call. The time limit grows with the size of the batch: with a
+// fixed limit, a large entry on a slow link would time out on every attempt, and the member
+// would fall behind for good.
 func (l *peerLink) deliver(ctx context.Context, addr string, batch *wire.QuorumMessage) error {
 	size := 0
 	for _, b := range batch.Payloads {
@@ -240,16 +244,16 @@
 	return err
 }
 
-// report logs only when a member is lost or found again.
+// logConnState logs when deliveries to the member start to fail and when they succeed again.
 func (l *peerLink) report(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if down := err != nil; down != l.down {
 		l.down = down
 		if down {
-			klog.Warningf("control: control VM %d does not take messages: %v", l.id, err)
+			klog.Warningf("control: delivery to control VM %d fails: %v", l.id, err)
 		} else {
-			klog.Infof("control: control VM %d takes messages again", l.id)
+			klog.Infof("control: delivery to control VM %d works again", l.id)
 		}
 	}
 }
--- a/internal/control/transport_test.go
+++ b/internal/control/transport_test.go
@@ -16,9 +16,9 @@
 	"pearmoor/internal/quorum/quorumpb"
 )
 
-// takesMessages notes the sizes of what is delivered.
+// deliveryRecorder records the sizes of delivered messages.
 type takesMessages struct {
-	wire.DRPCQuorumServer // nil: nothing else is called
+	wire.DRPCQuorumServer // nil: no other method is called
 	sizes                 chan int
 }
 
@@ -29,11 +29,12 @@
 	return &wire.QuorumAck{}, nil
 }
 
-// slowPipe carries one connection with nothing in between that would keep what is sent
-// when the sender goes away, as the kernel of one machine does.
+// slowConn limits the read rate of a connection. It wraps a net.Pipe, which has no buffer:
+// a TCP connection on one machine would deliver data that the kernel has buffered even
+// after the sender has closed the connection.
 type slowPipe struct {
 	net.Conn
-	rate int // bytes a second that are read
+	rate int // bytes read per second
 }
 
 func (c slowPipe) Read(b []byte) (int, error) {
@@ -42,7 +43,7 @@
 	return n, err
 }
 
-// slowConns connects to one server, whatever the address.
+// slowConns connects to one server, regardless of the address.
 type slowConns struct {
 	mux  drpc.Handler
 	rate int
@@ -55,8 +56,8 @@
 	return drpcconn.New(here), nil
 }
 
-// startLinks runs the links of a control VM to one other, whose connections take so many
-// bytes a second each, and returns the sizes of the messages that come.
+// startTransport runs a transport with one peer whose connections read rate bytes per
+// second each. It returns the transport and a channel of the sizes of delivered messages.
 func startLinks(t *testing.T, rate int) (*transport, <-chan int) {
 	t.Helper()
 	to, mux := takesMessages{sizes: make(chan int, 8)}, drpcmux.New()
@@ -75,10 +76,10 @@
 	return &quorum.Message{From: 1, To: 2, Kind: quorumpb.Kind_APPEND, Entries: []*quorum.Entry{{Index: 1, Data: make([]byte, size)}}}
 }
 
-// An operator adds thousands of routes at once. The change is one entry of the log, and a
-// control VM's link carries it in 3 s. Were the call ended before, for what it carries, the
-// leader would send the entry again, and every later one after it, to be ended again: that
-// VM falls behind for good, and with a second one like it nothing is acknowledged any more.
+// A change that adds thousands of routes is one large log entry, which a slow link carries
+// in 3 s. With a time limit that does not grow with the size, the call would time out on
+// every attempt and block all later entries: the member falls behind for good, and with two
+// such members of three no change is acknowledged any more.
 func TestLongMessageIsDeliveredOverANarrowLink(t *testing.T) {
 	t.Parallel()
 	const size, rate = 1_200_000, 400_000
@@ -88,19 +89,18 @@
 	select {
 	case got := <-sizes:
 		if got < size {
-			t.Errorf("delivered: %d bytes of %d", got, size)
+			t.Errorf("delivered %d of %d bytes", got, size)
 		}
 	case <-time.After(4 * size / rate * time.Second):
-		t.Errorf("not delivered in %v", time.Since(began))
+		t.Errorf("message not delivered within %v", time.Since(began))
 	}
 }
 
-// An operator adds thousands of routes at once, and is told that the outcome is not known:
-// the leader has given up its place while it sent the change. Its heartbeats waited behind
-// the long entry, to all members at once, so that it heard none of them for an election time.
-//
-// Evidence: role=follower of the leader 0.6 s after an order of 0.58 MB came in, on links of
-// 70 Mbit/s, with no turn of any control VM that stood still before.
+// A leader that sends a large entry to all members must not step down. If heartbeats were
+// queued behind the entry, the leader would hear from no member for an election timeout and
+// the outcome of the change would be unknown to the operator. This happened with an entry of
+// 0.58 MB on links of 70 Mbit/s: the leader stepped down 0.6 s after it received the change,
+// although no control VM had a slow turn.
 func TestHeartbeatsDoNotWaitBehindALongEntry(t *testing.T) {
 	t.Parallel()
 	const size, rate = 1_200_000, 400_000
@@ -113,10 +113,10 @@
 		select {
 		case got := <-sizes:
 			if got >= size {
-				t.Fatalf("the entry came before heartbeat %d", n)
+				t.Fatalf("entry delivered before heartbeat %d", n)
 			}
 		case <-time.After(electionTime):
-			t.Errorf("heartbeat %d not delivered in %v", n, time.Since(began))
+			t.Errorf("heartbeat %d not delivered within %v", n, time.Since(began))
 		}
 	}
 }
--- a/internal/control/upkeep.go
+++ b/internal/control/upkeep.go
@@ -11,25 +11,27 @@
 	"pearmoor/internal/vm"
 )
 
-// Upkeep lets the leader keep the group whole without an operator.
+// MaintenanceConfig configures the leader's automatic changes of the group: it promotes new
+// members and removes replaced and lost ones without an operator.
 type Upkeep struct {
-	// MinVoters is the group's size below which no voter is removed: twice the
-	// disks that may be lost at once, and one. 0 turns the upkeep off.
+	// MinVoters is the number of responsive voters that must remain before a silent
+	// voter is removed. It should be 2n+1 to tolerate the loss of n disks at once. 0
+	// disables automatic maintenance.
 	MinVoters int
-	// SilentAfter is how long a voter has to be silent before one more than
-	// MinVoters lets it go.
+	// RemoveSilentAfter is how long a voter must have been silent before it is removed,
+	// provided that at least MinVoters other voters respond.
 	SilentAfter time.Duration
 }
 
 const (
 	upkeepEvery = 100 * time.Millisecond
-	// forgetLearner drops a VM that asked to join and was not heard again.
+	// learnerTimeout is how long a learner may be silent before it is removed.
 	forgetLearner = 10 * time.Second
 )
 
-// Join implements wire.DRPCQuorumServer: it takes a VM with an empty data folder
-// into the group as a learner, under an id that was never used. The same disk
-// asking again gets the same id, so a lost reply leaves nothing behind.
+// Join implements wire.DRPCQuorumServer. It adds a VM with an empty data folder to the
+// group as a learner, under a member ID that was never used. A repeated request from the
+// same disk returns the same ID, so a retry after a lost reply adds no second member.
 func (s *quorumServer) Join(ctx context.Context, req *wire.JoinRequest) (*wire.JoinReply, error) {
 	op := operatorServer{s.Node}
 	redirect, err := op.toLeader()
@@ -44,26 +46,26 @@
 	}
 	m := &quorum.Member{Id: conf.GetMaxId() + 1, Disk: req.Disk, Name: req.Name, PeerAddr: req.PeerAddr}
 	if err := s.proposeConf(ctx, quorum.ConfChange{Op: quorum.AddLearner, Member: m}); err != nil {
-		klog.Warningf("control: %s at %s may not join now: %v", req.Name, req.PeerAddr, err)
+		klog.Warningf("control: adding %s at %s to the group failed: %v", req.Name, req.PeerAddr, err)
 		return &wire.JoinReply{}, nil
 	}
 	klog.Infof("control: %s at %s joins as member %d", req.Name, req.PeerAddr, m.Id)
 	return &wire.JoinReply{Id: m.Id, Control: s.lead.Load().controlAddrs()}, nil
 }
 
-// upkeep is what the leader remembers between two looks at the group.
+// groupMaintainer holds the state of the leader's group maintenance between two checks.
 type upkeep struct {
 	*Node
 	term   uint64
-	silent map[uint64]vm.Instant // since when each silent member has been
+	silent map[uint64]vm.Instant // start of the silence of each silent member, by ID
 }
 
-// runUpkeep promotes learners that have caught up and removes members that are
-// superseded or lost, one step at a time.
+// runMaintenance promotes learners that have caught up and removes members that are
+// superseded or lost, one membership change at a time.
 //
-// A lost disk, or a VM exchanged for an empty one, leaves a voter behind that
-// never answers again. Until it is removed the group bears one loss less than it
-// was made for: with three disks, the next one stops every change.
+// A lost disk or a replaced VM leaves a voter in the group that never answers again. Until
+// that voter is removed, the group tolerates one failure less than intended: with three
+// voters, the next failure blocks all changes.
 func (n *Node) runUpkeep(ctx context.Context) {
 	if n.cfg.Upkeep.MinVoters == 0 {
 		return
@@ -95,7 +97,7 @@
 	ctx, cancel := context.WithTimeout(ctx, proposeTime)
 	defer cancel()
 	err := u.proposeConf(ctx, step)
-	klog.Infof("control: %v member %d at %s, %s: %v", step.Op, step.Member.Id, step.Member.PeerAddr, why, outcomeText(err))
+	klog.Infof("control: %v of member %d at %s, because %s: %v", step.Op, step.Member.Id, step.Member.PeerAddr, why, outcomeText(err))
 }
 
 func outcomeText(err error) string {
@@ -105,7 +107,8 @@
 	return err.Error()
 }
 
-// listen notes who answers.
+// updateSilence updates which members are silent, that is, were not heard from within an
+// election timeout.
 func (u *upkeep) listen(lead *leadership, now vm.Instant) {
 	ticks := u.driver.electionTicks()
 	for _, m := range lead.conf.GetMembers() {
@@ -125,7 +128,7 @@
 	return now.Sub(since)
 }
 
-// next returns the step that is due, or nil.
+// nextStep returns the membership change that is due and the reason for it, or nil.
 func (u *upkeep) next(lead *leadership, now vm.Instant) (*quorum.ConfChange, string) {
 	if !lead.status.ConfCommitted {
 		return nil, ""
@@ -151,7 +154,7 @@
 	return nil, ""
 }
 
-// removable says why m is to be removed, or "".
+// removalReason returns why m should be removed, or "" if it should not.
 func (u *upkeep) removable(lead *leadership, m *quorum.Member, now vm.Instant) string {
 	members := lead.conf.GetMembers()
 	if m.Learner {
@@ -159,7 +162,7 @@
 			return "a later disk of the same VM has joined"
 		}
 		if u.silentFor(m.Id, now) > forgetLearner {
-			return "it asked to join and was not heard again"
+			return "it asked to join and has been silent since"
 		}
 		return ""
 	}
@@ -183,13 +186,14 @@
 	return "it is silent and enough others vote"
 }
 
-// later reports whether o is a later member on the VM of m. Founders are recorded
-// without a name, so the address decides as well.
+// supersedes reports whether o is a newer member on the same VM as m. Founders are
+// recorded without a name, so an equal address also identifies the VM.
 func later(o, m *quorum.Member) bool {
 	same := o.PeerAddr == m.PeerAddr || o.Name != "" && o.Name == m.Name
 	return same && o.Id > m.Id
 }
 
+// isSuperseded reports whether any member supersedes m.
 func supersededLearner(members []*quorum.Member, m *quorum.Member) bool {
 	for _, o := range members {
 		if later(o, m) {
