--- a/internal/control/backfill.go
+++ b/internal/control/backfill.go
@@ -12,49 +12,51 @@
 )
 
 const (
-	backfillEvery   = time.Second
-	backfillRecords = 500     // asked for at once
-	backfillBytes   = 2 << 20 // sent at once, but at least one record
-	backfillTimeout = 5 * time.Second
+	backfillInterval   = time.Second
+	maxBackfillRecords = 500     // records requested in one call
+	maxBackfillBytes   = 2 << 20 // size of one reply, which always holds at least one record
+	backfillTimeout    = 5 * time.Second
 )
 
-// Trail implements wire.DRPCQuorumServer. It answers from this VM's own disk and
-// memory, whoever leads.
+// Trail implements wire.DRPCQuorumServer. It serves the audit records that this VM
+// holds on disk and in memory, whether or not it is the leader. Only records of
+// changes that are in force everywhere are returned.
 func (s *quorumServer) Trail(_ context.Context, req *wire.TrailRequest) (*wire.TrailReply, error) {
-	records, err := s.records(max(req.FromVersion, 1), min(int(req.Limit), backfillRecords))
+	records, err := s.records(max(req.FromVersion, 1), min(int(req.Limit), maxBackfillRecords))
 	if err != nil {
 		return nil, err
 	}
-	out, size := &wire.TrailReply{}, 0
+	reply, size := &wire.TrailReply{}, 0
 	for _, r := range records {
 		size += proto.Size(r)
-		if r.InForceUnixMs == 0 || (size > backfillBytes && len(out.Records) > 0) {
+		if r.InForceUnixMs == 0 || (size > maxBackfillBytes && len(reply.Records) > 0) {
 			break
 		}
-		out.Records = append(out.Records, r)
+		reply.Records = append(reply.Records, r)
 	}
-	return out, nil
+	return reply, nil
 }
 
-// trailGap returns the versions that the trail lacks and the state no longer
-// holds: a VM that joined by a snapshot has only the newest records. Without them
-// a group whose VMs were replaced one by one over the years would have lost its
-// trail.
+// trailGap returns the range of versions whose records are neither in the audit
+// trail nor in the replicated state. A VM that joined by a snapshot starts with the
+// newest records only. If the older ones were not fetched from other members, the
+// group would lose them once every original VM has been replaced.
 func (n *Node) trailGap() (from, to uint64, ok bool) {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	return n.gap()
+	return n.trailGapLocked()
 }
 
-// gap is trailGap for callers that hold the lock.
-func (n *Node) gap() (from, to uint64, ok bool) {
+// trailGapLocked is trailGap for callers that hold n.mu.
+func (n *Node) trailGapLocked() (from, to uint64, ok bool) {
 	from, first := n.trail.Last()+1, n.state.FirstRecord()
 	return from, first - 1, from < first
 }
 
-// runBackfill fills gaps of the trail from other control VMs.
+// runBackfill fetches records that the audit trail lacks from the other control VMs
+// until ctx is done.
 func (n *Node) runBackfill(ctx context.Context) {
-	ticker := time.NewTicker(backfillEvery)
+	ticker := time.NewTicker(backfillInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -64,61 +66,62 @@
 		}
 		for ctx.Err() == nil {
 			from, to, ok := n.trailGap()
-			if !ok || !n.fillGap(ctx, from, to) {
+			if !ok || !n.fillTrailGap(ctx, from, to) {
 				break
 			}
 		}
 	}
 }
 
-// fillGap appends what the other VMs hold of the versions from..to, oldest first,
-// and reports whether that changed anything. Versions are given up only when
-// every other member has answered that it lacks them.
-func (n *Node) fillGap(ctx context.Context, from, to uint64) bool {
-	conf := n.lead.Load().conf
+// fillTrailGap appends the records of versions from..to that other members hold,
+// oldest first, and reports whether the trail advanced. Versions are skipped for good
+// only when every other member has answered that it lacks them.
+func (n *Node) fillTrailGap(ctx context.Context, from, to uint64) bool {
+	conf := n.leadership.Load().conf
 	if conf == nil {
 		return false
 	}
-	best, all := n.oldestRecords(ctx, conf, from)
-	if len(best) > 0 && best[0].Version == from {
-		return n.appendTrail(ctx, best, to, 0)
+	oldest, allAnswered := n.fetchOldestRecords(ctx, conf, from)
+	if len(oldest) > 0 && oldest[0].Version == from {
+		return n.appendTrail(ctx, oldest, to, 0)
 	}
-	if !all {
+	if !allAnswered {
 		return false
 	}
-	missing := to
-	if len(best) > 0 {
-		missing = min(to, best[0].Version-1)
+	lostUpTo := to
+	if len(oldest) > 0 {
+		lostUpTo = min(to, oldest[0].Version-1)
 	}
-	klog.Warningf("control: no control VM holds the audit records from version %d to %d any more", from, missing)
-	return n.appendTrail(ctx, best, to, missing)
+	klog.Warningf("control: audit records of versions %d to %d are lost: no control VM holds them", from, lostUpTo)
+	return n.appendTrail(ctx, oldest, to, lostUpTo)
 }
 
-// oldestRecords asks the other members for records from a version on, and returns
-// those that begin the earliest. all tells whether every member answered.
-func (n *Node) oldestRecords(ctx context.Context, conf *quorum.Conf, from uint64) (best []*wire.AuditRecord, all bool) {
-	all = true
+// fetchOldestRecords asks the other members for records starting at version from and
+// returns the batch that starts at the lowest version. allAnswered is false if a call
+// to any member failed.
+func (n *Node) fetchOldestRecords(ctx context.Context, conf *quorum.Conf, from uint64) (oldest []*wire.AuditRecord, allAnswered bool) {
+	allAnswered = true
 	for _, m := range conf.GetMembers() {
 		if m.Id == n.cfg.ID {
 			continue
 		}
-		records, err := n.askTrail(ctx, m.PeerAddr, from)
+		records, err := n.fetchRecords(ctx, m.PeerAddr, from)
 		if err != nil {
-			klog.V(1).Infof("control: no audit records from control VM %d: %v", m.Id, err)
-			all = false
+			klog.V(1).Infof("control: fetching audit records from control VM %d failed: %v", m.Id, err)
+			allAnswered = false
 			continue
 		}
-		if len(records) > 0 && (best == nil || records[0].Version < best[0].Version) {
-			best = records
+		if len(records) > 0 && (oldest == nil || records[0].Version < oldest[0].Version) {
+			oldest = records
 		}
-		if best != nil && best[0].Version == from {
+		if oldest != nil && oldest[0].Version == from {
 			break
 		}
 	}
-	return best, all
+	return oldest, allAnswered
 }
 
-func (n *Node) askTrail(ctx context.Context, addr string, from uint64) ([]*wire.AuditRecord, error) {
+func (n *Node) fetchRecords(ctx context.Context, addr string, from uint64) ([]*wire.AuditRecord, error) {
 	ctx, cancel := context.WithTimeout(ctx, backfillTimeout)
 	defer cancel()
 	conn, err := n.cfg.Conns.Conn(ctx, addr)
@@ -126,28 +129,28 @@
 		return nil, err
 	}
 	defer func() { _ = conn.Close() }()
-	r, err := wire.NewDRPCQuorumClient(conn).Trail(ctx, &wire.TrailRequest{FromVersion: from, Limit: backfillRecords})
+	r, err := wire.NewDRPCQuorumClient(conn).Trail(ctx, &wire.TrailRequest{FromVersion: from, Limit: maxBackfillRecords})
 	return r.GetRecords(), err
 }
 
-// appendTrail hands records to the driver, which owns the trail. Versions up to
-// missing are given up.
-func (n *Node) appendTrail(ctx context.Context, records []*wire.AuditRecord, to, missing uint64) bool {
+// appendTrail appends records up to version to on the driver's goroutine, which owns
+// the trail, and reports whether it has run. Versions up to lostUpTo are skipped.
+func (n *Node) appendTrail(ctx context.Context, records []*wire.AuditRecord, to, lostUpTo uint64) bool {
 	done := make(chan struct{})
 	err := n.driver.call(ctx, func() {
 		defer close(done)
-		n.trail.Skip(missing)
+		n.trail.Skip(lostUpTo)
 		for _, r := range records {
 			if r.Version <= to {
 				n.trail.Append(r)
 			}
 		}
-		n.driver.flushed = 0 // the driver writes them when this call is done
+		n.driver.lastFlush = 0 // makes the driver flush the trail after this call
 		n.mu.RLock()
 		defer n.mu.RUnlock()
-		if _, _, gap := n.gap(); !gap {
-			n.recordInForce()
-			klog.Infof("control: the audit trail is whole again up to version %d", n.trail.Last())
+		if _, _, gap := n.trailGapLocked(); !gap {
+			n.appendInForceRecords()
+			klog.Infof("control: audit trail is complete up to version %d", n.trail.Last())
 		}
 	})
 	if err != nil {
--- a/internal/control/disk_test.go
+++ b/internal/control/disk_test.go
@@ -13,37 +13,37 @@
 	"pearmoor/internal/link/wire"
 )
 
-// badDisk is the machine's file system with faults that a test switches on.
-type badDisk struct {
+// faultyDisk is the operating system's file system with faults that a test switches on.
+type faultyDisk struct {
 	journal.OS
-	full     atomic.Bool // writes fail
-	low      atomic.Bool // little room is left
-	failSync atomic.Bool
+	full     atomic.Bool // writes fail with ENOSPC
+	lowSpace atomic.Bool // Free reports little free space
+	failSync atomic.Bool // syncs fail with EIO
 }
 
-func (d *badDisk) Free(dir string) (uint64, error) {
-	if d.low.Load() {
+func (d *faultyDisk) Free(dir string) (uint64, error) {
+	if d.lowSpace.Load() {
 		return 1 << 20, nil
 	}
 	return 1 << 40, nil
 }
 
-func (d *badDisk) Create(path string) (journal.File, error) {
+func (d *faultyDisk) Create(path string) (journal.File, error) {
 	f, err := d.OS.Create(path)
-	return &badFile{f, d}, err
+	return &faultyFile{f, d}, err
 }
 
-func (d *badDisk) Append(path string, size int64) (journal.File, error) {
+func (d *faultyDisk) Append(path string, size int64) (journal.File, error) {
 	f, err := d.OS.Append(path, size)
-	return &badFile{f, d}, err
+	return &faultyFile{f, d}, err
 }
 
-type badFile struct {
+type faultyFile struct {
 	journal.File
-	disk *badDisk
+	disk *faultyDisk
 }
 
-func (f *badFile) Write(b []byte) (int, error) {
+func (f *faultyFile) Write(b []byte) (int, error) {
 	if f.disk.full.Load() {
 		n, _ := f.File.Write(b[:len(b)/2])
 		return n, unix.ENOSPC
@@ -51,7 +51,7 @@
 	return f.File.Write(b)
 }
 
-func (f *badFile) Sync() error {
+func (f *faultyFile) Sync() error {
 	if f.disk.failSync.Load() {
 		return unix.EIO
 	}
@@ -61,38 +61,38 @@
 func TestDiskFaults(t *testing.T) {
 	t.Parallel()
 	Convey("Given a control VM whose disk fails on demand", t, func() {
-		disk := &badDisk{}
+		disk := &faultyDisk{}
 		v := startVM(t, Config{ID: 1, Name: "ctl-1", DataDir: t.TempDir(), Bootstrap: true, FS: disk}, listen(t, "127.0.0.1:0"))
 		Reset(func() { v.cancel() })
-		eventually(t, "it leads", v.leads)
+		eventually(t, "it leads", v.isLeader)
 		c := dialVM(t, v)
 		So(c.change("a", 0, "daemon-lease", "10s").Version, ShouldEqual, 1)
-		// The leader writes on its own that the change is in force. If that write met the
-		// faulty disk first, the next change would rightly be refused as not done.
-		eventually(t, "the change is in force", func() bool { return v.node.view().inForce == 1 })
+		// The leader writes an entry that the change is in force. Wait for it: if that
+		// write hit the fault first, the next change would be refused as not done.
+		eventually(t, "the change is in force", func() bool { return v.node.stateView().inForce == 1 })
 
-		// The disk is nearly full. A change could still be written, but then there
-		// might be no room left for votes and snapshots.
-		Convey("with little room left a change is refused and said to be refused, until there is room", func() {
-			disk.low.Store(true)
+		// The disk is nearly full. Writing the change would still succeed, but could
+		// leave no space for votes and snapshots.
+		Convey("with little free space a change is refused as not accepted, until space is freed", func() {
+			disk.lowSpace.Store(true)
 			_, err := tryChange(t, v, changeRequest("b", 1, "daemon-lease", "11s"))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, "not accepted")
 			So(peer.IsNotDone(err), ShouldBeTrue)
-			disk.low.Store(false)
+			disk.lowSpace.Store(false)
 			So(c.change("b", 1, "daemon-lease", "11s").Version, ShouldEqual, 2)
 		})
 
-		// The disk fills up while a change is being written. The operator can't be
-		// told an outcome; sent again later, the change is made once.
-		Convey("a change caught by a full disk is made once when it is resent after there is room", func() {
+		// The disk becomes full while a change is written, so its outcome is not known.
+		// When it is resent after space was freed, it must be made exactly once.
+		Convey("a change interrupted by a full disk is made once when it is resent after space is freed", func() {
 			disk.full.Store(true)
 			_, err := tryChange(t, v, changeRequest("b", 1, "daemon-lease", "11s"))
 			So(err, ShouldNotBeNil)
 			So(peer.IsNotDone(err), ShouldBeFalse)
-			eventually(t, "new ones are refused", func() bool {
+			eventually(t, "new changes are refused", func() bool {
 				_, err := tryChange(t, v, changeRequest("c", 1, "daemon-lease", "12s"))
-				return err != nil && v.node.full.Load()
+				return err != nil && v.node.diskFull.Load()
 			})
 			disk.full.Store(false)
 			eventually(t, "the change is made", func() bool {
@@ -100,22 +100,22 @@
 				return err == nil && r.Redirect == "" && r.Outcome == wire.Outcome_ACCEPTED && r.Version == 2
 			})
 			v = v.restart()
-			eventually(t, "it leads again", v.leads)
+			eventually(t, "it leads again", v.isLeader)
 			again := dialVM(t, v).change("b", 1, "daemon-lease", "11s")
 			So(again.Resend, ShouldBeTrue)
 			So(again.Version, ShouldEqual, 2)
 		})
 
-		// A sync fails. What the disk holds is unknown, so the process has to end
-		// and read back what is there; the caller is not told that the change was
-		// accepted.
+		// A sync fails, so the contents of the disk are unknown. The process must exit
+		// and read the disk again after a restart, and the change must not be reported
+		// as accepted.
 		Convey("a failed sync ends the control VM, and nothing is reported as accepted", func() {
 			disk.failSync.Store(true)
 			r, err := tryChange(t, v, changeRequest("b", 1, "daemon-lease", "11s"))
 			So(err, ShouldNotBeNil)
 			So(r, ShouldBeNil)
 			So(peer.IsNotDone(err), ShouldBeFalse)
-			<-v.ran
+			<-v.runDone
 			var sync *journal.SyncError
 			So(errors.As(v.err, &sync), ShouldBeTrue)
 			disk.failSync.Store(false)
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	queueSize      = 512     // messages of one lane to one member; the oldest is dropped
-	batchBytes     = 1 << 20 // of messages in one call
-	deliverTimeout = time.Second
-	deliverPause   = 100 * time.Millisecond // after a failed call
+	maxQueuedMessages = 512     // messages per queue; the oldest is dropped when it is full
+	maxBatchBytes     = 1 << 20 // encoded messages in one call; the last message may exceed it
+	deliverTimeout    = time.Second
+	deliverRetryDelay = 100 * time.Millisecond // after a failed call
 )
 
-// transport sends the machine's messages. It never blocks the driver: messages
-// to a member that does not take them are dropped, which the machine expects.
+// transport sends the machine's messages to the other members. It never blocks the driver:
+// messages to an unresponsive member are dropped, which the machine tolerates.
 type transport struct {
 	cfg *Config
 
@@ -41,26 +41,26 @@
 	return t
 }
 
-// run keeps the links going until ctx ends.
+// run runs the links until ctx is done.
 func (t *transport) run(ctx context.Context) {
 	t.mu.Lock()
 	t.ctx = ctx
 	for _, l := range t.links {
-		t.start(l)
+		t.startLink(l)
 	}
 	t.mu.Unlock()
 	<-ctx.Done()
 	t.wg.Wait()
 }
 
-func (t *transport) start(l *peerLink) {
+func (t *transport) startLink(l *peerLink) {
 	ctx := t.ctx
 	t.wg.Go(func() { l.run(ctx, &l.bulk) })
-	t.wg.Go(func() { l.run(ctx, &l.word) })
+	t.wg.Go(func() { l.run(ctx, &l.urgent) })
 }
 
-// learn notes where a member is reached.
-func (t *transport) learn(id uint64, addr string) {
+// setAddr sets the address of a member.
+func (t *transport) setAddr(id uint64, addr string) {
 	if addr == "" || id == t.cfg.ID {
 		return
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// learnName notes what a member calls itself.
-func (t *transport) learnName(id uint64, name string) {
+// setName sets the name of a member, as stated in its messages.
+func (t *transport) setName(id uint64, name string) {
 	if name == "" {
 		return
 	}
@@ -82,7 +82,7 @@
 	t.names[id] = name
 }
 
-func (t *transport) nameOf(id uint64) string {
+func (t *transport) name(id uint64) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.names[id]
@@ -91,12 +91,13 @@
 func (t *transport) send(msgs []*quorum.Message) {
 	for _, m := range msgs {
 		if l := t.link(m.To); l != nil {
-			l.put(m)
+			l.enqueue(m)
 		}
 	}
 }
 
-// link returns the link to a member, nil if its address is not known.
+// link returns the link to a member, creating it if needed, or nil if the member's address
+// is unknown.
 func (t *transport) link(id uint64) *peerLink {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,41 +108,42 @@
 	if !ok {
 		return nil
 	}
-	l := &peerLink{cfg: t.cfg, id: id, addr: addr, bulk: newLane(), word: newLane()}
+	l := &peerLink{cfg: t.cfg, id: id, addr: addr, bulk: newSendQueue(), urgent: newSendQueue()}
 	t.links[id] = l
 	if t.ctx != nil && t.ctx.Err() == nil {
-		t.start(l)
+		t.startLink(l)
 	}
 	return l
 }
 
-// peerLink sends to one member, over two lanes that do not wait for each other.
+// peerLink sends messages to one member through two independent queues.
 //
-// An entry of thousands of edits is under way for tenths of a second, to every member at
-// once. With heartbeats behind it the leader hears nobody for an election time, gives up its
-// place and leaves the order that it was carrying in doubt, as it will the next one of that
-// size. Entries and pieces of snapshots keep their order among themselves, without which a
-// member refuses what follows the one that it has not got and is sent both again.
+// Sending an entry with thousands of edits takes tenths of a second, and the leader sends it
+// to all members at the same time. If heartbeats were queued behind it, the leader would
+// hear from no member for an election timeout and step down, which leaves the outcome of the
+// change unknown; every other change of that size would fail in the same way. Entries and
+// snapshot chunks share a queue to keep their order: a member rejects a message whose
+// predecessor it has not received, and both would have to be sent again.
 type peerLink struct {
-	cfg  *Config
-	id   uint64
-	bulk lane // entries and snapshots
-	word lane // everything else: heartbeats, votes, replies
+	cfg    *Config
+	id     uint64
+	bulk   sendQueue // entries and snapshots
+	urgent sendQueue // all other messages: heartbeats, votes, replies
 
 	mu   sync.Mutex
 	addr string
 	down bool
 }
 
-// lane holds the messages of one kind, oldest first.
-type lane struct {
-	ready chan struct{} // holds a token when there are some
+// sendQueue is a bounded queue of messages, oldest first.
+type sendQueue struct {
+	ready chan struct{} // buffered, capacity 1; signals that messages may be queued
 
-	mu    sync.Mutex
-	queue []*quorum.Message
+	mu       sync.Mutex
+	messages []*quorum.Message
 }
 
-func newLane() lane { return lane{ready: make(chan struct{}, 1)} }
+func newSendQueue() sendQueue { return sendQueue{ready: make(chan struct{}, 1)} }
 
 func (l *peerLink) setAddr(addr string) {
 	l.mu.Lock()
@@ -155,75 +157,77 @@
 	return l.addr
 }
 
-func (l *peerLink) put(m *quorum.Message) {
+func (l *peerLink) enqueue(m *quorum.Message) {
 	if m.Kind == quorumpb.Kind_APPEND || m.Kind == quorumpb.Kind_SNAPSHOT {
-		l.bulk.put(m)
+		l.bulk.enqueue(m)
 		return
 	}
-	l.word.put(m)
+	l.urgent.enqueue(m)
 }
 
-func (n *lane) put(m *quorum.Message) {
-	n.mu.Lock()
-	if len(n.queue) >= queueSize {
-		n.queue = append(n.queue[:0], n.queue[1:]...)
+func (q *sendQueue) enqueue(m *quorum.Message) {
+	q.mu.Lock()
+	if len(q.messages) >= maxQueuedMessages {
+		q.messages = append(q.messages[:0], q.messages[1:]...)
 	}
-	n.queue = append(n.queue, m)
-	n.mu.Unlock()
+	q.messages = append(q.messages, m)
+	q.mu.Unlock()
 	select {
-	case n.ready <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-// run sends what a lane holds until ctx ends.
-func (l *peerLink) run(ctx context.Context, n *lane) {
+// run sends the messages of a queue until ctx is done.
+func (l *peerLink) run(ctx context.Context, q *sendQueue) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.ready:
+		case <-q.ready:
 		}
-		for batch := l.take(n); len(batch.Payloads) > 0; batch = l.take(n) {
+		for batch := l.nextBatch(q); len(batch.Payloads) > 0; batch = l.nextBatch(q) {
 			err := l.deliver(ctx, l.address(), batch)
-			l.report(err)
+			l.logConnState(err)
 			if err == nil {
 				continue
 			}
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(deliverPause):
+			case <-time.After(deliverRetryDelay):
 			}
 		}
 	}
 }
 
-// take returns the oldest messages of a lane, up to batchBytes.
-func (l *peerLink) take(from *lane) *wire.QuorumMessage {
-	from.mu.Lock()
-	defer from.mu.Unlock()
+// nextBatch removes the oldest messages from a queue, about maxBatchBytes in all, and
+// returns them.
+func (l *peerLink) nextBatch(q *sendQueue) *wire.QuorumMessage {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	batch := &wire.QuorumMessage{From: l.cfg.ID, FromAddr: l.cfg.PeerAddr, FromName: l.cfg.Name}
 	size, n := 0, 0
-	for _, m := range from.queue {
-		if size >= batchBytes {
+	for _, m := range q.messages {
+		if size >= maxBatchBytes {
 			break
 		}
 		n++
 		b, err := quorum.Encode(m)
 		if err != nil {
-			klog.Errorf("control: message to control VM %d not sent: %v", l.id, err)
+			klog.Errorf("control: encoding a message to control VM %d failed: %v", l.id, err)
 			continue
 		}
 		batch.Payloads = append(batch.Payloads, b)
 		size += len(b)
 	}
-	from.queue = append(from.queue[:0], from.queue[n:]...)
+	q.messages = append(q.messages[:0], q.messages[n:]...)
 	return batch
 }
 
-// deliver makes one call. Its limit counts what it carries: the entry of a long change that
-// took longer than the limit would be sent and ended for ever, and its member fall behind.
+// deliver sends a batch in one call. The time limit grows with the size of the batch: with a
+// fixed limit, a large entry on a slow link would time out on every attempt, and the member
+// would fall behind for good.
 func (l *peerLink) deliver(ctx context.Context, addr string, batch *wire.QuorumMessage) error {
 	size := 0
 	for _, b := range batch.Payloads {
@@ -240,16 +244,16 @@
 	return err
 }
 
-// report logs only when a member is lost or found again.
-func (l *peerLink) report(err error) {
+// logConnState logs when deliveries to the member start to fail and when they succeed again.
+func (l *peerLink) logConnState(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if down := err != nil; down != l.down {
 		l.down = down
 		if down {
-			klog.Warningf("control: control VM %d does not take messages: %v", l.id, err)
+			klog.Warningf("control: delivery to control VM %d fails: %v", l.id, err)
 		} else {
-			klog.Infof("control: control VM %d takes messages again", l.id)
+			klog.Infof("control: delivery to control VM %d works again", l.id)
 		}
 	}
 }
