--- a/internal/entryvm/config.go
+++ b/internal/entryvm/config.go
@@ -9,30 +9,30 @@
 	"pearmoor/internal/policy"
 )
 
-// Config is what a VM's process needs.
+// Config configures a VM.
 type Config struct {
 	Name       string
 	Domain     string // failure domain
 	Region     string
 	PeerAddr   string // host:port for other daemons
-	CallerAddr string // host:port that callers are told; empty: takes none
-	Millicores uint32 // processor that the VM has, in thousandths of a core
+	CallerAddr string // host:port for callers; empty: accepts no callers
+	Millicores uint32 // CPU of the VM, in thousandths of a core
 
-	// Seeds are peer addresses of some daemons of the tier, the only ones known at
-	// the start.
+	// Seeds are the peer addresses of some daemons of the tier. They are the only other
+	// daemons known at startup.
 	Seeds []string
 	// FirstStart is true when the whole tier starts for the first time.
 	FirstStart bool
-	DataDir    string // empty: no disk, no place in the control group
-	DiskBytes  uint64 // of the whole disk
-	Tolerated  int    // disks that may be lost at once
+	DataDir    string // empty: no disk, never a member of the control group
+	DiskBytes  uint64 // capacity of the disk
+	Tolerated  int    // number of disks that may fail at the same time
 
 	Budget      policy.BudgetLimits
-	DrainWithin time.Duration // a leaf that leaves goes on serving for so long
-	Grace       time.Duration // between the request to stop and the kill
-	CatchUp     time.Duration // a control VM that is back may take so long to catch up
-	Lifetime    time.Duration // the longest that callers keep an address list
-	ListRate    float64       // readings of one page of the leaf list per second, for the whole tier
+	DrainWithin time.Duration // how long a leaf keeps serving after it has been marked for removal
+	Grace       time.Duration // between the request to stop and the kill of the process
+	CatchUp     time.Duration // how long a restarted control VM may take to catch up
+	Lifetime    time.Duration // upper bound of the lifetime of an address list at callers
+	ListRate    float64       // page reads of the leaf list per second, for the whole tier
 
 	Source  discovery.Source
 	Dialect *target.Dialect
@@ -40,37 +40,40 @@
 }
 
 const (
-	// listEvery is the part of DrainWithin between two readings of the list. A
-	// reading, its spread and the end of a request that was just sent have to fit
-	// the rest.
+	// listReadFraction is the fraction of LeafDrainTime between two reads of the leaf
+	// list. A read, its distribution to all daemons and the end of a request sent just
+	// before must fit in the rest.
 	listEvery = 0.36
-	// aloneAfter is the part of DrainWithin after which a daemon without word of a
-	// reading reads for itself.
+	// fallbackFraction is the fraction of LeafDrainTime after which a daemon that has
+	// received no leaf list reads the list itself.
 	aloneAfter = 0.8
-	// diskReserve is the part of the disk below which no change is taken, so that
-	// votes and snapshots still fit.
+	// diskReserveDivisor defines the free space, as capacity divided by it, below which
+	// the control group accepts no change, so that votes and snapshots can still be
+	// written.
 	diskReserve = 8
-	// auditShare is the part of the disk that the audit trail may take: on 64 MB, 8 MB
-	// or some 40,000 changes, three weeks of 1,900 a day.
+	// auditDivisor defines the space for the audit trail, as capacity divided by it. On 64
+	// MB that is 8 MB or about 40,000 changes, three weeks at 1,900 changes a day.
 	auditShare = 8
-	// silentAfter is how long a voter is silent, beyond the second after which it
-	// counts as such, before the group lets it go if it may. A process that was
-	// killed is back within that time.
+	// removeVoterAfter is how long a voter may stay silent, beyond the second after which
+	// it counts as silent, before the group removes it where it has enough voters left. A
+	// killed process restarts within that time.
 	silentAfter = 1500 * time.Millisecond
-	// controlTick is the tick of the control group. A leader that is lost is replaced
-	// after 10 to 20 of them; it is heard every second one.
+	// controlTick is the tick of the control group. A lost leader is replaced after 10 to
+	// 20 ticks, and the leader sends a heartbeat every second tick.
 	controlTick = 50 * time.Millisecond
-	// heartbeatEvery is the time between two heartbeats of a daemon, and quietAfter
-	// how long it is silent before callers are not sent to it: two heartbeats and a
-	// slow call. A VM that has lost power answers no connect, which costs each
-	// caller that tries it a second.
+	// heartbeatInterval is the time between two heartbeats of a daemon, and
+	// unresponsiveAfter how long a daemon may be silent before callers are no longer sent
+	// to it: two heartbeats and a slow call. A VM without power does not answer connects,
+	// which costs each caller that tries it a second.
 	heartbeatEvery = 500 * time.Millisecond
 	quietAfter     = 1400 * time.Millisecond
-	// addressLifetime is how long callers are told to keep an address list. A short one
-	// keeps them from a VM that leaves or is lost; a long one from asking for a new
-	// list, which costs a second each time that a VM without power is asked first.
+	// addressListLifetime is how long callers may keep an address list. With a short
+	// lifetime callers soon stop using a VM that stops or is lost. With a long one they
+	// request a new list less often, which costs a second each time a VM without power is
+	// asked first.
 	addressLifetime = 4 * time.Second
-	// substituteLifetime is the same of a list that names daemons in place of lost ones,
-	// which are better as soon as they are back.
+	// substituteListLifetime is the lifetime of a list that names daemons in place of lost
+	// ones. It is short because the lost daemons are the better choice as soon as they are
+	// back.
 	substituteLifetime = time.Second
 )
--- a/internal/entryvm/contacts.go
+++ b/internal/entryvm/contacts.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	// tellEvery is how often a control VM tells the seeds where the group is.
+	// announceInterval is how often a control VM sends the addresses of the control group
+	// to each seed.
 	tellEvery = time.Second
-	// askEvery is how often a daemon that knows no configuration, or was not
-	// confirmed for lostAfter, asks the seeds, and how often a control VM tries to tell
-	// those that it could not reach yet. In a restart of everything the VMs are back
-	// within half a second of one another, and none knows when the others are.
+	// exchangeRetryInterval is how often a daemon without a configuration, or whose
+	// configuration has not been confirmed for disconnectedAfter, asks the seeds, and how
+	// often a control VM retries the seeds that it has not reached yet. When the whole
+	// tier restarts, the VMs come back within half a second of one another.
 	askEvery  = 50 * time.Millisecond
 	lostAfter = 3 * time.Second
-	// exchangeTime bounds one exchange; a seed that is lost must not hold up the
-	// others.
+	// exchangeTimeout bounds one exchange with a seed.
 	exchangeTime = 700 * time.Millisecond
+	// maxContacts bounds the number of learned addresses.
 	mostContacts = 16
 )
 
-// contacts is what this daemon has learned from others of where the control group
-// is, beside what the group itself tells its members and daemons.
+// learnedContacts holds the addresses of control VMs that other daemons have sent, in
+// addition to those that the control group itself sends to its members and daemons.
 //
-// Seeds are the only other daemons that a process is told of, and none of them
-// need be of the group: a tier that lost power at once would otherwise come back
-// with its control VMs among themselves and every other daemon asking in vain.
+// A process starts with the seeds only, and none of them need be a control VM. Without
+// this exchange, after a power loss of the whole tier the control VMs would find each
+// other but the other daemons would not find them.
 type contacts struct {
 	mu      sync.Mutex
 	learned []string // newest first
@@ -64,8 +65,8 @@
 	return slices.Clone(c.learned)
 }
 
-// group returns the peer addresses of the control group as this daemon knows them,
-// and whether it is a member.
+// controlGroup returns the peer addresses of the control group as known to this daemon,
+// and whether this VM is a member.
 func (v *VM) group() (addrs []string, member bool) {
 	if n := v.node(); n != nil {
 		if g := n.Group(); slices.Contains(g, v.conf.PeerAddr) {
@@ -75,7 +76,7 @@
 	return v.client.ControlGroup(), false
 }
 
-// contactsServer answers daemons that look for the control group.
+// contactsServer serves the Contacts service to other daemons.
 type contactsServer struct{ *VM }
 
 // Exchange implements wire.DRPCContactsServer.
@@ -99,12 +100,13 @@
 	}
 }
 
-// findGroup tells the seeds where the control group is, or asks them, until ctx
-// ends. A seed that does not answer holds up nobody but itself.
+// exchangeContacts announces the control group to the seeds if this VM is a member, and
+// otherwise asks them for it while disconnected, until ctx ends. Seeds are called
+// concurrently, so one that does not answer does not delay the others.
 func (v *VM) findGroup(ctx context.Context) {
 	var asked work.Each
 	defer asked.Wait()
-	var told sync.Map // by seed: when it was told last
+	var told sync.Map // by seed: time of the last announcement
 	for ctx.Err() == nil {
 		group, member := v.group()
 		if member || v.lost() {
@@ -116,8 +118,8 @@
 	}
 }
 
-// exchangeWith speaks to a seed unless a call to it is under way, it is of the group
-// already, or it was told a moment ago.
+// startExchange starts an exchange with a seed unless one is in progress, the seed is a
+// member of the group, or the group was announced to it within announceInterval.
 func (v *VM) exchangeWith(ctx context.Context, asked *work.Each, told *sync.Map, addr string, group []string, member bool) {
 	if addr == v.conf.PeerAddr || member && slices.Contains(group, addr) {
 		return
@@ -137,7 +139,8 @@
 	})
 }
 
-// lost reports whether this daemon has not found the group.
+// disconnected reports whether this daemon has no configuration, or none confirmed within
+// disconnectedAfter.
 func (v *VM) lost() bool {
 	view := v.client.Current()
 	return view.Tree == nil || vm.Now().Sub(view.Lease) > lostAfter
@@ -154,9 +157,9 @@
 	return wire.NewDRPCContactsClient(conn).Exchange(ctx, &wire.ContactsRequest{Control: group, Member: member})
 }
 
-// founders returns the seeds that have a disk, in the order in which all see them.
-// It waits until each of them has said: two of them that took different VMs for
-// founders would found two groups.
+// founders returns the seeds that have a disk, in the same order on every daemon. It waits
+// until every seed has answered: VMs with different sets of founders would create separate
+// control groups.
 func (v *VM) founders(ctx context.Context) []string {
 	seeds := slices.Compact(slices.Sorted(slices.Values(*v.seeds.Load())))
 	disk := map[string]bool{v.conf.PeerAddr: v.conf.DataDir != ""}
--- a/internal/entryvm/contacts_test.go
+++ b/internal/entryvm/contacts_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestContactsKeepTheNewestFirst(t *testing.T) {
-	Convey("What was heard last comes first, once, and old ones are forgotten", t, func() {
+	Convey("The latest address comes first, each address is listed once, and the oldest are dropped", t, func() {
 		c := &contacts{}
 		So(c.learn([]string{"a", "b"}), ShouldBeTrue)
 		So(c.learn([]string{"b", "c"}), ShouldBeTrue)
@@ -48,9 +48,9 @@
 	})
 }
 
-// A tier starts for the first time and one of three seeds is up later than the others.
-// Two that took different VMs for founders would found two groups, each with its own
-// configuration; so all wait until each seed has said whether it has a disk.
+// Guards against two control groups in one tier. A tier starts for the first time and one
+// of its three seeds starts late. VMs with different sets of founders would create groups
+// of their own, each with its own configuration.
 func TestFoundersWaitForEverySeed(t *testing.T) {
 	Convey("Given three seeds of which two have a disk and one is not up yet", t, func() {
 		first, second, late := listen(t), listen(t), listen(t)
@@ -63,11 +63,11 @@
 		Reset(cancel)
 		go func() { founders <- v.founders(ctx) }()
 
-		Convey("they are known only once it has said, and are those with a disk", func() {
+		Convey("founders returns only after the third has answered, and returns those with a disk", func() {
 			select {
 			case out := <-founders:
-				So(out, ShouldBeEmpty) // too early, whatever it is
-				t.Fatal("founders were named before every seed had said")
+				So(out, ShouldBeEmpty) // any result is too early here
+				t.Fatal("founders returned before every seed had answered")
 			case <-time.After(300 * time.Millisecond):
 			}
 			serve(t, testVM(t, "late", seeds[2], t.TempDir(), seeds...), late)
--- a/internal/entryvm/disk.go
+++ b/internal/entryvm/disk.go
@@ -4,5 +4,5 @@
 
 import "pearmoor/internal/journal"
 
-// diskOf returns the file system of a data folder.
+// diskOf returns the file system used for a data directory.
 func diskOf(string) journal.FS { return journal.OS{} }
--- a/internal/entryvm/disk_faulty.go
+++ b/internal/entryvm/disk_faulty.go
@@ -7,5 +7,5 @@
 	"pearmoor/internal/journal/faultydisk"
 )
 
-// diskOf returns a file system that a test can make slow, stall or fill.
+// diskOf returns a file system that tests can slow down, stall or fill up.
 func diskOf(dir string) journal.FS { return faultydisk.New(dir) }
--- a/internal/entryvm/fleet_test.go
+++ b/internal/entryvm/fleet_test.go
@@ -14,19 +14,20 @@
 	"pearmoor/internal/discovery"
 )
 
-// fleet is the leaves of a tier, whose crashes it counts by the path that caused them.
+// fleet runs the leaves of a tier and counts their crashes by the path of the request that
+// caused them.
 type fleet struct {
 	t     *testing.T
-	deals atomic.Int64 // incarnations and signatures
+	deals atomic.Int64 // counter for incarnations, signatures and bodies
 
 	mu     sync.Mutex
 	leaves []*fleetLeaf
-	third  map[string]time.Time       // by path: when it had crashed three leaves
+	third  map[string]time.Time       // by path: time of the third crash
 	ends   map[string]int             // by path
-	late   map[string]map[string]bool // by path: attempts that reached leaves knownWithin after that
+	late   map[string]map[string]bool // by path: attempts that reached leaves more than detectionTime after that
 }
 
-// fleetLeaf is a leaf at one address, over all its incarnations.
+// fleetLeaf is a leaf at a fixed address through all its incarnations.
 type fleetLeaf struct {
 	f                     *fleet
 	service, addr, domain string
@@ -36,7 +37,7 @@
 	srv *http.Server
 }
 
-// fatal is what a path ends in that crashes the leaves that run it.
+// crashSuffix is the suffix of paths that crash the leaves that run them.
 const fatal = "fatal"
 
 func newFleet(t *testing.T) *fleet {
@@ -78,7 +79,8 @@
 	go func(srv *http.Server) { _ = srv.Serve(lis) }(l.srv)
 }
 
-// crash ends the leaf at once and starts it again after crashDown.
+// crash stops the leaf at once if its incarnation is still id, and starts it again after
+// crashDowntime.
 func (l *fleetLeaf) crash(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +119,8 @@
 	_, _ = fmt.Fprintf(w, "%016d", l.f.deals.Add(1))
 }
 
-// reached counts an attempt that reaches a leaf after everybody has had time to know of it.
+// recordAttempt counts an attempt that reaches a leaf more than detectionTime after the
+// third crash.
 func (f *fleet) reached(r *http.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -148,9 +151,9 @@
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.t.Logf("%s: %d leaves ended, %d attempts reached leaves later than %v after the third", path, f.ends[path], len(f.late[path]), knownWithin)
+	f.t.Logf("%s: %d leaves crashed, %d attempts reached leaves more than %v after the third crash", path, f.ends[path], len(f.late[path]), knownWithin)
 	if n := len(f.late[path]); n > mostRetries {
-		f.t.Errorf("%s: %d attempts reached leaves later than %v after three had ended under it, at most %d may", path, n, knownWithin, mostRetries)
+		f.t.Errorf("%s: %d attempts reached leaves more than %v after it had crashed three, at most %d may", path, n, knownWithin, mostRetries)
 	}
 }
 
@@ -167,7 +170,7 @@
 	return out, nil
 }
 
-// crashSome crashes the leaves that pick chooses.
+// crashLeaves crashes the running leaves for which accepts returns true.
 func (f *fleet) crashSome(pick func(*fleetLeaf) bool) {
 	for _, l := range f.leaves {
 		l.mu.Lock()
--- a/internal/entryvm/metrics.go
+++ b/internal/entryvm/metrics.go
@@ -9,15 +9,15 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// metricPrefix stands before the name of every published metric.
+// metricPrefix is the prefix of every published metric name.
 const metricPrefix = "pearmoor_"
 
-// quantiles published of every histogram and timer.
+// quantiles are the quantiles published for every histogram and timer.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// MetricsHandler writes the process's metrics, one a line, in the text form that
-// the usual collectors read. It is written here and not by their library, which
-// alone takes 6 MB of a small VM's memory.
+// MetricsHandler serves the metrics of the process, one per line, in the Prometheus text
+// format. It does not use the Prometheus client library, which alone takes 6 MB of a small
+// VM's memory.
 func MetricsHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
--- a/internal/entryvm/near.go
+++ b/internal/entryvm/near.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// restFirst and restLongest bound how long a daemon is not asked for parts after a
-	// call to it has failed; doubled with each failure more. The first is as long as it
-	// takes others to notice a daemon that is lost; a process that was killed is back
-	// within a second or two.
+	// initialBackoff and maxBackoff bound how long a daemon is not used after a failed
+	// call; the time doubles with each consecutive failure. initialBackoff is the time in
+	// which other daemons notice a lost one; a killed process restarts within one or two
+	// seconds.
 	restFirst   = 500 * time.Millisecond
 	restLongest = 4 * time.Second
 )
 
-// nearDaemons finds daemons near leaves. It implements forward.Near.
+// peerDaemons selects and calls the daemons that serve parts of gathers or take over
+// requests. It implements forward.PeerDaemons.
 type nearDaemons struct {
 	v *VM
 
@@ -28,16 +29,17 @@
 	byAddr map[string]*helper
 }
 
-// helper is what is known of one daemon that is asked for parts.
+// peerState is the load and failure state of one daemon.
 type helper struct {
-	asked    int // calls under way
-	failures int // in a row
+	asked    int // calls in flight
+	failures int // consecutive
 	restTill vm.Instant
 }
 
 func newNearDaemons(v *VM) *nearDaemons { return &nearDaemons{v: v, byAddr: make(map[string]*helper)} }
 
-// Daemon implements forward.Near: one of this daemon's helpers in the domain.
+// DelegateAddr implements forward.PeerDaemons. It selects one of the delegates of this
+// daemon in the domain.
 func (n *nearDaemons) DelegateAddr(domain string) string {
 	ms := n.v.client.Current().Members()
 	if ms == nil {
@@ -46,7 +48,8 @@
 	return n.pick(n.v.helpers(ms), func(m *vm.Member) bool { return m.Domain == domain })
 }
 
-// Runner implements forward.Near: a fit daemon, of this one's own domain where there is one.
+// HandoverAddr implements forward.PeerDaemons. It selects a daemon with sufficient CPU, in
+// this daemon's own domain if possible, and none if this daemon has sufficient CPU itself.
 func (n *nearDaemons) HandoverAddr(asked []string) string {
 	ms := n.v.client.Current().Members()
 	if ms == nil {
@@ -63,8 +66,9 @@
 	return n.pick(fit, fresh)
 }
 
-// pick returns the daemon with the fewest calls of this one under way, of those wanted that
-// are not left alone after a failure.
+// pick returns the address of the daemon with the fewest calls from this one in flight,
+// among the candidates for which accepts returns true and that are not in backoff. Ties
+// are broken at random.
 func (n *nearDaemons) pick(among []*vm.Member, wanted func(*vm.Member) bool) string {
 	now := vm.Monotonic()
 	n.mu.Lock()
@@ -103,7 +107,7 @@
 	return h
 }
 
-// Scatter implements forward.Near.
+// OpenScatter implements forward.PeerDaemons.
 func (n *nearDaemons) OpenScatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error) {
 	conn, err := n.v.partConns.Conn(ctx, addr)
 	if err != nil {
@@ -112,7 +116,7 @@
 	return wire.NewDRPCGatherClient(conn).Scatter(ctx)
 }
 
-// Handover implements forward.Near.
+// OpenHandover implements forward.PeerDaemons.
 func (n *nearDaemons) OpenHandover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error) {
 	conn, err := n.v.partConns.Conn(ctx, addr)
 	if err != nil {
@@ -121,7 +125,7 @@
 	return wire.NewDRPCGatherClient(conn).Handover(ctx)
 }
 
-// Ended implements forward.Near.
+// ReportResult implements forward.PeerDaemons.
 func (n *nearDaemons) ReportResult(addr string, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,11 +137,11 @@
 		h.rest()
 	}
 	if h.asked == 0 && h.failures == 0 {
-		delete(n.byAddr, addr) // VMs are replaced every day
+		delete(n.byAddr, addr) // VMs are replaced daily; the map must not grow
 	}
 }
 
-// Suspect implements forward.Near.
+// ReportOverdue implements forward.PeerDaemons.
 func (n *nearDaemons) ReportOverdue(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/entryvm/quarantine_test.go
+++ b/internal/entryvm/quarantine_test.go
@@ -26,10 +26,10 @@
 	crashHost   = "shop.example"
 	gatherPath  = "/search/"
 	singlePath  = "/fetch/"
-	// crashDown is how long a crashed leaf is down.
+	// crashDowntime is how long a crashed leaf is down.
 	crashDown = 300 * time.Millisecond
-	// knownWithin is by when every VM must know of a request under which three leaves have
-	// ended, and mostRetries how many attempts may reach leaves after that.
+	// detectionTime is how soon every VM must know of a request that has crashed three
+	// leaves, and maxLateAttempts how many attempts may still reach leaves after that.
 	knownWithin = 2 * time.Second
 	mostRetries = 3
 )
@@ -40,7 +40,7 @@
 	ParseLoad: func(string) (policy.Load, bool) { return policy.Load{}, false },
 }
 
-// crashTier is VMs in two failure domains in front of a fleet.
+// crashTier is a tier of VMs in two failure domains in front of a fleet.
 type crashTier struct {
 	t     *testing.T
 	fleet *fleet
@@ -70,7 +70,7 @@
 	for i := range small {
 		tier.start(fmt.Sprintf("small-%d", i), i, "", listen(t))
 	}
-	eventually(t, "the tier takes a configuration", func() bool {
+	eventually(t, "the tier accepts a configuration", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		defer cancel()
 		return tier.vms[0].PutRelease(ctx, crashRelease()) == nil
@@ -137,8 +137,8 @@
 	})
 }
 
-// replaceSmall stops the VMs without a disk and starts others in their place, which have
-// seen nothing.
+// replaceSmall stops the VMs without a disk and starts new ones, which have seen no
+// request, in their place.
 func (c *crashTier) replaceSmall() {
 	c.t.Helper()
 	kept := c.vms[:0:0]
@@ -157,8 +157,7 @@
 	}
 }
 
-// restart stops every VM and starts all of them again at their addresses, with what is on
-// their disks.
+// restart stops every VM and starts all of them again with the same addresses and disks.
 func (c *crashTier) restart() {
 	c.t.Helper()
 	before := c.vms
@@ -181,7 +180,7 @@
 	return lis
 }
 
-// ask sends one attempt; its status is 0 if the connection broke off.
+// ask sends one attempt. The status is 0 if the connection failed.
 func (c *crashTier) ask(v *crashVM, path string) (status int, body string) {
 	req, err := http.NewRequest(http.MethodGet, v.callers+path, nil)
 	if err != nil {
@@ -191,7 +190,7 @@
 	return c.send(req)
 }
 
-// send sends a request as an attempt of its own.
+// send sends req as a new attempt.
 func (c *crashTier) send(req *http.Request) (status int, body string) {
 	req.Host = crashHost
 	req.Header.Set(crashDialect.RequestID, fmt.Sprintf("a-%d", c.ids.Add(1)))
@@ -208,8 +207,8 @@
 	return resp.StatusCode, string(text)
 }
 
-// innocent load asks for paths that crash nothing until the test ends. An attempt that
-// gets no answer is made again, with its path, as callers do.
+// runHarmlessLoad requests paths that crash no leaf until ctx ends. An attempt that fails
+// is repeated with the same path, as callers do.
 func (c *crashTier) innocent(ctx context.Context, vms []*crashVM) (asked, refused *atomic.Int64) {
 	asked, refused = new(atomic.Int64), new(atomic.Int64)
 	for k := range 4 {
@@ -242,8 +241,8 @@
 	}
 }
 
-// A request that crashes each leaf that runs it comes again and again, at every VM in turn
-// and at VMs that have just started.
+// Guards against a request that crashes every leaf that runs it, retried at every VM in
+// turn, including VMs that have just started.
 func TestRequestThatCrashesLeavesStopsReachingThem(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, prefix string }{{"gather", gatherPath}, {"single", singlePath}} {
@@ -266,16 +265,17 @@
 			series(5)
 			tier.fleet.checkRetries(path)
 			cancel()
-			t.Logf("%d of %d attempts of other requests refused as quarantined", refused.Load(), asked.Load())
+			t.Logf("%d of %d attempts of harmless requests refused as quarantined", refused.Load(), asked.Load())
 			if refused.Load() > 0 {
-				t.Errorf("%d of %d attempts of requests that crash nothing were refused", refused.Load(), asked.Load())
+				t.Errorf("%d of %d attempts of harmless requests were refused", refused.Load(), asked.Load())
 			}
 			tier.waitReady()
 		})
 	}
 }
 
-// Guards against a request that crashes leaves and is taken for another one each time it comes.
+// Guards against a request that crashes leaves and is not recognised when it comes again
+// with another header, connection, encoding or query.
 func TestRequestThatCrashesLeavesIsKnownHoweverItComes(t *testing.T) {
 	t.Parallel()
 	for name, vary := range map[string]func(n int, req *http.Request){
@@ -302,8 +302,9 @@
 	}
 }
 
-// blocked reports whether the group has agreed to block a request: one that is only suspected
-// is refused as well while another daemon tries it.
+// blocked reports whether the control group has blocked a request. The status of an answer
+// does not tell, because a merely suspected request is refused as well while another
+// daemon tries it.
 func (tier *crashTier) blocked() bool {
 	for _, c := range quarantine.CasesFromTree(tier.vms[0].client.Current().Tree) {
 		if c.Blocked {
@@ -313,7 +314,8 @@
 	return false
 }
 
-// Every VM loses its memory at once, after a request was found to crash leaves.
+// Guards against a quarantine that is lost when all VMs restart at once after a request
+// was found to crash leaves.
 func TestQuarantineOutlastsARestartOfEverything(t *testing.T) {
 	t.Parallel()
 	tier := startCrashTier(t)
@@ -327,16 +329,17 @@
 	tier.waitReady()
 	for _, v := range tier.vms {
 		if status, body := tier.ask(v, path); status != http.StatusServiceUnavailable || !strings.Contains(body, "quarantine") {
-			t.Errorf("%s: status %d, %q", v.conf.Name, status, body)
+			t.Errorf("%s: got status %d, body %q", v.conf.Name, status, body)
 		}
 	}
 	if n := tier.fleet.endsOf(path); n > before {
-		t.Errorf("%d leaves ended after the restart", n-before)
+		t.Errorf("%d leaves crashed after the restart", n-before)
 	}
 }
 
-// Racks lose power, leaves go down and up by turns, a service loses all leaves, again and
-// again, under requests that crash nothing.
+// Guards against harmless requests being blocked because leaves fail for other reasons:
+// failure domains that lose power, all leaves of a service, or all leaves, again and
+// again.
 func TestLossesOfLeavesBlockNoRequest(t *testing.T) {
 	t.Parallel()
 	tier := startCrashTier(t)
@@ -366,5 +369,5 @@
 			t.Errorf("blocked: %+v", c)
 		}
 	}
-	t.Logf("%d attempts, %d names suspected, %d blocked", asked.Load(), suspected, blocked)
+	t.Logf("%d attempts, %d requests suspected, %d blocked", asked.Load(), suspected, blocked)
 }
--- a/internal/entryvm/reach.go
+++ b/internal/entryvm/reach.go
@@ -16,25 +16,27 @@
 )
 
 const (
-	// probeTime bounds a probe of another daemon, and witnessTime a call to one that
-	// probes others on behalf of this one.
+	// probeTimeout bounds a probe of another daemon, and indirectProbeTimeout a call that
+	// asks another daemon to probe on behalf of this one.
 	probeTime   = 100 * time.Millisecond
 	witnessTime = 2 * probeTime
-	// probeEvery is the time between two probes while callers ask for address lists,
-	// and probedFor how long after the last one they go on. An answer is relied on for
-	// freshFor.
+	// probeInterval is the time between two probe rounds while callers request address
+	// lists, and probeIdleTimeout how long after the last such request the rounds
+	// continue. An answered probe is valid for probeResultTTL.
 	probeEvery = 500 * time.Millisecond
 	probedFor  = 5 * time.Second
 	freshFor   = probeEvery + probeTime
-	// lostFor is how long a daemon that was found lost is left out of address lists
-	// before it is probed again.
+	// lostTTL is how long a daemon found lost is left out of address lists before it is
+	// probed again.
 	lostFor = 500 * time.Millisecond
-	// Of sampled daemons each is probed when those before it have not answered within
-	// nextAfter, and all when none of them does. Then witnesses others are asked about them.
+	// sampleSize is the number of daemons in a sample. Each of them is probed once the
+	// probes before it have failed or have not answered within probeStagger. If none of
+	// the sample answers, all candidates are probed, and indirectProbers other daemons are
+	// asked to probe them too.
 	sampled   = 2
 	nextAfter = 30 * time.Millisecond
 	witnesses = 3
-	// mostProbed bounds the daemons probed for one call.
+	// maxProbed bounds the daemons probed in one round or for one Reach call.
 	mostProbed = 64
 )
 
@@ -43,21 +45,22 @@
 	daemonsLost      = metrics.GetOrRegisterCounter("entry.daemons.found_lost", metrics.DefaultRegistry)
 )
 
-// prober finds out for itself whether the daemons that callers are sent to can be
-// reached. The leader tells who is silent, but may be lost with them.
+// prober checks whether this daemon can reach the daemons that callers are sent to. The
+// leader of the control group reports unresponsive daemons, but it may be lost together
+// with them.
 type prober struct {
 	v *VM
 
 	mu      sync.Mutex
-	askedAt vm.Instant // when an address list was asked for last
-	okAt    vm.Instant // when a probe was last answered
+	askedAt vm.Instant // last request for an address list
+	okAt    vm.Instant // last answered probe
 	round   chan struct{}
-	lost    map[string]vm.Instant // by peer address, until when
+	lost    map[string]vm.Instant // by peer address: end of the exclusion
 }
 
 func newProber(v *VM) *prober { return &prober{v: v, lost: make(map[string]vm.Instant)} }
 
-// without returns the members that are not known to be lost.
+// excludeLost returns the members that are not known to be lost.
 func (p *prober) without(ms []*vm.Member) []*vm.Member {
 	now := vm.Monotonic()
 	p.mu.Lock()
@@ -73,7 +76,8 @@
 	return slices.DeleteFunc(slices.Clone(ms), func(m *vm.Member) bool { _, lost := p.lost[m.PeerAddr]; return lost })
 }
 
-// run probes for as long as callers ask for address lists, until ctx ends.
+// run starts a probe round every probeInterval while callers request address lists, until
+// ctx ends.
 func (p *prober) run(ctx context.Context) {
 	for vm.Sleep(ctx, probeEvery) {
 		p.mu.Lock()
@@ -86,7 +90,8 @@
 	}
 }
 
-// check returns once it is known whether candidates can be reached, which mostly it is.
+// ensureProbed returns once there is a valid probe result for the candidates. Usually
+// there is one already.
 func (p *prober) check(candidates, others []*vm.Member) {
 	p.mu.Lock()
 	now := vm.Monotonic()
@@ -98,8 +103,9 @@
 	}
 }
 
-// probeSome probes a sample of the candidates, and all when none of it answers. Without
-// others to name instead it does nothing.
+// probeSample probes a sample of the candidates, and all of them if none of the sample
+// answers. Without others, which would replace lost candidates, it does nothing.
+// Concurrent callers share one round.
 func (p *prober) probeSome(candidates, others []*vm.Member) {
 	addrs := p.addrs(candidates)
 	if len(addrs) == 0 || len(others) == 0 {
@@ -116,7 +122,8 @@
 	<-over
 }
 
-// addrs returns the peer addresses of members other than this daemon, in random order.
+// peerAddrs returns the peer addresses of the members other than this daemon, in random
+// order.
 func (p *prober) addrs(ms []*vm.Member) []string {
 	var out []string
 	for _, m := range ms {
@@ -128,7 +135,7 @@
 	return out
 }
 
-// examine is one round; it closes over.
+// runRound runs one probe round and closes done at its end.
 func (p *prober) examine(candidates, others []string, over chan struct{}) {
 	began := time.Now()
 	sample := candidates[:min(len(candidates), sampled)]
@@ -146,8 +153,9 @@
 	p.end(over, false)
 }
 
-// anyAnswers reports whether one of the addresses answers. Each is probed only when those
-// before it have not answered for a while.
+// anyReady reports whether a daemon at one of the addresses answers that it accepts
+// callers. Each is probed only if the probes before it have failed or have not answered
+// within probeStagger.
 func (p *prober) anyAnswers(addrs []string) bool {
 	answers := make(chan bool, len(addrs))
 	due := time.NewTimer(0)
@@ -194,7 +202,7 @@
 	}
 }
 
-// witnesses asks other daemons which of the addresses they can't reach either.
+// probeIndirectly asks other daemons which of the addresses they cannot reach either.
 func (p *prober) witnesses(addrs, others []string) []policy.PeerReport {
 	others = others[:min(len(others), witnesses)]
 	replies := make(chan *wire.ReachReply, len(others))
@@ -202,7 +210,7 @@
 		go func() {
 			reply, err := p.ask(other, witnessTime, addrs)
 			if err != nil {
-				klog.Infof("entry: no witness addr=%s: %v", other, err)
+				klog.Infof("entry: indirect probe failed addr=%s: %v", other, err)
 			}
 			replies <- reply
 		}()
@@ -236,7 +244,7 @@
 	return out
 }
 
-// answers reports whether a daemon says that it accepts client traffic.
+// isReady reports whether the daemon at addr answers that it accepts callers.
 func (p *prober) answers(addr string) bool {
 	reply, err := p.ask(addr, probeTime, nil)
 	ok := err == nil && reply.Ready
--- a/internal/entryvm/reach_test.go
+++ b/internal/entryvm/reach_test.go
@@ -11,14 +11,16 @@
 	"pearmoor/internal/vm"
 )
 
-// reachTier is one small VM, others like it, and large ones that callers are sent to.
+// reachTier is a tier of small and large VMs in which callers are normally sent to the
+// large ones. self is a small VM.
 type reachTier struct {
 	self           *VM
 	ms             *vm.Membership
 	largeN, smallN int
 }
 
-// newReachTier starts a tier. VMs that are lost accept connections and answer nothing.
+// newReachTier starts a tier. The listeners of lost VMs accept connections and never
+// answer.
 func newReachTier(t *testing.T, largeLost, smallLost bool) *reachTier {
 	t.Helper()
 	tier := &reachTier{ms: &vm.Membership{}, largeN: 3, smallN: 4}
@@ -46,7 +48,7 @@
 	return tier
 }
 
-// wideTable has a gather that is too wide for small VMs.
+// wideTable returns a table with a gather over too many shards for small VMs.
 func wideTable() *route.Table {
 	r := &route.Release{Number: 1}
 	wide := route.Route{Name: "wide", Host: "shop.example", Prefix: "/all/", Repeatable: true, Timeout: time.Second, TargetLatency: 60 * time.Millisecond, Top: 5, Attempts: 1}
@@ -72,14 +74,15 @@
 	smallNames = []string{"self", "small-0", "small-1", "small-2"}
 )
 
-// Guards against address lists that name lost VMs only while the leader, lost with them, can't tell.
+// Guards against address lists that contain only lost VMs, while the leader, which would
+// report them, is lost as well.
 func TestListsNameSmallVMsWhileAllLargeOnesAreLost(t *testing.T) {
 	if got := newReachTier(t, true, false).named(t); !slices.Equal(got, smallNames) {
 		t.Errorf("callers are sent to %v", got)
 	}
 }
 
-// Guards against small VMs in address lists while large ones can be reached.
+// Guards against small VMs in address lists while large ones are reachable.
 func TestListsNameLargeVMsOnly(t *testing.T) {
 	tier := newReachTier(t, false, false)
 	for range 3 {
@@ -89,14 +92,15 @@
 	}
 }
 
-// Guards against a daemon that is cut off from the tier and sends its callers to small VMs.
+// Guards against a daemon that is cut off from the whole tier, takes all large VMs for
+// lost and sends its callers to small VMs.
 func TestCutOffDaemonNamesLargeVMs(t *testing.T) {
 	if got := newReachTier(t, true, true).named(t); !slices.Equal(got, largeNames) {
 		t.Errorf("callers are sent to %v", got)
 	}
 }
 
-// Guards against large VMs being left out of address lists long after they are back.
+// Guards against large VMs that stay out of address lists after they have recovered.
 func TestLargeVMsAreNamedAgain(t *testing.T) {
 	tier := newReachTier(t, true, false)
 	_ = tier.named(t)
@@ -114,20 +118,21 @@
 	}
 }
 
-// Guards against gathers at small VMs that wait for parts from lost large ones.
+// Guards against gathers at small VMs that wait for parts from lost large VMs.
 func TestSmallVMsAskSmallVMsForParts(t *testing.T) {
 	tier := newReachTier(t, true, false)
 	if got := names(tier.self.helpers(tier.ms)); slices.ContainsFunc(got, func(n string) bool { return strings.HasPrefix(n, "large") }) || len(got) == 0 {
-		t.Errorf("a small VM asks %v", got)
+		t.Errorf("a small VM delegates to %v", got)
 	}
 	large := testVM(t, "large-0", tier.ms.Members[0].PeerAddr, "")
 	large.engine.Install(wideTable(), 1)
 	if got := names(large.helpers(tier.ms)); !slices.Equal(got, largeNames) {
-		t.Errorf("a large VM asks %v", got)
+		t.Errorf("a large VM delegates to %v", got)
 	}
 }
 
-// Guards against callers that stay with small VMs for seconds after the large ones are back.
+// Guards against callers that stay with small VMs for seconds after the large ones have
+// recovered.
 func TestListsOfSubstitutesAreShort(t *testing.T) {
 	for _, c := range []struct {
 		lost bool
@@ -135,7 +140,7 @@
 	}{{false, addressLifetime}, {true, substituteLifetime}} {
 		tier := newReachTier(t, c.lost, false)
 		if _, keep := tier.self.reachable(tier.ms); keep != c.want {
-			t.Errorf("lost=%v: a list is kept for %v", c.lost, keep)
+			t.Errorf("lost=%v: the list has a lifetime of %v", c.lost, keep)
 		}
 	}
 }
--- a/internal/entryvm/size_test.go
+++ b/internal/entryvm/size_test.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	// manyRoutes make a configuration of some 0.8 MB between our processes; the link of
-	// the VM without a disk carries it in 2 s.
+	// routeCount routes make a configuration of about 0.8 MB on the wire, which the link
+	// of the VM without a disk carries in 2 s.
 	manyRoutes = 4200
 	narrowRate = 400_000 // bytes a second
 	narrowLate = 30 * time.Millisecond
-	// operatorWaits is how long an operator waits for a read before it asks another VM,
-	// which is no better off.
+	// operatorWait is how long an operator waits for a read before it asks another VM,
+	// which has the same problem.
 	operatorWaits = 2 * time.Second
 )
 
@@ -33,7 +33,7 @@
 
 func (noLeaves) List(context.Context) (discovery.Listing, error) { return discovery.Listing{}, nil }
 
-// runVM runs a VM until the test ends, at peerAddr for the others and on lis.
+// runVM runs a VM until the test ends. Other VMs reach it at peerAddr; it listens on lis.
 func runVM(t *testing.T, name, peerAddr, dataDir string, lis net.Listener, seeds ...string) *VM {
 	t.Helper()
 	v, err := New(Config{
@@ -58,7 +58,8 @@
 	return v
 }
 
-// longRelease returns a configuration of manyRoutes routes; the first has that time-out.
+// longRelease returns a configuration of routeCount routes, the first of them with the
+// given timeout.
 func longRelease(number uint64, timeout time.Duration) *route.Release {
 	r := &route.Release{Number: number, Services: []route.Service{{Name: "ledger", HealthPath: "/health", Connections: 92, Protocol: "h1"}}}
 	for i := range manyRoutes {
@@ -71,12 +72,12 @@
 	return r
 }
 
-// narrowTier is a control VM and a VM without a disk that reaches it over a narrow link.
+// slowLinkTier is a control VM and a VM without a disk that reaches it over a slow link.
 type narrowTier struct {
 	t       *testing.T
 	control *VM
 	narrow  *VM
-	near    wire.DRPCControlClient // the control VM, as who is beside it reaches it
+	near    wire.DRPCControlClient // the control VM, without the slow link
 }
 
 func startNarrowTier(t *testing.T) *narrowTier {
@@ -100,14 +101,14 @@
 	return tier
 }
 
-// putNear has the control VM take a configuration from beside it.
+// putDirect sends a configuration to the control VM without the slow link.
 func (n *narrowTier) putNear(r *route.Release) {
 	n.t.Helper()
 	body, err := json.Marshal(r)
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	n.eventually("the control VM takes a configuration", func() bool {
+	n.eventually("the control VM accepts a configuration", func() bool {
 		ctx, cancel := context.WithTimeout(n.t.Context(), 10*time.Second)
 		defer cancel()
 		out, err := n.near.PutRelease(ctx, &wire.ReleaseRequest{Release: body, Operator: "test"})
@@ -124,16 +125,14 @@
 	}
 }
 
-// An operator reads the configuration back right after a change was acknowledged, at a VM
-// that has not heard of it yet. The configuration is long and the VM's link narrow: what
-// the operator sees is a VM that does not answer in time, at whatever VM it asks, until it
-// gives up and takes the acknowledged change for lost. The VM itself gets the change,
-// which is short, a moment after it was asked.
+// Guards against reads that time out at every VM, so that an operator takes an
+// acknowledged change for lost. An operator reads a long configuration right after a
+// change was acknowledged, at a VM with a slow link that has not received the change yet.
 //
-// Cause: the leader's answer carried the whole configuration, within a call of 1.2 s at most,
-// and a call that ran out began anew for what the VM had had at first. Evidence: the lines of
-// a read, 0.52 to 0.72 s of it for 0.53 MB on links of 14 Mbit/s; at 0.8 MB, on code where each
-// read came so, a day ends without one.
+// The failure came about because the leader's answer carried the whole configuration
+// within a call of at most 1.2 s, and a call that timed out started again from the
+// beginning. A read of 0.53 MB took 0.52 to 0.72 s over a link of 14 Mbit/s, so 0.8 MB
+// never arrived. The change itself is short and reaches the VM soon after the read begins.
 func TestLongConfigurationIsReadOverANarrowLink(t *testing.T) {
 	t.Parallel()
 	tier := startNarrowTier(t)
@@ -147,26 +146,26 @@
 		cancel()
 		switch {
 		case err != nil:
-			t.Errorf("configuration %d was not read in %v: %v", number, time.Since(began), err)
+			t.Errorf("reading configuration %d failed after %v: %v", number, time.Since(began), err)
 		case r == nil || r.Number < number:
-			t.Errorf("configuration %d was acknowledged, read: %v", number, r)
+			t.Errorf("configuration %d was acknowledged, but the read returned %v", number, r)
 		case len(r.Routes) != manyRoutes || r.Routes[0].Timeout != time.Duration(number)*time.Second:
-			t.Errorf("configuration %d: %d routes, the first waits %v", number, len(r.Routes), r.Routes[0].Timeout)
+			t.Errorf("configuration %d: %d routes, the first with a timeout of %v", number, len(r.Routes), r.Routes[0].Timeout)
 		}
 		tier.eventually("the VM has the change", func() bool { return tier.narrow.release.Load() == number })
 	}
 }
 
-// An operator sends a long configuration to a VM with a narrow link. The control group
-// gets and accepts it, but the VM ends its call before the answer, sends the whole again,
-// and in the end tells the operator that the outcome is not known; so does the next VM. A
-// call that is under way all the while must not be ended for the size of what it carries,
-// and an order that was accepted must not be carried again.
+// Guards against a long configuration that is accepted but never acknowledged. An operator
+// sends it to a VM with a slow link. The control group accepts it, but the VM times out
+// before the answer, sends it again, and finally reports an unknown outcome, and so does
+// the next VM.
 //
-// Cause: a limit of 1.2 s for every call, whatever it carries, and VMs that do not lead asked
-// first. Evidence: the lines of an order of 0.8 MB that is acknowledged after 7 s: two relays
-// that take in a part of it and refuse, then the leader's call, ended after 1.201 s, and no
-// change by the resend that is acknowledged.
+// The failure came about because every call had a limit of 1.2 s whatever it carried, and
+// VMs that do not lead were called first. A configuration of 0.8 MB took 7 s: two relays
+// received part of it and refused, the call to the leader timed out after 1.201 s, and the
+// acknowledged retry changed nothing. The timeout must allow for the size of the payload,
+// and an accepted configuration must not be sent again.
 func TestLongConfigurationIsPutOverANarrowLink(t *testing.T) {
 	t.Parallel()
 	tier := startNarrowTier(t)
@@ -174,20 +173,20 @@
 	tier.eventually("the VM has the first configuration", func() bool { return tier.narrow.release.Load() == 1 })
 	began := time.Now()
 	if err := tier.narrow.PutRelease(t.Context(), longRelease(2, 2*time.Second)); err != nil {
-		t.Errorf("not acknowledged in %v: %v", time.Since(began), err)
+		t.Errorf("not acknowledged after %v: %v", time.Since(began), err)
 	}
 	carried := time.Since(began)
 	began = time.Now()
 	if err := tier.narrow.PutRelease(t.Context(), longRelease(2, 2*time.Second)); err != nil || time.Since(began) > carried/2 {
-		t.Errorf("sent again: %v after %v, the first time took %v", err, time.Since(began), carried)
+		t.Errorf("second call: %v after %v, the first took %v", err, time.Since(began), carried)
 	}
 	tier.eventually("the VM has the change", func() bool { return tier.narrow.release.Load() == 2 })
 }
 
-// An operator reads a long configuration at a VM with a narrow link, which has it and is
-// ready to give it back: over that link it takes longer than the operator waits. It is sent
-// on to the leader, once; a short one is read where it is asked for, and so is any at a
-// control VM.
+// Guards against reads of a long configuration at a VM with a slow link: the VM has the
+// configuration, but sending it takes longer than the operator waits. The read must be
+// redirected to the leader, once. A short configuration is read at any VM, and a
+// configuration of any size at a control VM.
 func TestLongConfigurationIsReadAtTheLeader(t *testing.T) {
 	t.Parallel()
 	tier := startNarrowTier(t)
@@ -196,15 +195,15 @@
 	tier.putNear(short)
 	tier.eventually("the VM has the short configuration", func() bool { return tier.narrow.release.Load() == 1 })
 	if host, err := tier.narrow.ReadPlace(t.Context()); host != "" || err != nil {
-		t.Errorf("a short one is read at %q: %v", host, err)
+		t.Errorf("the read of a short configuration is redirected to %q: %v", host, err)
 	}
 	tier.putNear(longRelease(2, time.Second))
 	tier.eventually("the VM has the long configuration", func() bool { return tier.narrow.release.Load() == 2 })
 	if host, err := tier.narrow.ReadPlace(t.Context()); host != "127.0.0.1" || err != nil {
-		t.Errorf("a long one is read at %q: %v", host, err)
+		t.Errorf("the read of a long configuration is redirected to %q: %v", host, err)
 	}
-	tier.eventually("the control VM has it", func() bool { return tier.control.release.Load() == 2 })
+	tier.eventually("the control VM has the long configuration", func() bool { return tier.control.release.Load() == 2 })
 	if host, err := tier.control.ReadPlace(t.Context()); host != "" || err != nil {
-		t.Errorf("at the control VM it is read at %q: %v", host, err)
+		t.Errorf("a read at the control VM is redirected to %q: %v", host, err)
 	}
 }
--- a/internal/entryvm/steer.go
+++ b/internal/entryvm/steer.go
@@ -12,11 +12,11 @@
 	"pearmoor/internal/vm"
 )
 
-// steerEvery is how long the choice of daemons that take callers is used: it is looked
-// at for every send, and its inputs change a few times a second at most.
+// rolesTTL is how long computed daemon roles are reused: they are read for every request
+// sent to a leaf, and their inputs change at most a few times a second.
 const steerEvery = 100 * time.Millisecond
 
-// steering remembers the choice of daemons that take callers.
+// rolesCache caches the daemon roles.
 type steering struct {
 	mu     sync.Mutex
 	of     *vm.Membership
@@ -24,19 +24,20 @@
 	choice choice
 }
 
-// choice is what the daemons that serve are used for.
+// roles groups the serving daemons by what they are used for.
 type choice struct {
 	serving  []*vm.Member
-	fit      []*vm.Member // with the processor for the widest gathers
-	others   []*vm.Member // serving, and not fit
-	eligible []*vm.Member // that callers are sent to
+	fit      []*vm.Member // with enough CPU for the gather that needs most
+	others   []*vm.Member // serving, without enough CPU
+	eligible []*vm.Member // callers are sent to these
 }
 
-// eligible returns the daemons that callers are sent to: of those that serve and are not
-// silent, those that policy.Eligible chooses.
+// eligible returns the daemons that callers are sent to: those that policy.Eligible
+// selects among the serving ones.
 func (v *VM) eligible(ms *vm.Membership) []*vm.Member { return v.choose(ms).eligible }
 
-// choose returns what the daemons are used for now.
+// roles returns the current roles of the daemons, recomputed if the membership has changed
+// or rolesTTL has passed.
 func (v *VM) choose(ms *vm.Membership) choice {
 	now := vm.Monotonic()
 	v.steer.mu.Lock()
@@ -57,8 +58,8 @@
 	return choice{serving: serving, fit: fit, others: policy.Without(serving, fit), eligible: policy.Eligible(serving, need)}
 }
 
-// reachable returns the daemons that callers are sent to, as far as this daemon can reach
-// them: others in place of those that are lost, and for how long to name these.
+// reachable returns the daemons that callers are sent to, with lost daemons replaced by
+// others, and the lifetime of a list of these.
 func (v *VM) reachable(ms *vm.Membership) ([]*vm.Member, time.Duration) {
 	c := v.choose(ms)
 	v.prober.check(c.fit, c.others)
@@ -68,8 +69,9 @@
 	return c.eligible, addressLifetime
 }
 
-// helpers returns the daemons that this one asks for parts of a gather: the fit ones. One
-// that is not fit has a gather only while those are out of reach, and asks others like itself.
+// delegates returns the daemons that this one may ask for parts of a gather: those with
+// sufficient CPU. A daemon without sufficient CPU runs a gather only while those are
+// unreachable, and so asks other daemons without.
 func (v *VM) helpers(ms *vm.Membership) []*vm.Member {
 	c := v.choose(ms)
 	if slices.ContainsFunc(c.fit, v.isSelf) {
@@ -90,7 +92,7 @@
 	return out
 }
 
-// serving returns the daemons that serve and are not silent.
+// servingMembers returns the members that serve callers and are not unresponsive.
 func (v *VM) serving(ms *vm.Membership) []*vm.Member {
 	quiet := v.book.Unresponsive()
 	var all []*vm.Member
@@ -105,7 +107,8 @@
 	return all
 }
 
-// widest returns the processor that a table's widest gather asks of a VM.
+// requiredMillicores returns the CPU that a VM needs for the most demanding route of a
+// table.
 func widest(t *route.Table) uint32 {
 	need := uint32(0)
 	if t != nil {
@@ -116,12 +119,13 @@
 	return need
 }
 
-// idleSharers is how many times the tier's daemons a daemon counts that is not fit. It
-// sends for few requests, and the shares of the fit ones add up to the whole.
+// insufficientCPUFactor multiplies the number of daemons by which a daemon without
+// sufficient CPU divides shared limits. Such a daemon sends few requests, and the shares
+// of the daemons with sufficient CPU already add up to the whole limit.
 const idleSharers = 4
 
-// senders returns among how many daemons what is shared by those that send to leaves is
-// divided, 0 while that is not known.
+// senderCount returns the number of daemons among which limits shared by all senders to
+// leaves are divided, or 0 while it is unknown.
 func (v *VM) senders() int {
 	ms := v.client.Current().Members()
 	if ms == nil {
--- a/internal/entryvm/steer_test.go
+++ b/internal/entryvm/steer_test.go
@@ -41,11 +41,11 @@
 	return out
 }
 
-// A VM loses power. Callers that are still sent there wait a second for each connect,
-// so silent daemons and those that leave are not named; a daemon that others have not
-// heard knows of itself that it is there.
+// Guards against callers being sent to VMs that are lost or stopping: a connect to a VM
+// without power costs them a second. A daemon lists itself even if the leader reports it
+// as unresponsive.
 func TestSilentAndLeavingDaemonsTakeNoCallers(t *testing.T) {
-	Convey("Only daemons that serve and are heard take callers", t, func() {
+	Convey("Callers are sent only to daemons that serve and respond", t, func() {
 		v := testVM(t, "self", "127.0.0.1:1", "")
 		ms := &vm.Membership{Members: []vm.Member{
 			member("self", "hall-1", 0), member("silent", "hall-1", 0), member("leaving", "hall-1", 0),
@@ -60,8 +60,8 @@
 	})
 }
 
-// A failure domain loses power. Callers that were told of its daemons only would have
-// nobody to ask until their list runs out, and the lost ones give them no new one.
+// Guards against address lists with daemons of one failure domain only: when that domain
+// loses power, its callers have no daemon left and get no new list until theirs expires.
 func TestCallersKnowDaemonsOfOtherDomains(t *testing.T) {
 	group := func(n int, region, domain string) []*vm.Member {
 		var out []*vm.Member
@@ -79,13 +79,13 @@
 		wantOther        int
 		wantFar          int
 	}{
-		{"a small tier is named whole", 4, 7, 0, 4, 7, 0},
-		{"other regions are left out", 2, 3, 9, 2, 3, 0},
-		{"half of a long list is of other domains", 100, 100, 100, 32, 32, 0},
-		{"those of the own domain fill what others leave", 100, 10, 0, 54, 10, 0},
-		{"others fill what those of the own domain leave", 3, 100, 0, 3, 61, 0},
-		{"without any in the region all are named", 0, 0, 80, 0, 0, 64},
-		{"nobody is there", 0, 0, 0, 0, 0, 0},
+		{"all daemons of a small tier are listed", 4, 7, 0, 4, 7, 0},
+		{"daemons of other regions are left out", 2, 3, 9, 2, 3, 0},
+		{"half of a long list is from other domains", 100, 100, 100, 32, 32, 0},
+		{"daemons of the own domain fill the places that others leave", 100, 10, 0, 54, 10, 0},
+		{"daemons of other domains fill the places that the own domain leaves", 3, 100, 0, 3, 61, 0},
+		{"without daemons in the region, those of other regions are listed", 0, 0, 80, 0, 0, 64},
+		{"there are no daemons", 0, 0, 0, 0, 0, 0},
 	} {
 		Convey(c.what, t, func() {
 			eligible := slices.Concat(group(c.near, "valley", "hall-1"), group(c.other, "valley", "hall-2"), group(c.far, "delta", "hall-9"))
@@ -102,16 +102,16 @@
 			So(len(slices.Compact(slices.Sorted(slices.Values(got)))), ShouldEqual, len(got))
 		})
 	}
-	Convey("Lists of many daemons differ, so that none is named to all", t, func() {
+	Convey("Lists from many daemons differ, so that callers spread over them", t, func() {
 		eligible := group(200, "valley", "hall-1")
 		So(named(eligible, "valley", "hall-1"), ShouldNotResemble, named(eligible, "valley", "hall-1"))
 	})
 }
 
-// All VMs with a disk lose power for some seconds. They are the only ones fit for the
-// widest gathers, and callers keep the addresses that they were told of before: one that
-// knows of nobody else finds no VM for as long as it waits, though 195 of 200 are well. A
-// caller tries twice, the second time at another address.
+// Guards against address lists that contain only large VMs. Only VMs with a disk have
+// sufficient CPU for the widest gathers. If they all lose power for some seconds, callers
+// keep their old lists, and one whose list has no other VM finds none, though 195 of 200
+// work. A caller tries two addresses of its list.
 func TestCallersReachSomebodyWhileAllLargeVMsAreLost(t *testing.T) {
 	const domains, smallEach, asks = 5, 39, 2000
 	var all []*vm.Member
@@ -133,14 +133,14 @@
 		}
 	}
 	if share := float64(lost) / asks; share > 0.1 {
-		t.Errorf("%.2f of the callers reach nobody", share)
+		t.Errorf("%.2f of the callers reach no daemon", share)
 	}
 	if len(eligible) > len(all)/5 {
-		t.Errorf("%d of %d take callers: each holds connections to every leaf", len(eligible), len(all))
+		t.Errorf("%d of %d daemons accept callers, and each holds connections to every leaf", len(eligible), len(all))
 	}
 }
 
-// BenchmarkChoice is the choice of daemons in a tier of the target's size.
+// BenchmarkRoles computes the daemon roles in a tier of 3600 daemons.
 func BenchmarkChoice(b *testing.B) {
 	for _, c := range []struct {
 		what string
--- a/internal/entryvm/tier.go
+++ b/internal/entryvm/tier.go
@@ -21,24 +21,27 @@
 )
 
 const (
-	// operatorTime bounds an operator's call, and controlTime one call to a control VM,
-	// each beside the time for what it carries (peer.TimeFor). Operators ask another daemon
-	// after a second or more; an order still under way here is harmless, since the same
-	// order changes nothing the second time.
+	// operatorTimeout bounds a call of an operator and controlCallTimeout one call to a
+	// control VM, each in addition to the transfer time of its payload (peer.CallTimeout).
+	// Operators retry at another daemon after a second or more. A change still in progress
+	// here is then harmless, because applying the same change twice has no further effect.
 	operatorTime = 4 * time.Second
 	controlTime  = 1200 * time.Millisecond
-	// longRead is the size from which operators are sent on to read it: what a link of
-	// 14 Mbit/s carries in 0.15 s. reachTime is how long a VM waits for a short one that
-	// it has not got yet; a change comes to most in a tenth of a second.
+	// redirectReadBytes is the configuration size from which operators are redirected to
+	// the leader to read it: what a link of 14 Mbit/s carries in 0.15 s. versionWait is
+	// how long a VM waits for a shorter configuration that it has not received yet; most
+	// VMs receive a change within a tenth of a second.
 	longRead  = 256 << 10
 	reachTime = 300 * time.Millisecond
-	// routeBytes, and shardBytes for each shard, are what a route takes in a read.
+	// routeBytes, and shardBytes for each shard, estimate the size of a route when a
+	// configuration is read.
 	routeBytes = 190
 	shardBytes = 10
-	// retryPause is between two rounds over the control VMs.
+	// retryDelay is the pause between two rounds over the control VMs.
 	retryPause = 50 * time.Millisecond
-	// mostAddrs is how many addresses a caller is told at most, and nearAddrs how many
-	// of them are of its own domain where others are to be had.
+	// maxAddrs is the maximum number of addresses in a list for a caller, and
+	// maxLocalAddrs how many of them are in the caller's own domain if enough others are
+	// available.
 	mostAddrs = 64
 	nearAddrs = mostAddrs / 2
 )
@@ -51,8 +54,8 @@
 // Ready reports whether callers may be sent to this VM.
 func (v *VM) Ready() bool { return !v.draining.Load() && v.engine.Table() != nil }
 
-// Addresses returns the entry addresses for a caller in that domain, and for how
-// many seconds to keep them.
+// Addresses returns the addresses of daemons for a caller in that region and domain, and
+// for how many seconds to keep them.
 func (v *VM) Addresses(_, region, domain string) ([]string, float64) {
 	ms := v.client.Current().Members()
 	if ms == nil {
@@ -65,11 +68,13 @@
 	return named(reachable, region, domain), min(keep, v.conf.Lifetime).Seconds()
 }
 
-// named returns whom to name to a caller: daemons of its region, else of all, those of
-// its own domain first, each time drawn anew, since callers take any of them.
+// addressesFor returns the addresses for one caller: daemons of its region, or of all
+// regions if it has none, with those of its own domain first. The order is random each
+// time, since callers connect to any of them.
 //
-// Daemons of its own domain alone would leave it without any when the domain is lost,
-// and a caller that gets no new list from the lost ones either keeps the old one.
+// The list includes other domains because a caller that knew only daemons of its own
+// domain would have none left when that domain fails, and it keeps the old list until it
+// gets a new one.
 func named(eligible []*vm.Member, region, domain string) []string {
 	eligible = slices.Clone(eligible)
 	rand.Shuffle(len(eligible), func(i, k int) { eligible[i], eligible[k] = eligible[k], eligible[i] })
@@ -91,9 +96,9 @@
 	return append(near, other[:min(len(other), mostAddrs-len(near))]...)
 }
 
-// PutRelease makes r the configuration in force everywhere unless a newer one is.
-// Any other error than contract.Faults leaves open whether it was accepted; the
-// same call may be made again.
+// PutRelease makes r the configuration in force everywhere, unless a newer one is in force
+// already. After an error other than contract.Faults it is unknown whether r was accepted,
+// and the call may be repeated.
 func (v *VM) PutRelease(ctx context.Context, r *route.Release) error {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -115,10 +120,10 @@
 	return nil
 }
 
-// putAtLeader sends a release to the leader once that is known, and not at all where the
-// leader holds it or a newer one. A long release is under way for a second: sent to
-// whatever VM comes first it costs that second at each that is not the leader, and each
-// resend of an order whose acknowledgement was lost costs it again.
+// putToLeader finds the leader and sends a release to it, unless the leader already has
+// this or a newer one. The transfer of a long release takes a second. Sent to an arbitrary
+// control VM it would cost that second at each VM that is not the leader, and again for
+// each retry after a lost acknowledgement.
 func (v *VM) putAtLeader(ctx context.Context, number uint64, body []byte) (*wire.ReleaseReply, error) {
 	for {
 		leader, newest, err := v.newest(ctx)
@@ -143,11 +148,11 @@
 	}
 }
 
-// ReadPlace returns the host of the VM where an operator reads the configuration better
-// than here, empty where that is this VM: the leader's, when the configuration is long or
-// this VM is behind. A read of 1.7 MB takes a second over a link of 14 Mbit/s whoever gives it
-// back, which is as long as operators wait; control VMs have five times as much of a link,
-// and send on only while they are behind. The leader sends nobody on.
+// ReadRedirect returns the host of the VM at which an operator should read the
+// configuration, or an empty string for this VM. It is the leader's host if the
+// configuration is long or this VM is behind. Over a link of 14 Mbit/s a read of 1.7 MB
+// takes a second, as long as operators wait. Control VMs have five times the bandwidth and
+// redirect only while they are behind. The leader never redirects.
 func (v *VM) ReadPlace(ctx context.Context) (host string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTime)
 	defer cancel()
@@ -165,17 +170,18 @@
 		behind = true
 	}
 	host, _, err = net.SplitHostPort(leader)
-	klog.Infof("operator: read sent on to=%s behind=%v bytes=%d version=%d", leader, behind, v.releaseBytes.Load(), newest.Version)
+	klog.Infof("operator: read redirected to=%s behind=%v bytes=%d version=%d", leader, behind, v.releaseBytes.Load(), newest.Version)
 	return host, errors.Wrapf(err, "entry: leader at %q", leader)
 }
 
-// ReadRelease returns the newest configuration there is, nil when there is none,
-// or an error when no control VM is sure which it is, or this VM does not have it in time.
+// ReadRelease returns the newest configuration, or nil if there is none. It returns an
+// error if no control VM can confirm which one is the newest, or if this VM does not
+// receive it in time.
 //
-// The leader says which it is, and the VM gives back its own. That is the same for a VM that
-// has it, and one that has not is about to get it, mostly as a short change; were the whole
-// sent with the answer, a long configuration would take longer than an operator waits, at
-// every VM that it asks.
+// The leader names the newest version and the VM returns its own copy. A VM that does not
+// have it yet usually receives it soon, as a short delta. If the leader's answer carried
+// the whole configuration, a long one would take longer than an operator waits, at every
+// VM that the operator tries.
 func (v *VM) ReadRelease(ctx context.Context) (*route.Release, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTime)
 	defer cancel()
@@ -193,7 +199,8 @@
 	return route.FromTree(view.Tree)
 }
 
-// reach waits until this VM has the tree that the leader named, or a newer one.
+// waitForVersion waits until this VM has the configuration version that the leader named,
+// or a newer one.
 func (v *VM) reach(ctx context.Context, newest *wire.NewestReply) (*relay.View, error) {
 	for {
 		changed := v.client.Changed()
@@ -209,8 +216,8 @@
 	}
 }
 
-// newest asks the control VMs in turn, following redirects to the leader, until one is
-// sure which tree is the newest. That one leads.
+// queryNewest calls the control VMs in turn, following redirects to the leader, until one
+// confirms which configuration is the newest. Only the leader can confirm it.
 func (v *VM) newest(ctx context.Context) (leader string, newest *wire.NewestReply, err error) {
 	last := errors.New("entry: no control VM is known")
 	for ctx.Err() == nil {
@@ -233,7 +240,7 @@
 	return "", nil, last
 }
 
-// askOne makes one call at a control VM, within limit.
+// callControl makes one call to a control VM, within timeout.
 func (v *VM) askOne(ctx context.Context, addr string, limit time.Duration, call func(context.Context, wire.DRPCControlClient) (redirect string, err error)) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -244,8 +251,8 @@
 	defer func() { _ = conn.Close() }()
 	began := time.Now()
 	redirect, err := call(ctx, wire.NewDRPCControlClient(conn))
-	// A refusal at once is told with the outcome of the whole; in an election there are
-	// sixty a second.
+	// Calls refused at once are not logged one by one, because during an election there
+	// are sixty a second. The caller logs the final outcome.
 	if took := time.Since(began); err != nil && !peer.NotSent(err) && took >= retryPause {
 		klog.Warningf("operator: call to control at %s failed took=%v: %v", addr, took, err)
 	}
--- a/internal/entryvm/vm.go
+++ b/internal/entryvm/vm.go
@@ -26,15 +26,15 @@
 	"pearmoor/internal/vm"
 )
 
-// VM is one process.
+// VM is the process of one entry VM.
 type VM struct {
 	conf  Config
 	seeds atomic.Pointer[[]string]
 	heard contacts
 
-	controlConns *peer.Pool // heartbeats and the control group's messages
-	otherConns   *peer.Pool // everything that may be large or slow
-	partConns    *peer.Pool // parts of gathers
+	controlConns *peer.Pool // heartbeats and the messages of the control group
+	otherConns   *peer.Pool // calls that may be large or slow
+	partConns    *peer.Pool // gathers, handovers and probes
 	seat         *control.Seat
 	client       *relay.Client
 	book         *discovery.LeafCache
@@ -47,12 +47,12 @@
 	steer    steering
 	prober   *prober
 	draining atomic.Bool
-	release  atomic.Uint64 // number of the release in force here
-	// releaseBytes is about what a read of it takes.
+	release  atomic.Uint64 // number of the release in use on this VM
+	// releaseBytes is the estimated size of a read of the release in use.
 	releaseBytes atomic.Int64
 }
 
-// New puts the parts together; nothing runs yet.
+// New creates a VM. Nothing runs until Run.
 func New(conf Config) (*VM, error) {
 	v := &VM{conf: conf}
 	v.SetSeeds(conf.Seeds)
@@ -99,7 +99,7 @@
 		Found: v.conf.FirstStart, Founders: v.founders, Contacts: v.contacts,
 		OnNode: func(n *control.Node) {
 			if err := v.serveNode(n); err != nil {
-				klog.Errorf("entry: control is not served: %v", err)
+				klog.Errorf("entry: registering the control services failed: %v", err)
 			}
 			if n != nil {
 				v.client.SetSeeds(v.contacts())
@@ -108,8 +108,8 @@
 	})
 }
 
-// serveNode offers other daemons what this VM answers now. Where the VM holds no
-// place in the control group, it answers daemons as their relay.
+// registerServices replaces the services offered to other daemons. With a control node,
+// the VM serves as a control VM; without one, it serves other daemons as their relay.
 func (v *VM) serveNode(n *control.Node) error {
 	mux := drpcmux.New()
 	var err error
@@ -130,7 +130,7 @@
 	return v.mux.Load().HandleRPC(stream, rpc)
 }
 
-// SetSeeds names other daemons to fall back to.
+// SetSeeds replaces the seeds.
 func (v *VM) SetSeeds(seeds []string) {
 	seeds = slices.Clone(seeds)
 	v.seeds.Store(&seeds)
@@ -139,7 +139,7 @@
 	}
 }
 
-// contacts returns where the control group may be found or heard of, best first.
+// contacts returns the addresses at which to look for the control group, best first.
 func (v *VM) contacts() []string {
 	var known []string
 	if v.client != nil {
@@ -148,13 +148,15 @@
 	return v.among(known)
 }
 
-// controlContacts returns whom to ask what only control VMs answer, best first. A relay
-// refuses such a call after it has taken in part of it.
+// controlContacts returns the addresses to call for services that only control VMs have,
+// best first. It starts with the known control VMs, not with relays, because a relay
+// refuses such a call only after it has received part of the payload.
 func (v *VM) controlContacts() []string { return v.among(v.client.ControlVMs()) }
 
-// among returns known and all that this VM has heard of besides. A VM that holds a
-// place in the control group comes first, as it has what the group agreed on before it
-// started; one with a disk that may come to hold one comes last.
+// mergeContacts returns known followed by the learned contacts and the seeds. If this VM
+// is a member of the control group, its own address comes first, because its copy on disk
+// holds what the group had agreed on before the VM started. If it only has a disk and may
+// become a member, its own address comes last.
 func (v *VM) among(known []string) []string {
 	var out []string
 	if v.node() != nil {
@@ -178,14 +180,15 @@
 	return v.seat.Node()
 }
 
-// leads reports whether this VM leads the control group, and so reads the list of
-// leaves for all.
+// isLeader reports whether this VM leads the control group. The leader reads the leaf list
+// for all daemons.
 func (v *VM) leads() bool {
 	n := v.node()
 	return n != nil && n.Leads()
 }
 
-// quietDaemons returns the daemons that the leader has not heard for a while.
+// unresponsiveDaemons returns the daemons that the leader has not heard from for
+// unresponsiveAfter.
 func (v *VM) quietDaemons() []string {
 	n := v.node()
 	if n == nil {
@@ -194,12 +197,12 @@
 	return n.Quiet(quietAfter)
 }
 
-// others returns the daemons that may have a newer list of leaves.
+// listUpstreams returns the daemons that may have a newer leaf list.
 func (v *VM) others() []string {
 	return slices.DeleteFunc(v.client.Upstreams(), func(a string) bool { return a == v.conf.PeerAddr })
 }
 
-// daemons returns how many daemons the tier has, 0 while that is not known.
+// daemonCount returns the number of daemons in the tier, or 0 while it is unknown.
 func (v *VM) daemons() int {
 	m := v.client.Current().Members()
 	if m == nil {
@@ -208,21 +211,22 @@
 	return len(m.Members)
 }
 
-// readingSpread is the time over which daemons without a reader spread their own
-// readings, so that together they stay below a third of the list's rate.
+// readJitter returns the period over which daemons spread their own reads of the leaf list
+// while no leader reads it, so that together they stay below a third of the rate limit of
+// the list.
 func (v *VM) readingSpread() time.Duration {
 	pages := 1 + len(v.book.Snapshot().All())/50
 	calls := float64(max(v.daemons(), 1) * pages)
 	return time.Duration(3 * calls / v.conf.ListRate * float64(time.Second))
 }
 
-// Listeners are where a VM takes callers and other daemons.
+// Listeners are the listeners for callers and for other daemons.
 type Listeners struct {
-	Callers net.Listener // nil: takes none
+	Callers net.Listener // nil: accepts no callers
 	Peers   net.Listener
 }
 
-// Run serves until stop ends, then shuts down gracefully within the grace.
+// Run serves until stop ends, then shuts down gracefully within the grace period.
 func (v *VM) Run(stop context.Context, lis Listeners) error {
 	base, end := context.WithCancel(context.WithoutCancel(stop))
 	defer end()
@@ -258,7 +262,7 @@
 	return err
 }
 
-// unlessDone drops the error of a part that stopped because it was told to.
+// ignoreIfDone returns nil in place of err if ctx has ended.
 func unlessDone(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -266,7 +270,7 @@
 	return err
 }
 
-// install puts each new configuration in use and confirms it, until ctx ends.
+// applyConfigs applies each new configuration and acknowledges it, until ctx ends.
 func (v *VM) install(ctx context.Context) {
 	version := uint64(0)
 	var before *settings.Tree
@@ -290,12 +294,12 @@
 	}
 }
 
-// use puts the release of a view in use. One that can't be read leaves the one
-// before in force.
+// applyRelease puts the release of a view into use. If it cannot be decoded, the previous
+// release stays in use.
 func (v *VM) use(view *relay.View) {
 	rel, err := route.FromTree(view.Tree)
 	if err != nil {
-		klog.Errorf("entry: configuration version=%d can't be read, release=%d stays: %v", view.ConfigVersion, v.release.Load(), err)
+		klog.Errorf("entry: configuration version=%d cannot be decoded, release=%d stays in use: %v", view.ConfigVersion, v.release.Load(), err)
 		return
 	}
 	if rel == nil {
@@ -308,7 +312,7 @@
 		rel.Number, view.ConfigVersion, len(rel.Routes), len(rel.Services), view.Confirmed(vm.Now()))
 }
 
-// sizeOf estimates what a read of a release takes, in bytes.
+// estimateReadBytes estimates the size of a read of a release, in bytes.
 func sizeOf(r *route.Release) int64 {
 	n := routeBytes * (len(r.Routes) + len(r.Services))
 	for i := range r.Routes {
--- a/internal/link/peer/authority.go
+++ b/internal/link/peer/authority.go
@@ -17,20 +17,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Authority issues certificates to VMs and operators. It is meant for
-// development and small installations; any authority that writes the same URIs
-// serves as well.
+// Authority is a certificate authority for VMs and operators. It is meant for development
+// and small installations; any authority that issues certificates with the same URIs works
+// as well.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// clockSkew lets a certificate be used at once on a VM whose clock is behind.
+// clockSkew is how far NotBefore lies in the past, so that a new certificate is valid at
+// once on a VM whose clock is behind.
 const clockSkew = 5 * time.Minute
 
 const serialBits = 120
 
-// NewAuthority makes an authority whose certificate is valid for the given time.
+// NewAuthority creates an authority with a new key and a self-signed certificate that is
+// valid for the given time.
 func NewAuthority(validity time.Duration) (*Authority, error) {
 	key, err := newKey()
 	if err != nil {
@@ -45,7 +47,7 @@
 	template.KeyUsage = x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer: sign the authority")
+		return nil, errors.Wrap(err, "peer: sign the authority certificate")
 	}
 	cert, err := x509.ParseCertificate(der)
 	return &Authority{cert: cert, key: key}, err
@@ -80,8 +82,8 @@
 	return writePair(certFile, keyFile, a.cert.Raw, a.key)
 }
 
-// Issue writes a certificate and key for id. Hosts are the IP numbers or DNS
-// names under which a VM is dialed; an operator needs none.
+// Issue writes a certificate and key for id. Hosts are the IP addresses or DNS names under
+// which a VM is dialed; an operator needs none.
 func (a *Authority) Issue(id Identity, hosts []string, validity time.Duration, certFile, keyFile string) error {
 	if _, err := parseURI(id.URI()); err != nil {
 		return err
@@ -123,13 +125,13 @@
 
 func newKey() (*ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	return key, errors.Wrap(err, "peer: make a key")
+	return key, errors.Wrap(err, "peer: generate a key")
 }
 
 func newTemplate(name string, validity time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
-		return nil, errors.Wrap(err, "peer: make a serial number")
+		return nil, errors.Wrap(err, "peer: generate a serial number")
 	}
 	now := time.Now()
 	return &x509.Certificate{
@@ -159,8 +161,8 @@
 	return replacePEM(certFile, pemCertificate, certDER, certMode)
 }
 
-// replacePEM renames a whole file into place, so that a daemon that reloads
-// never reads half of one.
+// replacePEM writes a temporary file and renames it into place, so that a daemon that
+// reloads never reads a partial file.
 func replacePEM(name, kind string, der []byte, mode os.FileMode) error {
 	tmp, err := os.CreateTemp(filepath.Dir(name), ".pem-*")
 	if err != nil {
--- a/internal/link/peer/authorize.go
+++ b/internal/link/peer/authorize.go
@@ -7,8 +7,8 @@
 	"storj.io/drpc/drpcerr"
 )
 
-// rpcKinds says which kind of certificate each drpc service is open to. A
-// service that is not listed is closed to everybody.
+// serviceKinds maps each drpc service to the kind of certificate that may call it. Calls
+// to a service that is not listed are refused.
 var rpcKinds = map[string]Kind{
 	"/pearmoor.wire.Control/":    Operator,
 	"/pearmoor.wire.Spread/":     VM,
@@ -17,9 +17,9 @@
 	"/pearmoor.wire.Home/":       VM,
 }
 
-// authorize refuses a call that is not open to the identity's kind. Without it
-// a certificate taken from any entry VM could edit the settings tree, and an
-// operator's could vote.
+// authorize refuses a call if the service is not open to the identity's kind. Without it
+// the certificate of any entry VM could edit the settings tree, and an operator's
+// certificate could vote in the control group.
 func authorize(rpc string, id Identity) error {
 	service := rpc[:strings.LastIndexByte(rpc, '/')+1]
 	want, known := rpcKinds[service]
--- a/internal/link/peer/bench_test.go
+++ b/internal/link/peer/bench_test.go
@@ -33,8 +33,8 @@
 	return conn
 }
 
-// BenchmarkCall compares a pooled call in plain text and over mutual TLS with one
-// that dials each time, which is what a pool saves.
+// BenchmarkCall compares pooled calls in plain text and over mutual TLS with calls that
+// dial each time.
 func BenchmarkCall(b *testing.B) {
 	dir, a := b.TempDir(), authority(b)
 	server := load(b, issue(b, a, dir, Identity{Name: "c1", Kind: VM})).ServerConfig()
@@ -46,7 +46,7 @@
 	})
 }
 
-// dialEach dials for every call.
+// dialEach is a drpc.Conn that dials for every call.
 type dialEach struct {
 	drpc.Conn
 	pool *Pool
--- a/internal/link/peer/codes.go
+++ b/internal/link/peer/codes.go
@@ -2,27 +2,27 @@
 
 import "storj.io/drpc/drpcerr"
 
-// The codes that travel with an error to the other side.
+// Error codes sent to the other side with an error.
 const (
 	codeNotDone   = 5031
 	codePermanent = 4001
 	codeDenied    = 4031
 )
 
-// NotDone marks an error that a handler returns when it is certain that the call
-// changed nothing, and asking again, or another VM, may help.
+// Retryable marks an error of a handler as one after which the call has certainly changed
+// nothing and a retry, at this or another VM, may succeed.
 func NotDone(err error) error { return drpcerr.WithCode(err, codeNotDone) }
 
-// IsNotDone reports whether the other side marked err with NotDone.
+// IsRetryable reports whether the other side marked err with Retryable.
 func IsNotDone(err error) bool { return drpcerr.Code(err) == codeNotDone }
 
-// Permanent marks an error that a handler returns when the call changed nothing
-// and would fail alike wherever it is sent.
+// Permanent marks an error of a handler as one after which the call has changed nothing
+// and would fail in the same way at any other VM.
 func Permanent(err error) error { return drpcerr.WithCode(err, codePermanent) }
 
 // IsPermanent reports whether the other side marked err with Permanent.
 func IsPermanent(err error) bool { return drpcerr.Code(err) == codePermanent }
 
-// Denied reports whether the other side refused a call for the kind of this
-// side's certificate. Another process of the tier would refuse it as well.
+// IsDenied reports whether the other side refused a call because of the kind of this
+// side's certificate. Every other process of the tier would refuse it as well.
 func Denied(err error) bool { return drpcerr.Code(err) == codeDenied }
--- a/internal/link/peer/dial.go
+++ b/internal/link/peer/dial.go
@@ -16,24 +16,24 @@
 // dialTimeout bounds connecting and the TLS handshake together.
 const dialTimeout = time.Second
 
-// connectAgain is the time after which another connection is tried beside those that
-// have not come about yet, doubled with each up to connectMost. The kernel repeats a lost opening packet
-// after a second, and one that comes to a VM which is only starting is lost.
+// connectRetryDelay is the time after which another connect is started in parallel to the
+// pending ones; it doubles with each, up to maxConnectRetryDelay. The kernel retransmits a
+// lost SYN only after a second, and a SYN to a VM that is still starting is lost.
 const (
 	connectAgain = 50 * time.Millisecond
 	connectMost  = 200 * time.Millisecond
 )
 
-// softCancelGrace lets a request that is still being written finish, so that
-// cancelling it does not cost the connection.
+// softCancelGrace is how long the write of a cancelled request may take to finish. A
+// request that is cut off in the middle would cost the connection.
 const softCancelGrace = 5 * time.Millisecond
 
-// maxMessage bounds one message, in bytes. The largest is a snapshot of the
-// settings tree, a few megabytes at 23,000 leaves.
+// maxMessageSize bounds one message, in bytes. The largest is a snapshot of the settings
+// tree, a few megabytes at 23,000 leaves.
 const maxMessage = 64 << 20
 
-// NotSentError is a call that failed before any byte of it left this process:
-// the other side has not run it, and it may be sent elsewhere.
+// NotSentError is the error of a call that failed before any byte of it left this process.
+// The other side has not run it, and it may be sent to another address.
 type NotSentError struct {
 	Addr  string
 	Cause error
@@ -73,8 +73,8 @@
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-// connect returns the first of several connections to come about, and closes the
-// others.
+// connect returns the first connection to be established of several attempts, and closes
+// the others.
 func connect(ctx context.Context, addr string) (net.Conn, error) {
 	type result struct {
 		conn net.Conn
--- a/internal/link/peer/dial_test.go
+++ b/internal/link/peer/dial_test.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// fullListener listens on loopback and takes nothing from its queue, which one
-// connection fills: the opening packets of further ones are dropped, as they are on
-// their way to a VM that is only starting.
+// fullListener returns a loopback listener with a full accept queue and the connection
+// that fills it. The SYNs of further connections are dropped, like those to a VM that is
+// still starting.
 func fullListener(t *testing.T) (net.Listener, net.Conn) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM, 0)
@@ -29,11 +29,11 @@
 	return lis, first
 }
 
-// A daemon asks a VM that is still starting. The opening packet of its connection
-// is lost, and the kernel sends it again only after a second, though the VM is up a
-// moment later: without a second connection the daemon is a second late.
+// Guards against dials that take a second longer than needed. The SYN to a VM that is
+// still starting is lost, and the kernel retransmits it only after a second, even if the
+// VM is up a moment later. A second parallel connect avoids the delay.
 func TestDialWhileTheOtherSideStarts(t *testing.T) {
-	Convey("Given a VM that drops the first opening packet and is up after 100 ms", t, func() {
+	Convey("Given a VM that drops the first SYN and is up after 100 ms", t, func() {
 		lis, first := fullListener(t)
 		defer lis.Close()
 		defer first.Close()
@@ -49,7 +49,7 @@
 		So(err, ShouldBeNil)
 		defer conn.Close()
 
-		Convey("a call is connected before the kernel repeats the packet", func() {
+		Convey("dial connects before the kernel retransmits the SYN", func() {
 			So(time.Since(began), ShouldBeLessThan, 700*time.Millisecond)
 		})
 	})
--- a/internal/link/peer/health.go
+++ b/internal/link/peer/health.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// dialPause is how long an address that could not be dialed is left alone.
+	// dialBackoff is how long an address is not dialed again after a failed dial.
 	dialPause = 250 * time.Millisecond
-	// refusedPause is the same for one that refused: the VM is there, only its process
-	// is not yet, and a dial that is refused holds nobody up. After a restart of
-	// everything the daemons that are up first ask those that are not.
+	// refusedBackoff is the same after a refused connect. The VM is up and only its
+	// process is not, and a refused dial returns at once. When the whole tier restarts,
+	// the first daemons to start call those that have not started yet.
 	refusedPause = 40 * time.Millisecond
-	// slowDial is the time after which a dial that its caller gave up on counts
-	// against the address, and not against the caller's short deadline.
+	// slowDialThreshold is the time after which a dial that was ended by its caller's
+	// context counts as a failure of the address. Before that, the caller's deadline was
+	// too short to tell.
 	slowDial = 200 * time.Millisecond
 )
 
-// health keeps calls from waiting for an address that does not answer. When a VM
-// is lost without a word, each call would else sit out its own dial, and callers
-// with a second home to turn to would turn there too late. After a failed dial
-// calls fail at once, except for one dial at a time that finds out whether the
-// address is back.
+// health makes calls fail fast while an address does not answer. Otherwise, when a VM
+// fails silently, each call would wait for its own dial to time out, and callers with a
+// second home would turn to it too late. After a failed dial all calls fail at once,
+// except for one dial at a time that probes whether the address is back.
 type health struct {
 	mu      sync.Mutex
 	failure error // of the last dial; nil after a success
@@ -33,8 +33,8 @@
 	probing bool
 }
 
-// allow returns an error if the address is to be left alone now. Each allowed
-// dial is reported to dialed.
+// allow returns an error if the address must not be dialed now. The result of each allowed
+// dial must be reported to recordDial.
 func (h *health) allow(now time.Time) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -57,7 +57,7 @@
 	case err == nil:
 		h.failure = nil
 	case ctx.Err() != nil && now.Sub(began) < slowDial:
-		// The caller gave up early; nothing is known of the address.
+		// The caller gave up early; the result says nothing about the address.
 	case errors.Is(err, syscall.ECONNREFUSED):
 		h.failure, h.pause = err, now.Add(refusedPause)
 	default:
--- a/internal/link/peer/health_test.go
+++ b/internal/link/peer/health_test.go
@@ -13,9 +13,9 @@
 	"pearmoor/internal/link/wire"
 )
 
-// A home's VM is lost without a word. The first call finds out by a dial that
-// times out; those after it must fail at once, so that callers turn to the other
-// home, and one of them must find the VM when it is back.
+// Guards against calls that wait for a lost VM. The VM fails silently and the first dial
+// to it times out. The calls after it must fail at once, so that callers turn to the other
+// home, and one of them must detect when the VM is back.
 func TestHealth(t *testing.T) {
 	Convey("After a failed dial", t, func() {
 		ctx := context.Background()
@@ -27,14 +27,14 @@
 
 		later := time.Now().Add(2 * dialPause)
 		So(h.allow(later), ShouldBeNil)    // the probe
-		So(h.allow(later), ShouldNotBeNil) // others meanwhile
+		So(h.allow(later), ShouldNotBeNil) // other calls during the probe
 
 		Convey("a failed probe starts another pause", func() {
 			before := time.Now()
 			h.dialed(ctx, before, errors.New("timed out"))
 			So(h.allow(before), ShouldNotBeNil)
 		})
-		Convey("a good one opens the address to all", func() {
+		Convey("a successful probe allows all dials", func() {
 			h.dialed(ctx, before, nil)
 			So(h.allow(later), ShouldBeNil)
 			So(h.allow(later), ShouldBeNil)
@@ -46,22 +46,22 @@
 			So(h.allow(later), ShouldBeNil)
 		})
 	})
-	Convey("A caller's short deadline is not held against the address", t, func() {
+	Convey("A dial ended by its caller's short deadline does not count as a failure of the address", t, func() {
 		var h health
 		gone, cancel := context.WithCancel(context.Background())
 		cancel()
 		now := time.Now()
-		h.dialed(gone, now.Add(time.Hour), gone.Err()) // took no time at all
+		h.dialed(gone, now.Add(time.Hour), gone.Err()) // the dial took no time
 		So(h.allow(now), ShouldBeNil)
 		h.dialed(gone, now.Add(-slowDial), gone.Err())
 		So(h.allow(now), ShouldNotBeNil)
 	})
 }
 
-// An address refuses, then a daemon starts there: calls reach it again without
-// anyone resetting the pool.
+// Guards against addresses that stay excluded after a failure. An address refuses
+// connects, then a daemon starts there, and calls must succeed again with the same pool.
 func TestAddressComesBack(t *testing.T) {
-	Convey("A pool finds an address that is back", t, func() {
+	Convey("A pool calls an address that is available again", t, func() {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		addr := lis.Addr().String()
@@ -82,10 +82,11 @@
 	})
 }
 
-// The link is cut without a reset. Only the kernel can notice, and only if told
-// to look: without these options the connection stays open for a quarter of an hour.
+// Guards against connections that stay open for a quarter of an hour after the link was
+// cut without a reset. Only the kernel can detect this, and only with these socket
+// options.
 func TestSocketOptions(t *testing.T) {
-	Convey("Both ends of a connection are watched by the kernel", t, func() {
+	Convey("Both ends of a connection have the socket timeouts", t, func() {
 		client, server := pair(t)
 		So(betweenProcesses.apply(client), ShouldBeNil)
 		for conn, p := range map[net.Conn]patience{client: betweenProcesses, server: withCallers} {
@@ -96,8 +97,8 @@
 		}
 	})
 
-	// The other process hangs: its kernel still acknowledges, and it reads nothing.
-	// Keep-alives are answered, so only the user timeout ends the write.
+	// The other process hangs: its kernel still acknowledges, but the process reads
+	// nothing. Keep-alives are answered, so only the user timeout ends the write.
 	Convey("The kernel ends a write that makes no progress", t, func() {
 		client, _ := pair(t)
 		p := patience{Idle: time.Hour, Interval: time.Hour, UserTimeout: 200 * time.Millisecond}
@@ -112,7 +113,7 @@
 	})
 }
 
-// pair returns the two ends of a connection; the second is accepted as a caller's.
+// connPair returns the two ends of a connection. The server end comes from CallerListener.
 func pair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -150,17 +151,17 @@
 	return value
 }
 
-// VMs are replaced for years under a daemon that goes on: what its pool knows of
-// addresses that are gone must not pile up.
+// Guards against a pool that grows without bound in a daemon that runs for years while the
+// VMs that it calls are replaced.
 func TestPoolForgets(t *testing.T) {
-	Convey("A pool forgets addresses that nobody calls", t, func() {
+	Convey("A pool drops the state of addresses that are no longer called", t, func() {
 		pool := NewPool(nil)
 		defer pool.Close()
 		for _, addr := range []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"} {
 			_, err := pool.Conn(context.Background(), addr)
 			So(err, ShouldBeNil)
 		}
-		pool.peers["127.0.0.1:2"].slots <- struct{}{} // a call under way
+		pool.peers["127.0.0.1:2"].slots <- struct{}{} // a call in flight
 		pool.forgetUnused(time.Now())
 		So(len(pool.peers), ShouldEqual, 3)
 		pool.forgetUnused(time.Now().Add(2 * forgetAfter))
@@ -169,9 +170,9 @@
 	})
 }
 
-// Slow answers pile up at one home. Connections to it must not grow with the
-// calls: the one too many waits for its turn, and if its time ends first it is
-// certain that it was not sent.
+// Guards against an unbounded number of connections to an address that answers slowly. A
+// call beyond the bound waits for a free connection, and if its deadline passes first, it
+// reports that it was not sent.
 func TestBusyAddress(t *testing.T) {
 	Convey("Calls beyond the bound are not sent", t, func() {
 		c := &control{entered: make(chan struct{}, connsPerAddr), hold: make(chan struct{})}
@@ -207,10 +208,10 @@
 	})
 }
 
-// Anything may connect to the peer port. Bytes that are no call must cost that
-// connection only.
+// Guards against a server that fails on invalid input. Any program may connect to the peer
+// port; bytes that are no drpc call must end only their own connection.
 func TestGarbage(t *testing.T) {
-	Convey("Garbage ends its own connection and nothing else", t, func() {
+	Convey("Invalid bytes end only their own connection", t, func() {
 		s := start(t, &control{}, nil)
 		defer func() { So(s.stop(), ShouldBeNil) }()
 		for _, garbage := range []string{"GET / HTTP/1.1\r\n\r\n", "\x16\x03\x01\x02\x00\x01", "\xff\xff\xff\xff\xff\xff\xff\xff"} {
--- a/internal/link/peer/identity.go
+++ b/internal/link/peer/identity.go
@@ -11,17 +11,18 @@
 	"storj.io/drpc/drpcmetadata"
 )
 
-// Kind says what a certificate was issued to.
+// Kind is the kind of a certificate holder.
 type Kind uint8
 
-// The kinds of certificate holders. The zero value is no kind at all, so that a
-// forgotten kind opens nothing.
+// The kinds of certificate holders. The zero value is no valid kind, so a kind that was
+// not set grants no access.
 const (
 	VM       Kind = iota + 1 // a daemon on a VM
-	Operator                 // a person or a pipeline that edits the tree
+	Operator                 // a person or a pipeline that edits the settings tree
 )
 
-// The URI of a certificate is SPIFFE-like: pearmoor://vm/NAME or pearmoor://operator/NAME.
+// uriScheme is the scheme of the URI in a certificate, which is SPIFFE-like:
+// pearmoor://vm/NAME or pearmoor://operator/NAME.
 const uriScheme = "pearmoor"
 
 var kindNames = map[Kind]string{VM: "vm", Operator: "operator"}
@@ -34,8 +35,8 @@
 	return "unknown"
 }
 
-// Identity is the holder of a certificate. Verified is false for a name that
-// was only stated, which happens on plain-text loopback connections alone.
+// Identity is the holder of a certificate. Verified is false for a name that was only
+// claimed in call metadata, which is accepted on plain-text connections only.
 type Identity struct {
 	Name     string
 	Kind     Kind
@@ -47,7 +48,8 @@
 	return &url.URL{Scheme: uriScheme, Host: id.Kind.String(), Path: "/" + id.Name}
 }
 
-// identityOf reads the identity from the one pearmoor URI of a verified certificate.
+// identityFromCert returns the identity in the only pearmoor URI of a verified
+// certificate.
 func identityOf(cert *x509.Certificate) (Identity, error) {
 	var found []Identity
 	for _, u := range cert.URIs {
@@ -69,20 +71,20 @@
 func parseURI(u *url.URL) (Identity, error) {
 	name := strings.TrimPrefix(u.Path, "/")
 	if name == "" || strings.Contains(name, "/") {
-		return Identity{}, errors.Newf("peer: certificate URI %q names nobody; use pearmoor://vm/NAME or pearmoor://operator/NAME", u)
+		return Identity{}, errors.Newf("peer: certificate URI %q has no valid name; use pearmoor://vm/NAME or pearmoor://operator/NAME", u)
 	}
 	for kind, kindName := range kindNames {
 		if u.Host == kindName {
 			return Identity{Name: name, Kind: kind, Verified: true}, nil
 		}
 	}
-	return Identity{}, errors.Newf("peer: certificate URI %q is of no known kind; use pearmoor://vm/NAME or pearmoor://operator/NAME", u)
+	return Identity{}, errors.Newf("peer: certificate URI %q has an unknown kind; use pearmoor://vm/NAME or pearmoor://operator/NAME", u)
 }
 
 type identityKey struct{}
 
-// FromContext returns who made the call that a server handler is answering, and
-// false if the caller did not say.
+// FromContext returns the identity of the caller whose call a server handler is answering,
+// and false if the caller gave none.
 func FromContext(ctx context.Context) (Identity, bool) {
 	if id, ok := ctx.Value(identityKey{}).(Identity); ok {
 		return id, true
@@ -90,11 +92,11 @@
 	return Identity{}, false
 }
 
-// statedOperator is the metadata key of an operator's name on plain text.
+// operatorMetadataKey is the metadata key of an operator's name on plain-text connections.
 const statedOperator = "pearmoor-operator"
 
-// WithOperator states the operator's name on calls made with the returned
-// context. Only servers without TLS heed it: a certificate always wins.
+// WithOperator adds the operator's name to calls made with the returned context. Servers
+// with TLS ignore it and use the certificate.
 func WithOperator(ctx context.Context, name string) context.Context {
 	return drpcmetadata.Add(ctx, statedOperator, name)
 }
@@ -110,15 +112,15 @@
 
 func identityOfState(state tls.ConnectionState) (Identity, error) {
 	if len(state.PeerCertificates) == 0 {
-		return Identity{}, errors.New("peer: the other side showed no certificate")
+		return Identity{}, errors.New("peer: no certificate from the other side")
 	}
 	return identityOf(state.PeerCertificates[0])
 }
 
-// CheckSender returns an error if the certificate behind a call names another VM
-// than the one the call says it is from. Without it, any VM's certificate could
-// keep another VM's lease alive, or end it with a newer incarnation. On plain
-// text nobody can be checked.
+// CheckSender returns an error if the certificate of a call names another VM than the one
+// that the call claims to be from. Without it, any VM's certificate could renew another
+// VM's lease, or end it with a newer incarnation. On plain-text connections there is
+// nothing to check against.
 func CheckSender(ctx context.Context, name string) error {
 	id, ok := FromContext(ctx)
 	if !ok || !id.Verified || id.Name == name {
--- a/internal/link/peer/identity_test.go
+++ b/internal/link/peer/identity_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A name that reads differently after the certificate's encoding would give one
-// VM another's identity.
+// Guards against names that are decoded from a certificate's URI differently than they
+// were encoded, which would give one VM the identity of another.
 func TestIdentityURI(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := Identity{
@@ -19,23 +19,23 @@
 		}
 		u, err := url.Parse(id.URI().String())
 		if err != nil {
-			return // the authority refuses to encode it
+			return // Issue refuses such a URI
 		}
 		got, err := parseURI(u)
 		if id.Name == "" || strings.Contains(id.Name, "/") {
 			if err == nil {
-				t.Fatalf("%q was read as %+v", id.Name, got)
+				t.Fatalf("%q was parsed as %+v", id.Name, got)
 			}
 			return
 		}
 		if err != nil || got != id {
-			t.Fatalf("%+v was read as %+v, %v", id, got, err)
+			t.Fatalf("%+v was parsed as %+v, %v", id, got, err)
 		}
 	})
 }
 
-// FuzzParseURI feeds any URI of a certificate: whatever it is, it names nobody or
-// exactly one holder whose own URI names the same.
+// FuzzParseURI parses arbitrary certificate URIs. Each must be rejected or yield an
+// identity whose own URI yields the same identity.
 func FuzzParseURI(f *testing.F) {
 	for _, seed := range []string{"pearmoor://vm/e1", "pearmoor://operator/asha", "pearmoor://vm/", "pearmoor://vm/a/b", "pearmoor:vm", "pearmoor://vm//x"} {
 		f.Add(seed)
--- a/internal/link/peer/limit.go
+++ b/internal/link/peer/limit.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// leastRate is what a link carries at least, in bytes a second, while it is under way at
-// all: a seventh of the 14 Mbit/s of the smallest VMs, of which callers' requests take
-// what they need. Less than that for seconds is a link in trouble, and a call on it may end.
+// minLinkRate is the minimum rate of a working link, in bytes per second: a seventh of the
+// 14 Mbit/s of the smallest VMs, which callers' requests share. On a link that stays below
+// it for seconds, a call may time out.
 const leastRate = 250_000
 
-// TimeFor returns the limit of a call that carries so many bytes either way: base, and
-// the time that a slow link takes for them. A limit of its own size ends a call that is
-// under way for what it carries, and the next one for the same, for ever: with 1.2 s, an
-// order of 0.8 MB was accepted and never acknowledged. A link that carries nothing at all
-// is found before, by the time-out of the connection (betweenProcesses).
+// CallTimeout returns the timeout of a call that carries the given number of bytes in
+// either direction: base plus the transfer time over a slow link. A fixed timeout would
+// end every retry of a large call in the same way: with 1.2 s, a configuration of 0.8 MB
+// was accepted but never acknowledged. A link that carries nothing at all is detected
+// earlier, by the socket timeouts of the connection (peerTimeouts).
 func TimeFor(base time.Duration, bytes int) time.Duration {
 	return base + time.Duration(bytes)*time.Second/leastRate
 }
--- a/internal/link/peer/lost_test.go
+++ b/internal/link/peer/lost_test.go
@@ -10,9 +10,9 @@
 	"pearmoor/internal/link/wire"
 )
 
-// powerCut passes connections on to a server. After cut those that are open are silent,
-// and what is sent on one is answered with a reset, as by a VM that has lost power and
-// is back; new ones are passed on.
+// powerCycleProxy forwards connections to a server. When epoch changes, it simulates a VM
+// that has lost power and restarted: open connections become silent, data sent on one is
+// answered with a reset, and new connections are forwarded.
 type powerCut struct {
 	lis    net.Listener
 	server string
@@ -72,9 +72,10 @@
 	}
 }
 
-// A control VM loses power and is back. A daemon has four idle connections to it, all of
-// them lost without a word. The call that meets this fails; the next one must get
-// through, or the daemon hears of a change only after four calls and the pauses between.
+// Guards against one failed call for each lost connection. A control VM loses power and
+// restarts while a daemon has four idle connections to it. The call that uses the first of
+// them fails; the next call must succeed. Otherwise the daemon receives changes only after
+// four failed calls and the pauses between them.
 func TestLostConnectionsCostOneCall(t *testing.T) {
 	const conns = 4
 	c := &control{entered: make(chan struct{}), hold: make(chan struct{})}
@@ -103,7 +104,7 @@
 	}
 	p.epoch.Add(1)
 	if _, err := read(pool, addr); err == nil {
-		t.Error("a call on a lost connection is answered")
+		t.Error("a call on a lost connection succeeded")
 	}
 	time.Sleep(10 * time.Millisecond)
 	if _, err := read(pool, addr); err != nil {
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// control answers Read with the name of the caller; hold, if set, keeps Status
-// open until it is closed.
+// controlServer answers Read with the identity of the caller. Status blocks until hold is
+// closed.
 type control struct {
 	wire.DRPCControlUnimplementedServer
 	entered chan struct{}
@@ -48,7 +48,8 @@
 	panic("broken handler")
 }
 
-// asEve is a version for which the caller says that it is eve.
+// versionFromEve is a version in a ReadRequest for which the server checks that the sender
+// is eve.
 const asEve = 666
 
 type testServer struct {
@@ -96,7 +97,7 @@
 	}
 }
 
-// issue writes a certificate of a fresh authority, or of the one given.
+// issue writes the authority's certificate and a certificate that it issues for id.
 func issue(t testing.TB, a *Authority, dir string, id Identity) Files {
 	t.Helper()
 	f := newFiles(dir, id.Kind.String()+"-"+id.Name)
@@ -157,13 +158,13 @@
 			conn, err := pool.Conn(context.Background(), server.addr)
 			So(err, ShouldBeNil)
 			_, err = wire.NewDRPCControlClient(conn).Read(context.Background(), &wire.ReadRequest{Version: asEve})
-			So(IsPermanent(err), ShouldBeTrue) // a name that is not the certificate's
+			So(IsPermanent(err), ShouldBeTrue) // the claimed name differs from the certificate's
 			So(err.Error(), ShouldContainSubstring, `says it is from "eve"`)
 		})
 
-		// A thief who copied the certificate of an entry VM edits the tree: the
-		// handshake succeeds, since the VM is known, and without a check of the
-		// kind the change would be accepted in the VM's name.
+		// An attacker with the certificate of an entry VM tries to edit the settings tree.
+		// The handshake succeeds, since the VM is known, and without a check of the kind
+		// the change would be accepted under the VM's name.
 		Convey("a VM's certificate may not be used for an operator's calls", func() {
 			pool := NewPool(load(t, issue(t, a, dir, Identity{Name: "e1", Kind: VM})).ClientConfig())
 			defer pool.Close()
@@ -182,7 +183,7 @@
 			So(NotSent(err), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, "unknown authority")
 
-			files.CA = filepath.Join(dir, "ca.pem") // trusts the server, is not trusted by it
+			files.CA = filepath.Join(dir, "ca.pem") // the client trusts the server, the server does not trust the client
 			pool2 := NewPool(load(t, files).ClientConfig())
 			defer pool2.Close()
 			_, err = read(pool2, server.addr)
@@ -190,8 +191,8 @@
 		})
 	})
 
-	// The client checks servers itself, so that a replaced authority counts at once.
-	// What the library would have refused must still be refused.
+	// The client verifies servers itself, so that a replaced authority takes effect at
+	// once. Certificates that crypto/tls would reject must still be rejected.
 	Convey("A server is refused whose certificate", t, func() {
 		cases := []struct {
 			name     string
@@ -219,7 +220,7 @@
 		}
 	})
 
-	Convey("A server that shows an operator's certificate is refused", t, func() {
+	Convey("A server with an operator's certificate is refused", t, func() {
 		dir, a := t.TempDir(), authority(t)
 		r := load(t, issue(t, a, dir, Identity{Name: "asha", Kind: Operator}))
 		server := start(t, &control{}, r.ServerConfig())
@@ -231,9 +232,9 @@
 	})
 }
 
-// The authority is replaced while daemons run. The client still trusts only the
-// old one: calls on new connections fail. Once its files are replaced as well,
-// the next handshake reads them, and calls succeed without a restart.
+// Guards against certificates that take effect only after a restart. The authority is
+// replaced while daemons run. New connections fail while the client trusts only the old
+// authority; once the client's files are replaced, the next handshake must read them.
 func TestReload(t *testing.T) {
 	Convey("Replaced files are used by the next handshake", t, func() {
 		serverDir, clientDir, old := t.TempDir(), t.TempDir(), authority(t)
@@ -259,7 +260,7 @@
 		So(try(), ShouldBeNil)
 	})
 
-	Convey("A key that does not fit its certificate leaves the former pair in use", t, func() {
+	Convey("A key that does not match its certificate leaves the previous pair in use", t, func() {
 		dir, a := t.TempDir(), authority(t)
 		files := issue(t, a, dir, Identity{Name: "c1", Kind: VM})
 		r := load(t, files)
@@ -269,10 +270,10 @@
 	})
 }
 
-// A planned stop begins while a call is under way. Serve must not return, and
-// must not close the call's connection, before the call has been answered.
+// Guards against calls that are cut off by a planned stop. Serve must not return, and must
+// not close the connection of a call in flight, before the call has been answered.
 func TestDrainWaits(t *testing.T) {
-	Convey("Serve answers the call under way before it returns", t, func() {
+	Convey("Serve answers the call in flight before it returns", t, func() {
 		c := &control{entered: make(chan struct{}), hold: make(chan struct{})}
 		server := start(t, c, nil)
 		pool := NewPool(nil)
@@ -291,11 +292,11 @@
 		server.cancel()
 		select {
 		case <-server.done:
-			t.Fatal("Serve returned with a call under way")
+			t.Fatal("Serve returned with a call in flight")
 		case <-time.After(2 * drainGrace):
 		}
 		_, err := read(NewPool(nil), server.addr)
-		So(NotSent(err), ShouldBeTrue) // no longer accepts
+		So(NotSent(err), ShouldBeTrue) // the server no longer accepts connections
 		close(c.hold)
 		out := <-got
 		So(out.err, ShouldBeNil)
@@ -315,7 +316,7 @@
 			So(err.Error(), ShouldContainSubstring, "plain text is refused")
 		})
 
-		Convey("carries a stated name", func() {
+		Convey("carries the operator's name from the metadata", func() {
 			server := start(t, &control{}, nil)
 			defer func() { So(server.stop(), ShouldBeNil) }()
 			pool := NewPool(nil)
@@ -327,7 +328,7 @@
 			So(reply.Redirect, ShouldEqual, "operator/ravi")
 		})
 
-		Convey("answers a panic with an error and serves on", func() {
+		Convey("answers a panic with an error and keeps serving", func() {
 			server := start(t, &control{}, nil)
 			defer func() { So(server.stop(), ShouldBeNil) }()
 			pool := NewPool(nil)
@@ -342,7 +343,7 @@
 	})
 }
 
-// manualDeadline is a context whose deadline passes when the test says so.
+// manualDeadline is a context whose deadline passes when the test closes passed.
 type manualDeadline struct {
 	context.Context
 	passed chan struct{}
@@ -359,10 +360,11 @@
 	}
 }
 
-// The other side takes a call and never answers, as after a silent cut. The
-// caller's deadline ends the call, in doubt, and the connection is not kept.
+// Guards against reuse of a silent connection. The other side accepts a call and never
+// answers, as after a silent network cut. The call must end at its deadline without the
+// claim that it was not sent, and its connection must not be reused.
 func TestCutConnection(t *testing.T) {
-	Convey("A call on a silent connection ends by its deadline, and the next dials anew", t, func() {
+	Convey("A call on a silent connection ends at its deadline, and the next call dials again", t, func() {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer lis.Close()
--- a/internal/link/peer/pool.go
+++ b/internal/link/peer/pool.go
@@ -16,16 +16,17 @@
 )
 
 const (
-	// connsPerAddr bounds the calls under way to one address: a drpc connection
-	// carries one call at a time.
+	// connsPerAddr bounds the calls in flight to one address. A drpc connection carries
+	// one call at a time.
 	connsPerAddr = 64
-	// idleExpiry closes a connection that nobody has used for this long.
+	// idleTimeout is how long an unused connection stays open.
 	idleExpiry = time.Minute
-	// maxAge is when a connection is replaced, up to a part earlier so that those
-	// made together are not replaced together.
+	// maxAge is the age at which a connection is replaced. A random part of up to
+	// maxAge/maxAgeJitterDivisor is subtracted, so that connections made at the same time
+	// are not replaced at the same time.
 	maxAge    = 10 * time.Minute
 	ageSpread = 5
-	// forgetAfter is how long an unused address is remembered.
+	// forgetAddressAfter is how long the state of an unused address is kept.
 	forgetAfter = time.Hour
 )
 
@@ -33,7 +34,7 @@
 // not usable; make one with NewPool.
 type Pool struct {
 	conf    *tls.Config
-	trusted bool // plain text is fine to any address
+	trusted bool // plain text is allowed to any address
 	idle    *drpcpool.Pool[string, *agedConn]
 
 	mu     sync.Mutex
@@ -51,18 +52,17 @@
 	}
 }
 
-// NewTrustedPool returns a pool that dials in plain text to any address. It is for
-// a network that nobody but the tier's own VMs can send on, where the operator
-// gives out no certificates.
+// NewTrustedPool returns a pool that dials any address in plain text. It is for a network
+// on which only the tier's own VMs can send, where the operator issues no certificates.
 func NewTrustedPool() *Pool {
 	p := NewPool(nil)
 	p.trusted = true
 	return p
 }
 
-// Conn returns a handle that carries calls to addr, any number at a time. The
-// handle dials when a call needs it, so an unreachable address shows as a
-// NotSentError of the call. Closing the handle leaves pooled connections open.
+// Conn returns a handle for calls to addr; any number of calls may use it concurrently.
+// The handle dials when a call needs it, so an unreachable address is reported as a
+// NotSentError of the call. Closing the handle does not close pooled connections.
 func (p *Pool) Conn(_ context.Context, addr string) (drpc.Conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,8 +79,8 @@
 	return &handle{pool: p, addr: addr, to: to, closed: make(chan struct{})}, nil
 }
 
-// forgetUnused drops what is known of addresses that nobody calls any more. VMs
-// are replaced every day; in a daemon that runs for years they would pile up.
+// evictUnused deletes the state of addresses that are no longer called. VMs are replaced
+// every day, so in a daemon that runs for years the map would grow without bound.
 func (p *Pool) forgetUnused(now time.Time) {
 	for addr, to := range p.peers {
 		if len(to.slots) == 0 && now.Sub(time.Unix(0, to.used.Load())) > forgetAfter {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Close closes the idle connections and refuses new calls. Calls under way go on.
+// Close closes the idle connections and refuses new calls. Calls in flight continue.
 func (p *Pool) Close() error {
 	p.mu.Lock()
 	p.closed = true
@@ -103,16 +103,16 @@
 	return p.closed
 }
 
-// address is what a pool knows of one address.
+// addressState is the state of one address in a pool.
 type address struct {
-	slots chan struct{} // one for each call under way
-	used  atomic.Int64  // Unix time of the newest handle or call, ns
+	slots chan struct{} // one element for each call in flight
+	used  atomic.Int64  // Unix time of the latest handle or call, in ns
 	health
 }
 
-// agedConn is a connection that is not used again once it is old: what was
-// checked when it was made, by an authority that may have been replaced since,
-// does not hold for ever.
+// expiringConn is a connection that is not reused after expiresAt, because the
+// certificates checked in its handshake may have been issued by an authority that has been
+// replaced since.
 type agedConn struct {
 	*drpcconn.Conn
 	retire time.Time
@@ -150,8 +150,9 @@
 		return nil
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		// No answer in time may be a link that was cut silently, on which every
-		// later call would wait as long. A new connection shows it by dialing.
+		// A missing answer may mean that the link was cut silently, and every later call
+		// on this connection would wait as long. With a new connection the dial detects
+		// it.
 		_ = conn.Close()
 	}
 	return err
@@ -176,11 +177,11 @@
 	return stream, nil
 }
 
-// checkLost closes the idle connections to an address on which a call has lost its own.
-// When a process ends, those that were made beside one another are lost together: were
-// each to cost a call, a daemon with five of them to each control VM would go on for
-// seconds after these are back, with longer pauses after each call, before it heard of
-// a change.
+// closeIdleIfLost closes the idle connections to the address if a failed call has lost its
+// connection. When a process ends, all connections to it are lost together. If each of
+// them cost a call, a daemon with five of them to each control VM would receive no change
+// for seconds after the control VMs are back, because the pause after each failed call
+// grows.
 func (h *handle) checkLost(conn *agedConn, err error) {
 	if err == nil {
 		return
--- a/internal/link/peer/reloader.go
+++ b/internal/link/peer/reloader.go
@@ -12,7 +12,7 @@
 	"k8s.io/klog/v2"
 )
 
-// Files names the PEM files of an authority, a certificate and its key.
+// Files are the names of the PEM files of an authority, a certificate and its key.
 type Files struct{ CA, Cert, Key string }
 
 // Load reads the files and returns a Reloader that reads them again when they change.
@@ -36,7 +36,7 @@
 func (f Files) read() (*material, error) {
 	ca, err := os.ReadFile(f.CA)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer: read the authority")
+		return nil, errors.Wrap(err, "peer: read the authority certificate")
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(ca) {
@@ -53,8 +53,8 @@
 	return &material{cert: cert, roots: roots, identity: id}, nil
 }
 
-// stamp tells one content of a file from another; a replaced file has a new
-// inode even where its size and time are the same.
+// fileState identifies the content of a file. A replaced file has a new inode even if its
+// size and modification time are the same.
 type stamp struct {
 	info os.FileInfo
 	err  bool
@@ -87,9 +87,10 @@
 	return true
 }
 
-// Reloader hands out TLS configurations made from files. Each handshake looks
-// whether the files have changed and uses the new ones if they can be read; a
-// half-replaced set is logged once and the last good one stays in use.
+// Reloader provides TLS configurations from files. Each handshake checks whether the files
+// have changed, and uses the new ones if they can be read. If they cannot, for example
+// because only some have been replaced, it logs this once and keeps using the previous
+// ones.
 type Reloader struct {
 	files Files
 
@@ -98,7 +99,7 @@
 	current *material
 }
 
-// Identity returns the name in the certificate now in use.
+// Identity returns the identity in the certificate now in use.
 func (r *Reloader) Identity() Identity { return r.get().identity }
 
 func (r *Reloader) get() *material {
@@ -111,7 +112,7 @@
 	r.stamps = seen
 	loaded, err := r.files.read()
 	if err != nil {
-		klog.Errorf("peer: changed certificate files are unusable, keeping the former ones: %v", err)
+		klog.Errorf("peer: changed certificate files are unusable, keeping the previous ones: %v", err)
 		return r.current
 	}
 	klog.Infof("peer: certificate files reloaded, now %s %q until %s",
@@ -127,8 +128,8 @@
 
 var notAfter = metrics.GetOrRegisterGauge("peer.certificate.not_after", metrics.DefaultRegistry)
 
-// ServerConfig returns a configuration that demands a certificate of the
-// authority from every client.
+// ServerConfig returns a configuration that requires a certificate of the authority from
+// every client.
 func (r *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -139,8 +140,8 @@
 				Certificates: []tls.Certificate{m.cert},
 				ClientCAs:    m.roots,
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				// A resumed session would skip the check against an authority
-				// that has been replaced since.
+				// A resumed session would skip the check against an authority that has
+				// been replaced since.
 				SessionTicketsDisabled: true,
 			}, nil
 		},
@@ -155,8 +156,8 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &r.get().cert, nil
 		},
-		// The library reads RootCAs once, so a replaced authority would need a
-		// restart. VerifyConnection does the whole check against the newest one.
+		// crypto/tls reads RootCAs once, so a replaced authority would need a restart.
+		// VerifyConnection does the whole verification against the current one.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyServer(state, r.get().roots)
@@ -166,7 +167,7 @@
 
 func verifyServer(state tls.ConnectionState, roots *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("peer: the server showed no certificate")
+		return errors.New("peer: no certificate from the server")
 	}
 	intermediates := x509.NewCertPool()
 	for _, cert := range state.PeerCertificates[1:] {
@@ -185,7 +186,7 @@
 		return err
 	}
 	if id.Kind != VM {
-		return errors.Newf("peer: the server's certificate is %s %q; a VM's is needed", id.Kind, id.Name)
+		return errors.Newf("peer: the server's certificate is %s %q; a VM's certificate is required", id.Kind, id.Name)
 	}
 	return nil
 }
--- a/internal/link/peer/reply.go
+++ b/internal/link/peer/reply.go
@@ -5,17 +5,19 @@
 	"storj.io/drpc/drpcenc"
 )
 
-// replyEncoding notes that the reply of a call was received whole. What fails after that
-// is only the word to the other side that the call is done with, and that side may have
-// closed the connection behind its reply, as it does in a planned stop: the call failed at
-// its caller, though it had been run and answered. Nothing is lost by passing over
-// the failure: a connection on which it came about is closed, and not used again.
+// replyEncoding records whether the reply of a call was received completely. A failure
+// after that concerns only the message that tells the other side that the call is
+// finished. The other side may have closed the connection right after its reply, as in a
+// planned stop, and the call would fail at the caller although it had been run and
+// answered. Ignoring the failure is safe: a connection on which it occurs is closed and
+// not reused.
 type replyEncoding struct {
 	drpc.Encoding
 	received bool
 }
 
-// MarshalAppend keeps the way of the wrapped encoding that needs no buffer of its own.
+// MarshalAppend appends to buf, so that an encoding with its own MarshalAppend needs no
+// extra buffer.
 func (e *replyEncoding) MarshalAppend(buf []byte, msg drpc.Message) ([]byte, error) {
 	return drpcenc.MarshalAppend(msg, e.Encoding, buf)
 }
--- a/internal/link/peer/reply_test.go
+++ b/internal/link/peer/reply_test.go
@@ -12,7 +12,7 @@
 	"storj.io/drpc/drpcmanager"
 )
 
-// text is an encoding of strings. It calls onReply when a reply is taken in.
+// stringEncoding is a drpc.Encoding of strings. It calls onReply when a reply is decoded.
 type text struct{ onReply func() }
 
 func (text) Marshal(msg drpc.Message) ([]byte, error) { return []byte(*msg.(*string)), nil }
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// replyAndReset answers one call and resets its connection when reset is closed,
-// before it has said that no more messages come.
+// replyAndReset serves one call and resets the connection when reset is closed, before it
+// has sent the end of the stream.
 func replyAndReset(t *testing.T, reply string, reset <-chan struct{}) (addr string, gone <-chan struct{}) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,10 +59,10 @@
 	return lis.Addr().String(), done
 }
 
-// A daemon's call is answered by a VM in a planned stop, and the caller is told
-// "context canceled". The VM sends the reply and closes the connection behind it; the
-// calling process has taken in the reply, and then fails to tell the other side, on the
-// connection that is gone, that it is done with the call.
+// Guards against calls that fail with "context canceled" although they were answered. A VM
+// in a planned stop sends the reply and closes the connection right after it. The caller
+// has received the reply, and then fails to tell the other side, on the closed connection,
+// that the call is finished.
 func TestReplyBeforeTheConnectionEnds(t *testing.T) {
 	call := func(reply string) (string, error) {
 		reset := make(chan struct{})
@@ -83,16 +83,16 @@
 		err = conn.Invoke(ctx, "/any/call", enc, &in, &out)
 		return out, err
 	}
-	Convey("A reply that was received whole is a reply, though the connection ends behind it", t, func() {
+	Convey("A call succeeds once its whole reply was received, even if the connection ends after it", t, func() {
 		out, err := call("answer")
 		So(err, ShouldBeNil)
 		So(out, ShouldEqual, "answer")
 	})
-	Convey("A reply that can't be read is none", t, func() {
+	Convey("A call fails if its reply cannot be decoded", t, func() {
 		_, err := call("")
 		So(err, ShouldNotBeNil)
 	})
-	Convey("A connection that ends without a reply fails its call", t, func() {
+	Convey("A call fails if the connection ends without a reply", t, func() {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer lis.Close()
--- a/internal/link/peer/server.go
+++ b/internal/link/peer/server.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// handshakeTimeout bounds how long an unproven client may hold a connection.
+	// handshakeTimeout bounds how long an unauthenticated client may hold a connection.
 	handshakeTimeout = 3 * time.Second
-	// drainGrace is how long an idle connection stays open once the server
-	// stops. A call that was on its way when the stop began arrives in this
-	// time and is answered; closing at once would cut it off.
+	// drainGrace is how long idle connections stay open after the server begins to stop. A
+	// call that was already on its way then arrives in this time and is answered.
 	drainGrace = 300 * time.Millisecond
-	// acceptPause keeps a process that is out of descriptors from spinning.
+	// acceptRetryDelay is the pause after a failed accept, so that a process without free
+	// file descriptors does not loop at full speed.
 	acceptPause = 50 * time.Millisecond
 )
 
-// Serve answers calls on lis until ctx ends. It then stops accepting, waits for
-// the calls under way however long they take, and returns nil. With a nil
-// tlsConf it serves plain text, which it refuses on a non-loopback address.
+// Serve serves calls on lis until ctx ends. It then stops accepting, waits for the calls
+// in flight without a time limit, and returns nil. With a nil tlsConf it serves plain
+// text, which it refuses on a non-loopback address.
 func Serve(ctx context.Context, lis net.Listener, mux drpc.Handler, tlsConf *tls.Config) error {
 	if tlsConf == nil {
 		if err := requireLoopback(lis.Addr().String()); err != nil {
@@ -38,7 +38,7 @@
 	return serve(ctx, lis, mux, tlsConf)
 }
 
-// ServeTrusted is Serve in plain text on any address: see NewTrustedPool.
+// ServeTrusted is like Serve with plain text on any address. See NewTrustedPool.
 func ServeTrusted(ctx context.Context, lis net.Listener, mux drpc.Handler) error {
 	return serve(ctx, lis, mux, nil)
 }
@@ -95,7 +95,8 @@
 	s.untrack(c)
 }
 
-// open shakes hands and learns who the client is.
+// secureConn sets the socket timeouts, runs the TLS handshake if TLS is configured and
+// determines the client's identity.
 func (s *server) open(raw net.Conn) (*serverConn, error) {
 	if err := betweenProcesses.apply(raw); err != nil {
 		return nil, err
@@ -144,7 +145,7 @@
 	}
 	s.mu.Unlock()
 	if busy > 0 {
-		klog.Infof("peer: waiting for %d calls", busy)
+		klog.Infof("peer: waiting for %d calls in flight", busy)
 	}
 	s.wg.Wait()
 }
--- a/internal/link/peer/serverconn.go
+++ b/internal/link/peer/serverconn.go
@@ -13,7 +13,7 @@
 	"storj.io/drpc/drpcmanager"
 )
 
-// serverConn is one client's connection and the call it carries, if any.
+// serverConn is the connection of one client and the state of the call on it, if any.
 type serverConn struct {
 	man *drpcmanager.Manager
 	id  *Identity // nil on plain text
@@ -27,7 +27,7 @@
 	return &serverConn{man: drpcmanager.NewWithOptions(conn, managerOptions()), id: id}
 }
 
-// serve answers one call after the other until the client leaves or stop is called.
+// serve handles one call after the other until the client disconnects or stop is called.
 func (c *serverConn) serve(mux drpc.Handler) {
 	ctx := context.Background()
 	if c.id != nil {
@@ -71,7 +71,8 @@
 	return mux.HandleRPC(stream, rpc)
 }
 
-// begin marks a call under way, and reports false if the connection is to close.
+// beginCall marks a call as in flight. It returns false if the connection must close
+// instead.
 func (c *serverConn) begin() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,7 +83,7 @@
 	return true
 }
 
-// end marks the call done, and reports false if the connection is to close.
+// endCall marks the call as finished. It returns false if the connection must close now.
 func (c *serverConn) end() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,8 +91,8 @@
 	return !c.stopping
 }
 
-// stop closes the connection now if it is idle, else after its call. It reports
-// whether a call is under way.
+// stop closes the connection at once if it is idle, and otherwise after its call. It
+// reports whether a call is in flight.
 func (c *serverConn) stop() bool {
 	c.mu.Lock()
 	busy := c.busy
@@ -105,7 +106,8 @@
 
 func (c *serverConn) close() { _ = c.man.Close() }
 
-// statedStream carries the name that a plain-text client states.
+// metadataIdentityStream adds the identity from the call metadata of a plain-text client
+// to the context.
 type statedStream struct{ drpc.Stream }
 
 // Context implements drpc.Stream.
--- a/internal/link/peer/socket.go
+++ b/internal/link/peer/socket.go
@@ -9,21 +9,22 @@
 	"k8s.io/klog/v2"
 )
 
-// patience says how long the kernel keeps a connection whose other side has gone
-// silent. Such a connection looks open to both ends for a quarter of an hour.
-// Keep-alives find it while nothing is being sent. The user timeout finds it while
-// sent bytes stay unacknowledged, which keep-alives do not probe, or while the
-// other side lives and takes nothing.
+// socketTimeouts defines how long the kernel keeps a connection whose other side no longer
+// answers. Without them such a connection looks open to both ends for a quarter of an
+// hour. Keep-alives detect it while nothing is being sent. The user timeout detects it
+// while sent bytes stay unacknowledged, when the kernel sends no keep-alives, or while the
+// other side's kernel answers but its process reads nothing.
 type patience struct {
 	Idle        time.Duration // before the first keep-alive
 	Interval    time.Duration // between keep-alives, of which keepAliveCount may fail
-	UserTimeout time.Duration // without progress of what was sent
+	UserTimeout time.Duration // without progress of sent bytes
 }
 
 const keepAliveCount = 3
 
-// Between the tier's processes a silent link is given up within 5 s. A caller may
-// stall for longer, on a phone in the hills, and still gets its whole answer.
+// A connection between the tier's processes that gets no answer is closed within 5 s. A
+// caller may stall for longer, for example on a mobile network, and still receives its
+// whole answer.
 var (
 	betweenProcesses = patience{Idle: 2 * time.Second, Interval: time.Second, UserTimeout: 4 * time.Second}
 	withCallers      = patience{Idle: 15 * time.Second, Interval: 5 * time.Second, UserTimeout: 30 * time.Second}
@@ -54,7 +55,8 @@
 	return errors.Wrap(errors.CombineErrors(err, setErr), "peer: set user timeout")
 }
 
-// requireLoopback refuses plain text on an address that other machines reach.
+// requireLoopback returns an error for an address that other machines can reach, where
+// plain text is refused.
 func requireLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -66,8 +68,8 @@
 	return nil
 }
 
-// WatchCallers returns lis with keep-alives and a user timeout, patient enough for
-// callers far away, on every connection it accepts.
+// CallerListener returns a listener that sets keep-alives and a user timeout on every
+// connection that lis accepts, long enough for callers on slow networks.
 func WatchCallers(lis net.Listener) net.Listener { return watchedListener{lis, withCallers} }
 
 type watchedListener struct {
@@ -82,7 +84,7 @@
 		return nil, err
 	}
 	if err := l.patience.apply(conn); err != nil {
-		klog.Warningf("%v", err) // it serves without the probes
+		klog.Warningf("%v", err) // the connection works without the timeouts
 	}
 	return conn, nil
 }
--- a/internal/link/peer/walk.go
+++ b/internal/link/peer/walk.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Walk asks the daemons at addrs in turn until one has answered or ctx ends, and
-// follows redirects: the one that a daemon names is asked next. No address is asked
-// twice. It reports whether one has answered.
+// TryEach calls ask for the daemons at addrs in turn until one has answered or ctx ends.
+// It follows redirects: the daemon that a redirect names is asked next. No address is
+// asked twice. It reports whether a daemon has answered.
 func Walk(ctx context.Context, addrs []string, ask func(addr string) (redirect string, answered bool)) bool {
 	asked := make(map[string]bool)
 	todo := append([]string(nil), addrs...)
--- a/internal/link/peer/walk_test.go
+++ b/internal/link/peer/walk_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Two daemons name each other as the one to ask. Each is asked once, and the others are
-// still reached.
+// Guards against endless redirects. Two daemons redirect to each other; each must be asked
+// once, and the remaining daemons must still be asked.
 func TestWalkEndsInCircles(t *testing.T) {
 	var asked []string
 	redirects := map[string]string{"a": "b", "b": "a", "c": "d"}
@@ -16,6 +16,6 @@
 		return redirects[addr], addr == "d"
 	})
 	if !answered || !slices.Equal(asked, []string{"a", "b", "c", "d"}) {
-		t.Errorf("asked %v, answered %v", asked, answered)
+		t.Errorf("asked %v, got answered=%v", asked, answered)
 	}
 }
