--- a/internal/entryvm/config.go
+++ b/internal/entryvm/config.go
@@ -43,21 +43,21 @@
 	// listReadFraction is the fraction of LeafDrainTime between two reads of the leaf
 	// list. A read, its distribution to all daemons and the end of a request sent just
 	// before must fit in the rest.
-	listEvery = 0.36
+	listReadFraction = 0.36
 	// fallbackFraction is the fraction of LeafDrainTime after which a daemon that has
 	// received no leaf list reads the list itself.
-	aloneAfter = 0.8
+	fallbackFraction = 0.8
 	// diskReserveDivisor defines the free space, as capacity divided by it, below which
 	// the control group accepts no change, so that votes and snapshots can still be
 	// written.
-	diskReserve = 8
+	diskReserveDivisor = 8
 	// auditDivisor defines the space for the audit trail, as capacity divided by it. On 64
 	// MB that is 8 MB or about 40,000 changes, three weeks at 1,900 changes a day.
-	auditShare = 8
+	auditDivisor = 8
 	// removeVoterAfter is how long a voter may stay silent, beyond the second after which
 	// it counts as silent, before the group removes it where it has enough voters left. A
 	// killed process restarts within that time.
-	silentAfter = 1500 * time.Millisecond
+	removeVoterAfter = 1500 * time.Millisecond
 	// controlTick is the tick of the control group. A lost leader is replaced after 10 to
 	// 20 ticks, and the leader sends a heartbeat every second tick.
 	controlTick = 50 * time.Millisecond
@@ -65,15 +65,15 @@
 	// unresponsiveAfter how long a daemon may be silent before callers are no longer sent
 	// to it: two heartbeats and a slow call. A VM without power does not answer connects,
 	// which costs each caller that tries it a second.
-	heartbeatEvery = 500 * time.Millisecond
-	quietAfter     = 1400 * time.Millisecond
+	heartbeatInterval = 500 * time.Millisecond
+	unresponsiveAfter = 1400 * time.Millisecond
 	// addressListLifetime is how long callers may keep an address list. With a short
 	// lifetime callers soon stop using a VM that stops or is lost. With a long one they
 	// request a new list less often, which costs a second each time a VM without power is
 	// asked first.
-	addressLifetime = 4 * time.Second
+	addressListLifetime = 4 * time.Second
 	// substituteListLifetime is the lifetime of a list that names daemons in place of lost
 	// ones. It is short because the lost daemons are the better choice as soon as they are
 	// back.
-	substituteLifetime = time.Second
+	substituteListLifetime = time.Second
 )
--- a/internal/entryvm/contacts_test.go
+++ b/internal/entryvm/contacts_test.go
@@ -11,17 +11,17 @@
 	"pearmoor/internal/link/peer"
 )
 
-func TestContactsKeepTheNewestFirst(t *testing.T) {
+func TestLearnedContactsListsLatestFirst(t *testing.T) {
 	Convey("The latest address comes first, each address is listed once, and the oldest are dropped", t, func() {
-		c := &contacts{}
-		So(c.learn([]string{"a", "b"}), ShouldBeTrue)
-		So(c.learn([]string{"b", "c"}), ShouldBeTrue)
-		So(c.learn([]string{"c"}), ShouldBeFalse)
+		c := &learnedContacts{}
+		So(c.add([]string{"a", "b"}), ShouldBeTrue)
+		So(c.add([]string{"b", "c"}), ShouldBeTrue)
+		So(c.add([]string{"c"}), ShouldBeFalse)
 		So(c.list(), ShouldResemble, []string{"c", "b", "a"})
-		for i := range mostContacts {
-			c.learn([]string{string(rune('k' + i))})
+		for i := range maxContacts {
+			c.add([]string{string(rune('k' + i))})
 		}
-		So(len(c.list()), ShouldEqual, mostContacts)
+		So(len(c.list()), ShouldEqual, maxContacts)
 		So(c.list(), ShouldNotContain, "a")
 	})
 }
@@ -51,7 +51,7 @@
 // Guards against two control groups in one tier. A tier starts for the first time and one
 // of its three seeds starts late. VMs with different sets of founders would create groups
 // of their own, each with its own configuration.
-func TestFoundersWaitForEverySeed(t *testing.T) {
+func TestFoundersWaitsForEverySeed(t *testing.T) {
 	Convey("Given three seeds of which two have a disk and one is not up yet", t, func() {
 		first, second, late := listen(t), listen(t), listen(t)
 		seeds := []string{first.Addr().String(), second.Addr().String(), late.Addr().String()}
--- a/internal/entryvm/drain.go
+++ b/internal/entryvm/drain.go
@@ -13,37 +13,37 @@
 	// acceptFraction is the fraction of the grace period during which a stopping daemon
 	// still accepts requests, because callers keep its address for a while and continue to
 	// use open connections.
-	moveShare = 0.6
+	acceptFraction = 0.6
 	// finishFraction is the fraction of the grace period after which the requests in
 	// flight are cut off. The rest is for transferring leadership.
-	endShare = 0.9
+	finishFraction = 0.9
 	// finalAnswerTime is reserved for sending final answers to the requests that are still
 	// in flight. They include requests that were received just before the daemon stopped
 	// accepting and that no leaf answers; without it their callers would see a closed
 	// connection.
-	finalAnswers = 150 * time.Millisecond
+	finalAnswerTime = 150 * time.Millisecond
 )
 
 // drain shuts the VM down gracefully. Callers learn from the address list, and from each
 // answer on an open connection, to use another daemon. Until then the daemon serves them,
 // and it sends a complete answer to every request that it has read.
 func (v *VM) drain() {
-	began := time.Now()
+	start := time.Now()
 	v.draining.Store(true)
 	v.client.SetPhase(vm.Draining)
 	klog.Infof("entry: %s is draining", v.conf.Name)
-	time.Sleep(time.Duration(moveShare * float64(v.conf.Grace)))
-	end := began.Add(time.Duration(endShare * float64(v.conf.Grace)))
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	time.Sleep(time.Duration(acceptFraction * float64(v.conf.Grace)))
+	deadline := start.Add(time.Duration(finishFraction * float64(v.conf.Grace)))
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	defer time.AfterFunc(time.Until(end.Add(-finalAnswers)), v.engine.FinishAll).Stop()
+	defer time.AfterFunc(time.Until(deadline.Add(-finalAnswerTime)), v.engine.FinishAll).Stop()
 	if err := v.server.Shutdown(ctx); err != nil {
 		klog.Warningf("entry: %s stopped before all requests in flight had ended: %v", v.conf.Name, err)
 	}
 	v.client.SetPhase(vm.Gone)
-	time.Sleep(farewell)
+	time.Sleep(goneReportTime)
 }
 
 // goneReportTime is how long drain waits for the Gone phase to reach the control group. It
 // suffices on a working network.
-const farewell = 60 * time.Millisecond
+const goneReportTime = 60 * time.Millisecond
--- a/internal/entryvm/fleet_test.go
+++ b/internal/entryvm/fleet_test.go
@@ -17,14 +17,14 @@
 // fleet runs the leaves of a tier and counts their crashes by the path of the request that
 // caused them.
 type fleet struct {
-	t     *testing.T
-	deals atomic.Int64 // counter for incarnations, signatures and bodies
-
-	mu     sync.Mutex
-	leaves []*fleetLeaf
-	third  map[string]time.Time       // by path: time of the third crash
-	ends   map[string]int             // by path
-	late   map[string]map[string]bool // by path: attempts that reached leaves more than detectionTime after that
+	t      *testing.T
+	nextID atomic.Int64 // counter for incarnations, signatures and bodies
+
+	mu           sync.Mutex
+	leaves       []*fleetLeaf
+	thirdCrash   map[string]time.Time       // by path: time of the third crash
+	crashes      map[string]int             // by path
+	lateAttempts map[string]map[string]bool // by path: attempts that reached leaves more than detectionTime after that
 }
 
 // fleetLeaf is a leaf at a fixed address through all its incarnations.
@@ -38,10 +38,10 @@
 }
 
 // crashSuffix is the suffix of paths that crash the leaves that run them.
-const fatal = "fatal"
+const crashSuffix = "fatal"
 
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, third: map[string]time.Time{}, ends: map[string]int{}, late: map[string]map[string]bool{}}
+	f := &fleet{t: t, thirdCrash: map[string]time.Time{}, crashes: map[string]int{}, lateAttempts: map[string]map[string]bool{}}
 	for s := range crashShards {
 		for d := range 2 {
 			f.add(shardName(s), fmt.Sprintf("hall-%d", d))
@@ -73,7 +73,7 @@
 func (l *fleetLeaf) start(lis net.Listener) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.id = fmt.Sprintf("i-%d", l.f.deals.Add(1))
+	l.id = fmt.Sprintf("i-%d", l.f.nextID.Add(1))
 	id := l.id
 	l.srv = &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { l.serve(w, r, id) })}
 	go func(srv *http.Server) { _ = srv.Serve(lis) }(l.srv)
@@ -89,14 +89,14 @@
 	}
 	l.id = ""
 	_ = l.srv.Close()
-	time.AfterFunc(crashDown, func() {
+	time.AfterFunc(crashDowntime, func() {
 		for {
 			lis, err := net.Listen("tcp", l.addr)
 			if err == nil {
 				l.start(lis)
 				return
 			}
-			time.Sleep(crashDown / 10)
+			time.Sleep(crashDowntime / 10)
 		}
 	})
 }
@@ -107,53 +107,53 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if strings.HasSuffix(r.URL.Path, fatal) {
-		l.f.reached(r)
+	if strings.HasSuffix(r.URL.Path, crashSuffix) {
+		l.f.recordAttempt(r)
 		time.Sleep(5 * time.Millisecond)
-		l.f.ended(r.URL.Path)
+		l.f.recordCrash(r.URL.Path)
 		l.crash(id)
 		panic(http.ErrAbortHandler)
 	}
 	time.Sleep(2 * time.Millisecond)
-	w.Header().Set(crashDialect.Signature, fmt.Sprintf("s%d", l.f.deals.Add(1)))
-	_, _ = fmt.Fprintf(w, "%016d", l.f.deals.Add(1))
+	w.Header().Set(crashDialect.Signature, fmt.Sprintf("s%d", l.f.nextID.Add(1)))
+	_, _ = fmt.Fprintf(w, "%016d", l.f.nextID.Add(1))
 }
 
 // recordAttempt counts an attempt that reaches a leaf more than detectionTime after the
 // third crash.
-func (f *fleet) reached(r *http.Request) {
+func (f *fleet) recordAttempt(r *http.Request) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	path := r.URL.Path
-	if third, ok := f.third[path]; ok && time.Since(third) > knownWithin {
-		if f.late[path] == nil {
-			f.late[path] = map[string]bool{}
+	if third, ok := f.thirdCrash[path]; ok && time.Since(third) > detectionTime {
+		if f.lateAttempts[path] == nil {
+			f.lateAttempts[path] = map[string]bool{}
 		}
-		f.late[path][r.Header.Get(crashDialect.RequestID)] = true
+		f.lateAttempts[path][r.Header.Get(crashDialect.RequestID)] = true
 	}
 }
 
-func (f *fleet) ended(path string) {
+func (f *fleet) recordCrash(path string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.ends[path]++; f.ends[path] == 3 {
-		f.third[path] = time.Now()
+	if f.crashes[path]++; f.crashes[path] == 3 {
+		f.thirdCrash[path] = time.Now()
 	}
 }
 
-func (f *fleet) endsOf(path string) int {
+func (f *fleet) crashCount(path string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ends[path]
+	return f.crashes[path]
 }
 
-func (f *fleet) checkRetries(path string) {
+func (f *fleet) checkLateAttempts(path string) {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.t.Logf("%s: %d leaves crashed, %d attempts reached leaves more than %v after the third crash", path, f.ends[path], len(f.late[path]), knownWithin)
-	if n := len(f.late[path]); n > mostRetries {
-		f.t.Errorf("%s: %d attempts reached leaves more than %v after it had crashed three, at most %d may", path, n, knownWithin, mostRetries)
+	f.t.Logf("%s: %d leaves crashed, %d attempts reached leaves more than %v after the third crash", path, f.crashes[path], len(f.lateAttempts[path]), detectionTime)
+	if n := len(f.lateAttempts[path]); n > maxLateAttempts {
+		f.t.Errorf("%s: %d attempts reached leaves more than %v after it had crashed three, at most %d may", path, n, detectionTime, maxLateAttempts)
 	}
 }
 
@@ -171,12 +171,12 @@
 }
 
 // crashLeaves crashes the running leaves for which accepts returns true.
-func (f *fleet) crashSome(pick func(*fleetLeaf) bool) {
+func (f *fleet) crashLeaves(accepts func(*fleetLeaf) bool) {
 	for _, l := range f.leaves {
 		l.mu.Lock()
 		id := l.id
 		l.mu.Unlock()
-		if id != "" && pick(l) {
+		if id != "" && accepts(l) {
 			l.crash(id)
 		}
 	}
--- a/internal/entryvm/metrics.go
+++ b/internal/entryvm/metrics.go
@@ -23,13 +23,13 @@
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 		out := bufio.NewWriter(w)
 		metrics.DefaultRegistry.Each(func(name string, m any) {
-			writeMetric(out, metricPrefix+strings.Map(metricRune, name), m)
+			writeMetric(out, metricPrefix+strings.Map(sanitizeRune, name), m)
 		})
 		_ = out.Flush()
 	})
 }
 
-func metricRune(r rune) rune {
+func sanitizeRune(r rune) rune {
 	if r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' {
 		return r
 	}
--- a/internal/entryvm/near.go
+++ b/internal/entryvm/near.go
@@ -16,100 +16,102 @@
 	// call; the time doubles with each consecutive failure. initialBackoff is the time in
 	// which other daemons notice a lost one; a killed process restarts within one or two
 	// seconds.
-	restFirst   = 500 * time.Millisecond
-	restLongest = 4 * time.Second
+	initialBackoff = 500 * time.Millisecond
+	maxBackoff     = 4 * time.Second
 )
 
 // peerDaemons selects and calls the daemons that serve parts of gathers or take over
 // requests. It implements forward.PeerDaemons.
-type nearDaemons struct {
+type peerDaemons struct {
 	v *VM
 
 	mu     sync.Mutex
-	byAddr map[string]*helper
+	byAddr map[string]*peerState
 }
 
 // peerState is the load and failure state of one daemon.
-type helper struct {
-	asked    int // calls in flight
-	failures int // consecutive
-	restTill vm.Instant
+type peerState struct {
+	inFlight     int // calls in flight
+	failures     int // consecutive
+	backoffUntil vm.Instant
 }
 
-func newNearDaemons(v *VM) *nearDaemons { return &nearDaemons{v: v, byAddr: make(map[string]*helper)} }
+func newPeerDaemons(v *VM) *peerDaemons {
+	return &peerDaemons{v: v, byAddr: make(map[string]*peerState)}
+}
 
 // DelegateAddr implements forward.PeerDaemons. It selects one of the delegates of this
 // daemon in the domain.
-func (n *nearDaemons) DelegateAddr(domain string) string {
-	ms := n.v.client.Current().Members()
+func (d *peerDaemons) DelegateAddr(domain string) string {
+	ms := d.v.client.Current().Members()
 	if ms == nil {
 		return ""
 	}
-	return n.pick(n.v.helpers(ms), func(m *vm.Member) bool { return m.Domain == domain })
+	return d.pick(d.v.delegates(ms), func(m *vm.Member) bool { return m.Domain == domain })
 }
 
 // HandoverAddr implements forward.PeerDaemons. It selects a daemon with sufficient CPU, in
 // this daemon's own domain if possible, and none if this daemon has sufficient CPU itself.
-func (n *nearDaemons) HandoverAddr(asked []string) string {
-	ms := n.v.client.Current().Members()
+func (d *peerDaemons) HandoverAddr(tried []string) string {
+	ms := d.v.client.Current().Members()
 	if ms == nil {
 		return ""
 	}
-	fit := n.v.choose(ms).fit
-	if slices.ContainsFunc(fit, n.v.isSelf) {
+	sufficient := d.v.roles(ms).sufficientCPU
+	if slices.ContainsFunc(sufficient, d.v.isSelf) {
 		return ""
 	}
-	fresh := func(m *vm.Member) bool { return !slices.Contains(asked, m.PeerAddr) }
-	if addr := n.pick(fit, func(m *vm.Member) bool { return m.Domain == n.v.conf.Domain && fresh(m) }); addr != "" {
+	untried := func(m *vm.Member) bool { return !slices.Contains(tried, m.PeerAddr) }
+	if addr := d.pick(sufficient, func(m *vm.Member) bool { return m.Domain == d.v.conf.Domain && untried(m) }); addr != "" {
 		return addr
 	}
-	return n.pick(fit, fresh)
+	return d.pick(sufficient, untried)
 }
 
 // pick returns the address of the daemon with the fewest calls from this one in flight,
 // among the candidates for which accepts returns true and that are not in backoff. Ties
 // are broken at random.
-func (n *nearDaemons) pick(among []*vm.Member, wanted func(*vm.Member) bool) string {
+func (d *peerDaemons) pick(candidates []*vm.Member, accepts func(*vm.Member) bool) string {
 	now := vm.Monotonic()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	var best *helper
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var best *peerState
 	addr, ties := "", 0
-	for _, m := range among {
-		if !wanted(m) || m.PeerAddr == n.v.conf.PeerAddr {
+	for _, m := range candidates {
+		if !accepts(m) || m.PeerAddr == d.v.conf.PeerAddr {
 			continue
 		}
-		h := n.of(m.PeerAddr)
-		if now < h.restTill {
+		state := d.state(m.PeerAddr)
+		if now < state.backoffUntil {
 			continue
 		}
 		switch {
-		case best == nil || h.asked < best.asked:
-			best, addr, ties = h, m.PeerAddr, 1
-		case h.asked == best.asked:
+		case best == nil || state.inFlight < best.inFlight:
+			best, addr, ties = state, m.PeerAddr, 1
+		case state.inFlight == best.inFlight:
 			if ties++; rand.N(ties) == 0 {
-				best, addr = h, m.PeerAddr
+				best, addr = state, m.PeerAddr
 			}
 		}
 	}
 	if best != nil {
-		best.asked++
+		best.inFlight++
 	}
 	return addr
 }
 
-func (n *nearDaemons) of(addr string) *helper {
-	h := n.byAddr[addr]
-	if h == nil {
-		h = &helper{}
-		n.byAddr[addr] = h
+func (d *peerDaemons) state(addr string) *peerState {
+	state := d.byAddr[addr]
+	if state == nil {
+		state = &peerState{}
+		d.byAddr[addr] = state
 	}
-	return h
+	return state
 }
 
 // OpenScatter implements forward.PeerDaemons.
-func (n *nearDaemons) OpenScatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error) {
-	conn, err := n.v.partConns.Conn(ctx, addr)
+func (d *peerDaemons) OpenScatter(ctx context.Context, addr string) (wire.DRPCGather_ScatterClient, error) {
+	conn, err := d.v.gatherConns.Conn(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -117,8 +119,8 @@
 }
 
 // OpenHandover implements forward.PeerDaemons.
-func (n *nearDaemons) OpenHandover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error) {
-	conn, err := n.v.partConns.Conn(ctx, addr)
+func (d *peerDaemons) OpenHandover(ctx context.Context, addr string) (wire.DRPCGather_HandoverClient, error) {
+	conn, err := d.v.gatherConns.Conn(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -126,29 +128,29 @@
 }
 
 // ReportResult implements forward.PeerDaemons.
-func (n *nearDaemons) ReportResult(addr string, err error) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	h := n.of(addr)
-	h.asked--
+func (d *peerDaemons) ReportResult(addr string, err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	state := d.state(addr)
+	state.inFlight--
 	if err == nil {
-		h.failures = 0
+		state.failures = 0
 	} else {
-		h.rest()
+		state.backOff()
 	}
-	if h.asked == 0 && h.failures == 0 {
-		delete(n.byAddr, addr) // VMs are replaced daily; the map must not grow
+	if state.inFlight == 0 && state.failures == 0 {
+		delete(d.byAddr, addr) // VMs are replaced daily; the map must not grow
 	}
 }
 
 // ReportOverdue implements forward.PeerDaemons.
-func (n *nearDaemons) ReportOverdue(addr string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.of(addr).rest()
+func (d *peerDaemons) ReportOverdue(addr string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.state(addr).backOff()
 }
 
-func (h *helper) rest() {
-	h.restTill = vm.Monotonic().Add(min(restFirst<<min(h.failures, 8), restLongest))
-	h.failures++
+func (s *peerState) backOff() {
+	s.backoffUntil = vm.Monotonic().Add(min(initialBackoff<<min(s.failures, 8), maxBackoff))
+	s.failures++
 }
--- a/internal/entryvm/quarantine_test.go
+++ b/internal/entryvm/quarantine_test.go
@@ -27,11 +27,11 @@
 	gatherPath  = "/search/"
 	singlePath  = "/fetch/"
 	// crashDowntime is how long a crashed leaf is down.
-	crashDown = 300 * time.Millisecond
+	crashDowntime = 300 * time.Millisecond
 	// detectionTime is how soon every VM must know of a request that has crashed three
 	// leaves, and maxLateAttempts how many attempts may still reach leaves after that.
-	knownWithin = 2 * time.Second
-	mostRetries = 3
+	detectionTime   = 2 * time.Second
+	maxLateAttempts = 3
 )
 
 var crashDialect = &target.Dialect{
@@ -42,11 +42,11 @@
 
 // crashTier is a tier of VMs in two failure domains in front of a fleet.
 type crashTier struct {
-	t     *testing.T
-	fleet *fleet
-	seeds []string
-	vms   []*crashVM
-	ids   atomic.Int64
+	t      *testing.T
+	fleet  *fleet
+	seeds  []string
+	vms    []*crashVM
+	nextID atomic.Int64
 }
 
 type crashVM struct {
@@ -94,10 +94,10 @@
 	return r
 }
 
-func (c *crashTier) start(name string, place int, dataDir string, peers net.Listener) *crashVM {
+func (c *crashTier) start(name string, index int, dataDir string, peers net.Listener) *crashVM {
 	callers := listen(c.t)
 	v, err := New(Config{
-		Name: name, Domain: fmt.Sprintf("hall-%d", place%2), Region: "valley", Millicores: 500,
+		Name: name, Domain: fmt.Sprintf("hall-%d", index%2), Region: "valley", Millicores: 500,
 		PeerAddr: peers.Addr().String(), CallerAddr: callers.Addr().String(),
 		Seeds: c.seeds, FirstStart: dataDir != "", DataDir: dataDir, DiskBytes: 64 << 20, Tolerated: 1,
 		Budget:      policy.BudgetLimits{Ratio: 0.2, Burst: 600, Window: 10 * time.Second},
@@ -108,13 +108,13 @@
 		c.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- v.Run(ctx, Listeners{Peers: peers, Callers: callers}) }()
+	done := make(chan error, 1)
+	go func() { done <- v.Run(ctx, Listeners{Peers: peers, Callers: callers}) }()
 	var once sync.Once
 	stop := func() {
 		once.Do(func() {
 			cancel()
-			if err := <-ended; err != nil {
+			if err := <-done; err != nil {
 				c.t.Errorf("%s: %v", name, err)
 			}
 		})
@@ -142,16 +142,16 @@
 func (c *crashTier) replaceSmall() {
 	c.t.Helper()
 	kept := c.vms[:0:0]
-	var gone []*crashVM
+	var stopped []*crashVM
 	for _, v := range c.vms {
 		if v.conf.DataDir == "" {
-			gone = append(gone, v)
+			stopped = append(stopped, v)
 		} else {
 			kept = append(kept, v)
 		}
 	}
 	c.vms = kept
-	for i, v := range gone {
+	for i, v := range stopped {
 		v.stop()
 		c.start(v.conf.Name, i, "", listen(c.t))
 	}
@@ -160,12 +160,12 @@
 // restart stops every VM and starts all of them again with the same addresses and disks.
 func (c *crashTier) restart() {
 	c.t.Helper()
-	before := c.vms
+	previous := c.vms
 	c.vms = nil
-	for _, v := range before {
+	for _, v := range previous {
 		v.stop()
 	}
-	for i, v := range before {
+	for i, v := range previous {
 		c.start(v.conf.Name, i%3, v.conf.DataDir, c.listenAt(v.conf.PeerAddr))
 	}
 }
@@ -193,7 +193,7 @@
 // send sends req as a new attempt.
 func (c *crashTier) send(req *http.Request) (status int, body string) {
 	req.Host = crashHost
-	req.Header.Set(crashDialect.RequestID, fmt.Sprintf("a-%d", c.ids.Add(1)))
+	req.Header.Set(crashDialect.RequestID, fmt.Sprintf("a-%d", c.nextID.Add(1)))
 	req.Header.Set(crashDialect.Deadline, "1000")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -209,15 +209,15 @@
 
 // runHarmlessLoad requests paths that crash no leaf until ctx ends. An attempt that fails
 // is repeated with the same path, as callers do.
-func (c *crashTier) innocent(ctx context.Context, vms []*crashVM) (asked, refused *atomic.Int64) {
-	asked, refused = new(atomic.Int64), new(atomic.Int64)
+func (c *crashTier) runHarmlessLoad(ctx context.Context, vms []*crashVM) (attempts, refused *atomic.Int64) {
+	attempts, refused = new(atomic.Int64), new(atomic.Int64)
 	for k := range 4 {
 		go func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				path := fmt.Sprintf("%sgood-%d-%d", []string{gatherPath, singlePath}[k%2], k, n)
 				for try := range 3 {
 					status, body := c.ask(vms[(k+n+try)%len(vms)], path)
-					asked.Add(1)
+					attempts.Add(1)
 					if strings.Contains(body, "quarantine") {
 						refused.Add(1)
 					}
@@ -229,7 +229,7 @@
 			}
 		}()
 	}
-	return asked, refused
+	return attempts, refused
 }
 
 func eventually(t *testing.T, what string, done func() bool) {
@@ -243,7 +243,7 @@
 
 // Guards against a request that crashes every leaf that runs it, retried at every VM in
 // turn, including VMs that have just started.
-func TestRequestThatCrashesLeavesStopsReachingThem(t *testing.T) {
+func TestCrashingRequestStopsReachingLeaves(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ name, prefix string }{{"gather", gatherPath}, {"single", singlePath}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -251,23 +251,23 @@
 			tier := startCrashTier(t)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			asked, refused := tier.innocent(ctx, slices.Clone(tier.vms[:3]))
-			path := c.prefix + fatal
-			series := func(rounds int) {
+			attempts, refused := tier.runHarmlessLoad(ctx, slices.Clone(tier.vms[:3]))
+			path := c.prefix + crashSuffix
+			sendCrashing := func(rounds int) {
 				for n := range rounds {
 					tier.ask(tier.vms[n%len(tier.vms)], path)
 					time.Sleep(700 * time.Millisecond)
 				}
 			}
-			series(8)
+			sendCrashing(8)
 			tier.replaceSmall()
 			tier.waitReady()
-			series(5)
-			tier.fleet.checkRetries(path)
+			sendCrashing(5)
+			tier.fleet.checkLateAttempts(path)
 			cancel()
-			t.Logf("%d of %d attempts of harmless requests refused as quarantined", refused.Load(), asked.Load())
+			t.Logf("%d of %d attempts of harmless requests refused as quarantined", refused.Load(), attempts.Load())
 			if refused.Load() > 0 {
-				t.Errorf("%d of %d attempts of harmless requests were refused", refused.Load(), asked.Load())
+				t.Errorf("%d of %d attempts of harmless requests were refused", refused.Load(), attempts.Load())
 			}
 			tier.waitReady()
 		})
@@ -276,7 +276,7 @@
 
 // Guards against a request that crashes leaves and is not recognised when it comes again
 // with another header, connection, encoding or query.
-func TestRequestThatCrashesLeavesIsKnownHoweverItComes(t *testing.T) {
+func TestCrashingRequestIsRecognisedInEveryForm(t *testing.T) {
 	t.Parallel()
 	for name, vary := range map[string]func(n int, req *http.Request){
 		"header":     func(n int, req *http.Request) { req.Header.Set("Trace", fmt.Sprint(n)) },
@@ -287,7 +287,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			tier := startCrashTier(t)
-			path := gatherPath + fatal
+			path := gatherPath + crashSuffix
 			for n := range 12 {
 				req, err := http.NewRequest(http.MethodGet, tier.vms[n%len(tier.vms)].callers+path, strings.NewReader("body"))
 				if err != nil {
@@ -297,7 +297,7 @@
 				tier.send(req)
 				time.Sleep(700 * time.Millisecond)
 			}
-			tier.fleet.checkRetries(path)
+			tier.fleet.checkLateAttempts(path)
 		})
 	}
 }
@@ -316,15 +316,15 @@
 
 // Guards against a quarantine that is lost when all VMs restart at once after a request
 // was found to crash leaves.
-func TestQuarantineOutlastsARestartOfEverything(t *testing.T) {
+func TestQuarantineSurvivesFullRestart(t *testing.T) {
 	t.Parallel()
 	tier := startCrashTier(t)
-	path := gatherPath + fatal
+	path := gatherPath + crashSuffix
 	eventually(t, "the request is blocked", func() bool {
 		status, body := tier.ask(tier.vms[0], path)
 		return status == http.StatusServiceUnavailable && strings.Contains(body, "quarantine") && tier.blocked()
 	})
-	before := tier.fleet.endsOf(path)
+	before := tier.fleet.crashCount(path)
 	tier.restart()
 	tier.waitReady()
 	for _, v := range tier.vms {
@@ -332,7 +332,7 @@
 			t.Errorf("%s: got status %d, body %q", v.conf.Name, status, body)
 		}
 	}
-	if n := tier.fleet.endsOf(path); n > before {
+	if n := tier.fleet.crashCount(path); n > before {
 		t.Errorf("%d leaves crashed after the restart", n-before)
 	}
 }
@@ -340,14 +340,14 @@
 // Guards against harmless requests being blocked because leaves fail for other reasons:
 // failure domains that lose power, all leaves of a service, or all leaves, again and
 // again.
-func TestLossesOfLeavesBlockNoRequest(t *testing.T) {
+func TestLeafFailuresBlockNoHarmlessRequest(t *testing.T) {
 	t.Parallel()
 	tier := startCrashTier(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	asked, _ := tier.innocent(ctx, slices.Clone(tier.vms))
+	attempts, _ := tier.runHarmlessLoad(ctx, slices.Clone(tier.vms))
 	for n := range 16 {
-		tier.fleet.crashSome(func(l *fleetLeaf) bool {
+		tier.fleet.crashLeaves(func(l *fleetLeaf) bool {
 			switch n % 4 {
 			case 0:
 				return l.domain == "hall-0"
@@ -358,7 +358,7 @@
 			}
 			return true
 		})
-		time.Sleep(crashDown + crashDown/3)
+		time.Sleep(crashDowntime + crashDowntime/3)
 	}
 	cancel()
 	suspected, blocked := 0, 0
@@ -369,5 +369,5 @@
 			t.Errorf("blocked: %+v", c)
 		}
 	}
-	t.Logf("%d attempts, %d requests suspected, %d blocked", asked.Load(), suspected, blocked)
+	t.Logf("%d attempts, %d requests suspected, %d blocked", attempts.Load(), suspected, blocked)
 }
--- a/internal/entryvm/reach_test.go
+++ b/internal/entryvm/reach_test.go
@@ -14,21 +14,21 @@
 // reachTier is a tier of small and large VMs in which callers are normally sent to the
 // large ones. self is a small VM.
 type reachTier struct {
-	self           *VM
-	ms             *vm.Membership
-	largeN, smallN int
+	self                   *VM
+	members                *vm.Membership
+	largeCount, smallCount int
 }
 
 // newReachTier starts a tier. The listeners of lost VMs accept connections and never
 // answer.
 func newReachTier(t *testing.T, largeLost, smallLost bool) *reachTier {
 	t.Helper()
-	tier := &reachTier{ms: &vm.Membership{}, largeN: 3, smallN: 4}
+	tier := &reachTier{members: &vm.Membership{}, largeCount: 3, smallCount: 4}
 	add := func(name string, millicores uint32, lost bool) *VM {
 		lis := listen(t)
 		m := member(name, "hall-1", millicores)
 		m.PeerAddr = lis.Addr().String()
-		tier.ms.Members = append(tier.ms.Members, m)
+		tier.members.Members = append(tier.members.Members, m)
 		v := testVM(t, name, m.PeerAddr, "")
 		v.engine.Install(wideTable(), 1)
 		if lost {
@@ -38,10 +38,10 @@
 		}
 		return v
 	}
-	for i := range tier.largeN {
+	for i := range tier.largeCount {
 		add(fmt.Sprintf("large-%d", i), 512, largeLost)
 	}
-	for i := range tier.smallN - 1 {
+	for i := range tier.smallCount - 1 {
 		add(fmt.Sprintf("small-%d", i), 192, smallLost)
 	}
 	tier.self = add("self", 192, false)
@@ -61,9 +61,9 @@
 	return route.NewTable(r)
 }
 
-func (tier *reachTier) named(t *testing.T) []string {
+func (tier *reachTier) listedNames(t *testing.T) []string {
 	t.Helper()
-	members, _ := tier.self.reachable(tier.ms)
+	members, _ := tier.self.reachable(tier.members)
 	out := names(members)
 	slices.Sort(out)
 	return out
@@ -76,17 +76,17 @@
 
 // Guards against address lists that contain only lost VMs, while the leader, which would
 // report them, is lost as well.
-func TestListsNameSmallVMsWhileAllLargeOnesAreLost(t *testing.T) {
-	if got := newReachTier(t, true, false).named(t); !slices.Equal(got, smallNames) {
+func TestSmallVMsAreListedWhileAllLargeVMsAreLost(t *testing.T) {
+	if got := newReachTier(t, true, false).listedNames(t); !slices.Equal(got, smallNames) {
 		t.Errorf("callers are sent to %v", got)
 	}
 }
 
 // Guards against small VMs in address lists while large ones are reachable.
-func TestListsNameLargeVMsOnly(t *testing.T) {
+func TestOnlyLargeVMsAreListedWhileReachable(t *testing.T) {
 	tier := newReachTier(t, false, false)
 	for range 3 {
-		if got := tier.named(t); !slices.Equal(got, largeNames) {
+		if got := tier.listedNames(t); !slices.Equal(got, largeNames) {
 			t.Errorf("callers are sent to %v", got)
 		}
 	}
@@ -94,52 +94,52 @@
 
 // Guards against a daemon that is cut off from the whole tier, takes all large VMs for
 // lost and sends its callers to small VMs.
-func TestCutOffDaemonNamesLargeVMs(t *testing.T) {
-	if got := newReachTier(t, true, true).named(t); !slices.Equal(got, largeNames) {
+func TestIsolatedDaemonListsLargeVMs(t *testing.T) {
+	if got := newReachTier(t, true, true).listedNames(t); !slices.Equal(got, largeNames) {
 		t.Errorf("callers are sent to %v", got)
 	}
 }
 
 // Guards against large VMs that stay out of address lists after they have recovered.
-func TestLargeVMsAreNamedAgain(t *testing.T) {
+func TestRecoveredLargeVMsAreListedAgain(t *testing.T) {
 	tier := newReachTier(t, true, false)
-	_ = tier.named(t)
-	for i := range tier.largeN {
-		m := &tier.ms.Members[i]
+	_ = tier.listedNames(t)
+	for i := range tier.largeCount {
+		m := &tier.members.Members[i]
 		lis := listen(t)
 		m.PeerAddr = lis.Addr().String()
 		v := testVM(t, m.Name, m.PeerAddr, "")
 		v.engine.Install(wideTable(), 1)
 		serve(t, v, lis)
 	}
-	tier.ms = &vm.Membership{Members: tier.ms.Members}
-	if got := tier.named(t); !slices.Equal(got, largeNames) {
+	tier.members = &vm.Membership{Members: tier.members.Members}
+	if got := tier.listedNames(t); !slices.Equal(got, largeNames) {
 		t.Errorf("callers are sent to %v", got)
 	}
 }
 
 // Guards against gathers at small VMs that wait for parts from lost large VMs.
-func TestSmallVMsAskSmallVMsForParts(t *testing.T) {
+func TestSmallVMsDelegateToSmallVMs(t *testing.T) {
 	tier := newReachTier(t, true, false)
-	if got := names(tier.self.helpers(tier.ms)); slices.ContainsFunc(got, func(n string) bool { return strings.HasPrefix(n, "large") }) || len(got) == 0 {
+	if got := names(tier.self.delegates(tier.members)); slices.ContainsFunc(got, func(n string) bool { return strings.HasPrefix(n, "large") }) || len(got) == 0 {
 		t.Errorf("a small VM delegates to %v", got)
 	}
-	large := testVM(t, "large-0", tier.ms.Members[0].PeerAddr, "")
+	large := testVM(t, "large-0", tier.members.Members[0].PeerAddr, "")
 	large.engine.Install(wideTable(), 1)
-	if got := names(large.helpers(tier.ms)); !slices.Equal(got, largeNames) {
+	if got := names(large.delegates(tier.members)); !slices.Equal(got, largeNames) {
 		t.Errorf("a large VM delegates to %v", got)
 	}
 }
 
 // Guards against callers that stay with small VMs for seconds after the large ones have
 // recovered.
-func TestListsOfSubstitutesAreShort(t *testing.T) {
+func TestSubstituteListsHaveShortLifetime(t *testing.T) {
 	for _, c := range []struct {
 		lost bool
 		want time.Duration
-	}{{false, addressLifetime}, {true, substituteLifetime}} {
+	}{{false, addressListLifetime}, {true, substituteListLifetime}} {
 		tier := newReachTier(t, c.lost, false)
-		if _, keep := tier.self.reachable(tier.ms); keep != c.want {
+		if _, keep := tier.self.reachable(tier.members); keep != c.want {
 			t.Errorf("lost=%v: the list has a lifetime of %v", c.lost, keep)
 		}
 	}
--- a/internal/entryvm/steer.go
+++ b/internal/entryvm/steer.go
@@ -14,70 +14,70 @@
 
 // rolesTTL is how long computed daemon roles are reused: they are read for every request
 // sent to a leaf, and their inputs change at most a few times a second.
-const steerEvery = 100 * time.Millisecond
+const rolesTTL = 100 * time.Millisecond
 
 // rolesCache caches the daemon roles.
-type steering struct {
-	mu     sync.Mutex
-	of     *vm.Membership
-	at     vm.Instant
-	choice choice
+type rolesCache struct {
+	mu         sync.Mutex
+	membership *vm.Membership
+	computedAt vm.Instant
+	roles      roles
 }
 
 // roles groups the serving daemons by what they are used for.
-type choice struct {
-	serving  []*vm.Member
-	fit      []*vm.Member // with enough CPU for the gather that needs most
-	others   []*vm.Member // serving, without enough CPU
-	eligible []*vm.Member // callers are sent to these
+type roles struct {
+	serving         []*vm.Member
+	sufficientCPU   []*vm.Member // with enough CPU for the gather that needs most
+	insufficientCPU []*vm.Member // serving, without enough CPU
+	eligible        []*vm.Member // callers are sent to these
 }
 
 // eligible returns the daemons that callers are sent to: those that policy.Eligible
 // selects among the serving ones.
-func (v *VM) eligible(ms *vm.Membership) []*vm.Member { return v.choose(ms).eligible }
+func (v *VM) eligible(ms *vm.Membership) []*vm.Member { return v.roles(ms).eligible }
 
 // roles returns the current roles of the daemons, recomputed if the membership has changed
 // or rolesTTL has passed.
-func (v *VM) choose(ms *vm.Membership) choice {
+func (v *VM) roles(ms *vm.Membership) roles {
 	now := vm.Monotonic()
-	v.steer.mu.Lock()
-	defer v.steer.mu.Unlock()
-	if v.steer.of != ms || now.Sub(v.steer.at) >= steerEvery || v.draining.Load() {
-		before := v.steer.choice.eligible
-		v.steer.of, v.steer.at = ms, now
-		v.steer.choice = choiceOf(v.serving(ms), widest(v.engine.Table()))
-		if now := v.steer.choice.eligible; !slices.EqualFunc(before, now, sameName) {
+	v.rolesCache.mu.Lock()
+	defer v.rolesCache.mu.Unlock()
+	if v.rolesCache.membership != ms || now.Sub(v.rolesCache.computedAt) >= rolesTTL || v.draining.Load() {
+		previous := v.rolesCache.roles.eligible
+		v.rolesCache.membership, v.rolesCache.computedAt = ms, now
+		v.rolesCache.roles = computeRoles(v.servingMembers(ms), requiredMillicores(v.engine.Table()))
+		if now := v.rolesCache.roles.eligible; !slices.EqualFunc(previous, now, sameName) {
 			klog.Infof("entry: callers are sent to %v of %d daemons", memberNames(now), len(ms.Members))
 		}
 	}
-	return v.steer.choice
+	return v.rolesCache.roles
 }
 
-func choiceOf(serving []*vm.Member, need uint32) choice {
-	fit := policy.SufficientCPU(serving, need)
-	return choice{serving: serving, fit: fit, others: policy.Without(serving, fit), eligible: policy.Eligible(serving, need)}
+func computeRoles(serving []*vm.Member, required uint32) roles {
+	sufficientCPU := policy.SufficientCPU(serving, required)
+	return roles{serving: serving, sufficientCPU: sufficientCPU, insufficientCPU: policy.Without(serving, sufficientCPU), eligible: policy.Eligible(serving, required)}
 }
 
 // reachable returns the daemons that callers are sent to, with lost daemons replaced by
 // others, and the lifetime of a list of these.
 func (v *VM) reachable(ms *vm.Membership) ([]*vm.Member, time.Duration) {
-	c := v.choose(ms)
-	v.prober.check(c.fit, c.others)
-	if left := v.prober.without(c.serving); len(left) < len(c.serving) {
-		return policy.Eligible(left, widest(v.engine.Table())), substituteLifetime
+	current := v.roles(ms)
+	v.prober.ensureProbed(current.sufficientCPU, current.insufficientCPU)
+	if remaining := v.prober.excludeLost(current.serving); len(remaining) < len(current.serving) {
+		return policy.Eligible(remaining, requiredMillicores(v.engine.Table())), substituteListLifetime
 	}
-	return c.eligible, addressLifetime
+	return current.eligible, addressListLifetime
 }
 
 // delegates returns the daemons that this one may ask for parts of a gather: those with
 // sufficient CPU. A daemon without sufficient CPU runs a gather only while those are
 // unreachable, and so asks other daemons without.
-func (v *VM) helpers(ms *vm.Membership) []*vm.Member {
-	c := v.choose(ms)
-	if slices.ContainsFunc(c.fit, v.isSelf) {
-		return c.fit
+func (v *VM) delegates(ms *vm.Membership) []*vm.Member {
+	current := v.roles(ms)
+	if slices.ContainsFunc(current.sufficientCPU, v.isSelf) {
+		return current.sufficientCPU
 	}
-	return c.others
+	return current.insufficientCPU
 }
 
 func (v *VM) isSelf(m *vm.Member) bool { return m.Name == v.conf.Name }
@@ -93,13 +93,13 @@
 }
 
 // servingMembers returns the members that serve callers and are not unresponsive.
-func (v *VM) serving(ms *vm.Membership) []*vm.Member {
-	quiet := v.book.Unresponsive()
+func (v *VM) servingMembers(ms *vm.Membership) []*vm.Member {
+	unresponsive := v.leafCache.Unresponsive()
 	var all []*vm.Member
 	for i := range ms.Members {
 		m := &ms.Members[i]
 		self := m.Name == v.conf.Name
-		if m.Phase != vm.Serving || m.CallerAddr == "" || self && v.draining.Load() || !self && quiet[m.Name] {
+		if m.Phase != vm.Serving || m.CallerAddr == "" || self && v.draining.Load() || !self && unresponsive[m.Name] {
 			continue
 		}
 		all = append(all, m)
@@ -109,30 +109,30 @@
 
 // requiredMillicores returns the CPU that a VM needs for the most demanding route of a
 // table.
-func widest(t *route.Table) uint32 {
-	need := uint32(0)
+func requiredMillicores(t *route.Table) uint32 {
+	required := uint32(0)
 	if t != nil {
 		for _, e := range t.Entries() {
-			need = max(need, policy.RequiredMillicores(len(e.Shards), e.TargetLatency))
+			required = max(required, policy.RequiredMillicores(len(e.Shards), e.TargetLatency))
 		}
 	}
-	return need
+	return required
 }
 
 // insufficientCPUFactor multiplies the number of daemons by which a daemon without
 // sufficient CPU divides shared limits. Such a daemon sends few requests, and the shares
 // of the daemons with sufficient CPU already add up to the whole limit.
-const idleSharers = 4
+const insufficientCPUFactor = 4
 
 // senderCount returns the number of daemons among which limits shared by all senders to
 // leaves are divided, or 0 while it is unknown.
-func (v *VM) senders() int {
+func (v *VM) senderCount() int {
 	ms := v.client.Current().Members()
 	if ms == nil {
 		return 0
 	}
-	if fit := v.choose(ms).fit; slices.ContainsFunc(fit, v.isSelf) {
-		return len(fit)
+	if sufficient := v.roles(ms).sufficientCPU; slices.ContainsFunc(sufficient, v.isSelf) {
+		return len(sufficient)
 	}
-	return max(idleSharers*len(ms.Members), 1)
+	return max(insufficientCPUFactor*len(ms.Members), 1)
 }
--- a/internal/entryvm/steer_test.go
+++ b/internal/entryvm/steer_test.go
@@ -44,7 +44,7 @@
 // Guards against callers being sent to VMs that are lost or stopping: a connect to a VM
 // without power costs them a second. A daemon lists itself even if the leader reports it
 // as unresponsive.
-func TestSilentAndLeavingDaemonsTakeNoCallers(t *testing.T) {
+func TestUnresponsiveAndDrainingDaemonsAreNotEligible(t *testing.T) {
 	Convey("Callers are sent only to daemons that serve and respond", t, func() {
 		v := testVM(t, "self", "127.0.0.1:1", "")
 		ms := &vm.Membership{Members: []vm.Member{
@@ -53,7 +53,7 @@
 		}}
 		ms.Members[2].Phase = vm.Draining
 		ms.Members[3].CallerAddr = ""
-		v.book.SetUnresponsive([]string{"self", "silent"})
+		v.leafCache.SetUnresponsive([]string{"self", "silent"})
 		So(names(v.eligible(ms)), ShouldResemble, []string{"self", "well"})
 		v.draining.Store(true)
 		So(names(v.eligible(ms)), ShouldResemble, []string{"well"})
@@ -62,7 +62,7 @@
 
 // Guards against address lists with daemons of one failure domain only: when that domain
 // loses power, its callers have no daemon left and get no new list until theirs expires.
-func TestCallersKnowDaemonsOfOtherDomains(t *testing.T) {
+func TestAddressListsCoverOtherDomains(t *testing.T) {
 	group := func(n int, region, domain string) []*vm.Member {
 		var out []*vm.Member
 		for i := range n {
@@ -73,11 +73,11 @@
 		return out
 	}
 	for _, c := range []struct {
-		what             string
-		near, other, far int
-		wantNear         int
-		wantOther        int
-		wantFar          int
+		what                                 string
+		sameDomain, sameRegion, otherRegions int
+		wantSameDomain                       int
+		wantSameRegion                       int
+		wantOtherRegions                     int
 	}{
 		{"all daemons of a small tier are listed", 4, 7, 0, 4, 7, 0},
 		{"daemons of other regions are left out", 2, 3, 9, 2, 3, 0},
@@ -88,8 +88,8 @@
 		{"there are no daemons", 0, 0, 0, 0, 0, 0},
 	} {
 		Convey(c.what, t, func() {
-			eligible := slices.Concat(group(c.near, "valley", "hall-1"), group(c.other, "valley", "hall-2"), group(c.far, "delta", "hall-9"))
-			got := named(eligible, "valley", "hall-1")
+			eligible := slices.Concat(group(c.sameDomain, "valley", "hall-1"), group(c.sameRegion, "valley", "hall-2"), group(c.otherRegions, "delta", "hall-9"))
+			got := addressesFor(eligible, "valley", "hall-1")
 			count := func(domain string) (n int) {
 				for _, addr := range got {
 					if strings.HasPrefix(addr, domain) {
@@ -98,13 +98,13 @@
 				}
 				return n
 			}
-			So([]int{count("hall-1"), count("hall-2"), count("hall-9")}, ShouldResemble, []int{c.wantNear, c.wantOther, c.wantFar})
+			So([]int{count("hall-1"), count("hall-2"), count("hall-9")}, ShouldResemble, []int{c.wantSameDomain, c.wantSameRegion, c.wantOtherRegions})
 			So(len(slices.Compact(slices.Sorted(slices.Values(got)))), ShouldEqual, len(got))
 		})
 	}
 	Convey("Lists from many daemons differ, so that callers spread over them", t, func() {
 		eligible := group(200, "valley", "hall-1")
-		So(named(eligible, "valley", "hall-1"), ShouldNotResemble, named(eligible, "valley", "hall-1"))
+		So(addressesFor(eligible, "valley", "hall-1"), ShouldNotResemble, addressesFor(eligible, "valley", "hall-1"))
 	})
 }
 
@@ -112,27 +112,27 @@
 // sufficient CPU for the widest gathers. If they all lose power for some seconds, callers
 // keep their old lists, and one whose list has no other VM finds none, though 195 of 200
 // work. A caller tries two addresses of its list.
-func TestCallersReachSomebodyWhileAllLargeVMsAreLost(t *testing.T) {
-	const domains, smallEach, asks = 5, 39, 2000
+func TestCallersReachDaemonWhileAllLargeVMsAreLost(t *testing.T) {
+	const domains, smallPerDomain, callers = 5, 39, 2000
 	var all []*vm.Member
 	for d := range domains {
 		domain := fmt.Sprintf("hall-%d", d)
 		large := member("large-"+domain, domain, 512)
 		all = append(all, &large)
-		for i := range smallEach {
+		for i := range smallPerDomain {
 			small := member(fmt.Sprintf("small-%s-%d", domain, i), domain, 192)
 			all = append(all, &small)
 		}
 	}
 	eligible := policy.Eligible(all, policy.RequiredMillicores(87, 60*time.Millisecond))
 	lost := 0
-	for range asks {
-		list := named(eligible, "valley", "hall-0")
+	for range callers {
+		list := addressesFor(eligible, "valley", "hall-0")
 		if strings.HasPrefix(list[0], "large-") && strings.HasPrefix(list[1], "large-") {
 			lost++
 		}
 	}
-	if share := float64(lost) / asks; share > 0.1 {
+	if share := float64(lost) / callers; share > 0.1 {
 		t.Errorf("%.2f of the callers reach no daemon", share)
 	}
 	if len(eligible) > len(all)/5 {
@@ -141,23 +141,23 @@
 }
 
 // BenchmarkRoles computes the daemon roles in a tier of 3600 daemons.
-func BenchmarkChoice(b *testing.B) {
+func BenchmarkRoles(b *testing.B) {
 	for _, c := range []struct {
-		what string
-		fit  int
+		what       string
+		sufficient int
 	}{{"alike", 3600}, {"few fit", 17}} {
 		b.Run(c.what, func(b *testing.B) {
 			var all []*vm.Member
 			for i := range 3600 {
 				millicores := uint32(192)
-				if i < c.fit {
+				if i < c.sufficient {
 					millicores = 512
 				}
 				m := member(fmt.Sprint("vm-", i), fmt.Sprint("hall-", i%17), millicores)
 				all = append(all, &m)
 			}
 			for b.Loop() {
-				choiceOf(all, 435)
+				computeRoles(all, 435)
 			}
 		})
 	}
--- a/internal/entryvm/tier.go
+++ b/internal/entryvm/tier.go
@@ -25,30 +25,30 @@
 	// control VM, each in addition to the transfer time of its payload (peer.CallTimeout).
 	// Operators retry at another daemon after a second or more. A change still in progress
 	// here is then harmless, because applying the same change twice has no further effect.
-	operatorTime = 4 * time.Second
-	controlTime  = 1200 * time.Millisecond
+	operatorTimeout    = 4 * time.Second
+	controlCallTimeout = 1200 * time.Millisecond
 	// redirectReadBytes is the configuration size from which operators are redirected to
 	// the leader to read it: what a link of 14 Mbit/s carries in 0.15 s. versionWait is
 	// how long a VM waits for a shorter configuration that it has not received yet; most
 	// VMs receive a change within a tenth of a second.
-	longRead  = 256 << 10
-	reachTime = 300 * time.Millisecond
+	redirectReadBytes = 256 << 10
+	versionWait       = 300 * time.Millisecond
 	// routeBytes, and shardBytes for each shard, estimate the size of a route when a
 	// configuration is read.
 	routeBytes = 190
 	shardBytes = 10
 	// retryDelay is the pause between two rounds over the control VMs.
-	retryPause = 50 * time.Millisecond
+	retryDelay = 50 * time.Millisecond
 	// maxAddrs is the maximum number of addresses in a list for a caller, and
 	// maxLocalAddrs how many of them are in the caller's own domain if enough others are
 	// available.
-	mostAddrs = 64
-	nearAddrs = mostAddrs / 2
+	maxAddrs      = 64
+	maxLocalAddrs = maxAddrs / 2
 )
 
 var (
-	putsAcked  = metrics.GetOrRegisterCounter("operator.releases.acknowledged", metrics.DefaultRegistry)
-	putsFailed = metrics.GetOrRegisterCounter("operator.releases.unclear", metrics.DefaultRegistry)
+	releasesAcked   = metrics.GetOrRegisterCounter("operator.releases.acknowledged", metrics.DefaultRegistry)
+	releasesUnclear = metrics.GetOrRegisterCounter("operator.releases.unclear", metrics.DefaultRegistry)
 )
 
 // Ready reports whether callers may be sent to this VM.
@@ -62,10 +62,10 @@
 		if v.draining.Load() || v.conf.CallerAddr == "" {
 			return nil, 0
 		}
-		return []string{v.conf.CallerAddr}, min(addressLifetime, v.conf.Lifetime).Seconds()
+		return []string{v.conf.CallerAddr}, min(addressListLifetime, v.conf.Lifetime).Seconds()
 	}
-	reachable, keep := v.reachable(ms)
-	return named(reachable, region, domain), min(keep, v.conf.Lifetime).Seconds()
+	reachable, lifetime := v.reachable(ms)
+	return addressesFor(reachable, region, domain), min(lifetime, v.conf.Lifetime).Seconds()
 }
 
 // addressesFor returns the addresses for one caller: daemons of its region, or of all
@@ -75,25 +75,25 @@
 // The list includes other domains because a caller that knew only daemons of its own
 // domain would have none left when that domain fails, and it keeps the old list until it
 // gets a new one.
-func named(eligible []*vm.Member, region, domain string) []string {
+func addressesFor(eligible []*vm.Member, region, domain string) []string {
 	eligible = slices.Clone(eligible)
 	rand.Shuffle(len(eligible), func(i, k int) { eligible[i], eligible[k] = eligible[k], eligible[i] })
-	var near, other, far []string
+	var sameDomain, sameRegion, otherRegions []string
 	for _, m := range eligible {
 		switch {
 		case m.Region != region:
-			far = append(far, m.CallerAddr)
+			otherRegions = append(otherRegions, m.CallerAddr)
 		case m.Domain != domain:
-			other = append(other, m.CallerAddr)
+			sameRegion = append(sameRegion, m.CallerAddr)
 		default:
-			near = append(near, m.CallerAddr)
+			sameDomain = append(sameDomain, m.CallerAddr)
 		}
 	}
-	if len(near)+len(other) == 0 {
-		return far[:min(len(far), mostAddrs)]
+	if len(sameDomain)+len(sameRegion) == 0 {
+		return otherRegions[:min(len(otherRegions), maxAddrs)]
 	}
-	near = near[:min(len(near), max(nearAddrs, mostAddrs-len(other)))]
-	return append(near, other[:min(len(other), mostAddrs-len(near))]...)
+	sameDomain = sameDomain[:min(len(sameDomain), max(maxLocalAddrs, maxAddrs-len(sameRegion)))]
+	return append(sameDomain, sameRegion[:min(len(sameRegion), maxAddrs-len(sameDomain))]...)
 }
 
 // PutRelease makes r the configuration in force everywhere, unless a newer one is in force
@@ -104,19 +104,19 @@
 	if err != nil {
 		return err
 	}
-	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, peer.TimeFor(operatorTime, len(body)))
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, peer.TimeFor(operatorTimeout, len(body)))
 	defer cancel()
-	reply, err := v.putAtLeader(ctx, r.Number, body)
+	reply, err := v.putToLeader(ctx, r.Number, body)
 	if err != nil {
-		putsFailed.Inc(1)
+		releasesUnclear.Inc(1)
 		return err
 	}
 	if len(reply.Faults) > 0 {
 		return settings.FaultsFromWire(reply.Faults)
 	}
-	putsAcked.Inc(1)
-	klog.Infof("operator: configuration acknowledged release=%d held=%d changed=%v bytes=%d took=%v", r.Number, reply.Held, reply.Changed, len(body), time.Since(began))
+	releasesAcked.Inc(1)
+	klog.Infof("operator: configuration acknowledged release=%d held=%d changed=%v bytes=%d took=%v", r.Number, reply.Held, reply.Changed, len(body), time.Since(start))
 	return nil
 }
 
@@ -124,9 +124,9 @@
 // this or a newer one. The transfer of a long release takes a second. Sent to an arbitrary
 // control VM it would cost that second at each VM that is not the leader, and again for
 // each retry after a lost acknowledgement.
-func (v *VM) putAtLeader(ctx context.Context, number uint64, body []byte) (*wire.ReleaseReply, error) {
+func (v *VM) putToLeader(ctx context.Context, number uint64, body []byte) (*wire.ReleaseReply, error) {
 	for {
-		leader, newest, err := v.newest(ctx)
+		leader, newest, err := v.queryNewest(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -134,7 +134,7 @@
 			return &wire.ReleaseReply{Held: *newest.Held}, nil
 		}
 		var reply *wire.ReleaseReply
-		_, err = v.askOne(ctx, leader, peer.TimeFor(controlTime, len(body)), func(ctx context.Context, c wire.DRPCControlClient) (string, error) {
+		_, err = v.callControl(ctx, leader, peer.TimeFor(controlCallTimeout, len(body)), func(ctx context.Context, c wire.DRPCControlClient) (string, error) {
 			out, err := c.PutRelease(ctx, &wire.ReleaseRequest{Release: body, Operator: "platform"})
 			reply = out
 			return out.GetRedirect(), err
@@ -142,7 +142,7 @@
 		if err == nil && reply.Redirect == "" {
 			return reply, nil
 		}
-		if !vm.Sleep(ctx, retryPause) {
+		if !vm.Sleep(ctx, retryDelay) {
 			return nil, errors.CombineErrors(err, ctx.Err())
 		}
 	}
@@ -154,17 +154,17 @@
 // takes a second, as long as operators wait. Control VMs have five times the bandwidth and
 // redirect only while they are behind. The leader never redirects.
 func (v *VM) ReadPlace(ctx context.Context) (host string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	leader, newest, err := v.newest(ctx)
+	leader, newest, err := v.queryNewest(ctx)
 	if err != nil || leader == v.conf.PeerAddr {
 		return "", err
 	}
 	behind := false
-	if v.node() != nil || v.releaseBytes.Load() < longRead {
-		wait, cancel := context.WithTimeout(ctx, reachTime)
+	if v.controlNode() != nil || v.releaseBytes.Load() < redirectReadBytes {
+		waitCtx, cancel := context.WithTimeout(ctx, versionWait)
 		defer cancel()
-		if _, err := v.reach(wait, newest); err == nil {
+		if _, err := v.waitForVersion(waitCtx, newest); err == nil {
 			return "", nil
 		}
 		behind = true
@@ -183,16 +183,16 @@
 // the whole configuration, a long one would take longer than an operator waits, at every
 // VM that the operator tries.
 func (v *VM) ReadRelease(ctx context.Context) (*route.Release, error) {
-	ctx, cancel := context.WithTimeout(ctx, operatorTime)
+	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	began := time.Now()
-	_, newest, err := v.newest(ctx)
+	start := time.Now()
+	_, newest, err := v.queryNewest(ctx)
 	if err != nil {
 		return nil, err
 	}
-	told, had := time.Since(began), v.client.Current().ConfigVersion
-	view, err := v.reach(ctx, newest)
-	klog.Infof("operator: newest configuration version=%d told=%v had=%d reached=%v", newest.Version, told, had, time.Since(began)-told)
+	leaderTime, hadVersion := time.Since(start), v.client.Current().ConfigVersion
+	view, err := v.waitForVersion(ctx, newest)
+	klog.Infof("operator: newest configuration version=%d told=%v had=%d reached=%v", newest.Version, leaderTime, hadVersion, time.Since(start)-leaderTime)
 	if err != nil || view.Tree == nil {
 		return nil, err
 	}
@@ -201,7 +201,7 @@
 
 // waitForVersion waits until this VM has the configuration version that the leader named,
 // or a newer one.
-func (v *VM) reach(ctx context.Context, newest *wire.NewestReply) (*relay.View, error) {
+func (v *VM) waitForVersion(ctx context.Context, newest *wire.NewestReply) (*relay.View, error) {
 	for {
 		changed := v.client.Changed()
 		view := v.client.Current()
@@ -218,43 +218,43 @@
 
 // queryNewest calls the control VMs in turn, following redirects to the leader, until one
 // confirms which configuration is the newest. Only the leader can confirm it.
-func (v *VM) newest(ctx context.Context) (leader string, newest *wire.NewestReply, err error) {
-	last := errors.New("entry: no control VM is known")
+func (v *VM) queryNewest(ctx context.Context) (leader string, newest *wire.NewestReply, err error) {
+	lastErr := errors.New("entry: no control VM is known")
 	for ctx.Err() == nil {
 		answered := peer.Walk(ctx, v.controlContacts(), func(addr string) (string, bool) {
-			redirect, err := v.askOne(ctx, addr, controlTime, func(ctx context.Context, c wire.DRPCControlClient) (string, error) {
+			redirect, err := v.callControl(ctx, addr, controlCallTimeout, func(ctx context.Context, c wire.DRPCControlClient) (string, error) {
 				out, err := c.Newest(ctx, &wire.NewestRequest{})
 				leader, newest = addr, out
 				return out.GetRedirect(), err
 			})
 			if err != nil {
-				last = err
+				lastErr = err
 			}
 			return redirect, err == nil && redirect == ""
 		})
 		if answered {
 			return leader, newest, nil
 		}
-		vm.Sleep(ctx, retryPause)
+		vm.Sleep(ctx, retryDelay)
 	}
-	return "", nil, last
+	return "", nil, lastErr
 }
 
 // callControl makes one call to a control VM, within timeout.
-func (v *VM) askOne(ctx context.Context, addr string, limit time.Duration, call func(context.Context, wire.DRPCControlClient) (redirect string, err error)) (string, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (v *VM) callControl(ctx context.Context, addr string, timeout time.Duration, call func(context.Context, wire.DRPCControlClient) (redirect string, err error)) (string, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	conn, err := v.otherConns.Conn(ctx, addr)
+	conn, err := v.bulkConns.Conn(ctx, addr)
 	if err != nil {
 		return "", err
 	}
 	defer func() { _ = conn.Close() }()
-	began := time.Now()
+	start := time.Now()
 	redirect, err := call(ctx, wire.NewDRPCControlClient(conn))
 	// Calls refused at once are not logged one by one, because during an election there
 	// are sixty a second. The caller logs the final outcome.
-	if took := time.Since(began); err != nil && !peer.NotSent(err) && took >= retryPause {
-		klog.Warningf("operator: call to control at %s failed took=%v: %v", addr, took, err)
+	if elapsed := time.Since(start); err != nil && !peer.NotSent(err) && elapsed >= retryDelay {
+		klog.Warningf("operator: call to control at %s failed took=%v: %v", addr, elapsed, err)
 	}
 	return redirect, err
 }
--- a/internal/entryvm/vm.go
+++ b/internal/entryvm/vm.go
@@ -28,26 +28,26 @@
 
 // VM is the process of one entry VM.
 type VM struct {
-	conf  Config
-	seeds atomic.Pointer[[]string]
-	heard contacts
+	conf    Config
+	seeds   atomic.Pointer[[]string]
+	learned learnedContacts
 
 	controlConns *peer.Pool // heartbeats and the messages of the control group
-	otherConns   *peer.Pool // calls that may be large or slow
-	partConns    *peer.Pool // gathers, handovers and probes
+	bulkConns    *peer.Pool // calls that may be large or slow
+	gatherConns  *peer.Pool // gathers, handovers and probes
 	seat         *control.Seat
 	client       *relay.Client
-	book         *discovery.LeafCache
-	finder       *discovery.Syncer
+	leafCache    *discovery.LeafCache
+	leafSyncer   *discovery.Syncer
 	quarantine   *quarantine.Registry
 	engine       *forward.Engine
 	server       *forward.Server
 	mux          atomic.Pointer[drpcmux.Mux]
 
-	steer    steering
-	prober   *prober
-	draining atomic.Bool
-	release  atomic.Uint64 // number of the release in use on this VM
+	rolesCache    rolesCache
+	prober        *prober
+	draining      atomic.Bool
+	releaseNumber atomic.Uint64 // number of the release in use on this VM
 	// releaseBytes is the estimated size of a read of the release in use.
 	releaseBytes atomic.Int64
 }
@@ -56,7 +56,7 @@
 func New(conf Config) (*VM, error) {
 	v := &VM{conf: conf}
 	v.SetSeeds(conf.Seeds)
-	v.controlConns, v.otherConns, v.partConns = peer.NewTrustedPool(), peer.NewTrustedPool(), peer.NewTrustedPool()
+	v.controlConns, v.bulkConns, v.gatherConns = peer.NewTrustedPool(), peer.NewTrustedPool(), peer.NewTrustedPool()
 	self := vm.Identity{
 		Name: conf.Name, Incarnation: vm.NewIncarnation(0), Domain: conf.Domain, Region: conf.Region,
 		PeerAddr: conf.PeerAddr, CallerAddr: conf.CallerAddr,
@@ -64,41 +64,41 @@
 	}
 	v.client = relay.NewClient(relay.Config{
 		Self: self, Control: v.contacts(), Conns: v.controlConns, Clock: vm.Now, Restarts: true, Eager: true,
-		Interval: heartbeatEvery,
+		Interval: heartbeatInterval,
 	})
 	v.prober = newProber(v)
-	v.book = discovery.NewLeafCache(vm.Monotonic)
-	v.finder = discovery.NewSyncer(discovery.Config{
-		Source: conf.Source, Conns: v.otherConns, Clock: vm.Monotonic,
-		IsReader: v.leads, Unresponsive: v.quietDaemons, ListNeeded: func() bool { return v.engine.Table() != nil }, ReadAtStart: conf.DataDir != "", Upstreams: v.others, ReadJitter: v.readingSpread,
-		ReadInterval: time.Duration(listEvery * float64(conf.DrainWithin)),
-		FallbackAge:  time.Duration(aloneAfter * float64(conf.DrainWithin)),
-	}, v.book)
-	v.quarantine = quarantine.NewRegistry(vm.Monotonic, &quarantine.RemoteLeader{Conns: v.otherConns, ControlAddrs: v.controlContacts})
+	v.leafCache = discovery.NewLeafCache(vm.Monotonic)
+	v.leafSyncer = discovery.NewSyncer(discovery.Config{
+		Source: conf.Source, Conns: v.bulkConns, Clock: vm.Monotonic,
+		IsReader: v.isLeader, Unresponsive: v.unresponsiveDaemons, ListNeeded: func() bool { return v.engine.Table() != nil }, ReadAtStart: conf.DataDir != "", Upstreams: v.listUpstreams, ReadJitter: v.readJitter,
+		ReadInterval: time.Duration(listReadFraction * float64(conf.DrainWithin)),
+		FallbackAge:  time.Duration(fallbackFraction * float64(conf.DrainWithin)),
+	}, v.leafCache)
+	v.quarantine = quarantine.NewRegistry(vm.Monotonic, &quarantine.RemoteLeader{Conns: v.bulkConns, ControlAddrs: v.controlContacts})
 	v.engine = forward.New(forward.Config{
-		Clock: vm.Monotonic, Dialect: conf.Dialect, Leaves: v.book, Tracker: forward.NewLeafTracker(vm.Monotonic, conf.Domain), Log: conf.Log, DaemonCount: v.senders,
-		Peers: newNearDaemons(v), Quarantine: v.quarantine,
-		Budgets: policy.NewBudgets(conf.Budget, vm.Monotonic, v.senders),
+		Clock: vm.Monotonic, Dialect: conf.Dialect, Leaves: v.leafCache, Tracker: forward.NewLeafTracker(vm.Monotonic, conf.Domain), Log: conf.Log, DaemonCount: v.senderCount,
+		Peers: newPeerDaemons(v), Quarantine: v.quarantine,
+		Budgets: policy.NewBudgets(conf.Budget, vm.Monotonic, v.senderCount),
 	})
 	v.server = forward.NewServer(&forward.Handler{Engine: v.engine, Dialect: conf.Dialect, Log: conf.Log, Draining: v.draining.Load})
 	if conf.DataDir != "" {
 		v.seat = v.newSeat()
 	}
-	return v, v.serveNode(nil)
+	return v, v.registerServices(nil)
 }
 
 func (v *VM) newSeat() *control.Seat {
 	return control.NewSeat(control.SeatConfig{
 		Config: control.Config{
 			Name: v.conf.Name, DataDir: v.conf.DataDir, PeerAddr: v.conf.PeerAddr, Conns: v.controlConns,
-			Tick: controlTick, ReserveBytes: max(v.conf.DiskBytes/diskReserve, 1), SnapshotEntries: 500,
-			AuditBytes: int64(v.conf.DiskBytes / auditShare),
-			Upkeep:     control.Upkeep{MinVoters: 2*v.conf.Tolerated + 1, SilentAfter: silentAfter},
+			Tick: controlTick, ReserveBytes: max(v.conf.DiskBytes/diskReserveDivisor, 1), SnapshotEntries: 500,
+			AuditBytes: int64(v.conf.DiskBytes / auditDivisor),
+			Upkeep:     control.Upkeep{MinVoters: 2*v.conf.Tolerated + 1, SilentAfter: removeVoterAfter},
 			FS:         diskOf(v.conf.DataDir),
 		},
 		Found: v.conf.FirstStart, Founders: v.founders, Contacts: v.contacts,
 		OnNode: func(n *control.Node) {
-			if err := v.serveNode(n); err != nil {
+			if err := v.registerServices(n); err != nil {
 				klog.Errorf("entry: registering the control services failed: %v", err)
 			}
 			if n != nil {
@@ -110,7 +110,7 @@
 
 // registerServices replaces the services offered to other daemons. With a control node,
 // the VM serves as a control VM; without one, it serves other daemons as their relay.
-func (v *VM) serveNode(n *control.Node) error {
+func (v *VM) registerServices(n *control.Node) error {
 	mux := drpcmux.New()
 	var err error
 	if n != nil {
@@ -118,7 +118,7 @@
 	} else {
 		err = wire.DRPCRegisterSpread(mux, v.client.Server())
 	}
-	err = errors.CombineErrors(err, wire.DRPCRegisterLeaves(mux, v.finder.Server()))
+	err = errors.CombineErrors(err, wire.DRPCRegisterLeaves(mux, v.leafSyncer.Server()))
 	err = errors.CombineErrors(err, wire.DRPCRegisterContacts(mux, contactsServer{v}))
 	err = errors.CombineErrors(err, wire.DRPCRegisterGather(mux, v.engine.GatherServer()))
 	v.mux.Store(mux)
@@ -145,24 +145,24 @@
 	if v.client != nil {
 		known = v.client.Upstreams()
 	}
-	return v.among(known)
+	return v.mergeContacts(known)
 }
 
 // controlContacts returns the addresses to call for services that only control VMs have,
 // best first. It starts with the known control VMs, not with relays, because a relay
 // refuses such a call only after it has received part of the payload.
-func (v *VM) controlContacts() []string { return v.among(v.client.ControlVMs()) }
+func (v *VM) controlContacts() []string { return v.mergeContacts(v.client.ControlVMs()) }
 
 // mergeContacts returns known followed by the learned contacts and the seeds. If this VM
 // is a member of the control group, its own address comes first, because its copy on disk
 // holds what the group had agreed on before the VM started. If it only has a disk and may
 // become a member, its own address comes last.
-func (v *VM) among(known []string) []string {
+func (v *VM) mergeContacts(known []string) []string {
 	var out []string
-	if v.node() != nil {
+	if v.controlNode() != nil {
 		out = append(out, v.conf.PeerAddr)
 	}
-	for _, s := range slices.Concat(known, v.heard.list(), *v.seeds.Load()) {
+	for _, s := range slices.Concat(known, v.learned.list(), *v.seeds.Load()) {
 		if !slices.Contains(out, s) {
 			out = append(out, s)
 		}
@@ -173,7 +173,7 @@
 	return out
 }
 
-func (v *VM) node() *control.Node {
+func (v *VM) controlNode() *control.Node {
 	if v.seat == nil {
 		return nil
 	}
@@ -182,28 +182,28 @@
 
 // isLeader reports whether this VM leads the control group. The leader reads the leaf list
 // for all daemons.
-func (v *VM) leads() bool {
-	n := v.node()
+func (v *VM) isLeader() bool {
+	n := v.controlNode()
 	return n != nil && n.Leads()
 }
 
 // unresponsiveDaemons returns the daemons that the leader has not heard from for
 // unresponsiveAfter.
-func (v *VM) quietDaemons() []string {
-	n := v.node()
+func (v *VM) unresponsiveDaemons() []string {
+	n := v.controlNode()
 	if n == nil {
 		return nil
 	}
-	return n.Quiet(quietAfter)
+	return n.Quiet(unresponsiveAfter)
 }
 
 // listUpstreams returns the daemons that may have a newer leaf list.
-func (v *VM) others() []string {
+func (v *VM) listUpstreams() []string {
 	return slices.DeleteFunc(v.client.Upstreams(), func(a string) bool { return a == v.conf.PeerAddr })
 }
 
 // daemonCount returns the number of daemons in the tier, or 0 while it is unknown.
-func (v *VM) daemons() int {
+func (v *VM) daemonCount() int {
 	m := v.client.Current().Members()
 	if m == nil {
 		return 0
@@ -214,9 +214,9 @@
 // readJitter returns the period over which daemons spread their own reads of the leaf list
 // while no leader reads it, so that together they stay below a third of the rate limit of
 // the list.
-func (v *VM) readingSpread() time.Duration {
-	pages := 1 + len(v.book.Snapshot().All())/50
-	calls := float64(max(v.daemons(), 1) * pages)
+func (v *VM) readJitter() time.Duration {
+	pages := 1 + len(v.leafCache.Snapshot().All())/50
+	calls := float64(max(v.daemonCount(), 1) * pages)
 	return time.Duration(3 * calls / v.conf.ListRate * float64(time.Second))
 }
 
@@ -228,26 +228,26 @@
 
 // Run serves until stop ends, then shuts down gracefully within the grace period.
 func (v *VM) Run(stop context.Context, lis Listeners) error {
-	base, end := context.WithCancel(context.WithoutCancel(stop))
-	defer end()
-	g, ctx := errgroup.WithContext(base)
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(stop))
+	defer cancel()
+	g, ctx := errgroup.WithContext(runCtx)
 	g.Go(func() error { return peer.ServeTrusted(ctx, lis.Peers, v) })
 	if v.seat != nil {
 		g.Go(func() error { return v.seat.Run(ctx) })
 	}
 	v.client.SetPhase(vm.Serving)
-	g.Go(func() error { return unlessDone(ctx, v.client.Run(ctx)) })
-	g.Go(func() error { v.finder.Run(ctx); return nil })
+	g.Go(func() error { return ignoreIfDone(ctx, v.client.Run(ctx)) })
+	g.Go(func() error { v.leafSyncer.Run(ctx); return nil })
 	g.Go(func() error { v.engine.MaintainLinks(ctx); return nil })
-	g.Go(func() error { v.install(ctx); return nil })
-	g.Go(func() error { v.findGroup(ctx); return nil })
+	g.Go(func() error { v.applyConfigs(ctx); return nil })
+	g.Go(func() error { v.exchangeContacts(ctx); return nil })
 	g.Go(func() error { v.quarantine.Run(ctx); return nil })
 	g.Go(func() error { v.prober.run(ctx); return nil })
 	if lis.Callers != nil {
 		g.Go(func() error { return v.server.Serve(ctx, lis.Callers) })
 	}
 	g.Go(func() error {
-		defer end()
+		defer cancel()
 		select {
 		case <-ctx.Done():
 		case <-stop.Done():
@@ -257,13 +257,13 @@
 	})
 	err := g.Wait()
 	_ = v.controlConns.Close()
-	_ = v.otherConns.Close()
-	_ = v.partConns.Close()
+	_ = v.bulkConns.Close()
+	_ = v.gatherConns.Close()
 	return err
 }
 
 // ignoreIfDone returns nil in place of err if ctx has ended.
-func unlessDone(ctx context.Context, err error) error {
+func ignoreIfDone(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -271,19 +271,19 @@
 }
 
 // applyConfigs applies each new configuration and acknowledges it, until ctx ends.
-func (v *VM) install(ctx context.Context) {
+func (v *VM) applyConfigs(ctx context.Context) {
 	version := uint64(0)
-	var before *settings.Tree
+	var previous *settings.Tree
 	for {
 		changed := v.client.Changed()
 		view := v.client.Current()
 		if view.Tree != nil && view.ConfigVersion > version {
 			version = view.ConfigVersion
 			v.quarantine.Update(view.ConfigVersion, view.Tree)
-			if before == nil || !view.Tree.SameBut(before, settings.QuarantinePath) {
-				v.use(view)
+			if previous == nil || !view.Tree.SameBut(previous, settings.QuarantinePath) {
+				v.applyRelease(view)
 			}
-			before = view.Tree
+			previous = view.Tree
 		}
 		v.client.Ack(view.ConfigVersion, view.Epoch())
 		select {
@@ -296,24 +296,24 @@
 
 // applyRelease puts the release of a view into use. If it cannot be decoded, the previous
 // release stays in use.
-func (v *VM) use(view *relay.View) {
+func (v *VM) applyRelease(view *relay.View) {
 	rel, err := route.FromTree(view.Tree)
 	if err != nil {
-		klog.Errorf("entry: configuration version=%d cannot be decoded, release=%d stays in use: %v", view.ConfigVersion, v.release.Load(), err)
+		klog.Errorf("entry: configuration version=%d cannot be decoded, release=%d stays in use: %v", view.ConfigVersion, v.releaseNumber.Load(), err)
 		return
 	}
 	if rel == nil {
 		return
 	}
 	v.engine.Install(route.NewTable(rel), view.ConfigVersion)
-	v.releaseBytes.Store(sizeOf(rel))
-	v.release.Store(rel.Number)
+	v.releaseBytes.Store(estimateReadBytes(rel))
+	v.releaseNumber.Store(rel.Number)
 	klog.Infof("entry: configuration in use release=%d version=%d routes=%d services=%d confirmed=%v",
 		rel.Number, view.ConfigVersion, len(rel.Routes), len(rel.Services), view.Confirmed(vm.Now()))
 }
 
 // estimateReadBytes estimates the size of a read of a release, in bytes.
-func sizeOf(r *route.Release) int64 {
+func estimateReadBytes(r *route.Release) int64 {
 	n := routeBytes * (len(r.Routes) + len(r.Services))
 	for i := range r.Routes {
 		n += shardBytes * len(r.Routes[i].Shards)
--- a/internal/link/peer/authority.go
+++ b/internal/link/peer/authority.go
@@ -79,7 +79,7 @@
 
 // Save writes the authority's certificate and key.
 func (a *Authority) Save(certFile, keyFile string) error {
-	return writePair(certFile, keyFile, a.cert.Raw, a.key)
+	return writeCertAndKey(certFile, keyFile, a.cert.Raw, a.key)
 }
 
 // Issue writes a certificate and key for id. Hosts are the IP addresses or DNS names under
@@ -110,7 +110,7 @@
 	if err != nil {
 		return errors.Wrap(err, "peer: sign the certificate")
 	}
-	return writePair(certFile, keyFile, der, key)
+	return writeCertAndKey(certFile, keyFile, der, key)
 }
 
 func addHosts(template *x509.Certificate, hosts []string) {
@@ -150,7 +150,7 @@
 	keyMode  = 0o600
 )
 
-func writePair(certFile, keyFile string, certDER []byte, key *ecdsa.PrivateKey) error {
+func writeCertAndKey(certFile, keyFile string, certDER []byte, key *ecdsa.PrivateKey) error {
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return errors.Wrap(err, "peer: encode the key")
--- a/internal/link/peer/authorize.go
+++ b/internal/link/peer/authorize.go
@@ -9,7 +9,7 @@
 
 // serviceKinds maps each drpc service to the kind of certificate that may call it. Calls
 // to a service that is not listed are refused.
-var rpcKinds = map[string]Kind{
+var serviceKinds = map[string]Kind{
 	"/pearmoor.wire.Control/":    Operator,
 	"/pearmoor.wire.Spread/":     VM,
 	"/pearmoor.wire.Quorum/":     VM,
@@ -22,7 +22,7 @@
 // certificate could vote in the control group.
 func authorize(rpc string, id Identity) error {
 	service := rpc[:strings.LastIndexByte(rpc, '/')+1]
-	want, known := rpcKinds[service]
+	want, known := serviceKinds[service]
 	if !known {
 		return drpcerr.WithCode(errors.Newf("peer: unknown call %q", rpc), codeDenied)
 	}
--- a/internal/link/peer/bench_test.go
+++ b/internal/link/peer/bench_test.go
@@ -11,7 +11,7 @@
 )
 
 func benchmarkCalls(b *testing.B, server, client *tls.Config, conn func(p *Pool, addr string) drpc.Conn) {
-	s := start(b, &control{}, server)
+	s := startServer(b, &controlServer{}, server)
 	defer func() { _ = s.stop() }()
 	pool := NewPool(client)
 	defer pool.Close()
@@ -36,9 +36,9 @@
 // BenchmarkCall compares pooled calls in plain text and over mutual TLS with calls that
 // dial each time.
 func BenchmarkCall(b *testing.B) {
-	dir, a := b.TempDir(), authority(b)
-	server := load(b, issue(b, a, dir, Identity{Name: "c1", Kind: VM})).ServerConfig()
-	client := load(b, issue(b, a, dir, Identity{Name: "asha", Kind: Operator})).ClientConfig()
+	dir, a := b.TempDir(), newTestAuthority(b)
+	server := loadFiles(b, issueCert(b, a, dir, Identity{Name: "c1", Kind: VM})).ServerConfig()
+	client := loadFiles(b, issueCert(b, a, dir, Identity{Name: "asha", Kind: Operator})).ClientConfig()
 	b.Run("plain", func(b *testing.B) { benchmarkCalls(b, nil, nil, pooled) })
 	b.Run("tls", func(b *testing.B) { benchmarkCalls(b, server, client, pooled) })
 	b.Run("tls-dial-each", func(b *testing.B) {
--- a/internal/link/peer/codes.go
+++ b/internal/link/peer/codes.go
@@ -4,17 +4,17 @@
 
 // Error codes sent to the other side with an error.
 const (
-	codeNotDone   = 5031
+	codeRetryable = 5031
 	codePermanent = 4001
 	codeDenied    = 4031
 )
 
 // Retryable marks an error of a handler as one after which the call has certainly changed
 // nothing and a retry, at this or another VM, may succeed.
-func NotDone(err error) error { return drpcerr.WithCode(err, codeNotDone) }
+func NotDone(err error) error { return drpcerr.WithCode(err, codeRetryable) }
 
 // IsRetryable reports whether the other side marked err with Retryable.
-func IsNotDone(err error) bool { return drpcerr.Code(err) == codeNotDone }
+func IsNotDone(err error) bool { return drpcerr.Code(err) == codeRetryable }
 
 // Permanent marks an error of a handler as one after which the call has changed nothing
 // and would fail in the same way at any other VM.
--- a/internal/link/peer/dial.go
+++ b/internal/link/peer/dial.go
@@ -20,8 +20,8 @@
 // pending ones; it doubles with each, up to maxConnectRetryDelay. The kernel retransmits a
 // lost SYN only after a second, and a SYN to a VM that is still starting is lost.
 const (
-	connectAgain = 50 * time.Millisecond
-	connectMost  = 200 * time.Millisecond
+	connectRetryDelay    = 50 * time.Millisecond
+	maxConnectRetryDelay = 200 * time.Millisecond
 )
 
 // softCancelGrace is how long the write of a cancelled request may take to finish. A
@@ -30,7 +30,7 @@
 
 // maxMessageSize bounds one message, in bytes. The largest is a snapshot of the settings
 // tree, a few megabytes at 23,000 leaves.
-const maxMessage = 64 << 20
+const maxMessageSize = 64 << 20
 
 // NotSentError is the error of a call that failed before any byte of it left this process.
 // The other side has not run it, and it may be sent to another address.
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn, err := secure(ctx, raw, addr, conf)
+	conn, err := handshake(ctx, raw, addr, conf)
 	if err != nil {
 		_ = raw.Close()
 		return nil, err
@@ -81,40 +81,40 @@
 		err  error
 	}
 	results := make(chan result)
-	won := make(chan struct{})
-	defer close(won)
-	try := func() {
+	done := make(chan struct{})
+	defer close(done)
+	attempt := func() {
 		var d net.Dialer
 		conn, err := d.DialContext(ctx, "tcp", addr)
 		select {
 		case results <- result{conn, err}:
-		case <-won:
+		case <-done:
 			if err == nil {
 				_ = conn.Close()
 			}
 		}
 	}
-	pause := connectAgain
-	again := time.NewTimer(pause)
-	defer again.Stop()
-	go try()
-	for open := 1; ; {
+	delay := connectRetryDelay
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
+	go attempt()
+	for pending := 1; ; {
 		select {
 		case r := <-results:
-			if open--; r.err == nil || open == 0 {
+			if pending--; r.err == nil || pending == 0 {
 				return r.conn, r.err
 			}
-		case <-again.C:
-			open++
-			go try()
-			pause = min(2*pause, connectMost)
-			again.Reset(pause)
+		case <-timer.C:
+			pending++
+			go attempt()
+			delay = min(2*delay, maxConnectRetryDelay)
+			timer.Reset(delay)
 		}
 	}
 }
 
-func secure(ctx context.Context, raw net.Conn, addr string, conf *tls.Config) (net.Conn, error) {
-	if err := betweenProcesses.apply(raw); err != nil {
+func handshake(ctx context.Context, raw net.Conn, addr string, conf *tls.Config) (net.Conn, error) {
+	if err := peerTimeouts.apply(raw); err != nil {
 		return nil, err
 	}
 	if conf == nil {
@@ -138,7 +138,7 @@
 
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
-		Reader:          drpcwire.ReaderOptions{MaximumBufferSize: maxMessage},
+		Reader:          drpcwire.ReaderOptions{MaximumBufferSize: maxMessageSize},
 		SoftCancel:      true,
 		SoftCancelGrace: softCancelGrace,
 	}
--- a/internal/link/peer/dial_test.go
+++ b/internal/link/peer/dial_test.go
@@ -32,7 +32,7 @@
 // Guards against dials that take a second longer than needed. The SYN to a VM that is
 // still starting is lost, and the kernel retransmits it only after a second, even if the
 // VM is up a moment later. A second parallel connect avoids the delay.
-func TestDialWhileTheOtherSideStarts(t *testing.T) {
+func TestDialSucceedsWhileOtherSideStarts(t *testing.T) {
 	Convey("Given a VM that drops the first SYN and is up after 100 ms", t, func() {
 		lis, first := fullListener(t)
 		defer lis.Close()
--- a/internal/link/peer/health.go
+++ b/internal/link/peer/health.go
@@ -11,15 +11,15 @@
 
 const (
 	// dialBackoff is how long an address is not dialed again after a failed dial.
-	dialPause = 250 * time.Millisecond
+	dialBackoff = 250 * time.Millisecond
 	// refusedBackoff is the same after a refused connect. The VM is up and only its
 	// process is not, and a refused dial returns at once. When the whole tier restarts,
 	// the first daemons to start call those that have not started yet.
-	refusedPause = 40 * time.Millisecond
+	refusedBackoff = 40 * time.Millisecond
 	// slowDialThreshold is the time after which a dial that was ended by its caller's
 	// context counts as a failure of the address. Before that, the caller's deadline was
 	// too short to tell.
-	slowDial = 200 * time.Millisecond
+	slowDialThreshold = 200 * time.Millisecond
 )
 
 // health makes calls fail fast while an address does not answer. Otherwise, when a VM
@@ -28,8 +28,8 @@
 // except for one dial at a time that probes whether the address is back.
 type health struct {
 	mu      sync.Mutex
-	failure error // of the last dial; nil after a success
-	pause   time.Time
+	lastErr error // of the last dial; nil after a success
+	retryAt time.Time
 	probing bool
 }
 
@@ -38,29 +38,29 @@
 func (h *health) allow(now time.Time) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.failure == nil {
+	if h.lastErr == nil {
 		return nil
 	}
-	if h.probing || now.Before(h.pause) {
-		return errors.Wrap(h.failure, "left alone after a failed dial")
+	if h.probing || now.Before(h.retryAt) {
+		return errors.Wrap(h.lastErr, "left alone after a failed dial")
 	}
 	h.probing = true
 	return nil
 }
 
-func (h *health) dialed(ctx context.Context, began time.Time, err error) {
+func (h *health) recordDial(ctx context.Context, start time.Time, err error) {
 	now := time.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.probing = false
 	switch {
 	case err == nil:
-		h.failure = nil
-	case ctx.Err() != nil && now.Sub(began) < slowDial:
+		h.lastErr = nil
+	case ctx.Err() != nil && now.Sub(start) < slowDialThreshold:
 		// The caller gave up early; the result says nothing about the address.
 	case errors.Is(err, syscall.ECONNREFUSED):
-		h.failure, h.pause = err, now.Add(refusedPause)
+		h.lastErr, h.retryAt = err, now.Add(refusedBackoff)
 	default:
-		h.failure, h.pause = err, now.Add(dialPause)
+		h.lastErr, h.retryAt = err, now.Add(dialBackoff)
 	}
 }
--- a/internal/link/peer/health_test.go
+++ b/internal/link/peer/health_test.go
@@ -16,33 +16,33 @@
 // Guards against calls that wait for a lost VM. The VM fails silently and the first dial
 // to it times out. The calls after it must fail at once, so that callers turn to the other
 // home, and one of them must detect when the VM is back.
-func TestHealth(t *testing.T) {
+func TestFailedDialFailsCallsFast(t *testing.T) {
 	Convey("After a failed dial", t, func() {
 		ctx := context.Background()
 		var h health
 		before := time.Now()
 		So(h.allow(before), ShouldBeNil)
-		h.dialed(ctx, before, errors.New("timed out"))
+		h.recordDial(ctx, before, errors.New("timed out"))
 		So(h.allow(before), ShouldNotBeNil)
 
-		later := time.Now().Add(2 * dialPause)
+		later := time.Now().Add(2 * dialBackoff)
 		So(h.allow(later), ShouldBeNil)    // the probe
 		So(h.allow(later), ShouldNotBeNil) // other calls during the probe
 
 		Convey("a failed probe starts another pause", func() {
 			before := time.Now()
-			h.dialed(ctx, before, errors.New("timed out"))
+			h.recordDial(ctx, before, errors.New("timed out"))
 			So(h.allow(before), ShouldNotBeNil)
 		})
 		Convey("a successful probe allows all dials", func() {
-			h.dialed(ctx, before, nil)
+			h.recordDial(ctx, before, nil)
 			So(h.allow(later), ShouldBeNil)
 			So(h.allow(later), ShouldBeNil)
 		})
 		Convey("a probe whose caller gave up early lets the next caller probe", func() {
 			gone, cancel := context.WithCancel(ctx)
 			cancel()
-			h.dialed(gone, time.Now().Add(time.Hour), gone.Err())
+			h.recordDial(gone, time.Now().Add(time.Hour), gone.Err())
 			So(h.allow(later), ShouldBeNil)
 		})
 	})
@@ -51,16 +51,16 @@
 		gone, cancel := context.WithCancel(context.Background())
 		cancel()
 		now := time.Now()
-		h.dialed(gone, now.Add(time.Hour), gone.Err()) // the dial took no time
+		h.recordDial(gone, now.Add(time.Hour), gone.Err()) // the dial took no time
 		So(h.allow(now), ShouldBeNil)
-		h.dialed(gone, now.Add(-slowDial), gone.Err())
+		h.recordDial(gone, now.Add(-slowDialThreshold), gone.Err())
 		So(h.allow(now), ShouldNotBeNil)
 	})
 }
 
 // Guards against addresses that stay excluded after a failure. An address refuses
 // connects, then a daemon starts there, and calls must succeed again with the same pool.
-func TestAddressComesBack(t *testing.T) {
+func TestAddressIsUsedAgainAfterRecovery(t *testing.T) {
 	Convey("A pool calls an address that is available again", t, func() {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
@@ -68,15 +68,15 @@
 		So(lis.Close(), ShouldBeNil)
 		pool := NewPool(nil)
 		defer pool.Close()
-		_, err = read(pool, addr)
+		_, err = readIdentity(pool, addr)
 		So(NotSent(err), ShouldBeTrue)
 
-		s := startAt(t, addr, &control{}, nil)
+		s := startServerAt(t, addr, &controlServer{}, nil)
 		defer func() { So(s.stop(), ShouldBeNil) }()
 		end := time.Now().Add(testWait)
 		for err != nil && time.Now().Before(end) {
-			time.Sleep(dialPause / 10)
-			_, err = read(pool, addr)
+			time.Sleep(dialBackoff / 10)
+			_, err = readIdentity(pool, addr)
 		}
 		So(err, ShouldBeNil)
 	})
@@ -85,23 +85,23 @@
 // Guards against connections that stay open for a quarter of an hour after the link was
 // cut without a reset. Only the kernel can detect this, and only with these socket
 // options.
-func TestSocketOptions(t *testing.T) {
+func TestSocketTimeouts(t *testing.T) {
 	Convey("Both ends of a connection have the socket timeouts", t, func() {
-		client, server := pair(t)
-		So(betweenProcesses.apply(client), ShouldBeNil)
-		for conn, p := range map[net.Conn]patience{client: betweenProcesses, server: withCallers} {
-			So(option(t, conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), ShouldEqual, p.UserTimeout.Milliseconds())
-			So(option(t, conn, unix.SOL_SOCKET, unix.SO_KEEPALIVE), ShouldEqual, 1)
-			So(option(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), ShouldEqual, p.Idle.Seconds())
-			So(option(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), ShouldEqual, p.Interval.Seconds())
+		client, server := connPair(t)
+		So(peerTimeouts.apply(client), ShouldBeNil)
+		for conn, p := range map[net.Conn]socketTimeouts{client: peerTimeouts, server: callerTimeouts} {
+			So(socketOption(t, conn, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), ShouldEqual, p.UserTimeout.Milliseconds())
+			So(socketOption(t, conn, unix.SOL_SOCKET, unix.SO_KEEPALIVE), ShouldEqual, 1)
+			So(socketOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), ShouldEqual, p.Idle.Seconds())
+			So(socketOption(t, conn, unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), ShouldEqual, p.Interval.Seconds())
 		}
 	})
 
 	// The other process hangs: its kernel still acknowledges, but the process reads
 	// nothing. Keep-alives are answered, so only the user timeout ends the write.
 	Convey("The kernel ends a write that makes no progress", t, func() {
-		client, _ := pair(t)
-		p := patience{Idle: time.Hour, Interval: time.Hour, UserTimeout: 200 * time.Millisecond}
+		client, _ := connPair(t)
+		p := socketTimeouts{Idle: time.Hour, Interval: time.Hour, UserTimeout: 200 * time.Millisecond}
 		So(p.apply(client), ShouldBeNil)
 		So(client.SetWriteDeadline(time.Now().Add(testWait)), ShouldBeNil)
 		chunk := make([]byte, 1<<20)
@@ -114,7 +114,7 @@
 }
 
 // connPair returns the two ends of a connection. The server end comes from CallerListener.
-func pair(t *testing.T) (client, server net.Conn) {
+func connPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -137,7 +137,7 @@
 	return client, server
 }
 
-func option(t *testing.T, conn net.Conn, level, name int) int {
+func socketOption(t *testing.T, conn net.Conn, level, name int) int {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -153,7 +153,7 @@
 
 // Guards against a pool that grows without bound in a daemon that runs for years while the
 // VMs that it calls are replaced.
-func TestPoolForgets(t *testing.T) {
+func TestPoolEvictsUnusedAddresses(t *testing.T) {
 	Convey("A pool drops the state of addresses that are no longer called", t, func() {
 		pool := NewPool(nil)
 		defer pool.Close()
@@ -162,9 +162,9 @@
 			So(err, ShouldBeNil)
 		}
 		pool.peers["127.0.0.1:2"].slots <- struct{}{} // a call in flight
-		pool.forgetUnused(time.Now())
+		pool.evictUnused(time.Now())
 		So(len(pool.peers), ShouldEqual, 3)
-		pool.forgetUnused(time.Now().Add(2 * forgetAfter))
+		pool.evictUnused(time.Now().Add(2 * forgetAddressAfter))
 		So(len(pool.peers), ShouldEqual, 1)
 		So(pool.peers, ShouldContainKey, "127.0.0.1:2")
 	})
@@ -173,10 +173,10 @@
 // Guards against an unbounded number of connections to an address that answers slowly. A
 // call beyond the bound waits for a free connection, and if its deadline passes first, it
 // reports that it was not sent.
-func TestBusyAddress(t *testing.T) {
+func TestCallBeyondConnectionBoundIsNotSent(t *testing.T) {
 	Convey("Calls beyond the bound are not sent", t, func() {
-		c := &control{entered: make(chan struct{}, connsPerAddr), hold: make(chan struct{})}
-		s := start(t, c, nil)
+		c := &controlServer{entered: make(chan struct{}, connsPerAddr), hold: make(chan struct{})}
+		s := startServer(t, c, nil)
 		pool := NewPool(nil)
 		defer pool.Close()
 		conn, err := pool.Conn(context.Background(), s.addr)
@@ -202,7 +202,7 @@
 		for range connsPerAddr {
 			So(<-done, ShouldBeNil)
 		}
-		_, err = read(pool, s.addr)
+		_, err = readIdentity(pool, s.addr)
 		So(err, ShouldBeNil)
 		So(s.stop(), ShouldBeNil)
 	})
@@ -210,9 +210,9 @@
 
 // Guards against a server that fails on invalid input. Any program may connect to the peer
 // port; bytes that are no drpc call must end only their own connection.
-func TestGarbage(t *testing.T) {
+func TestInvalidBytesEndOnlyTheirConnection(t *testing.T) {
 	Convey("Invalid bytes end only their own connection", t, func() {
-		s := start(t, &control{}, nil)
+		s := startServer(t, &controlServer{}, nil)
 		defer func() { So(s.stop(), ShouldBeNil) }()
 		for _, garbage := range []string{"GET / HTTP/1.1\r\n\r\n", "\x16\x03\x01\x02\x00\x01", "\xff\xff\xff\xff\xff\xff\xff\xff"} {
 			conn, err := net.Dial("tcp", s.addr)
--- a/internal/link/peer/identity.go
+++ b/internal/link/peer/identity.go
@@ -50,7 +50,7 @@
 
 // identityFromCert returns the identity in the only pearmoor URI of a verified
 // certificate.
-func identityOf(cert *x509.Certificate) (Identity, error) {
+func identityFromCert(cert *x509.Certificate) (Identity, error) {
 	var found []Identity
 	for _, u := range cert.URIs {
 		if u.Scheme != uriScheme {
@@ -93,28 +93,28 @@
 }
 
 // operatorMetadataKey is the metadata key of an operator's name on plain-text connections.
-const statedOperator = "pearmoor-operator"
+const operatorMetadataKey = "pearmoor-operator"
 
 // WithOperator adds the operator's name to calls made with the returned context. Servers
 // with TLS ignore it and use the certificate.
 func WithOperator(ctx context.Context, name string) context.Context {
-	return drpcmetadata.Add(ctx, statedOperator, name)
+	return drpcmetadata.Add(ctx, operatorMetadataKey, name)
 }
 
-func statedIdentity(ctx context.Context) (Identity, bool) {
+func identityFromMetadata(ctx context.Context) (Identity, bool) {
 	md, _ := drpcmetadata.Get(ctx)
-	name := md[statedOperator]
+	name := md[operatorMetadataKey]
 	if name == "" {
 		return Identity{}, false
 	}
 	return Identity{Name: name, Kind: Operator}, true
 }
 
-func identityOfState(state tls.ConnectionState) (Identity, error) {
+func identityFromState(state tls.ConnectionState) (Identity, error) {
 	if len(state.PeerCertificates) == 0 {
 		return Identity{}, errors.New("peer: no certificate from the other side")
 	}
-	return identityOf(state.PeerCertificates[0])
+	return identityFromCert(state.PeerCertificates[0])
 }
 
 // CheckSender returns an error if the certificate of a call names another VM than the one
--- a/internal/link/peer/identity_test.go
+++ b/internal/link/peer/identity_test.go
@@ -10,7 +10,7 @@
 
 // Guards against names that are decoded from a certificate's URI differently than they
 // were encoded, which would give one VM the identity of another.
-func TestIdentityURI(t *testing.T) {
+func TestIdentityURIRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		id := Identity{
 			Name:     rapid.String().Draw(t, "name"),
--- a/internal/link/peer/limit.go
+++ b/internal/link/peer/limit.go
@@ -5,7 +5,7 @@
 // minLinkRate is the minimum rate of a working link, in bytes per second: a seventh of the
 // 14 Mbit/s of the smallest VMs, which callers' requests share. On a link that stays below
 // it for seconds, a call may time out.
-const leastRate = 250_000
+const minLinkRate = 250_000
 
 // CallTimeout returns the timeout of a call that carries the given number of bytes in
 // either direction: base plus the transfer time over a slow link. A fixed timeout would
@@ -13,5 +13,5 @@
 // was accepted but never acknowledged. A link that carries nothing at all is detected
 // earlier, by the socket timeouts of the connection (peerTimeouts).
 func TimeFor(base time.Duration, bytes int) time.Duration {
-	return base + time.Duration(bytes)*time.Second/leastRate
+	return base + time.Duration(bytes)*time.Second/minLinkRate
 }
--- a/internal/link/peer/lost_test.go
+++ b/internal/link/peer/lost_test.go
@@ -13,33 +13,33 @@
 // powerCycleProxy forwards connections to a server. When epoch changes, it simulates a VM
 // that has lost power and restarted: open connections become silent, data sent on one is
 // answered with a reset, and new connections are forwarded.
-type powerCut struct {
+type powerCycleProxy struct {
 	lis    net.Listener
 	server string
 	epoch  atomic.Int64
 }
 
-func newPowerCut(t *testing.T, server string) *powerCut {
+func newPowerCycleProxy(t *testing.T, server string) *powerCycleProxy {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = lis.Close() })
-	p := &powerCut{lis: lis, server: server}
+	p := &powerCycleProxy{lis: lis, server: server}
 	go func() {
 		for {
 			c, err := lis.Accept()
 			if err != nil {
 				return
 			}
-			go p.pass(c.(*net.TCPConn), p.epoch.Load())
+			go p.forward(c.(*net.TCPConn), p.epoch.Load())
 		}
 	}()
 	return p
 }
 
-func (p *powerCut) pass(client *net.TCPConn, epoch int64) {
+func (p *powerCycleProxy) forward(client *net.TCPConn, epoch int64) {
 	server, err := net.Dial("tcp", p.server)
 	if err != nil {
 		_ = client.Close()
@@ -76,12 +76,12 @@
 // restarts while a daemon has four idle connections to it. The call that uses the first of
 // them fails; the next call must succeed. Otherwise the daemon receives changes only after
 // four failed calls and the pauses between them.
-func TestLostConnectionsCostOneCall(t *testing.T) {
+func TestLostConnectionsFailOneCall(t *testing.T) {
 	const conns = 4
-	c := &control{entered: make(chan struct{}), hold: make(chan struct{})}
-	s := start(t, c, nil)
+	c := &controlServer{entered: make(chan struct{}), hold: make(chan struct{})}
+	s := startServer(t, c, nil)
 	defer func() { _ = s.stop() }()
-	p := newPowerCut(t, s.addr)
+	p := newPowerCycleProxy(t, s.addr)
 	pool := NewPool(nil)
 	defer pool.Close()
 	addr := p.lis.Addr().String()
@@ -103,11 +103,11 @@
 		}
 	}
 	p.epoch.Add(1)
-	if _, err := read(pool, addr); err == nil {
+	if _, err := readIdentity(pool, addr); err == nil {
 		t.Error("a call on a lost connection succeeded")
 	}
 	time.Sleep(10 * time.Millisecond)
-	if _, err := read(pool, addr); err != nil {
+	if _, err := readIdentity(pool, addr); err != nil {
 		t.Errorf("the next call: %v", err)
 	}
 }
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -24,33 +24,33 @@
 
 // controlServer answers Read with the identity of the caller. Status blocks until hold is
 // closed.
-type control struct {
+type controlServer struct {
 	wire.DRPCControlUnimplementedServer
 	entered chan struct{}
 	hold    chan struct{}
 }
 
-func (c *control) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error) {
-	if req.GetVersion() == asEve {
+func (c *controlServer) Read(ctx context.Context, req *wire.ReadRequest) (*wire.ReadReply, error) {
+	if req.GetVersion() == versionFromEve {
 		return nil, CheckSender(ctx, "eve")
 	}
 	id, _ := FromContext(ctx)
 	return &wire.ReadReply{Redirect: id.Kind.String() + "/" + id.Name}, nil
 }
 
-func (c *control) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
+func (c *controlServer) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	c.entered <- struct{}{}
 	<-c.hold
 	return &wire.StatusReply{Term: 7}, nil
 }
 
-func (c *control) Audit(context.Context, *wire.AuditRequest) (*wire.AuditReply, error) {
+func (c *controlServer) Audit(context.Context, *wire.AuditRequest) (*wire.AuditReply, error) {
 	panic("broken handler")
 }
 
 // versionFromEve is a version in a ReadRequest for which the server checks that the sender
 // is eve.
-const asEve = 666
+const versionFromEve = 666
 
 type testServer struct {
 	addr   string
@@ -68,12 +68,12 @@
 	}
 }
 
-func start(t testing.TB, c *control, conf *tls.Config) *testServer {
+func startServer(t testing.TB, c *controlServer, conf *tls.Config) *testServer {
 	t.Helper()
-	return startAt(t, "127.0.0.1:0", c, conf)
+	return startServerAt(t, "127.0.0.1:0", c, conf)
 }
 
-func startAt(t testing.TB, addr string, c *control, conf *tls.Config) *testServer {
+func startServerAt(t testing.TB, addr string, c *controlServer, conf *tls.Config) *testServer {
 	t.Helper()
 	lis, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return s
 }
 
-func newFiles(dir, name string) Files {
+func filePaths(dir, name string) Files {
 	return Files{
 		CA:   filepath.Join(dir, "ca.pem"),
 		Cert: filepath.Join(dir, name+".pem"),
@@ -98,9 +98,9 @@
 }
 
 // issue writes the authority's certificate and a certificate that it issues for id.
-func issue(t testing.TB, a *Authority, dir string, id Identity) Files {
+func issueCert(t testing.TB, a *Authority, dir string, id Identity) Files {
 	t.Helper()
-	f := newFiles(dir, id.Kind.String()+"-"+id.Name)
+	f := filePaths(dir, id.Kind.String()+"-"+id.Name)
 	if err := a.Save(f.CA, filepath.Join(dir, "ca.key")); err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 	return f
 }
 
-func load(t testing.TB, f Files) *Reloader {
+func loadFiles(t testing.TB, f Files) *Reloader {
 	t.Helper()
 	r, err := f.Load()
 	if err != nil {
@@ -119,7 +119,7 @@
 	return r
 }
 
-func authority(t testing.TB) *Authority {
+func newTestAuthority(t testing.TB) *Authority {
 	t.Helper()
 	a, err := NewAuthority(testValidity)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return a
 }
 
-func read(pool *Pool, addr string) (string, error) {
+func readIdentity(pool *Pool, addr string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), testWait)
 	defer cancel()
 	conn, err := pool.Conn(ctx, addr)
@@ -142,22 +142,22 @@
 	return reply.Redirect, nil
 }
 
-func TestIdentity(t *testing.T) {
+func TestCertificateIdentity(t *testing.T) {
 	Convey("With an authority and a server of VM c1", t, func() {
-		dir, a := t.TempDir(), authority(t)
-		server := start(t, &control{}, load(t, issue(t, a, dir, Identity{Name: "c1", Kind: VM})).ServerConfig())
+		dir, a := t.TempDir(), newTestAuthority(t)
+		server := startServer(t, &controlServer{}, loadFiles(t, issueCert(t, a, dir, Identity{Name: "c1", Kind: VM})).ServerConfig())
 		defer func() { So(server.stop(), ShouldBeNil) }()
 
 		Convey("an operator's calls carry the name in its certificate", func() {
-			pool := NewPool(load(t, issue(t, a, dir, Identity{Name: "asha", Kind: Operator})).ClientConfig())
+			pool := NewPool(loadFiles(t, issueCert(t, a, dir, Identity{Name: "asha", Kind: Operator})).ClientConfig())
 			defer pool.Close()
-			who, err := read(pool, server.addr)
+			who, err := readIdentity(pool, server.addr)
 			So(err, ShouldBeNil)
 			So(who, ShouldEqual, "operator/asha")
 
 			conn, err := pool.Conn(context.Background(), server.addr)
 			So(err, ShouldBeNil)
-			_, err = wire.NewDRPCControlClient(conn).Read(context.Background(), &wire.ReadRequest{Version: asEve})
+			_, err = wire.NewDRPCControlClient(conn).Read(context.Background(), &wire.ReadRequest{Version: versionFromEve})
 			So(IsPermanent(err), ShouldBeTrue) // the claimed name differs from the certificate's
 			So(err.Error(), ShouldContainSubstring, `says it is from "eve"`)
 		})
@@ -166,9 +166,9 @@
 		// The handshake succeeds, since the VM is known, and without a check of the kind
 		// the change would be accepted under the VM's name.
 		Convey("a VM's certificate may not be used for an operator's calls", func() {
-			pool := NewPool(load(t, issue(t, a, dir, Identity{Name: "e1", Kind: VM})).ClientConfig())
+			pool := NewPool(loadFiles(t, issueCert(t, a, dir, Identity{Name: "e1", Kind: VM})).ClientConfig())
 			defer pool.Close()
-			_, err := read(pool, server.addr)
+			_, err := readIdentity(pool, server.addr)
 			So(err, ShouldNotBeNil)
 			So(Denied(err), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, `"e1" is of kind vm`)
@@ -176,17 +176,17 @@
 
 		Convey("a client of another authority is refused by both sides", func() {
 			other := t.TempDir()
-			files := issue(t, authority(t), other, Identity{Name: "asha", Kind: Operator})
-			pool := NewPool(load(t, files).ClientConfig())
+			files := issueCert(t, newTestAuthority(t), other, Identity{Name: "asha", Kind: Operator})
+			pool := NewPool(loadFiles(t, files).ClientConfig())
 			defer pool.Close()
-			_, err := read(pool, server.addr)
+			_, err := readIdentity(pool, server.addr)
 			So(NotSent(err), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, "unknown authority")
 
 			files.CA = filepath.Join(dir, "ca.pem") // the client trusts the server, the server does not trust the client
-			pool2 := NewPool(load(t, files).ClientConfig())
+			pool2 := NewPool(loadFiles(t, files).ClientConfig())
 			defer pool2.Close()
-			_, err = read(pool2, server.addr)
+			_, err = readIdentity(pool2, server.addr)
 			So(err, ShouldNotBeNil)
 		})
 	})
@@ -206,14 +206,14 @@
 		}
 		for _, bad := range cases {
 			Convey(bad.name, func() {
-				dir, a := t.TempDir(), authority(t)
-				files := issue(t, a, dir, bad.id)
+				dir, a := t.TempDir(), newTestAuthority(t)
+				files := issueCert(t, a, dir, bad.id)
 				So(a.Issue(bad.id, []string{bad.host}, bad.validity, files.Cert, files.Key), ShouldBeNil)
-				server := start(t, &control{}, load(t, files).ServerConfig())
+				server := startServer(t, &controlServer{}, loadFiles(t, files).ServerConfig())
 				defer func() { So(server.stop(), ShouldBeNil) }()
-				pool := NewPool(load(t, issue(t, a, dir, Identity{Name: "asha", Kind: Operator})).ClientConfig())
+				pool := NewPool(loadFiles(t, issueCert(t, a, dir, Identity{Name: "asha", Kind: Operator})).ClientConfig())
 				defer pool.Close()
-				_, err := read(pool, server.addr)
+				_, err := readIdentity(pool, server.addr)
 				So(NotSent(err), ShouldBeTrue)
 				So(err.Error(), ShouldContainSubstring, bad.why)
 			})
@@ -221,13 +221,13 @@
 	})
 
 	Convey("A server with an operator's certificate is refused", t, func() {
-		dir, a := t.TempDir(), authority(t)
-		r := load(t, issue(t, a, dir, Identity{Name: "asha", Kind: Operator}))
-		server := start(t, &control{}, r.ServerConfig())
+		dir, a := t.TempDir(), newTestAuthority(t)
+		r := loadFiles(t, issueCert(t, a, dir, Identity{Name: "asha", Kind: Operator}))
+		server := startServer(t, &controlServer{}, r.ServerConfig())
 		defer func() { So(server.stop(), ShouldBeNil) }()
 		pool := NewPool(r.ClientConfig())
 		defer pool.Close()
-		_, err := read(pool, server.addr)
+		_, err := readIdentity(pool, server.addr)
 		So(NotSent(err), ShouldBeTrue)
 	})
 }
@@ -235,35 +235,35 @@
 // Guards against certificates that take effect only after a restart. The authority is
 // replaced while daemons run. New connections fail while the client trusts only the old
 // authority; once the client's files are replaced, the next handshake must read them.
-func TestReload(t *testing.T) {
+func TestReplacedFilesAreReloaded(t *testing.T) {
 	Convey("Replaced files are used by the next handshake", t, func() {
-		serverDir, clientDir, old := t.TempDir(), t.TempDir(), authority(t)
+		serverDir, clientDir, old := t.TempDir(), t.TempDir(), newTestAuthority(t)
 		c1, asha := Identity{Name: "c1", Kind: VM}, Identity{Name: "asha", Kind: Operator}
-		serverFiles := load(t, issue(t, old, serverDir, c1))
-		clientFiles := load(t, issue(t, old, clientDir, asha))
-		server := start(t, &control{}, serverFiles.ServerConfig())
+		serverFiles := loadFiles(t, issueCert(t, old, serverDir, c1))
+		clientFiles := loadFiles(t, issueCert(t, old, clientDir, asha))
+		server := startServer(t, &controlServer{}, serverFiles.ServerConfig())
 		defer func() { So(server.stop(), ShouldBeNil) }()
 		conf := clientFiles.ClientConfig()
-		try := func() error {
+		call := func() error {
 			pool := NewPool(conf)
 			defer pool.Close()
-			_, err := read(pool, server.addr)
+			_, err := readIdentity(pool, server.addr)
 			return err
 		}
-		So(try(), ShouldBeNil)
+		So(call(), ShouldBeNil)
 
-		fresh := authority(t)
-		issue(t, fresh, serverDir, c1)
-		So(NotSent(try()), ShouldBeTrue)
+		fresh := newTestAuthority(t)
+		issueCert(t, fresh, serverDir, c1)
+		So(NotSent(call()), ShouldBeTrue)
 
-		issue(t, fresh, clientDir, asha)
-		So(try(), ShouldBeNil)
+		issueCert(t, fresh, clientDir, asha)
+		So(call(), ShouldBeNil)
 	})
 
 	Convey("A key that does not match its certificate leaves the previous pair in use", t, func() {
-		dir, a := t.TempDir(), authority(t)
-		files := issue(t, a, dir, Identity{Name: "c1", Kind: VM})
-		r := load(t, files)
+		dir, a := t.TempDir(), newTestAuthority(t)
+		files := issueCert(t, a, dir, Identity{Name: "c1", Kind: VM})
+		r := loadFiles(t, files)
 		before := r.get()
 		So(a.Issue(Identity{Name: "c1", Kind: VM}, nil, testValidity, filepath.Join(dir, "x.pem"), files.Key), ShouldBeNil)
 		So(r.get(), ShouldEqual, before)
@@ -272,10 +272,10 @@
 
 // Guards against calls that are cut off by a planned stop. Serve must not return, and must
 // not close the connection of a call in flight, before the call has been answered.
-func TestDrainWaits(t *testing.T) {
+func TestServeAnswersCallsInFlightBeforeReturning(t *testing.T) {
 	Convey("Serve answers the call in flight before it returns", t, func() {
-		c := &control{entered: make(chan struct{}), hold: make(chan struct{})}
-		server := start(t, c, nil)
+		c := &controlServer{entered: make(chan struct{}), hold: make(chan struct{})}
+		server := startServer(t, c, nil)
 		pool := NewPool(nil)
 		defer pool.Close()
 		type outcome struct {
@@ -295,7 +295,7 @@
 			t.Fatal("Serve returned with a call in flight")
 		case <-time.After(2 * drainGrace):
 		}
-		_, err := read(NewPool(nil), server.addr)
+		_, err := readIdentity(NewPool(nil), server.addr)
 		So(NotSent(err), ShouldBeTrue) // the server no longer accepts connections
 		close(c.hold)
 		out := <-got
@@ -311,13 +311,13 @@
 			lis, err := net.Listen("tcp", "0.0.0.0:0")
 			So(err, ShouldBeNil)
 			So(Serve(context.Background(), lis, drpcmux.New(), nil), ShouldNotBeNil)
-			_, err = read(NewPool(nil), "192.0.2.1:7000")
+			_, err = readIdentity(NewPool(nil), "192.0.2.1:7000")
 			So(NotSent(err), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, "plain text is refused")
 		})
 
 		Convey("carries the operator's name from the metadata", func() {
-			server := start(t, &control{}, nil)
+			server := startServer(t, &controlServer{}, nil)
 			defer func() { So(server.stop(), ShouldBeNil) }()
 			pool := NewPool(nil)
 			defer pool.Close()
@@ -329,7 +329,7 @@
 		})
 
 		Convey("answers a panic with an error and keeps serving", func() {
-			server := start(t, &control{}, nil)
+			server := startServer(t, &controlServer{}, nil)
 			defer func() { So(server.stop(), ShouldBeNil) }()
 			pool := NewPool(nil)
 			defer pool.Close()
@@ -337,7 +337,7 @@
 			So(err, ShouldBeNil)
 			_, err = wire.NewDRPCControlClient(conn).Audit(context.Background(), &wire.AuditRequest{})
 			So(err, ShouldNotBeNil)
-			_, err = read(pool, server.addr)
+			_, err = readIdentity(pool, server.addr)
 			So(err, ShouldBeNil)
 		})
 	})
@@ -363,7 +363,7 @@
 // Guards against reuse of a silent connection. The other side accepts a call and never
 // answers, as after a silent network cut. The call must end at its deadline without the
 // claim that it was not sent, and its connection must not be reused.
-func TestCutConnection(t *testing.T) {
+func TestSilentConnectionIsNotReused(t *testing.T) {
 	Convey("A call on a silent connection ends at its deadline, and the next call dials again", t, func() {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
--- a/internal/link/peer/pool.go
+++ b/internal/link/peer/pool.go
@@ -20,14 +20,14 @@
 	// one call at a time.
 	connsPerAddr = 64
 	// idleTimeout is how long an unused connection stays open.
-	idleExpiry = time.Minute
+	idleTimeout = time.Minute
 	// maxAge is the age at which a connection is replaced. A random part of up to
 	// maxAge/maxAgeJitterDivisor is subtracted, so that connections made at the same time
 	// are not replaced at the same time.
-	maxAge    = 10 * time.Minute
-	ageSpread = 5
+	maxAge              = 10 * time.Minute
+	maxAgeJitterDivisor = 5
 	// forgetAddressAfter is how long the state of an unused address is kept.
-	forgetAfter = time.Hour
+	forgetAddressAfter = time.Hour
 )
 
 // Pool keeps connections to other processes and reuses them. The zero value is
@@ -35,10 +35,10 @@
 type Pool struct {
 	conf    *tls.Config
 	trusted bool // plain text is allowed to any address
-	idle    *drpcpool.Pool[string, *agedConn]
+	idle    *drpcpool.Pool[string, *expiringConn]
 
 	mu     sync.Mutex
-	peers  map[string]*address
+	peers  map[string]*addressState
 	closed bool
 }
 
@@ -47,8 +47,8 @@
 func NewPool(tlsConf *tls.Config) *Pool {
 	return &Pool{
 		conf:  tlsConf,
-		idle:  drpcpool.New[string, *agedConn](drpcpool.Options{Expiration: idleExpiry, KeyCapacity: connsPerAddr}),
-		peers: make(map[string]*address),
+		idle:  drpcpool.New[string, *expiringConn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: connsPerAddr}),
+		peers: make(map[string]*addressState),
 	}
 }
 
@@ -69,21 +69,21 @@
 	if p.closed {
 		return nil, &NotSentError{Addr: addr, Cause: errors.New("the pool is closed")}
 	}
-	to, ok := p.peers[addr]
+	state, ok := p.peers[addr]
 	if !ok {
-		p.forgetUnused(time.Now())
-		to = &address{slots: make(chan struct{}, connsPerAddr)}
-		p.peers[addr] = to
+		p.evictUnused(time.Now())
+		state = &addressState{slots: make(chan struct{}, connsPerAddr)}
+		p.peers[addr] = state
 	}
-	to.used.Store(time.Now().UnixNano())
-	return &handle{pool: p, addr: addr, to: to, closed: make(chan struct{})}, nil
+	state.lastUsed.Store(time.Now().UnixNano())
+	return &handle{pool: p, addr: addr, state: state, closed: make(chan struct{})}, nil
 }
 
 // evictUnused deletes the state of addresses that are no longer called. VMs are replaced
 // every day, so in a daemon that runs for years the map would grow without bound.
-func (p *Pool) forgetUnused(now time.Time) {
-	for addr, to := range p.peers {
-		if len(to.slots) == 0 && now.Sub(time.Unix(0, to.used.Load())) > forgetAfter {
+func (p *Pool) evictUnused(now time.Time) {
+	for addr, state := range p.peers {
+		if len(state.slots) == 0 && now.Sub(time.Unix(0, state.lastUsed.Load())) > forgetAddressAfter {
 			delete(p.peers, addr)
 		}
 	}
@@ -104,24 +104,24 @@
 }
 
 // addressState is the state of one address in a pool.
-type address struct {
-	slots chan struct{} // one element for each call in flight
-	used  atomic.Int64  // Unix time of the latest handle or call, in ns
+type addressState struct {
+	slots    chan struct{} // one element for each call in flight
+	lastUsed atomic.Int64  // Unix time of the latest handle or call, in ns
 	health
 }
 
 // expiringConn is a connection that is not reused after expiresAt, because the
 // certificates checked in its handshake may have been issued by an authority that has been
 // replaced since.
-type agedConn struct {
+type expiringConn struct {
 	*drpcconn.Conn
-	retire time.Time
+	expiresAt time.Time
 }
 
 type handle struct {
-	pool *Pool
-	addr string
-	to   *address
+	pool  *Pool
+	addr  string
+	state *addressState
 
 	once   sync.Once
 	closed chan struct{}
@@ -138,14 +138,14 @@
 
 // Invoke implements drpc.Conn.
 func (h *handle) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
-	conn, err := h.take(ctx)
+	conn, err := h.getConn(ctx)
 	if err != nil {
 		return &NotSentError{Addr: h.addr, Cause: err}
 	}
-	defer h.put(conn)
+	defer h.putConn(conn)
 	reply := &replyEncoding{Encoding: enc}
 	err = conn.Invoke(ctx, rpc, reply, in, out)
-	h.checkLost(conn, err)
+	h.closeIdleIfLost(conn, err)
 	if reply.received {
 		return nil
 	}
@@ -160,19 +160,19 @@
 
 // NewStream implements drpc.Conn.
 func (h *handle) NewStream(ctx context.Context, rpc string, enc drpc.Encoding) (drpc.Stream, error) {
-	conn, err := h.take(ctx)
+	conn, err := h.getConn(ctx)
 	if err != nil {
 		return nil, &NotSentError{Addr: h.addr, Cause: err}
 	}
 	stream, err := conn.NewStream(ctx, rpc, enc)
 	if err != nil {
-		h.checkLost(conn, err)
-		h.put(conn)
+		h.closeIdleIfLost(conn, err)
+		h.putConn(conn)
 		return nil, err
 	}
 	go func() {
 		<-stream.Context().Done()
-		h.put(conn)
+		h.putConn(conn)
 	}()
 	return stream, nil
 }
@@ -182,7 +182,7 @@
 // them cost a call, a daemon with five of them to each control VM would receive no change
 // for seconds after the control VMs are back, because the pause after each failed call
 // grows.
-func (h *handle) checkLost(conn *agedConn, err error) {
+func (h *handle) closeIdleIfLost(conn *expiringConn, err error) {
 	if err == nil {
 		return
 	}
@@ -200,8 +200,8 @@
 	}
 }
 
-func (h *handle) take(ctx context.Context) (*agedConn, error) {
-	if err := h.acquire(ctx); err != nil {
+func (h *handle) getConn(ctx context.Context) (*expiringConn, error) {
+	if err := h.acquireSlot(ctx); err != nil {
 		return nil, err
 	}
 	if conn, ok := h.pool.idle.Take(h.addr); ok {
@@ -209,59 +209,59 @@
 	}
 	conn, err := h.dial(ctx)
 	if err != nil {
-		<-h.to.slots
+		<-h.state.slots
 		return nil, err
 	}
 	return conn, nil
 }
 
-func (h *handle) dial(ctx context.Context) (*agedConn, error) {
-	if err := h.to.allow(time.Now()); err != nil {
+func (h *handle) dial(ctx context.Context) (*expiringConn, error) {
+	if err := h.state.allow(time.Now()); err != nil {
 		fastFailures.Inc(1)
 		return nil, err
 	}
-	began := time.Now()
+	start := time.Now()
 	conn, err := dial(ctx, h.addr, h.pool.conf, h.pool.trusted)
-	h.to.dialed(ctx, began, err)
+	h.state.recordDial(ctx, start, err)
 	if err != nil {
 		dialFailures.Inc(1)
 		return nil, err
 	}
 	dials.Inc(1)
-	age := maxAge - rand.N(maxAge/ageSpread)
-	return &agedConn{Conn: conn, retire: time.Now().Add(age)}, nil
+	age := maxAge - rand.N(maxAge/maxAgeJitterDivisor)
+	return &expiringConn{Conn: conn, expiresAt: time.Now().Add(age)}, nil
 }
 
-func (h *handle) acquire(ctx context.Context) error {
-	h.to.used.Store(time.Now().UnixNano())
+func (h *handle) acquireSlot(ctx context.Context) error {
+	h.state.lastUsed.Store(time.Now().UnixNano())
 	select {
 	case <-h.closed:
 		return errors.New("the connection is closed")
-	case h.to.slots <- struct{}{}:
+	case h.state.slots <- struct{}{}:
 		return nil
 	default:
 	}
-	waits.Inc(1)
+	slotWaits.Inc(1)
 	select {
-	case h.to.slots <- struct{}{}:
+	case h.state.slots <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return errors.Wrapf(ctx.Err(), "all %d connections are busy", connsPerAddr)
 	}
 }
 
-func (h *handle) put(conn *agedConn) {
-	if h.pool.isClosed() || time.Now().After(conn.retire) {
+func (h *handle) putConn(conn *expiringConn) {
+	if h.pool.isClosed() || time.Now().After(conn.expiresAt) {
 		_ = conn.Close()
 	} else {
 		h.pool.idle.Put(h.addr, conn)
 	}
-	<-h.to.slots
+	<-h.state.slots
 }
 
 var (
 	dials        = metrics.GetOrRegisterCounter("peer.pool.dials", metrics.DefaultRegistry)
 	dialFailures = metrics.GetOrRegisterCounter("peer.pool.dial_failures", metrics.DefaultRegistry)
 	fastFailures = metrics.GetOrRegisterCounter("peer.pool.fast_failures", metrics.DefaultRegistry)
-	waits        = metrics.GetOrRegisterCounter("peer.pool.waits", metrics.DefaultRegistry)
+	slotWaits    = metrics.GetOrRegisterCounter("peer.pool.waits", metrics.DefaultRegistry)
 )
--- a/internal/link/peer/reloader.go
+++ b/internal/link/peer/reloader.go
@@ -22,18 +22,18 @@
 	if err != nil {
 		return nil, err
 	}
-	r.stamps = f.stamps()
-	r.use(loaded)
+	r.states = f.states()
+	r.setCurrent(loaded)
 	return r, nil
 }
 
-type material struct {
+type credentials struct {
 	cert     tls.Certificate
 	roots    *x509.CertPool
 	identity Identity
 }
 
-func (f Files) read() (*material, error) {
+func (f Files) read() (*credentials, error) {
 	ca, err := os.ReadFile(f.CA)
 	if err != nil {
 		return nil, errors.Wrap(err, "peer: read the authority certificate")
@@ -46,41 +46,41 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "peer: load %s with %s", f.Cert, f.Key)
 	}
-	id, err := identityOf(cert.Leaf)
+	id, err := identityFromCert(cert.Leaf)
 	if err != nil {
 		return nil, err
 	}
-	return &material{cert: cert, roots: roots, identity: id}, nil
+	return &credentials{cert: cert, roots: roots, identity: id}, nil
 }
 
 // fileState identifies the content of a file. A replaced file has a new inode even if its
 // size and modification time are the same.
-type stamp struct {
+type fileState struct {
 	info os.FileInfo
 	err  bool
 }
 
-func (s stamp) same(o stamp) bool {
+func (s fileState) equal(o fileState) bool {
 	if s.err || o.err {
 		return s.err == o.err
 	}
 	return os.SameFile(s.info, o.info) && s.info.Size() == o.info.Size() && s.info.ModTime().Equal(o.info.ModTime())
 }
 
-type stamps [3]stamp
+type fileStates [3]fileState
 
-func (f Files) stamps() stamps {
-	var out stamps
+func (f Files) states() fileStates {
+	var out fileStates
 	for i, name := range []string{f.CA, f.Cert, f.Key} {
 		info, err := os.Stat(name)
-		out[i] = stamp{info: info, err: err != nil}
+		out[i] = fileState{info: info, err: err != nil}
 	}
 	return out
 }
 
-func (s stamps) same(o stamps) bool {
+func (s fileStates) equal(o fileStates) bool {
 	for i := range s {
-		if !s[i].same(o[i]) {
+		if !s[i].equal(o[i]) {
 			return false
 		}
 	}
@@ -95,21 +95,21 @@
 	files Files
 
 	mu      sync.Mutex
-	stamps  stamps
-	current *material
+	states  fileStates
+	current *credentials
 }
 
 // Identity returns the identity in the certificate now in use.
 func (r *Reloader) Identity() Identity { return r.get().identity }
 
-func (r *Reloader) get() *material {
+func (r *Reloader) get() *credentials {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := r.files.stamps()
-	if seen.same(r.stamps) {
+	states := r.files.states()
+	if states.equal(r.states) {
 		return r.current
 	}
-	r.stamps = seen
+	r.states = states
 	loaded, err := r.files.read()
 	if err != nil {
 		klog.Errorf("peer: changed certificate files are unusable, keeping the previous ones: %v", err)
@@ -117,16 +117,16 @@
 	}
 	klog.Infof("peer: certificate files reloaded, now %s %q until %s",
 		loaded.identity.Kind, loaded.identity.Name, loaded.cert.Leaf.NotAfter.Format(time.RFC3339))
-	r.use(loaded)
+	r.setCurrent(loaded)
 	return r.current
 }
 
-func (r *Reloader) use(m *material) {
+func (r *Reloader) setCurrent(m *credentials) {
 	r.current = m
-	notAfter.Update(m.cert.Leaf.NotAfter.Unix())
+	certNotAfter.Update(m.cert.Leaf.NotAfter.Unix())
 }
 
-var notAfter = metrics.GetOrRegisterGauge("peer.certificate.not_after", metrics.DefaultRegistry)
+var certNotAfter = metrics.GetOrRegisterGauge("peer.certificate.not_after", metrics.DefaultRegistry)
 
 // ServerConfig returns a configuration that requires a certificate of the authority from
 // every client.
@@ -181,7 +181,7 @@
 	if _, err := state.PeerCertificates[0].Verify(opts); err != nil {
 		return errors.Wrap(err, "peer: server certificate")
 	}
-	id, err := identityOf(state.PeerCertificates[0])
+	id, err := identityFromCert(state.PeerCertificates[0])
 	if err != nil {
 		return err
 	}
--- a/internal/link/peer/reply_test.go
+++ b/internal/link/peer/reply_test.go
@@ -13,11 +13,11 @@
 )
 
 // stringEncoding is a drpc.Encoding of strings. It calls onReply when a reply is decoded.
-type text struct{ onReply func() }
+type stringEncoding struct{ onReply func() }
 
-func (text) Marshal(msg drpc.Message) ([]byte, error) { return []byte(*msg.(*string)), nil }
+func (stringEncoding) Marshal(msg drpc.Message) ([]byte, error) { return []byte(*msg.(*string)), nil }
 
-func (t text) Unmarshal(buf []byte, msg drpc.Message) error {
+func (t stringEncoding) Unmarshal(buf []byte, msg drpc.Message) error {
 	if t.onReply != nil {
 		t.onReply()
 	}
@@ -30,7 +30,7 @@
 
 // replyAndReset serves one call and resets the connection when reset is closed, before it
 // has sent the end of the stream.
-func replyAndReset(t *testing.T, reply string, reset <-chan struct{}) (addr string, gone <-chan struct{}) {
+func replyAndReset(t *testing.T, reply string, reset <-chan struct{}) (addr string, closed <-chan struct{}) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 			return
 		}
 		var in string
-		if stream.MsgRecv(&in, text{}) == nil && stream.MsgSend(&reply, text{}) == nil {
+		if stream.MsgRecv(&in, stringEncoding{}) == nil && stream.MsgSend(&reply, stringEncoding{}) == nil {
 			<-reset
 		}
 		_ = raw.(*net.TCPConn).SetLinger(0)
@@ -63,7 +63,7 @@
 // in a planned stop sends the reply and closes the connection right after it. The caller
 // has received the reply, and then fails to tell the other side, on the closed connection,
 // that the call is finished.
-func TestReplyBeforeTheConnectionEnds(t *testing.T) {
+func TestReplyReceivedBeforeConnectionEnds(t *testing.T) {
 	call := func(reply string) (string, error) {
 		reset := make(chan struct{})
 		addr, gone := replyAndReset(t, reply, reset)
@@ -74,7 +74,7 @@
 			return "", err
 		}
 		in, out := "question", ""
-		enc := text{onReply: func() {
+		enc := stringEncoding{onReply: func() {
 			close(reset)
 			<-gone
 		}}
@@ -108,6 +108,6 @@
 		conn, err := pool.Conn(context.Background(), lis.Addr().String())
 		So(err, ShouldBeNil)
 		in, out := "question", ""
-		So(conn.Invoke(context.Background(), "/any/call", text{}, &in, &out), ShouldNotBeNil)
+		So(conn.Invoke(context.Background(), "/any/call", stringEncoding{}, &in, &out), ShouldNotBeNil)
 	})
 }
--- a/internal/link/peer/server.go
+++ b/internal/link/peer/server.go
@@ -22,7 +22,7 @@
 	drainGrace = 300 * time.Millisecond
 	// acceptRetryDelay is the pause after a failed accept, so that a process without free
 	// file descriptors does not loop at full speed.
-	acceptPause = 50 * time.Millisecond
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
 // Serve serves calls on lis until ctx ends. It then stops accepting, waits for the calls
@@ -75,14 +75,14 @@
 			return errors.Wrap(err, "peer: accept")
 		default:
 			klog.Warningf("peer: accept: %v", err)
-			vm.Sleep(ctx, acceptPause)
+			vm.Sleep(ctx, acceptRetryDelay)
 		}
 	}
 }
 
 func (s *server) serveConn(raw net.Conn) {
 	defer s.wg.Done()
-	c, err := s.open(raw)
+	c, err := s.secureConn(raw)
 	if err != nil {
 		_ = raw.Close()
 		klog.Warningf("peer: connection from %s refused: %v", raw.RemoteAddr(), err)
@@ -97,8 +97,8 @@
 
 // secureConn sets the socket timeouts, runs the TLS handshake if TLS is configured and
 // determines the client's identity.
-func (s *server) open(raw net.Conn) (*serverConn, error) {
-	if err := betweenProcesses.apply(raw); err != nil {
+func (s *server) secureConn(raw net.Conn) (*serverConn, error) {
+	if err := peerTimeouts.apply(raw); err != nil {
 		return nil, err
 	}
 	if s.conf == nil {
@@ -110,7 +110,7 @@
 	if err := conn.HandshakeContext(ctx); err != nil {
 		return nil, err
 	}
-	id, err := identityOfState(conn.ConnectionState())
+	id, err := identityFromState(conn.ConnectionState())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/link/peer/serverconn.go
+++ b/internal/link/peer/serverconn.go
@@ -15,8 +15,8 @@
 
 // serverConn is the connection of one client and the state of the call on it, if any.
 type serverConn struct {
-	man *drpcmanager.Manager
-	id  *Identity // nil on plain text
+	manager *drpcmanager.Manager
+	id      *Identity // nil on plain text
 
 	mu       sync.Mutex
 	busy     bool
@@ -24,7 +24,7 @@
 }
 
 func newServerConn(conn net.Conn, id *Identity) *serverConn {
-	return &serverConn{man: drpcmanager.NewWithOptions(conn, managerOptions()), id: id}
+	return &serverConn{manager: drpcmanager.NewWithOptions(conn, managerOptions()), id: id}
 }
 
 // serve handles one call after the other until the client disconnects or stop is called.
@@ -34,8 +34,8 @@
 		ctx = context.WithValue(ctx, identityKey{}, *c.id)
 	}
 	for {
-		stream, rpc, err := c.man.NewServerStream(ctx)
-		if err != nil || !c.begin() {
+		stream, rpc, err := c.manager.NewServerStream(ctx)
+		if err != nil || !c.beginCall() {
 			return
 		}
 		if err := c.handle(mux, stream, rpc); err != nil {
@@ -46,7 +46,7 @@
 		} else if err := stream.CloseSend(); err != nil {
 			return
 		}
-		if !c.end() {
+		if !c.endCall() {
 			return
 		}
 	}
@@ -61,7 +61,7 @@
 		}
 	}()
 	if c.id == nil {
-		return mux.HandleRPC(statedStream{stream}, rpc)
+		return mux.HandleRPC(metadataIdentityStream{stream}, rpc)
 	}
 	if err := authorize(rpc, *c.id); err != nil {
 		denied.Inc(1)
@@ -73,7 +73,7 @@
 
 // beginCall marks a call as in flight. It returns false if the connection must close
 // instead.
-func (c *serverConn) begin() bool {
+func (c *serverConn) beginCall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopping {
@@ -84,7 +84,7 @@
 }
 
 // endCall marks the call as finished. It returns false if the connection must close now.
-func (c *serverConn) end() bool {
+func (c *serverConn) endCall() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = false
@@ -104,16 +104,16 @@
 	return busy
 }
 
-func (c *serverConn) close() { _ = c.man.Close() }
+func (c *serverConn) close() { _ = c.manager.Close() }
 
 // metadataIdentityStream adds the identity from the call metadata of a plain-text client
 // to the context.
-type statedStream struct{ drpc.Stream }
+type metadataIdentityStream struct{ drpc.Stream }
 
 // Context implements drpc.Stream.
-func (s statedStream) Context() context.Context {
+func (s metadataIdentityStream) Context() context.Context {
 	ctx := s.Stream.Context()
-	if id, ok := statedIdentity(ctx); ok {
+	if id, ok := identityFromMetadata(ctx); ok {
 		return context.WithValue(ctx, identityKey{}, id)
 	}
 	return ctx
--- a/internal/link/peer/socket.go
+++ b/internal/link/peer/socket.go
@@ -14,7 +14,7 @@
 // hour. Keep-alives detect it while nothing is being sent. The user timeout detects it
 // while sent bytes stay unacknowledged, when the kernel sends no keep-alives, or while the
 // other side's kernel answers but its process reads nothing.
-type patience struct {
+type socketTimeouts struct {
 	Idle        time.Duration // before the first keep-alive
 	Interval    time.Duration // between keep-alives, of which keepAliveCount may fail
 	UserTimeout time.Duration // without progress of sent bytes
@@ -26,11 +26,11 @@
 // caller may stall for longer, for example on a mobile network, and still receives its
 // whole answer.
 var (
-	betweenProcesses = patience{Idle: 2 * time.Second, Interval: time.Second, UserTimeout: 4 * time.Second}
-	withCallers      = patience{Idle: 15 * time.Second, Interval: 5 * time.Second, UserTimeout: 30 * time.Second}
+	peerTimeouts   = socketTimeouts{Idle: 2 * time.Second, Interval: time.Second, UserTimeout: 4 * time.Second}
+	callerTimeouts = socketTimeouts{Idle: 15 * time.Second, Interval: 5 * time.Second, UserTimeout: 30 * time.Second}
 )
 
-func (p patience) apply(conn net.Conn) error {
+func (p socketTimeouts) apply(conn net.Conn) error {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return nil
@@ -70,20 +70,20 @@
 
 // CallerListener returns a listener that sets keep-alives and a user timeout on every
 // connection that lis accepts, long enough for callers on slow networks.
-func WatchCallers(lis net.Listener) net.Listener { return watchedListener{lis, withCallers} }
+func WatchCallers(lis net.Listener) net.Listener { return callerListener{lis, callerTimeouts} }
 
-type watchedListener struct {
+type callerListener struct {
 	net.Listener
-	patience patience
+	timeouts socketTimeouts
 }
 
 // Accept implements net.Listener.
-func (l watchedListener) Accept() (net.Conn, error) {
+func (l callerListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	if err := l.patience.apply(conn); err != nil {
+	if err := l.timeouts.apply(conn); err != nil {
 		klog.Warningf("%v", err) // the connection works without the timeouts
 	}
 	return conn, nil
--- a/internal/link/peer/walk.go
+++ b/internal/link/peer/walk.go
@@ -7,10 +7,10 @@
 // asked twice. It reports whether a daemon has answered.
 func Walk(ctx context.Context, addrs []string, ask func(addr string) (redirect string, answered bool)) bool {
 	asked := make(map[string]bool)
-	todo := append([]string(nil), addrs...)
-	for len(todo) > 0 && ctx.Err() == nil {
-		addr := todo[0]
-		todo = todo[1:]
+	queue := append([]string(nil), addrs...)
+	for len(queue) > 0 && ctx.Err() == nil {
+		addr := queue[0]
+		queue = queue[1:]
 		if asked[addr] {
 			continue
 		}
@@ -20,7 +20,7 @@
 		case answered:
 			return true
 		case redirect != "" && !asked[redirect]:
-			todo = append([]string{redirect}, todo...)
+			queue = append([]string{redirect}, queue...)
 		}
 	}
 	return false
--- a/internal/link/peer/walk_test.go
+++ b/internal/link/peer/walk_test.go
@@ -8,7 +8,7 @@
 
 // Guards against endless redirects. Two daemons redirect to each other; each must be asked
 // once, and the remaining daemons must still be asked.
-func TestWalkEndsInCircles(t *testing.T) {
+func TestTryEachEndsOnRedirectLoop(t *testing.T) {
 	var asked []string
 	redirects := map[string]string{"a": "b", "b": "a", "c": "d"}
 	answered := Walk(context.Background(), []string{"a", "c"}, func(addr string) (string, bool) {
