--- a/internal/entryvm/reach_test.go
+++ b/internal/entryvm/reach_test.go
@@ -11,22 +11,24 @@
 	"pearmoor/internal/vm"
 )
 
-// reachTier is one small VM, others like it, and large ones that callers are sent to.
+// reachTier is a tier of small and large VMs in which callers are normally sent to the
+// large ones. self is a small VM.
 type reachTier struct {
-	self           *VM
-	ms             *vm.Membership
-	largeN, smallN int
+	self                   *VM
+	members                *vm.Membership
+	largeCount, smallCount int
 }
 
-// newReachTier starts a tier. VMs that are lost accept connections and answer nothing.
+// newReachTier starts a tier. The listeners of lost VMs accept connections and never
+// answer.
 func newReachTier(t *testing.T, largeLost, smallLost bool) *reachTier {
 	t.Helper()
-	tier := &reachTier{ms: &vm.Membership{}, largeN: 3, smallN: 4}
+	tier := &reachTier{members: &vm.Membership{}, largeCount: 3, smallCount: 4}
 	add := func(name string, millicores uint32, lost bool) *VM {
 		lis := listen(t)
 		m := member(name, "hall-1", millicores)
 		m.PeerAddr = lis.Addr().String()
-		tier.ms.Members = append(tier.ms.Members, m)
+		tier.members.Members = append(tier.members.Members, m)
 		v := testVM(t, name, m.PeerAddr, "")
 		v.engine.Install(wideTable(), 1)
 		if lost {
@@ -36,17 +38,17 @@
 		}
 		return v
 	}
-	for i := range tier.largeN {
+	for i := range tier.largeCount {
 		add(fmt.Sprintf("large-%d", i), 512, largeLost)
 	}
-	for i := range tier.smallN - 1 {
+	for i := range tier.smallCount - 1 {
 		add(fmt.Sprintf("small-%d", i), 192, smallLost)
 	}
 	tier.self = add("self", 192, false)
 	return tier
 }
 
-// wideTable has a gather that is too wide for small VMs.
+// wideTable returns a table with a gather over too many shards for small VMs.
 func wideTable() *route.Table {
 	r := &route.Release{Number: 1}
 	wide := route.Route{Name: "wide", Host: "shop.example", Prefix: "/all/", Repeatable: true, Timeout: time.Second, TargetLatency: 60 * time.Millisecond, Top: 5, Attempts: 1}
@@ -59,9 +61,9 @@
 	return route.NewTable(r)
 }
 
-func (tier *reachTier) named(t *testing.T) []string {
+func (tier *reachTier) listedNames(t *testing.T) []string {
 	t.Helper()
-	members, _ := tier.self.reachable(tier.ms)
+	members, _ := tier.self.reachable(tier.members)
 	out := names(members)
 	slices.Sort(out)
 	return out
@@ -72,70 +74,73 @@
 	smallNames = []string{"self", "small-0", "small-1", "small-2"}
 )
 
-// Guards against address lists that name lost VMs only while the leader, lost with them, can't tell.
-func TestListsNameSmallVMsWhileAllLargeOnesAreLost(t *testing.T) {
-	if got := newReachTier(t, true, false).named(t); !slices.Equal(got, smallNames) {
+// Guards against address lists that contain only lost VMs, while the leader, which would
+// report them, is lost as well.
+func TestSmallVMsAreListedWhileAllLargeVMsAreLost(t *testing.T) {
+	if got := newReachTier(t, true, false).listedNames(t); !slices.Equal(got, smallNames) {
 		t.Errorf("callers are sent to %v", got)
 	}
 }
 
-// Guards against small VMs in address lists while large ones can be reached.
-func TestListsNameLargeVMsOnly(t *testing.T) {
+// Guards against small VMs in address lists while large ones are reachable.
+func TestOnlyLargeVMsAreListedWhileReachable(t *testing.T) {
 	tier := newReachTier(t, false, false)
 	for range 3 {
-		if got := tier.named(t); !slices.Equal(got, largeNames) {
+		if got := tier.listedNames(t); !slices.Equal(got, largeNames) {
 			t.Errorf("callers are sent to %v", got)
 		}
 	}
 }
 
-// Guards against a daemon that is cut off from the tier and sends its callers to small VMs.
-func TestCutOffDaemonNamesLargeVMs(t *testing.T) {
-	if got := newReachTier(t, true, true).named(t); !slices.Equal(got, largeNames) {
+// Guards against a daemon that is cut off from the whole tier, takes all large VMs for
+// lost and sends its callers to small VMs.
+func TestIsolatedDaemonListsLargeVMs(t *testing.T) {
+	if got := newReachTier(t, true, true).listedNames(t); !slices.Equal(got, largeNames) {
 		t.Errorf("callers are sent to %v", got)
 	}
 }
 
-// Guards against large VMs being left out of address lists long after they are back.
-func TestLargeVMsAreNamedAgain(t *testing.T) {
+// Guards against large VMs that stay out of address lists after they have recovered.
+func TestRecoveredLargeVMsAreListedAgain(t *testing.T) {
 	tier := newReachTier(t, true, false)
-	_ = tier.named(t)
-	for i := range tier.largeN {
-		m := &tier.ms.Members[i]
+	_ = tier.listedNames(t)
+	for i := range tier.largeCount {
+		m := &tier.members.Members[i]
 		lis := listen(t)
 		m.PeerAddr = lis.Addr().String()
 		v := testVM(t, m.Name, m.PeerAddr, "")
 		v.engine.Install(wideTable(), 1)
 		serve(t, v, lis)
 	}
-	tier.ms = &vm.Membership{Members: tier.ms.Members}
-	if got := tier.named(t); !slices.Equal(got, largeNames) {
+	tier.members = &vm.Membership{Members: tier.members.Members}
+	if got := tier.listedNames(t); !slices.Equal(got, largeNames) {
 		t.Errorf("callers are sent to %v", got)
 	}
 }
 
-// Guards against gathers at small VMs that wait for parts from lost large ones.
-func TestSmallVMsAskSmallVMsForParts(t *testing.T) {
+// Guards against gathers at small VMs that wait for parts from lost large VMs.
+func TestSmallVMsDelegateToSmallVMs(t *testing.T) {
 	tier := newReachTier(t, true, false)
-	if got := names(tier.self.helpers(tier.ms)); slices.ContainsFunc(got, func(n string) bool { return strings.HasPrefix(n, "large") }) || len(got) == 0 {
-		t.Errorf("a small VM asks %v", got)
+	if got := names(tier.self.delegates(tier.members)); slices.ContainsFunc(got, func(n string) bool { return strings.HasPrefix(n, "large") }) || len(got) == 0 {
+		t.Errorf("a small VM delegates to %v", got)
 	}
-	large := testVM(t, "large-0", tier.ms.Members[0].PeerAddr, "")
+	large := testVM(t, "large-0", tier.members.Members[0].PeerAddr, "")
 	large.engine.Install(wideTable(), 1)
-	if got := names(large.helpers(tier.ms)); !slices.Equal(got, largeNames) {
-		t.Errorf("a large VM asks %v", got)
+	if got := names(large.delegates(tier.members)); !slices.Equal(got, largeNames) {
+		t.Errorf("a large VM delegates to %v", got)
 	}
 }
 
-// Guards against callers that stay with small VMs for seconds after the large ones are back.
-func TestListsOfSubstitutesAreShort(t *testing.T) {
+// Guards against callers that stay with small VMs for seconds after the large ones have
+// recovered.
+func TestSubstituteListsHaveShortLifetime(t *testing.T) {
 	for _, c := range []struct {
 		lost bool
 		want time.Duration
-	}{{false, addressLifetime}, {true, substituteLifetime}} {
+	}{{false, addressListLifetime}, {true, substituteListLifetime}} {
 		tier := newReachTier(t, c.lost, false)
-		if _, keep := tier.self.reachable(tier.ms); keep != c.want {
-			t.Errorf("lost=%v: a list is kept for %v", c.lost, keep)
+		if _, keep := tier.self.reachable(tier.members); keep != c.want {
+			t.Errorf("lost=%v: the list has a lifetime of %v", c.lost, keep)
 		}
 	}
 }
--- a/internal/entryvm/steer_test.go
+++ b/internal/entryvm/steer_test.go
@@ -41,11 +41,11 @@
 	return out
 }
 
-// A VM loses power. Callers that are still sent there wait a second for each connect,
-// so silent daemons and those that leave are not named; a daemon that others have not
-// heard knows of itself that it is there.
-func TestSilentAndLeavingDaemonsTakeNoCallers(t *testing.T) {
-	Convey("Only daemons that serve and are heard take callers", t, func() {
+// Guards against callers being sent to VMs that are lost or stopping: a connect to a VM
+// without power costs them a second. A daemon lists itself even if the leader reports it
+// as unresponsive.
+func TestUnresponsiveAndDrainingDaemonsAreNotEligible(t *testing.T) {
+	Convey("Callers are sent only to daemons that serve and respond", t, func() {
 		v := testVM(t, "self", "127.0.0.1:1", "")
 		ms := &vm.Membership{Members: []vm.Member{
 			member("self", "hall-1", 0), member("silent", "hall-1", 0), member("leaving", "hall-1", 0),
@@ -53,16 +53,16 @@
 		}}
 		ms.Members[2].Phase = vm.Draining
 		ms.Members[3].CallerAddr = ""
-		v.book.SetUnresponsive([]string{"self", "silent"})
+		v.leafCache.SetUnresponsive([]string{"self", "silent"})
 		So(names(v.eligible(ms)), ShouldResemble, []string{"self", "well"})
 		v.draining.Store(true)
 		So(names(v.eligible(ms)), ShouldResemble, []string{"well"})
 	})
 }
 
-// A failure domain loses power. Callers that were told of its daemons only would have
-// nobody to ask until their list runs out, and the lost ones give them no new one.
-func TestCallersKnowDaemonsOfOtherDomains(t *testing.T) {
+// Guards against address lists with daemons of one failure domain only: when that domain
+// loses power, its callers have no daemon left and get no new list until theirs expires.
+func TestAddressListsCoverOtherDomains(t *testing.T) {
 	group := func(n int, region, domain string) []*vm.Member {
 		var out []*vm.Member
 		for i := range n {
@@ -73,23 +73,23 @@
 		return out
 	}
 	for _, c := range []struct {
-		what             string
-		near, other, far int
-		wantNear         int
-		wantOther        int
-		wantFar          int
+		what                                 string
+		sameDomain, sameRegion, otherRegions int
+		wantSameDomain                       int
+		wantSameRegion                       int
+		wantOtherRegions                     int
 	}{
-		{"a small tier is named whole", 4, 7, 0, 4, 7, 0},
-		{"other regions are left out", 2, 3, 9, 2, 3, 0},
-		{"half of a long list is of other domains", 100, 100, 100, 32, 32, 0},
-		{"those of the own domain fill what others leave", 100, 10, 0, 54, 10, 0},
-		{"others fill what those of the own domain leave", 3, 100, 0, 3, 61, 0},
-		{"without any in the region all are named", 0, 0, 80, 0, 0, 64},
-		{"nobody is there", 0, 0, 0, 0, 0, 0},
+		{"all daemons of a small tier are listed", 4, 7, 0, 4, 7, 0},
+		{"daemons of other regions are left out", 2, 3, 9, 2, 3, 0},
+		{"half of a long list is from other domains", 100, 100, 100, 32, 32, 0},
+		{"daemons of the own domain fill the places that others leave", 100, 10, 0, 54, 10, 0},
+		{"daemons of other domains fill the places that the own domain leaves", 3, 100, 0, 3, 61, 0},
+		{"without daemons in the region, those of other regions are listed", 0, 0, 80, 0, 0, 64},
+		{"there are no daemons", 0, 0, 0, 0, 0, 0},
 	} {
 		Convey(c.what, t, func() {
-			eligible := slices.Concat(group(c.near, "valley", "hall-1"), group(c.other, "valley", "hall-2"), group(c.far, "delta", "hall-9"))
-			got := named(eligible, "valley", "hall-1")
+			eligible := slices.Concat(group(c.sameDomain, "valley", "hall-1"), group(c.sameRegion, "valley", "hall-2"), group(c.otherRegions, "delta", "hall-9"))
+			got := addressesFor(eligible, "valley", "hall-1")
 			count := func(domain string) (n int) {
 				for _, addr := range got {
 					if strings.HasPrefix(addr, domain) {
@@ -98,66 +98,66 @@
 				}
 				return n
 			}
-			So([]int{count("hall-1"), count("hall-2"), count("hall-9")}, ShouldResemble, []int{c.wantNear, c.wantOther, c.wantFar})
+			So([]int{count("hall-1"), count("hall-2"), count("hall-9")}, ShouldResemble, []int{c.wantSameDomain, c.wantSameRegion, c.wantOtherRegions})
 			So(len(slices.Compact(slices.Sorted(slices.Values(got)))), ShouldEqual, len(got))
 		})
 	}
-	Convey("Lists of many daemons differ, so that none is named to all", t, func() {
+	Convey("Lists from many daemons differ, so that callers spread over them", t, func() {
 		eligible := group(200, "valley", "hall-1")
-		So(named(eligible, "valley", "hall-1"), ShouldNotResemble, named(eligible, "valley", "hall-1"))
+		So(addressesFor(eligible, "valley", "hall-1"), ShouldNotResemble, addressesFor(eligible, "valley", "hall-1"))
 	})
 }
 
-// All VMs with a disk lose power for some seconds. They are the only ones fit for the
-// widest gathers, and callers keep the addresses that they were told of before: one that
-// knows of nobody else finds no VM for as long as it waits, though 195 of 200 are well. A
-// caller tries twice, the second time at another address.
-func TestCallersReachSomebodyWhileAllLargeVMsAreLost(t *testing.T) {
-	const domains, smallEach, asks = 5, 39, 2000
+// Guards against address lists that contain only large VMs. Only VMs with a disk have
+// sufficient CPU for the widest gathers. If they all lose power for some seconds, callers
+// keep their old lists, and one whose list has no other VM finds none, though 195 of 200
+// work. A caller tries two addresses of its list.
+func TestCallersReachDaemonWhileAllLargeVMsAreLost(t *testing.T) {
+	const domains, smallPerDomain, callers = 5, 39, 2000
 	var all []*vm.Member
 	for d := range domains {
 		domain := fmt.Sprintf("hall-%d", d)
 		large := member("large-"+domain, domain, 512)
 		all = append(all, &large)
-		for i := range smallEach {
+		for i := range smallPerDomain {
 			small := member(fmt.Sprintf("small-%s-%d", domain, i), domain, 192)
 			all = append(all, &small)
 		}
 	}
 	eligible := policy.Eligible(all, policy.RequiredMillicores(87, 60*time.Millisecond))
 	lost := 0
-	for range asks {
-		list := named(eligible, "valley", "hall-0")
+	for range callers {
+		list := addressesFor(eligible, "valley", "hall-0")
 		if strings.HasPrefix(list[0], "large-") && strings.HasPrefix(list[1], "large-") {
 			lost++
 		}
 	}
-	if share := float64(lost) / asks; share > 0.1 {
-		t.Errorf("%.2f of the callers reach nobody", share)
+	if share := float64(lost) / callers; share > 0.1 {
+		t.Errorf("%.2f of the callers reach no daemon", share)
 	}
 	if len(eligible) > len(all)/5 {
-		t.Errorf("%d of %d take callers: each holds connections to every leaf", len(eligible), len(all))
+		t.Errorf("%d of %d daemons accept callers, and each holds connections to every leaf", len(eligible), len(all))
 	}
 }
 
-// BenchmarkChoice is the choice of daemons in a tier of the target's size.
-func BenchmarkChoice(b *testing.B) {
+// BenchmarkRoles computes the daemon roles in a tier of 3600 daemons.
+func BenchmarkRoles(b *testing.B) {
 	for _, c := range []struct {
-		what string
-		fit  int
+		what       string
+		sufficient int
 	}{{"alike", 3600}, {"few fit", 17}} {
 		b.Run(c.what, func(b *testing.B) {
 			var all []*vm.Member
 			for i := range 3600 {
 				millicores := uint32(192)
-				if i < c.fit {
+				if i < c.sufficient {
 					millicores = 512
 				}
 				m := member(fmt.Sprint("vm-", i), fmt.Sprint("hall-", i%17), millicores)
 				all = append(all, &m)
 			}
 			for b.Loop() {
-				choiceOf(all, 435)
+				computeRoles(all, 435)
 			}
 		})
 	}
--- a/internal/link/peer/authorize.go
+++ b/internal/link/peer/authorize.go
@@ -7,9 +7,9 @@
 	"storj.io/drpc/drpcerr"
 )
 
-// rpcKinds says which kind of certificate each drpc service is open to. A
-// service that is not listed is closed to everybody.
-var rpcKinds = map[string]Kind{
+// serviceKinds maps each drpc service to the kind of certificate that may call it. Calls
+// to a service that is not listed are refused.
+var serviceKinds = map[string]Kind{
 	"/pearmoor.wire.Control/":    Operator,
 	"/pearmoor.wire.Spread/":     VM,
 	"/pearmoor.wire.Quorum/":     VM,
@@ -17,12 +17,12 @@
 	"/pearmoor.wire.Home/":       VM,
 }
 
-// authorize refuses a call that is not open to the identity's kind. Without it
-// a certificate taken from any entry VM could edit the settings tree, and an
-// operator's could vote.
+// authorize refuses a call if the service is not open to the identity's kind. Without it
+// the certificate of any entry VM could edit the settings tree, and an operator's
+// certificate could vote in the control group.
 func authorize(rpc string, id Identity) error {
 	service := rpc[:strings.LastIndexByte(rpc, '/')+1]
-	want, known := rpcKinds[service]
+	want, known := serviceKinds[service]
 	if !known {
 		return drpcerr.WithCode(errors.Newf("peer: unknown call %q", rpc), codeDenied)
 	}
--- a/internal/link/peer/reloader.go
+++ b/internal/link/peer/reloader.go
@@ -12,7 +12,7 @@
 	"k8s.io/klog/v2"
 )
 
-// Files names the PEM files of an authority, a certificate and its key.
+// Files are the names of the PEM files of an authority, a certificate and its key.
 type Files struct{ CA, Cert, Key string }
 
 // Load reads the files and returns a Reloader that reads them again when they change.
@@ -22,21 +22,21 @@
 	if err != nil {
 		return nil, err
 	}
-	r.stamps = f.stamps()
-	r.use(loaded)
+	r.states = f.states()
+	r.setCurrent(loaded)
 	return r, nil
 }
 
-type material struct {
+type credentials struct {
 	cert     tls.Certificate
 	roots    *x509.CertPool
 	identity Identity
 }
 
-func (f Files) read() (*material, error) {
+func (f Files) read() (*credentials, error) {
 	ca, err := os.ReadFile(f.CA)
 	if err != nil {
-		return nil, errors.Wrap(err, "peer: read the authority")
+		return nil, errors.Wrap(err, "peer: read the authority certificate")
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(ca) {
@@ -46,89 +46,90 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "peer: load %s with %s", f.Cert, f.Key)
 	}
-	id, err := identityOf(cert.Leaf)
+	id, err := identityFromCert(cert.Leaf)
 	if err != nil {
 		return nil, err
 	}
-	return &material{cert: cert, roots: roots, identity: id}, nil
+	return &credentials{cert: cert, roots: roots, identity: id}, nil
 }
 
-// stamp tells one content of a file from another; a replaced file has a new
-// inode even where its size and time are the same.
-type stamp struct {
+// fileState identifies the content of a file. A replaced file has a new inode even if its
+// size and modification time are the same.
+type fileState struct {
 	info os.FileInfo
 	err  bool
 }
 
-func (s stamp) same(o stamp) bool {
+func (s fileState) equal(o fileState) bool {
 	if s.err || o.err {
 		return s.err == o.err
 	}
 	return os.SameFile(s.info, o.info) && s.info.Size() == o.info.Size() && s.info.ModTime().Equal(o.info.ModTime())
 }
 
-type stamps [3]stamp
+type fileStates [3]fileState
 
-func (f Files) stamps() stamps {
-	var out stamps
+func (f Files) states() fileStates {
+	var out fileStates
 	for i, name := range []string{f.CA, f.Cert, f.Key} {
 		info, err := os.Stat(name)
-		out[i] = stamp{info: info, err: err != nil}
+		out[i] = fileState{info: info, err: err != nil}
 	}
 	return out
 }
 
-func (s stamps) same(o stamps) bool {
+func (s fileStates) equal(o fileStates) bool {
 	for i := range s {
-		if !s[i].same(o[i]) {
+		if !s[i].equal(o[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// Reloader hands out TLS configurations made from files. Each handshake looks
-// whether the files have changed and uses the new ones if they can be read; a
-// half-replaced set is logged once and the last good one stays in use.
+// Reloader provides TLS configurations from files. Each handshake checks whether the files
+// have changed, and uses the new ones if they can be read. If they cannot, for example
+// because only some have been replaced, it logs this once and keeps using the previous
+// ones.
 type Reloader struct {
 	files Files
 
 	mu      sync.Mutex
-	stamps  stamps
-	current *material
+	states  fileStates
+	current *credentials
 }
 
-// Identity returns the name in the certificate now in use.
+// Identity returns the identity in the certificate now in use.
 func (r *Reloader) Identity() Identity { return r.get().identity }
 
-func (r *Reloader) get() *material {
+func (r *Reloader) get() *credentials {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	seen := r.files.stamps()
-	if seen.same(r.stamps) {
+	states := r.files.states()
+	if states.equal(r.states) {
 		return r.current
 	}
-	r.stamps = seen
+	r.states = states
 	loaded, err := r.files.read()
 	if err != nil {
-		klog.Errorf("peer: changed certificate files are unusable, keeping the former ones: %v", err)
+		klog.Errorf("peer: changed certificate files are unusable, keeping the previous ones: %v", err)
 		return r.current
 	}
 	klog.Infof("peer: certificate files reloaded, now %s %q until %s",
 		loaded.identity.Kind, loaded.identity.Name, loaded.cert.Leaf.NotAfter.Format(time.RFC3339))
-	r.use(loaded)
+	r.setCurrent(loaded)
 	return r.current
 }
 
-func (r *Reloader) use(m *material) {
+func (r *Reloader) setCurrent(m *credentials) {
 	r.current = m
-	notAfter.Update(m.cert.Leaf.NotAfter.Unix())
+	certNotAfter.Update(m.cert.Leaf.NotAfter.Unix())
 }
 
-var notAfter = metrics.GetOrRegisterGauge("peer.certificate.not_after", metrics.DefaultRegistry)
+var certNotAfter = metrics.GetOrRegisterGauge("peer.certificate.not_after", metrics.DefaultRegistry)
 
-// ServerConfig returns a configuration that demands a certificate of the
-// authority from every client.
+// ServerConfig returns a configuration that requires a certificate of the authority from
+// every client.
 func (r *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -139,8 +140,8 @@
 				Certificates: []tls.Certificate{m.cert},
 				ClientCAs:    m.roots,
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				// A resumed session would skip the check against an authority
-				// that has been replaced since.
+				// A resumed session would skip the check against an authority that has
+				// been replaced since.
 				SessionTicketsDisabled: true,
 			}, nil
 		},
@@ -155,8 +156,8 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &r.get().cert, nil
 		},
-		// The library reads RootCAs once, so a replaced authority would need a
-		// restart. VerifyConnection does the whole check against the newest one.
+		// crypto/tls reads RootCAs once, so a replaced authority would need a restart.
+		// VerifyConnection does the whole verification against the current one.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			return verifyServer(state, r.get().roots)
@@ -166,7 +167,7 @@
 
 func verifyServer(state tls.ConnectionState, roots *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("peer: the server showed no certificate")
+		return errors.New("peer: no certificate from the server")
 	}
 	intermediates := x509.NewCertPool()
 	for _, cert := range state.PeerCertificates[1:] {
@@ -180,12 +181,12 @@
 	if _, err := state.PeerCertificates[0].Verify(opts); err != nil {
 		return errors.Wrap(err, "peer: server certificate")
 	}
-	id, err := identityOf(state.PeerCertificates[0])
+	id, err := identityFromCert(state.PeerCertificates[0])
 	if err != nil {
 		return err
 	}
 	if id.Kind != VM {
-		return errors.Newf("peer: the server's certificate is %s %q; a VM's is needed", id.Kind, id.Name)
+		return errors.Newf("peer: the server's certificate is %s %q; a VM's certificate is required", id.Kind, id.Name)
 	}
 	return nil
 }
--- a/internal/link/peer/reply_test.go
+++ b/internal/link/peer/reply_test.go
@@ -12,12 +12,12 @@
 	"storj.io/drpc/drpcmanager"
 )
 
-// text is an encoding of strings. It calls onReply when a reply is taken in.
-type text struct{ onReply func() }
+// stringEncoding is a drpc.Encoding of strings. It calls onReply when a reply is decoded.
+type stringEncoding struct{ onReply func() }
 
-func (text) Marshal(msg drpc.Message) ([]byte, error) { return []byte(*msg.(*string)), nil }
+func (stringEncoding) Marshal(msg drpc.Message) ([]byte, error) { return []byte(*msg.(*string)), nil }
 
-func (t text) Unmarshal(buf []byte, msg drpc.Message) error {
+func (t stringEncoding) Unmarshal(buf []byte, msg drpc.Message) error {
 	if t.onReply != nil {
 		t.onReply()
 	}
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// replyAndReset answers one call and resets its connection when reset is closed,
-// before it has said that no more messages come.
-func replyAndReset(t *testing.T, reply string, reset <-chan struct{}) (addr string, gone <-chan struct{}) {
+// replyAndReset serves one call and resets the connection when reset is closed, before it
+// has sent the end of the stream.
+func replyAndReset(t *testing.T, reply string, reset <-chan struct{}) (addr string, closed <-chan struct{}) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 			return
 		}
 		var in string
-		if stream.MsgRecv(&in, text{}) == nil && stream.MsgSend(&reply, text{}) == nil {
+		if stream.MsgRecv(&in, stringEncoding{}) == nil && stream.MsgSend(&reply, stringEncoding{}) == nil {
 			<-reset
 		}
 		_ = raw.(*net.TCPConn).SetLinger(0)
@@ -59,11 +59,11 @@
 	return lis.Addr().String(), done
 }
 
-// A daemon's call is answered by a VM in a planned stop, and the caller is told
-// "context canceled". The VM sends the reply and closes the connection behind it; the
-// calling process has taken in the reply, and then fails to tell the other side, on the
-// connection that is gone, that it is done with the call.
-func TestReplyBeforeTheConnectionEnds(t *testing.T) {
+// Guards against calls that fail with "context canceled" although they were answered. A VM
+// in a planned stop sends the reply and closes the connection right after it. The caller
+// has received the reply, and then fails to tell the other side, on the closed connection,
+// that the call is finished.
+func TestReplyReceivedBeforeConnectionEnds(t *testing.T) {
 	call := func(reply string) (string, error) {
 		reset := make(chan struct{})
 		addr, gone := replyAndReset(t, reply, reset)
@@ -74,7 +74,7 @@
 			return "", err
 		}
 		in, out := "question", ""
-		enc := text{onReply: func() {
+		enc := stringEncoding{onReply: func() {
 			close(reset)
 			<-gone
 		}}
@@ -83,16 +83,16 @@
 		err = conn.Invoke(ctx, "/any/call", enc, &in, &out)
 		return out, err
 	}
-	Convey("A reply that was received whole is a reply, though the connection ends behind it", t, func() {
+	Convey("A call succeeds once its whole reply was received, even if the connection ends after it", t, func() {
 		out, err := call("answer")
 		So(err, ShouldBeNil)
 		So(out, ShouldEqual, "answer")
 	})
-	Convey("A reply that can't be read is none", t, func() {
+	Convey("A call fails if its reply cannot be decoded", t, func() {
 		_, err := call("")
 		So(err, ShouldNotBeNil)
 	})
-	Convey("A connection that ends without a reply fails its call", t, func() {
+	Convey("A call fails if the connection ends without a reply", t, func() {
 		lis, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		defer lis.Close()
@@ -108,6 +108,6 @@
 		conn, err := pool.Conn(context.Background(), lis.Addr().String())
 		So(err, ShouldBeNil)
 		in, out := "question", ""
-		So(conn.Invoke(context.Background(), "/any/call", text{}, &in, &out), ShouldNotBeNil)
+		So(conn.Invoke(context.Background(), "/any/call", stringEncoding{}, &in, &out), ShouldNotBeNil)
 	})
 }
--- a/internal/link/peer/walk.go
+++ b/internal/link/peer/walk.go
@@ -2,15 +2,15 @@
 
 import "context"
 
-// Walk asks the daemons at addrs in turn until one has answered or ctx ends, and
-// follows redirects: the one that a daemon names is asked next. No address is asked
-// twice. It reports whether one has answered.
+// TryEach calls ask for the daemons at addrs in turn until one has answered or ctx ends.
+// It follows redirects: the daemon that a redirect names is asked next. No address is
+// asked twice. It reports whether a daemon has answered.
 func Walk(ctx context.Context, addrs []string, ask func(addr string) (redirect string, answered bool)) bool {
 	asked := make(map[string]bool)
-	todo := append([]string(nil), addrs...)
-	for len(todo) > 0 && ctx.Err() == nil {
-		addr := todo[0]
-		todo = todo[1:]
+	queue := append([]string(nil), addrs...)
+	for len(queue) > 0 && ctx.Err() == nil {
+		addr := queue[0]
+		queue = queue[1:]
 		if asked[addr] {
 			continue
 		}
@@ -20,7 +20,7 @@
 		case answered:
 			return true
 		case redirect != "" && !asked[redirect]:
-			todo = append([]string{redirect}, todo...)
+			queue = append([]string{redirect}, queue...)
 		}
 	}
 	return false
