--- a/cmd/pearmoor-entry/main.go
+++ b/cmd/pearmoor-entry/main.go
@@ -1,6 +1,5 @@
-// Command pearmoor-entry is the process of one small VM on the users' platform: it
-// takes callers' requests and, where the VM has a disk, holds a place in the
-// control group. The platform's settings file tells it everything else.
+// Command pearmoor-entry runs one VM of a tier on a platform that supplies a settings
+// file. It serves callers and, if the VM has a disk, is a member of the control group.
 package main
 
 import (
@@ -34,7 +33,8 @@
 	exitUsage = 2
 )
 
-// flags are what the settings file does not tell.
+// options are the command-line options: the path of the settings file, and what the
+// file does not configure.
 type flags struct {
 	settings string
 	metrics  string
@@ -83,6 +83,7 @@
 	return exitOK
 }
 
+// logFaults logs err, or each fault of a contract.Faults on its own line.
 func report(err error) {
 	var faults contract.Faults
 	if !errors.As(err, &faults) {
@@ -111,16 +112,16 @@
 	defer closeAll()
 	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	// A settings change may be told while the VM drains; without a handler the
-	// signal would end the process and every request in it.
+	// SIGHUP may arrive while the VM drains. Without a handler it would end the
+	// process and lose every request in flight.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	go reload(stop, hup, f.settings, v, &listAddr)
 	return v.Run(stop, lis)
 }
 
-// listen binds every address the VM serves. The side servers answer until the
-// process ends: readiness must be told while the VM drains.
+// listen binds every address that the VM serves, and starts the side servers. These
+// run until closeAll is called, because readiness must be served while the VM drains.
 func listen(f flags, set *platform.Settings, v *entryvm.VM) (entryvm.Listeners, func(), error) {
 	var open []net.Listener
 	closeAll := func() {
@@ -151,7 +152,7 @@
 			return out, nil, err
 		}
 	}
-	host, _, _ := net.SplitHostPort(set.VM.PeerAddr) // was put together from an IP and a port
+	host, _, _ := net.SplitHostPort(set.VM.PeerAddr) // can't fail: ReadSettings joined it from an IP and a port
 	sides := []struct {
 		what, addr string
 		handler    http.Handler
@@ -192,14 +193,15 @@
 		ErrorLog: decision.ServerLog(what),
 	}
 	if err := s.Serve(l); err != nil && !errors.Is(err, net.ErrClosed) {
-		klog.Errorf("entry: %s not served any more: %v", what, err)
+		klog.Errorf("entry: stopped serving %s: %v", what, err)
 	}
 }
 
 const reloadEvery = time.Second
 
-// reload reads the settings file again on SIGHUP and when it has changed. A file
-// with faults leaves what was in force.
+// reloadSettings reads the settings file again on SIGHUP and whenever it has changed,
+// and applies the seeds and the list address. A file with faults is reported and
+// changes nothing.
 func reload(ctx context.Context, hup <-chan os.Signal, path string, v *entryvm.VM, listAddr *atomic.Pointer[string]) {
 	ticker := time.NewTicker(reloadEvery)
 	defer ticker.Stop()
@@ -219,7 +221,7 @@
 		last = modified(path)
 		set, err := platform.ReadSettings(path)
 		if err != nil {
-			klog.Errorf("entry: settings not reloaded, why=%q; those before stay in force", why)
+			klog.Errorf("entry: settings not reloaded, why=%q; the previous settings stay in force", why)
 			report(err)
 			continue
 		}
@@ -229,7 +231,7 @@
 	}
 }
 
-// stamp tells one writing of a file from another.
+// fileStamp is the modification time and size of a file, by which a change is detected.
 type stamp struct {
 	at   time.Time
 	size int64
@@ -238,7 +240,7 @@
 func modified(path string) stamp {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{} // it is being replaced; the next look finds it
+		return stamp{} // probably being replaced; the next poll reads it
 	}
 	return stamp{info.ModTime(), info.Size()}
 }
--- a/cmd/pearmoor-entry/main_test.go
+++ b/cmd/pearmoor-entry/main_test.go
@@ -15,7 +15,7 @@
 	"pearmoor/platform"
 )
 
-// asProgram makes the test binary the program itself.
+// runMainEnv is the environment variable that makes the test binary run the command.
 const asProgram = "PEARMOOR_ENTRY_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -25,7 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// settingsOf writes the settings of a VM that is a tier of its own.
+// writeSettings writes the settings file of a tier with a single VM, and returns its
+// path.
 func settingsOf(t *testing.T, dir string, graceS float64) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "settings.json"))
@@ -47,7 +48,7 @@
 	return path
 }
 
-// start runs the program and returns it with a channel of its lines.
+// start starts the command and returns it with a channel of its output lines.
 func start(t *testing.T, settings string) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
@@ -83,14 +84,14 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("no line with %q", want)
+			t.Fatalf("timed out waiting for a line with %q", want)
 		}
 	}
 }
 
-// A VM is told to stop, and while it still answers the requests it has, it is told
-// that its settings have changed. Were the second signal not handled any more, it
-// would end the process at once, and callers would lose answers that were under way.
+// SIGHUP arrives while the VM drains after SIGTERM. If SIGHUP were not handled, it
+// would end the process at once, and callers would lose the answers to requests in
+// flight.
 func TestReloadWhileStopping(t *testing.T) {
 	cmd, lines := start(t, settingsOf(t, t.TempDir(), 2))
 	await(t, lines, `"part":"entry","what":"start `)
@@ -108,8 +109,8 @@
 	}
 }
 
-// Settings with several faults: each is named, and the process ends with the status
-// that says so.
+// Every fault of a settings file must be logged with its field, and the process must
+// exit with exitUsage.
 func TestBadSettingsAreNamed(t *testing.T) {
 	cmd, lines := start(t, filepath.Join("testdata", "faults.json"))
 	var all []string
--- a/cmd/pearmoor-standin/leaves.go
+++ b/cmd/pearmoor-standin/leaves.go
@@ -18,7 +18,7 @@
 
 const (
 	leavesSetting = "leaves"
-	stopLimit     = 10 * time.Second // for the requests in flight at SIGTERM
+	stopLimit     = 10 * time.Second // how long requests in flight may take after SIGTERM
 	headerLimit   = 10 * time.Second
 	outMode       = 0o644
 )
@@ -42,6 +42,7 @@
 	set             string
 }
 
+// leavesCommand declares the leaves command and returns the function that runs it.
 func leavesCommand(app *kingpin.Application) func(context.Context) error {
 	var o leavesOptions
 	def := standin.DefaultBehavior()
@@ -107,14 +108,15 @@
 		return errors.Wrap(err, "control")
 	case <-ctx.Done():
 	}
-	klog.Infof("standin: stopping; up to %v for requests in flight", stopLimit)
+	klog.Infof("standin: stopping; waiting up to %v for requests in flight", stopLimit)
 	end, cancel := context.WithTimeout(context.Background(), stopLimit)
 	defer cancel()
 	fleet.Shutdown(end)
 	return nil
 }
 
-// services reads slots, connections and connect cost of each service from the tree.
+// serviceSpecs returns a spec for each query service of the tree. Slots, connections
+// and connect cost come from the tree, the rest of the behavior from the options.
 func (o *leavesOptions) services(tree *settings.Tree) ([]standin.ServiceSpec, error) {
 	var specs []standin.ServiceSpec
 	for _, path := range tree.Services(settings.Root) {
@@ -138,6 +140,7 @@
 	return specs, nil
 }
 
+// behavior returns the behavior of the leaves of a service; --set is applied last.
 func (o *leavesOptions) behavior(e *settings.Effective) (standin.Behavior, error) {
 	b := standin.DefaultBehavior()
 	b.Slots = e.LeafSlots
@@ -157,8 +160,8 @@
 	return b.Update([]byte(o.set))
 }
 
-// announce writes the tree with the real addresses, then the ready file, so
-// that who sees the ready file finds the tree whole.
+// writeTreeAndReadyFile writes the tree with the actual addresses of the leaves and
+// then the ready file, so that the tree is complete when the ready file exists.
 func (o *leavesOptions) announce(tree *settings.Tree, fleet *standin.Fleet, controlURL string) error {
 	var edits []settings.Edit
 	for _, path := range tree.Services(settings.Root) {
@@ -183,7 +186,7 @@
 	return replaceFile(o.readyFile, []byte(controlURL+"\n"))
 }
 
-// replaceFile writes a file that readers see whole or not at all.
+// replaceFile writes a file atomically: readers see either the old or the new content.
 func replaceFile(path string, data []byte) error {
 	tmp, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
--- a/cmd/pearmoor-standin/main.go
+++ b/cmd/pearmoor-standin/main.go
@@ -1,5 +1,5 @@
-// Command pearmoor-standin runs stand-ins of what surrounds the query tier, for
-// trials and experiments: the leaves that a settings tree declares.
+// Command pearmoor-standin runs simulated leaves for tests and experiments: all leaves
+// that a settings tree declares, in one process.
 package main
 
 import (
--- a/cmd/pearmoor/main.go
+++ b/cmd/pearmoor/main.go
@@ -1,5 +1,6 @@
-// Command pearmoor is the operators' tool: it edits and reads the tree of
-// settings of a tier, shows its state, and asks queries as a caller would.
+// Command pearmoor is the command-line tool for operators of a tier: it edits and
+// reads the tree of settings, shows the tier's state, and sends queries as a caller
+// does.
 package main
 
 import (
--- a/cmd/pearmoord/main.go
+++ b/cmd/pearmoord/main.go
@@ -1,5 +1,5 @@
-// Command pearmoord is the pearmoor daemon: an entry VM that serves callers, a
-// control VM that holds the agreed state on its disk, or both.
+// Command pearmoord is the pearmoor daemon. It runs as an entry VM that serves callers,
+// as a control VM that stores the replicated state on its disk, or as both.
 package main
 
 import (
@@ -24,8 +24,8 @@
 
 const (
 	exitOK    = 0
-	exitFault = 1 // stopped by a fault while running
-	exitUsage = 2 // the settings given at start are wrong
+	exitFault = 1 // an error at start or while running
+	exitUsage = 2 // invalid flags or environment variables
 )
 
 func main() {
@@ -59,7 +59,7 @@
 	return exitOK
 }
 
-// parse reads flags and their PEARMOOR_ environment variables.
+// parseFlags reads the flags and their PEARMOOR_ environment variables.
 func parse(args []string) (*daemon.Config, int, error) {
 	app := kingpin.New("pearmoord", "The pearmoor daemon. Every flag has an environment variable: --peer-listen is PEARMOOR_PEER_LISTEN.")
 	app.DefaultEnvars()
@@ -77,7 +77,7 @@
 	return conf, *verbosity, err
 }
 
-// env names the environment variable of a flag.
+// envVar returns the name of a flag's environment variable.
 func env(flag string) string {
 	return "PEARMOOR_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
@@ -159,8 +159,9 @@
 	flags.Set("v", fmt.Sprint(verbosity))
 }
 
-// signals returns a context ended by the first SIGTERM or SIGINT, which starts a
-// graceful shutdown, and one ended by the second, which cuts it short.
+// shutdownContexts returns a context that is canceled by the first SIGTERM or SIGINT,
+// which starts a graceful shutdown, and one that is canceled by the second, which
+// aborts it.
 func signals() (stop, hurry context.Context, release func()) {
 	stop, endStop := context.WithCancel(context.Background())
 	hurry, endHurry := context.WithCancel(context.Background())
--- a/internal/cli/app.go
+++ b/internal/cli/app.go
@@ -16,7 +16,7 @@
 	defaultWait    = 10 * time.Second
 )
 
-// globals are the flags that every command takes.
+// globalFlags are the flags that every command takes.
 type globals struct {
 	control   []string
 	ca        string
@@ -28,7 +28,7 @@
 	output    string
 }
 
-// app is one run of the tool.
+// app holds the flags, streams and control client of one run of the tool.
 type app struct {
 	globals
 	ctx    context.Context
@@ -47,10 +47,10 @@
 	k.Terminate(func(code int) { done = code })
 	k.HelpFlag.Short('h').NoEnvar()
 	k.VersionFlag.NoEnvar()
-	k.Action(func(*kingpin.ParseContext) error { // before the command's own
+	k.Action(func(*kingpin.ParseContext) error { // runs before the action of the command
 		if done >= 0 {
-			// The library goes on to run the command once Terminate has returned:
-			// asking a change for its help would make the change.
+			// kingpin continues with the command after Terminate returns, so
+			// "set ... --help" would make the change.
 			return errDone
 		}
 		parsed = true
@@ -73,12 +73,15 @@
 	return exitCode(err)
 }
 
-// errDone ends a run whose output was help, the version or a completion.
-var errDone = errors.New("done")
+// errTerminated stops kingpin from running the command after it printed the help
+// text, the version or a completion.
+var errDone = errors.New("terminated")
 
-// errUsage marks an error that only shows once flags are read together.
+// errUsage marks a usage error that kingpin's parser can't detect, such as an
+// invalid combination of flags.
 var errUsage = errors.New("usage")
 
+// usageError returns an error that is marked with errUsage.
 func usage(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), errUsage)
 }
@@ -121,6 +124,7 @@
 	}
 }
 
+// currentUser returns the name of the operating system's user.
 func userName() string {
 	if u, err := user.Current(); err == nil && u.Username != "" {
 		return u.Username
--- a/internal/cli/caller.go
+++ b/internal/cli/caller.go
@@ -18,10 +18,10 @@
 	"pearmoor/internal/entry"
 )
 
-// maxAnswer bounds an answer, in bytes.
+// maxResponseBytes limits the body of an HTTP response.
 const maxAnswer = 256 << 20
 
-// caller uses the tier as its callers do, over HTTP.
+// caller sends requests to entry VMs over HTTP, as a caller of the tier does.
 type caller struct {
 	http *http.Client
 }
@@ -32,12 +32,12 @@
 		return nil, err
 	}
 	transport := http.DefaultTransport.(*http.Transport).Clone()
-	transport.DisableKeepAlives = true // one command, one request to each address
+	transport.DisableKeepAlives = true // a command sends at most one request to each address
 	transport.TLSClientConfig = conf
 	return &caller{http: &http.Client{Transport: transport, Timeout: timeout}}, nil
 }
 
-// refusal is a failure that a daemon answered with.
+// failureResponse is the failure in a daemon's HTTP response.
 type refusal struct {
 	contract.Failure
 	status int
@@ -46,6 +46,7 @@
 // Error implements error.
 func (r *refusal) Error() string { return r.Message }
 
+// addresses requests the address list for a path from the entry VM at base.
 func (c *caller) addresses(ctx context.Context, base, path string) (*contract.Addresses, error) {
 	target := strings.TrimSuffix(base, "/") + entry.AddressesPath + "?service=" + url.QueryEscape(path)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
@@ -56,6 +57,7 @@
 	return &out, c.do(req, &out)
 }
 
+// query sends q to the entry VM at base.
 func (c *caller) query(ctx context.Context, base string, q *contract.Request) (*contract.Answer, error) {
 	raw, err := json.Marshal(q)
 	if err != nil {
@@ -65,12 +67,14 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // without it the transport sends the request at most once
+	req.GetBody = nil // keeps the transport from resending the request
 	req.Header.Set("Content-Type", "application/json")
 	var out contract.Answer
 	return &out, c.do(req, &out)
 }
 
+// do sends req and decodes the response into out. A status other than 200 is returned
+// as a *failureResponse.
 func (c *caller) do(req *http.Request, out any) error {
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -79,19 +83,19 @@
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
-		return errors.Wrap(err, "the answer was cut off")
+		return errors.Wrap(err, "read response body")
 	}
 	if resp.StatusCode == http.StatusOK {
-		return errors.Wrap(json.Unmarshal(raw, out), "the answer is not as expected")
+		return errors.Wrap(json.Unmarshal(raw, out), "decode response")
 	}
 	refused := &refusal{status: resp.StatusCode}
 	if err := json.Unmarshal(raw, &refused.Failure); err != nil {
-		return errors.Wrapf(err, "status %s without a failure that can be read", resp.Status)
+		return errors.Wrapf(err, "decode failure response with status %s", resp.Status)
 	}
 	return refused
 }
 
-// verdictOf says whether a request that failed with err may have run.
+// verdictOf returns whether a request that failed with err may have run.
 func verdictOf(err error) contract.Verdict {
 	var refused *refusal
 	var dial *net.OpError
@@ -100,7 +104,7 @@
 	case errors.As(err, &refused):
 		return refused.Verdict
 	case errors.As(err, &dial) && dial.Op == "dial", errors.As(err, &untrusted):
-		return contract.NotRun // nothing was written
+		return contract.NotRun // the connection was not established, so no request was sent
 	}
 	return contract.MayHaveRun
 }
--- a/internal/cli/certs.go
+++ b/internal/cli/certs.go
@@ -23,12 +23,13 @@
 	folderMode = 0o700
 )
 
-// issued names the files of a certificate.
+// certificateFiles is the output of the certs commands: the paths of the files
+// that were written.
 type issued struct {
 	CA   string `json:"ca"`
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	URI  string `json:"uri,omitempty"` // who it was issued to
+	URI  string `json:"uri,omitempty"` // identity of the VM or operator; empty for the authority
 }
 
 func (a *app) declareCerts(k *kingpin.Application) {
@@ -66,15 +67,15 @@
 
 func (a *app) certsInit(dir string) error {
 	out := &issued{CA: filepath.Join(dir, authorityCert), Cert: filepath.Join(dir, authorityCert), Key: filepath.Join(dir, authorityKey)}
-	// An authority is never replaced by accident: every certificate it issued
-	// would stop working at the next handshake.
+	// An existing authority is never overwritten: every certificate that it issued
+	// would be rejected at the next handshake.
 	for _, name := range []string{out.CA, out.Key} {
 		if _, err := os.Stat(name); err == nil {
-			return failWith(ExitFailed, "%s is there already; remove it to start a new authority", name)
+			return failWith(ExitFailed, "%s already exists; remove it to create a new authority", name)
 		}
 	}
 	if err := os.MkdirAll(dir, folderMode); err != nil {
-		return errors.Wrap(err, "make the folder")
+		return errors.Wrap(err, "create the directory")
 	}
 	authority, err := peer.NewAuthority(authorityValidity)
 	if err != nil {
@@ -89,7 +90,7 @@
 func (a *app) certsIssue(dir string, id peer.Identity, hosts []string, validity time.Duration) error {
 	authority, err := peer.LoadAuthority(filepath.Join(dir, authorityCert), filepath.Join(dir, authorityKey))
 	if err != nil {
-		return errors.Wrap(err, "make an authority with 'pearmoor certs init' first")
+		return errors.Wrap(err, "load the authority; create it with 'pearmoor certs init' first")
 	}
 	base := filepath.Join(dir, id.Kind.String()+"-"+id.Name)
 	out := &issued{CA: filepath.Join(dir, authorityCert), Cert: base + ".pem", Key: base + ".key", URI: id.URI().String()}
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -31,31 +31,31 @@
 		Default(defaultWait.String()).DurationVar(&f.wait)
 }
 
-// winner is the change that was accepted in place of the one asked for.
+// conflictingChange is the accepted change that conflicts with a refused one.
 type winner struct {
 	Version  uint64 `json:"version"`
 	Operator string `json:"operator"`
 	Reason   string `json:"reason"`
 }
 
-// changed is the outcome of a command that changes the tree.
+// changeResult is the output of a command that changes the tree.
 type changed struct {
 	Version     uint64            `json:"version"`
 	Accepted    bool              `json:"accepted"`
-	Resend      bool              `json:"resend,omitempty"` // the first outcome of a change sent before
+	Resend      bool              `json:"resend,omitempty"` // the change id had been accepted earlier; Version is from then
 	DryRun      bool              `json:"dry_run,omitempty"`
 	ChangeID    string            `json:"change_id,omitempty"`
 	Edits       []settings.Edit   `json:"edits"`
 	Effects     []settings.Effect `json:"effects"`
 	InForce     bool              `json:"in_force"`
-	InForceMS   int64             `json:"in_force_ms,omitempty"` // from sending the change
+	InForceMS   int64             `json:"in_force_ms,omitempty"` // measured from sending the change
 	Unconfirmed []string          `json:"unconfirmed,omitempty"` // VMs that have not confirmed it yet
 
 	waited bool
 }
 
-// change makes edits on the tree, shows what they do, and waits until they are in
-// force. old is the tree at base.
+// submitChange sends edits to the control group, waits until they are in force, and
+// prints their effects. old is the tree at version base.
 func (a *app) change(f *changeFlags, old *settings.Tree, base uint64, edits []settings.Edit) error {
 	out := &changed{DryRun: f.dryRun, Version: base, Edits: []settings.Edit{}, Effects: []settings.Effect{}}
 	next, err := old.Apply(base+1, edits)
@@ -92,8 +92,9 @@
 	return err
 }
 
-// sendChange sends the change until a control VM settles it. It is sent under
-// one change id, so a try whose reply was lost can't make it happen twice.
+// sendChange sends the change until a control VM accepts or refuses it. Every
+// attempt has the same change id, so a retry after a lost reply can't apply the
+// change twice.
 func (a *app) sendChange(f *changeFlags, base uint64, edits []settings.Edit, id string) (*wire.ChangeReply, error) {
 	c, err := a.connect()
 	if err != nil {
@@ -117,6 +118,7 @@
 	return reply, outcomeError(reply)
 }
 
+// changeReplyError returns the error for a change that was not accepted, or nil.
 func outcomeError(reply *wire.ChangeReply) error {
 	switch reply.GetOutcome() {
 	case wire.Outcome_ACCEPTED:
@@ -165,13 +167,14 @@
 	}
 }
 
-// maxShownEffects and maxShownValue bound what is printed after a change; 'plan'
-// and a dry run show everything.
+// maxShownEffects and maxShownValueLength limit what is printed as text. 'plan',
+// 'diff' and dry runs show every effect.
 const (
 	maxShownEffects = 20
 	maxShownValue   = 60 // characters
 )
 
+// writeEffects writes a table of at most limit effects.
 func writeEffects(w io.Writer, effects []settings.Effect, most int) {
 	var rows [][]string
 	for _, e := range effects[:min(len(effects), most)] {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -23,7 +23,7 @@
 
 const oneLeaf = "l1=127.0.0.1:9001@hall-0"
 
-// outcome is what a test reads of the JSON of a change.
+// changeOutput holds the fields that the tests read from the JSON output of a change.
 type outcome struct {
 	Version uint64 `json:"version"`
 	Resend  bool   `json:"resend"`
@@ -35,11 +35,11 @@
 	return got.Version
 }
 
-// The control VM accepts a change and its reply is lost: the operator's tool
-// sees a dead connection and can't know. It sends the change again under the
-// same change id, gets the first outcome, and the tree has changed once.
+// The control VM accepts a change, but the connection breaks before the reply is
+// sent. The tool can't know the outcome and sends the change again with the same
+// change id; the control VM must return the first outcome and not apply it twice.
 func TestLostReply(t *testing.T) {
-	Convey("A change whose reply was lost is accepted once", t, func() {
+	Convey("A change whose reply was lost is applied once", t, func() {
 		c := startTier(t)
 		c.must("set", "/desk/a", "--leaves="+oneLeaf, "--reason=first")
 		var changes atomic.Int32
@@ -57,9 +57,9 @@
 		So(version(c), ShouldEqual, 2)
 	})
 
-	// Every reply is lost until the tool gives up. The operator repeats the
-	// command as the message says, and learns that it had been accepted.
-	Convey("An operator learns the outcome after the tool gave up", t, func() {
+	// Every reply is lost until the tool times out. Repeating the command with the
+	// flags from the error message must return the outcome of the first run.
+	Convey("Repeating the command as the error message says returns the outcome", t, func() {
 		c := startTier(t)
 		c.must("set", "/desk/a", "--leaves="+oneLeaf, "--reason=first")
 		c.setHook(func(rpc string) fate {
@@ -81,11 +81,11 @@
 	})
 }
 
-// A third of all calls break on their way, before the control VM saw them or after
-// it answered, and the tool can't tell which. Each command still ends with its
-// change made once: a lost request is sent again, a lost reply asked for again.
+// A third of all calls break, either before the request reaches the control VM or
+// before its reply is sent, and the tool can't tell which. Every command must still
+// apply its change exactly once.
 func TestLossyLink(t *testing.T) {
-	Convey("Over a lossy link every change is made exactly once", t, func() {
+	Convey("Every change is applied exactly once over a lossy link", t, func() {
 		const changes = 15
 		c := startTier(t)
 		c.must("set", "/desk/a", "--leaves="+oneLeaf, "--reason=first")
@@ -112,11 +112,11 @@
 	})
 }
 
-// Two operators read version 1. One changes the tree before the other's change
-// arrives: the second is refused, told who won and why, and nothing of it is in
-// the tree.
+// Two operators read version 1 and both change the tree. The change that arrives
+// second must be refused as a whole, with the operator and the reason of the accepted
+// one, or it would overwrite a change that its operator has not seen.
 func TestRace(t *testing.T) {
-	Convey("The loser of a race is told who won", t, func() {
+	Convey("A refused change is reported with the change that was accepted", t, func() {
 		c := startTier(t)
 		c.must("set", "/desk/a", "--leaves="+oneLeaf, "--reason=first")
 		var raced atomic.Bool
@@ -134,8 +134,8 @@
 	})
 }
 
-// A file is exported, somebody else changes the tree, and the old file is
-// applied: it would undo the change in between without anyone having seen it.
+// A tree is exported, another operator changes the tree, and the exported file is
+// applied. It must be refused, or it would silently undo the change in between.
 func TestApply(t *testing.T) {
 	Convey("A tree kept in a file", t, func() {
 		c := startTier(t)
@@ -144,11 +144,12 @@
 		write := func(text string) { So(os.WriteFile(file, []byte(text), 0o600), ShouldBeNil) }
 		write(c.must("export").out)
 
-		// As exported, it changes nothing.
+		// An unchanged export changes nothing.
 		So(c.must("apply", file, "--reason=again").out, ShouldContainSubstring, "nothing to change")
 		So(version(c), ShouldEqual, 1)
 
-		// Edited, it is applied with its plan shown, and once.
+		// A dry run of an edited file shows the effects; applying it twice changes
+		// the tree once.
 		text, err := os.ReadFile(file)
 		So(err, ShouldBeNil)
 		edited := strings.Replace(string(text), "leaves:", "hedge-after: 30ms\n          leaves:", 1)
@@ -161,7 +162,8 @@
 		So(r.out, ShouldContainSubstring, "in force everywhere after")
 		So(c.must("apply", file, "--reason=twice").out, ShouldContainSubstring, "nothing to change")
 
-		// Stale, it is refused, and the change in between is named.
+		// A file with an old base is refused with the change in between, and applied
+		// when --base confirms the newest version.
 		write(c.must("export").out)
 		c.must("--operator-name=ravi", "set", "/desk", "--hedge-budget=0.05", "--reason=dawn vans")
 		r = c.run("apply", file, "--reason=stale")
@@ -172,7 +174,7 @@
 		So(version(c), ShouldEqual, 4)
 		So(c.must("get", "/desk").out, ShouldNotContainSubstring, "hedge-budget")
 
-		// With an unknown setting, it is refused with its name.
+		// A file with an unknown setting is refused, and the setting is named.
 		write("settings:\n  hedge-aftr: 3ms\n")
 		r = c.run("apply", file, "--reason=typo")
 		So(r.code, ShouldEqual, ExitInvalid)
@@ -180,7 +182,8 @@
 	})
 }
 
-// report hands crashes of one request to the control VM, as a daemon does.
+// reportCrashes reports crashed attempts at one request to the control VM, as a
+// daemon does.
 func (c *tier) report(uri string, attempts int) quarantine.Fingerprints {
 	pool := peer.NewPool(nil)
 	defer func() { _ = pool.Close() }()
@@ -212,21 +215,21 @@
 		blocked, suspected := c.report("/search?q=bad", 3), c.report("/other", 1)
 		name := blocked[quarantine.Exact].String()
 
-		// They are listed and explained, and who put them there is in the trail.
+		// The requests are listed, and explain shows that pearmoor added them.
 		r := c.must("quarantine")
 		So(r.out, ShouldContainSubstring, "GET shop.example/search?q=bad from 10.0.0.1")
 		So(r.out, ShouldContainSubstring, name+"  blocked")
 		So(r.out, ShouldContainSubstring, suspected[quarantine.Exact].String()+"  suspected")
 		So(c.must("explain", "/quarantine/"+name).out, ShouldContainSubstring, "pearmoor")
 
-		// A tree kept in a file holds none of it, and leaves it as it is.
+		// An export leaves the quarantine out, and applying it does not lift anything.
 		file := filepath.Join(t.TempDir(), "tree.yaml")
 		text := c.must("export").out
 		So(text, ShouldNotContainSubstring, "quarantine")
 		So(os.WriteFile(file, []byte(text), 0o600), ShouldBeNil)
 		So(c.must("apply", file, "--reason=again").out, ShouldContainSubstring, "nothing to change")
 
-		// Lifted, one is gone and the others stay.
+		// Lifting one fingerprint leaves the others in quarantine.
 		So(c.run("lift", "none", "--reason=x").code, ShouldEqual, ExitInvalid)
 		c.must("lift", name, "--reason=leaves survive it")
 		out := c.must("quarantine").out
@@ -243,7 +246,7 @@
 		c.must("set", "/desk", "--hedge-after=20ms", "--reason=tail of counters")
 		c.must("--operator-name=ravi", "set", "/desk/a", "--hedge-budget=0.05", "--reason=dawn vans")
 
-		Convey("they can be read, and undone by new versions", func() {
+		Convey("they are shown, and reverted by new versions", func() {
 			var got explanation
 			c.must("--output=json", "explain", "/desk/a").decode(t, &got)
 			found := map[string]reason{}
@@ -272,7 +275,7 @@
 			So(r.out, ShouldContainSubstring, "configuration 3, in force everywhere")
 			So(r.out, ShouldContainSubstring, "leader")
 
-			r = c.run("diff", "900") // at once, not after --timeout
+			r = c.run("diff", "900") // a permanent error, not retried until --timeout
 			So(r.code, ShouldEqual, ExitInvalid)
 			So(r.err, ShouldContainSubstring, "version=900 does not exist")
 
@@ -286,7 +289,7 @@
 			So(version(c), ShouldEqual, 5)
 			So(c.must("diff", "1").out, ShouldContainSubstring, "no query service is affected")
 		})
-		Convey("a change is not undone where the value was changed again", func() {
+		Convey("a change is not reverted if the value was changed again", func() {
 			c.must("set", "/desk", "--hedge-after=40ms", "--reason=slower")
 			r := c.run("revert", "2", "--reason=worse")
 			So(r.code, ShouldEqual, ExitConflict)
@@ -308,14 +311,14 @@
 		So(r.code, ShouldEqual, ExitInvalid)
 		So(r.err, ShouldContainSubstring, "hedge-after")
 
-		// The library prints help and completions and then runs the command, if
-		// not stopped: an operator who asks for help would make the change.
+		// kingpin runs the command after it prints the help text or completions
+		// unless it is stopped, so asking for help would make the change.
 		remove := []string{"remove", "/desk/a", "--reason=x", "--timeout=5s"}
 		So(c.run(append(remove, "--help")...).code, ShouldEqual, ExitOK)
 		So(c.run(append([]string{"--completion-bash"}, remove...)...).code, ShouldEqual, ExitOK)
 		So(version(c), ShouldEqual, 1)
 
-		// An environment variable states a setting; unset and remove take back.
+		// A setting can be given by an environment variable, and unset again.
 		So(os.Setenv("PEARMOOR_HEDGE_AFTER", "25ms"), ShouldBeNil)
 		defer os.Unsetenv("PEARMOOR_HEDGE_AFTER")
 		c.must("set", "/desk", "--reason=env")
@@ -337,10 +340,10 @@
 	})
 }
 
-// No control VM listens. Nothing has left the tool, so it says that nothing was
-// changed and does not leave the operator in doubt.
+// If no control VM can be reached, no request was sent. The exit code must say that
+// nothing was changed, and not that the outcome is unknown.
 func TestUnreachable(t *testing.T) {
-	Convey("An unreachable group changes nothing, and the exit code says so", t, func() {
+	Convey("An unreachable group gives ExitUnreachable", t, func() {
 		c := &tier{t: t, addr: "127.0.0.1:1"}
 		So(c.run("--timeout=200ms", "get").code, ShouldEqual, ExitUnreachable)
 	})
@@ -350,10 +353,10 @@
 		So(r.code, ShouldEqual, ExitOK)
 	})
 
-	// A control VM was cut off silently: it accepts and never answers. The tool
-	// must turn to another one long before its whole time is used up: after the
-	// time of a first try, which the run alone can't tell on a slow machine.
-	Convey("A silent control VM does not hold the tool up", t, func() {
+	// A control VM accepts connections and never answers. The tool must try another
+	// one after firstAttemptTimeout and not use up --timeout. The bound on the
+	// constant is checked because elapsed time is unreliable on a slow machine.
+	Convey("A control VM that does not answer does not use up the timeout", t, func() {
 		So(firstTry, ShouldBeLessThanOrEqualTo, time.Second)
 		silent, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
@@ -363,9 +366,10 @@
 		So(r.code, ShouldEqual, ExitOK)
 	})
 
-	// Two of two voters are needed and one is lost. Nothing can be accepted, and
-	// the operator who looks for the cause must not be shown an error alone.
-	Convey("Without a majority, status shows what is known and a change is refused for certain", t, func() {
+	// One of two voters is lost, so there is no majority and no leader. status must
+	// still show what the remaining control VM knows, and a change must fail as not
+	// made.
+	Convey("Without a majority, status shows the last known state and a change is not made", t, func() {
 		c := startVoter(t, map[uint64]string{2: "127.0.0.1:1"})
 		r := c.run("--timeout=2s", "status")
 		So(r.code, ShouldEqual, ExitOK)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -13,30 +13,33 @@
 )
 
 const (
-	// firstTry bounds the first try at a control VM; each further round over the
-	// group has twice the time. One that was cut off silently must not use up the
-	// whole --timeout, and a slow group must be answered in the end.
+	// firstAttemptTimeout limits each attempt in the first round over the control
+	// VMs; every further round doubles it, up to maxAttemptTimeout. It starts low so
+	// that an unreachable control VM does not use up --timeout, and grows so that a
+	// slow group can answer eventually.
 	firstTry = time.Second
 	maxTry   = 8 * time.Second
-	// avoidFor is how long an address whose try timed out comes last. The others
-	// may go on naming it as the leader until they have elected another.
+	// avoidDuration is how long an address is avoided after an attempt at it timed
+	// out. Other control VMs may redirect to it until they have elected a new leader.
 	avoidFor = 2 * time.Second
-	// retryPause gives an election time to end.
+	// retryInterval is the pause between attempts, which gives an election time to
+	// finish.
 	retryPause = 100 * time.Millisecond
-	// maxRedirects ends a chase after leaders that have each just lost the post.
+	// maxRedirects limits consecutive redirects while leadership changes.
 	maxRedirects = 8
 )
 
-// client calls the control group: any member, and the leader where one is needed.
+// controlClient calls control VMs and follows their redirects to the leader.
 type client struct {
 	addrs    []string
-	next     int
-	avoid    map[string]time.Time // addresses that come last, until when
+	next     int                  // index in addrs of the current address
+	avoid    map[string]time.Time // time until which an address is avoided
 	pool     *peer.Pool
 	operator string
 	timeout  time.Duration
 }
 
+// connect returns the client for the control VMs, which it creates on first use.
 func (a *app) connect() (*client, error) {
 	if a.client != nil {
 		return a.client, nil
@@ -58,17 +61,17 @@
 	return a.client, nil
 }
 
-// tlsConfig returns nil for plain text.
+// tlsConfig returns the TLS configuration for control VMs, nil for plaintext.
 func (a *app) tlsConfig() (*tls.Config, error) {
 	files := peer.Files{CA: a.ca, Cert: a.cert, Key: a.key}
 	if a.plaintext {
 		if files != (peer.Files{}) {
-			return nil, usage("--plaintext-peers goes with none of --tls-ca, --tls-cert and --tls-key")
+			return nil, usage("--plaintext-peers can't be combined with --tls-ca, --tls-cert or --tls-key")
 		}
 		return nil, nil
 	}
 	if files.CA == "" || files.Cert == "" || files.Key == "" {
-		return nil, usage("--tls-ca, --tls-cert and --tls-key are needed; or --plaintext-peers, on loopback")
+		return nil, usage("--tls-ca, --tls-cert and --tls-key are required, or --plaintext-peers on loopback")
 	}
 	r, err := files.Load()
 	if err != nil {
@@ -79,13 +82,14 @@
 
 func (c *client) close() { _ = c.pool.Close() }
 
-// redirected is a reply that may name the leader instead of answering.
+// redirectReply is a reply that may hold the leader's address instead of an answer.
 type redirected interface{ GetRedirect() string }
 
 // call tries the control VMs in turn until one answers, following redirects. It
-// may send a request more than once, so requests are reads or carry a change id.
-// Each try may take hold longer than usual. sent reports whether any try may have
-// reached a control VM.
+// may send a request more than once, so a request must be a read or carry a change
+// id. serverWait, the time for which a control VM may delay its reply, is added to
+// the timeout of each attempt. sent reports whether any attempt may have reached a
+// control VM.
 func call[R redirected](ctx context.Context, c *client, hold time.Duration, do func(context.Context, wire.DRPCControlClient) (R, error)) (reply R, sent bool, err error) {
 	ctx, cancel := context.WithTimeout(peer.WithOperator(ctx, c.operator), c.timeout)
 	defer cancel()
@@ -109,7 +113,7 @@
 			sent = true
 		}
 		if last == nil || ctx.Err() == nil {
-			last = err // what the end of the whole time brings says nothing
+			last = err // an error caused by the overall timeout would hide the cause
 		}
 		if !vm.Sleep(ctx, retryPause) {
 			return reply, sent, last
@@ -121,7 +125,8 @@
 	}
 }
 
-// following returns the next address, one that is not avoided if there is any.
+// nextAddr advances to the next address that is not avoided and returns it. If all
+// are avoided, it stays at the current one.
 func (c *client) following() string {
 	for range c.addrs {
 		c.next = (c.next + 1) % len(c.addrs)
@@ -134,6 +139,7 @@
 
 func (c *client) avoided(addr string) bool { return time.Now().Before(c.avoid[addr]) }
 
+// callAddr makes one attempt at addr, and avoids addr for a while if it times out.
 func callOne[R redirected](ctx context.Context, c *client, addr string, perTry time.Duration, do func(context.Context, wire.DRPCControlClient) (R, error)) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, perTry)
 	defer cancel()
@@ -150,12 +156,12 @@
 	return reply, err
 }
 
-// read calls a method that changes nothing.
+// readCall calls a read-only method.
 func read[R redirected](a *app, do func(context.Context, wire.DRPCControlClient) (R, error)) (R, error) {
 	return readHeld(a, 0, do)
 }
 
-// readHeld is read for a method that may hold its answer back.
+// readCallWait is readCall for a method that may delay its reply by serverWait.
 func readHeld[R redirected](a *app, hold time.Duration, do func(context.Context, wire.DRPCControlClient) (R, error)) (R, error) {
 	c, err := a.connect()
 	if err != nil {
@@ -173,8 +179,9 @@
 	return reply, nil
 }
 
-// outcomeOf turns what call returned for a request that changes something into
-// the error for the operator; unknown says how to learn an outcome that was lost.
+// changeCallError converts the error that call returned for a change into the
+// error shown to the operator. recoveryHint tells how to find out the outcome if
+// the reply was lost.
 func outcomeOf(err error, sent bool, unknown string) error {
 	var coded *exitError
 	switch {
--- a/internal/cli/complete.go
+++ b/internal/cli/complete.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// completeTimeout is how long a shell waits at most for paths to offer.
+// completionTimeout limits how long shell completion waits for the tree.
 const completeTimeout = 500 * time.Millisecond
 
-// completePath offers the paths of the tree to the shell, as far as environment
-// variables say where the control VMs are; flags have not been read by then.
+// completePaths returns the paths of the tree for shell completion. Flags are not
+// parsed at that point, so the control VMs are only known from environment
+// variables and defaults.
 func (a *app) completePath() []string {
 	a.timeout = completeTimeout
 	tree, _, err := a.readTree(0)
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -9,6 +9,7 @@
 	"pearmoor/internal/settings"
 )
 
+// diffResult is the output of the diff command.
 type difference struct {
 	From    uint64            `json:"from"`
 	To      uint64            `json:"to"`
--- a/internal/cli/domains.go
+++ b/internal/cli/domains.go
@@ -11,6 +11,7 @@
 	"pearmoor/internal/settings"
 )
 
+// nameList is the output of the domains command.
 type names struct {
 	Names []string `json:"names"`
 }
@@ -39,6 +40,7 @@
 	})
 }
 
+// failureDomains returns the failure domains of all leaves, sorted.
 func failureDomains(tree *settings.Tree) []string {
 	var out []string
 	for _, service := range tree.Services(settings.Root) {
@@ -54,7 +56,8 @@
 	return slices.Compact(out)
 }
 
-// ancestors returns the nodes of a level that have query services at or below them.
+// nodesAtLevel returns the paths of the nodes at a level of the tree that have query
+// services at or below them; level 1 is the one below the root.
 func ancestors(tree *settings.Tree, level int) []string {
 	var out []string
 	for _, service := range tree.Services(settings.Root) {
--- a/internal/cli/edit.go
+++ b/internal/cli/edit.go
@@ -9,7 +9,7 @@
 	"pearmoor/internal/settings"
 )
 
-// settingFlag is the flag of one setting, made from the schema.
+// settingFlag is the flag of one setting of the schema.
 type settingFlag struct {
 	setting settings.Setting
 	text    string
@@ -40,13 +40,13 @@
 			}
 		}
 		if len(edits) == 0 {
-			return usage("set states no setting; add one, such as --hedge-after=20ms")
+			return usage("set needs at least one setting, such as --hedge-after=20ms")
 		}
 		return a.edit(&flags, edits)
 	})
 }
 
-// declareSettings adds a flag for each setting of the schema.
+// declareSettingFlags adds a flag for each setting of the schema.
 func declareSettings(c *kingpin.CmdClause) []*settingFlag {
 	var out []*settingFlag
 	for _, s := range settings.Schema() {
@@ -75,7 +75,7 @@
 	return help
 }
 
-// isStated reports whether the flag or its environment variable is given.
+// isSet reports whether the flag or its environment variable is set.
 func (f *settingFlag) isStated() bool {
 	return f.given || os.Getenv(f.setting.Env()) != ""
 }
@@ -112,7 +112,7 @@
 	})
 }
 
-// edit makes edits on the newest tree, or on the one of --base.
+// submitEdits submits edits to the newest tree, or to the tree at --base.
 func (a *app) edit(f *changeFlags, edits []settings.Edit) error {
 	base := f.base.value
 	if !f.base.given {
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -8,22 +8,22 @@
 	"pearmoor/internal/contract"
 )
 
-// The exit codes. They are part of the tool's interface: scripts rely on them.
+// Exit codes. They are part of the tool's interface; scripts rely on them.
 const (
 	ExitOK          = 0
-	ExitFailed      = 1  // a fault of the tool or its surroundings, such as an unreadable file
-	ExitUsage       = 2  // the command line itself is at fault
-	ExitInvalid     = 3  // the change was refused; nothing changed
-	ExitConflict    = 4  // another change won; nothing changed
+	ExitFailed      = 1  // any other error, such as an unreadable file
+	ExitUsage       = 2  // invalid command line
+	ExitInvalid     = 3  // the request was refused; nothing changed
+	ExitConflict    = 4  // another change was accepted first; nothing changed
 	ExitUnreachable = 5  // no control VM answered; nothing changed
 	ExitUnknown     = 6  // the reply to a change was lost; it may have been accepted
-	ExitUnconfirmed = 7  // accepted, and not in force everywhere within --wait
+	ExitUnconfirmed = 7  // accepted, but not confirmed to be in force everywhere within --wait
 	ExitNotRun      = 8  // a query was not run
 	ExitInDoubt     = 9  // a query may have run
-	ExitPartial     = 10 // a query was answered with less than --require-coverage
+	ExitPartial     = 10 // the answer to a query covers less than --require-coverage
 )
 
-// exitError is an error with the exit code it stands for.
+// exitError is an error with the exit code of the process.
 type exitError struct {
 	code  int
 	cause error
@@ -35,11 +35,12 @@
 // Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.cause }
 
+// exitErrorf returns a formatted error with an exit code.
 func failWith(code int, format string, args ...any) error {
 	return &exitError{code: code, cause: errors.Newf(format, args...)}
 }
 
-// exitCode returns the code of err.
+// exitCode returns the exit code for err.
 func exitCode(err error) int {
 	var coded *exitError
 	var faults contract.Faults
@@ -54,7 +55,8 @@
 	return ExitFailed
 }
 
-// conflictText tells who won a race, and what to do.
+// conflictMessage describes the conflicting change and how to proceed. The zero
+// conflictingChange stands for an unknown one.
 func conflictText(w winner) string {
 	if w.Version == 0 {
 		return "the tree has changed since the base version; read it again with 'pearmoor get' and repeat the command"
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -10,16 +10,17 @@
 	"pearmoor/internal/settings"
 )
 
-// reason is one value with the change that set it.
+// explainedValue is one value that holds at a node, with the change that set it.
 type reason struct {
 	settings.Explained
 	Operator      string `json:"operator,omitempty"`
 	Verified      bool   `json:"verified"` // a certificate vouches for the operator's name
 	AcceptedMS    int64  `json:"accepted_unix_ms,omitempty"`
 	Why           string `json:"reason,omitempty"`
-	OutOfTheTrail bool   `json:"out_of_the_trail,omitempty"` // the change is older than the kept audit trail
+	OutOfTheTrail bool   `json:"out_of_the_trail,omitempty"` // the change is older than the retained audit trail
 }
 
+// explanation is the output of the explain command.
 type explanation struct {
 	Path    string   `json:"path"`
 	Version uint64   `json:"version"`
@@ -69,7 +70,8 @@
 	return a.print(out)
 }
 
-// reasonOf looks the change up that set a value; seen keeps what was looked up.
+// explainValue adds the change that set a value. records caches the records that
+// were read, by version; nil stands for a change older than the audit trail.
 func (a *app) reasonOf(e settings.Explained, seen map[uint64]*record) (reason, error) {
 	r := reason{Explained: e}
 	if e.Version == 0 {
--- a/internal/cli/file.go
+++ b/internal/cli/file.go
@@ -68,8 +68,8 @@
 	return a.change(f, now, version, edits)
 }
 
-// applyAt repeats an apply whose reply was lost: the edits must be those of the
-// first time, so they are made from the base and not from the newest tree.
+// applyFileAt repeats an apply whose reply was lost. The edits must equal those of
+// the first attempt, so they are computed from the base and not from the newest tree.
 func (a *app) applyAt(f *changeFlags, wanted *settings.Tree, base uint64) error {
 	old, version, err := a.readTree(base)
 	if err != nil {
@@ -78,6 +78,8 @@
 	return a.change(f, old, version, outside(settings.Diff(old, wanted)))
 }
 
+// staleBaseError returns the error for a file that was exported before the newest
+// change; it names the first change after the file's base.
 func (a *app) staleBase(base, newest uint64) error {
 	rec, err := a.auditRecord(base + 1)
 	if err != nil {
@@ -91,7 +93,7 @@
 		base, newest, conflictText(w), base, newest)
 }
 
-// readTreeFile reads a tree from a file, and returns its text too.
+// readTreeFile reads a tree from a file, and returns the tree and the file's text.
 func (a *app) readTreeFile(name string) (*settings.Tree, []byte, error) {
 	text, err := a.readFile(name)
 	if err != nil {
--- a/internal/cli/get.go
+++ b/internal/cli/get.go
@@ -10,14 +10,16 @@
 	"pearmoor/internal/settings"
 )
 
-// node is one node with what it states itself, or with what holds there.
+// nodeValues is one node with its own settings or, with --effective, with all values
+// that hold there.
 type node struct {
 	Path   string            `json:"path"`
 	Values map[string]string `json:"values"`
 
-	order []string
+	order []string // keys of Values in the order of the output
 }
 
+// getResult is the output of the get command.
 type gotten struct {
 	Version uint64 `json:"version"`
 	Nodes   []node `json:"nodes"`
@@ -51,6 +53,7 @@
 	})
 }
 
+// effectiveNode returns the node with all values that hold there, also inherited ones.
 func effectiveNode(tree *settings.Tree, path string) ([]node, error) {
 	explained, err := tree.Explain(path)
 	if err != nil {
@@ -66,8 +69,8 @@
 	return []node{n}, nil
 }
 
-// statedNodes returns the nodes at and below path that state something. What a
-// tree states is what it differs in from an empty one.
+// statedNodes returns the nodes at and below path that state settings, taken from
+// the difference between the tree and an empty one.
 func statedNodes(tree *settings.Tree, path string) ([]node, error) {
 	if _, ok := tree.Effective(path); !ok {
 		return nil, failWith(ExitInvalid, "there is no node %q; 'pearmoor get /' lists them", path)
@@ -87,12 +90,13 @@
 	return nodes, nil
 }
 
-// within reports whether path is at or below root.
+// isAtOrBelow reports whether path is at or below root.
 func within(path, root string) bool {
 	path, root = strings.Trim(path, settings.Root), strings.Trim(root, settings.Root)
 	return root == "" || path == root || strings.HasPrefix(path, root+settings.Root)
 }
 
+// allPaths returns the paths of all nodes that state settings.
 func allPaths(tree *settings.Tree) []string {
 	nodes, err := statedNodes(tree, settings.Root)
 	if err != nil {
--- a/internal/cli/group.go
+++ b/internal/cli/group.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/vm"
 )
 
-// member names a control VM to add.
+// memberArgs are the arguments that describe a control VM to add.
 type member struct {
 	id   uint64
 	name string
@@ -26,10 +26,11 @@
 	c.Arg("address", "Its peer address, host:port.").Required().StringVar(&m.addr)
 }
 
-// voterWait is how long a new control VM may take to catch up before 'replace'
-// gives up on removing the old one.
+// defaultVoterWait is how long 'replace' waits for the new control VM to become a
+// voter; after that it keeps the old one and fails.
 const voterWait = time.Minute
 
+// groupChangeResult is the output of the control commands.
 type groupChange struct {
 	Done  string      `json:"done"`
 	Group []controlVM `json:"control"`
@@ -80,6 +81,7 @@
 	return &wire.GroupRequest{Op: wire.GroupOp_GROUP_REMOVE, Id: id, ChangeId: orNewID(changeID)}
 }
 
+// idOrRandom returns id, or a random one if id is empty.
 func orNewID(id string) string {
 	if id == "" {
 		return rand.Text()
@@ -95,6 +97,9 @@
 	return a.print(&groupChange{Done: done, Group: group})
 }
 
+// sendGroupRequest sends req and returns the members of the control group after the
+// change. A control VM answers only when the change is done, so an attempt may take
+// up to --timeout longer than usual.
 func (a *app) sendGroup(req *wire.GroupRequest) ([]controlVM, error) {
 	c, err := a.connect()
 	if err != nil {
@@ -113,9 +118,10 @@
 	return groupOf(reply.GetGroup()), nil
 }
 
-// replace adds before it removes. Removing first would leave a group of three
-// with two, where one more loss stops all changes; and a voter that has not
-// caught up would count towards a majority it can't help to form.
+// replaceControlVM adds the new control VM and waits until it votes before it
+// removes the old one. If it removed the old one first, a group of three would be
+// left with two, and one more loss would stop all changes. A new voter that has not
+// caught up would raise the size of a majority without being able to be part of it.
 func (a *app) replace(old uint64, fresh member, wait time.Duration) error {
 	if _, err := a.sendGroup(addRequest(fresh, "")); err != nil {
 		return err
@@ -126,6 +132,7 @@
 	return a.group(removeRequest(old, ""), fmt.Sprintf("control VM %d is replaced by %d", old, fresh.id))
 }
 
+// awaitVoter polls until the control VM is a voter or wait has elapsed.
 func (a *app) awaitVoter(id uint64, wait time.Duration) error {
 	deadline := time.Now().Add(wait)
 	for {
--- a/internal/cli/harness_test.go
+++ b/internal/cli/harness_test.go
@@ -23,21 +23,21 @@
 const changeRPC = "/pearmoor.wire.Control/Change"
 
 func TestMain(m *testing.M) {
-	// The library's one ticker for all meters runs as long as the process.
+	// go-metrics has one global ticker that runs until the process exits.
 	goleak.VerifyTestMain(m, goleak.IgnoreTopFunction("github.com/rcrowley/go-metrics.(*meterArbiter).tick"))
 }
 
-// fate is what becomes of a call on its way.
+// linkFault is the fault that a call to the control VM meets.
 type fate uint8
 
 const (
 	delivered   fate = iota
-	requestLost      // the connection breaks before the control VM sees the call
-	replyLost        // it breaks after the control VM has answered
+	requestLost      // the connection breaks before the control VM handles the call
+	replyLost        // the connection breaks before the reply is sent
 )
 
-// tier is a control VM, alone in its group, on a loopback port. hook decides the
-// fate of each call.
+// controlFixture is a control VM on a loopback port. chooseFault, if set, chooses the
+// fault of each call.
 type tier struct {
 	t    *testing.T
 	addr string
@@ -62,7 +62,7 @@
 	return hook(rpc)
 }
 
-// hooked wraps the control VM's handler.
+// faultHandler wraps the control VM's handler and injects faults.
 type hooked struct {
 	tier  *tier
 	inner drpc.Handler
@@ -80,7 +80,7 @@
 	return h.inner.HandleRPC(stream, rpc)
 }
 
-// mute breaks the connection in place of sending the reply.
+// replyDropper closes the connection before the reply is sent.
 type mute struct{ drpc.Stream }
 
 // MsgSend implements drpc.Stream.
@@ -100,7 +100,7 @@
 	return startVoter(t, nil)
 }
 
-// startVoter starts control VM 1 of a group with others, which are not started.
+// startControlVM starts control VM 1 of a group whose other voters are not started.
 func startVoter(t *testing.T, others map[uint64]string) *tier {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -137,7 +137,7 @@
 	return c
 }
 
-// result is one run of the tool.
+// toolResult is the exit code and the output of one run of the tool.
 type result struct {
 	code     int
 	out, err string
@@ -146,11 +146,11 @@
 func (r result) decode(t *testing.T, into any) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(r.out), into); err != nil {
-		t.Fatalf("%v in %q, error output %q", err, r.out, r.err)
+		t.Fatalf("decode output: %v; output %q, error output %q", err, r.out, r.err)
 	}
 }
 
-// run runs the tool as operator asha, or as the one that args name.
+// run runs the tool as operator asha unless args set --operator-name.
 func (c *tier) run(args ...string) result {
 	return c.runWith(nil, append([]string{"--control=" + c.addr}, args...)...)
 }
@@ -165,7 +165,7 @@
 	return result{code: code, out: out.String(), err: errOut.String()}
 }
 
-// must runs the tool and fails the test unless it succeeds.
+// mustRun runs the tool and fails the test unless it succeeds.
 func (c *tier) must(args ...string) result {
 	c.t.Helper()
 	r := c.run(args...)
--- a/internal/cli/inforce.go
+++ b/internal/cli/inforce.go
@@ -8,11 +8,12 @@
 	"pearmoor/internal/vm"
 )
 
-// inForceHold is how long a control VM may hold one answer back.
+// inForceServerWait limits how long a control VM waits for confirmations before it
+// answers one InForce call.
 const inForceHold = time.Second
 
-// awaitInForce asks until the version is in force everywhere or wait is over,
-// and fills in what is known then.
+// awaitInForce polls until the version is in force everywhere or wait has elapsed,
+// and records the last known state in result.
 func (a *app) awaitInForce(out *changed, wait time.Duration, began time.Time) error {
 	out.waited = true
 	deadline := time.Now().Add(wait)
--- a/internal/cli/inforce_test.go
+++ b/internal/cli/inforce_test.go
@@ -13,8 +13,8 @@
 	"pearmoor/internal/link/wire"
 )
 
-// slowTier accepts every change; entry-3 confirms a version at the confirmAt-th
-// time it is asked for.
+// slowControl is a control VM that accepts every change. It reports entry-3 as
+// unconfirmed until the confirmAt-th InForce call.
 type slowTier struct {
 	wire.DRPCControlUnimplementedServer
 	confirmAt int32
@@ -54,12 +54,12 @@
 	}
 }
 
-// A daemon can't be reached when a change is accepted. The operator must learn
-// both that it will not be lost and who does not go by it yet.
+// A daemon is unreachable when a change is accepted. The tool must report that the
+// change is accepted, and which daemons have not confirmed it.
 func TestNotInForce(t *testing.T) {
 	Convey("A change that is not in force everywhere", t, func() {
 		set := []string{"set", "/desk", "--hedge-after=20ms", "--reason=x"}
-		Convey("is reported as accepted, with who has not confirmed", func() {
+		Convey("is reported as accepted, with the daemons that have not confirmed it", func() {
 			tier := &slowTier{confirmAt: 1 << 30}
 			addr, stop := tier.start(t)
 			defer stop()
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -59,6 +59,7 @@
 	return a.print(&loaded{Result: result, dir: dir, took: time.Since(began)})
 }
 
+// loadResult is the output of the load command.
 type loaded struct {
 	*load.Result
 	dir  string
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -13,13 +13,13 @@
 	"pearmoor/internal/contract"
 )
 
-// The forms of output.
+// Values of --output.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// printable is what a command shows: itself as JSON, or text for people.
+// printable is the output of a command: encoded as JSON or written as text.
 type printable interface {
 	writeText(w io.Writer)
 }
@@ -34,14 +34,14 @@
 	return nil
 }
 
-// failure is an error in the JSON form.
+// errorOutput is the JSON form of an error.
 type failure struct {
 	Error  string           `json:"error"`
 	Exit   int              `json:"exit"`
 	Faults []contract.Fault `json:"faults,omitempty"`
 }
 
-// report writes an error: to the error output as text, or as JSON to the output.
+// reportError writes err as text to the error output, or as JSON to the output.
 func (a *app) report(err error) {
 	var faults contract.Faults
 	_ = errors.As(err, &faults)
@@ -54,7 +54,8 @@
 	fmt.Fprintf(a.errOut, "pearmoor: %s\n", strings.ReplaceAll(err.Error(), "\n", "\n  "))
 }
 
-// table writes aligned columns, or nothing for no rows.
+// writeTable writes rows in aligned columns below a header whose columns are separated
+// by | or tabs. Without rows it writes nothing.
 func table(w io.Writer, header string, rows [][]string) {
 	if len(rows) == 0 {
 		return
@@ -74,6 +75,7 @@
 	return time.UnixMilli(unixMS).Format(time.DateTime)
 }
 
+// plural returns n followed by noun, in the plural unless n is 1.
 func plural(n int, one string) string {
 	if n == 1 {
 		return "1 " + one
@@ -81,7 +83,7 @@
 	return fmt.Sprintf("%d %ss", n, one)
 }
 
-// shorten cuts s to most characters.
+// truncate returns s cut to maxLength characters, with "..." appended if it was cut.
 func shorten(s string, most int) string {
 	runes := []rune(s)
 	if len(runes) <= most {
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -9,6 +9,7 @@
 	"pearmoor/internal/settings"
 )
 
+// planResult is the output of the plan command.
 type planned struct {
 	Version uint64            `json:"version"`
 	Edits   []settings.Edit   `json:"edits"`
@@ -45,6 +46,7 @@
 	})
 }
 
+// editsFromFlags returns the edits that the flags of the plan command describe.
 func plannedEdits(path string, stated []*settingFlag, unset []string, remove bool) []settings.Edit {
 	var edits []settings.Edit
 	for _, s := range stated {
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/settings"
 )
 
-// quarantined is one entry of the quarantine.
+// quarantineEntry is one request in quarantine.
 type quarantined struct {
 	Fingerprint string    `json:"fingerprint"`
 	Blocked     bool      `json:"blocked"`
@@ -24,6 +24,7 @@
 	Request     string    `json:"request"`
 }
 
+// quarantineList is the output of the quarantine command.
 type quarantineList struct {
 	Version  uint64        `json:"version"`
 	Requests []quarantined `json:"requests"`
@@ -92,8 +93,9 @@
 	table(w, "FINGERPRINT\tSTATE\tLEAF ENDS\tCRASHES\tATTEMPTS\tSEEN\tREQUEST", rows)
 }
 
-// outside keeps the edits that are not of the quarantine: what is agreed there is no part of
-// a tree that is kept in a file, which must not let crashing requests loose.
+// withoutQuarantine drops the edits to the quarantine. Exported files leave the
+// quarantine out, so applying one would otherwise lift it and let requests that
+// crash leaves run again.
 func outside(edits []settings.Edit) []settings.Edit {
 	return slices.DeleteFunc(edits, func(e settings.Edit) bool { return settings.Below(e.Path, settings.QuarantinePath) })
 }
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -17,14 +17,14 @@
 	"pearmoor/internal/contract"
 )
 
-// maxShownHits and maxShownMissing bound what is printed as text.
+// Limits of what is printed as text.
 const (
 	maxShownHits    = 20
 	maxShownMissing = 20
 	maxShownData    = 80 // characters of a hit's data
 )
 
-// entryFlags say how callers' ports are reached.
+// entryFlags are the flags for reaching the caller ports of entry VMs.
 type entryFlags struct {
 	urls []string
 	ca   string
@@ -36,7 +36,8 @@
 	c.Flag("entry-ca", "PEM file of the authority of https entries; left out: the system's.").StringVar(&f.ca)
 }
 
-// tlsConfig returns nil for the system's authorities.
+// tlsConfig returns a TLS configuration that trusts --entry-ca only, or nil to trust
+// the system's authorities.
 func (f *entryFlags) tlsConfig() (*tls.Config, error) {
 	if f.ca == "" {
 		return nil, nil
@@ -52,7 +53,7 @@
 	return &tls.Config{RootCAs: roots}, nil
 }
 
-// queryFlags make up a request.
+// queryFlags are the flags of the query command.
 type queryFlags struct {
 	entry      entryFlags
 	path       string
@@ -104,7 +105,7 @@
 	})
 }
 
-// askAddresses asks the entries in turn.
+// fetchAddresses returns the address list for path from the first entry that answers.
 func (a *app) askAddresses(c *caller, entries []string, path string) (*contract.Addresses, error) {
 	var last error
 	for _, e := range entries {
@@ -114,9 +115,10 @@
 		}
 		last = err
 	}
-	return nil, &exitError{code: ExitNotRun, cause: errors.Wrap(last, "no entry gave an address list; no request was run")}
+	return nil, &exitError{code: ExitNotRun, cause: errors.Wrap(last, "no entry VM returned an address list; no request was run")}
 }
 
+// request builds the request from the flags, with the body from in for --body=-.
 func (f *queryFlags) request(in io.Reader) (*contract.Request, error) {
 	raw := []byte(f.body)
 	if f.body == "-" {
@@ -168,8 +170,9 @@
 	return nil
 }
 
-// tryAddresses goes down the list while it is certain that the request was not
-// run, or while running it again does no harm.
+// tryAddresses sends the request to one address after the other until one answers.
+// It stops at the first error that every daemon would return, and, unless the request
+// is repeatable, as soon as the request may have run.
 func tryAddresses(ctx context.Context, c *caller, list []contract.Address, r *contract.Request) (*contract.Answer, error) {
 	err := error(failWith(ExitNotRun, "the list of addresses is empty"))
 	verdict := contract.NotRun
@@ -187,7 +190,7 @@
 	return nil, &exitError{code: verdictExit(verdict), cause: err}
 }
 
-// final reports whether every other daemon would refuse the request as well.
+// failsEverywhere reports whether every other daemon would refuse the request too.
 func final(err error) bool {
 	var refused *refusal
 	if !errors.As(err, &refused) {
@@ -203,7 +206,8 @@
 	return ExitInDoubt
 }
 
-// queryError tells the verdict, and how to resend without running twice.
+// queryError adds the verdict to err and, for a request that is not repeatable, the
+// flags that resend it under the same key and session.
 func queryError(err error, r *contract.Request) error {
 	code := verdictExit(verdictOf(err))
 	var coded *exitError
@@ -220,6 +224,7 @@
 	return &exitError{code: code, cause: errors.Wrap(err, verdict)}
 }
 
+// addressList is the output of the addresses command.
 type addressList contract.Addresses
 
 func (l *addressList) writeText(w io.Writer) {
@@ -231,6 +236,7 @@
 	table(w, "ADDRESS|VM|DOMAIN", rows)
 }
 
+// queryResult is the output of the query command.
 type answered struct {
 	*contract.Answer
 	limited bool
@@ -249,7 +255,8 @@
 	a.writeHits(w)
 }
 
-// writeVersions names the index version once where all services have the same.
+// writeIndexVersions writes one line if all services have the same index version,
+// otherwise one line for each service.
 func (a *answered) writeVersions(w io.Writer) {
 	var services []string
 	versions := make(map[uint64]bool)
--- a/internal/cli/query_test.go
+++ b/internal/cli/query_test.go
@@ -20,7 +20,8 @@
 	"pearmoor/internal/entry"
 )
 
-// fakeEntry answers addresses with urls, and queries with answer.
+// fakeEntry starts an entry VM that returns urls as its address list and handles
+// queries with answer.
 func fakeEntry(urls func() []string, answer http.HandlerFunc) *httptest.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc(entry.AddressesPath, func(w http.ResponseWriter, r *http.Request) {
@@ -55,7 +56,7 @@
 }
 
 func TestQuery(t *testing.T) {
-	Convey("An answer is printed with its coverage, and a low one has its exit code", t, func() {
+	Convey("An answer is printed with its coverage, and low coverage gives ExitPartial", t, func() {
 		var e *httptest.Server
 		e = fakeEntry(func() []string { return []string{e.URL} }, goodAnswer)
 		defer e.Close()
@@ -66,7 +67,7 @@
 		So(r.out, ShouldContainSubstring, "deadline")
 		So(runQuery(e, "--require-coverage=0.9").code, ShouldEqual, ExitPartial)
 	})
-	Convey("The next address is tried when the first refuses or is gone", t, func() {
+	Convey("The next address is tried after a refusal or a failed connection", t, func() {
 		var good *httptest.Server
 		good = fakeEntry(func() []string { return []string{good.URL} }, goodAnswer)
 		defer good.Close()
@@ -76,9 +77,9 @@
 		So(runQuery(e, "--once").code, ShouldEqual, ExitOK)
 	})
 
-	// The first daemon takes a fee request and dies before it answers. The tool
-	// must not send it to the next one: the fee could be charged twice.
-	Convey("A request that is not repeatable is not sent on once it may have run", t, func() {
+	// The first daemon accepts a request and dies before it answers. The tool must
+	// not send a request that is not repeatable to the next daemon: it could run twice.
+	Convey("A request that is not repeatable is not sent again after it may have run", t, func() {
 		var ran atomic.Int32
 		good := fakeEntry(func() []string { return nil }, func(w http.ResponseWriter, r *http.Request) {
 			ran.Add(1)
@@ -96,11 +97,11 @@
 		So(r.err, ShouldContainSubstring, "--key=fee-1 --session=s-1")
 		So(ran.Load(), ShouldEqual, 1)
 
-		ran.Store(0) // a repeatable one goes on
+		ran.Store(0) // a repeatable request is sent to the next daemon
 		So(runQuery(e).code, ShouldEqual, ExitOK)
 		So(ran.Load(), ShouldEqual, 2)
 	})
-	Convey("An https entry is trusted by its authority only", t, func() {
+	Convey("An https entry is trusted only if --entry-ca holds its authority", t, func() {
 		var e *httptest.Server
 		e = fakeEntry(func() []string { return []string{e.URL} }, goodAnswer)
 		defer e.Close()
--- a/internal/cli/ready.go
+++ b/internal/cli/ready.go
@@ -10,9 +10,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxReadiness bounds what a daemon says about its readiness, in bytes.
+// maxReadinessBytes limits the body of a readiness response.
 const maxReadiness = 64 << 10
 
+// readiness is the output of the ready command.
 type readiness struct {
 	Ready bool   `json:"ready"`
 	Text  string `json:"text"`
--- a/internal/cli/revert.go
+++ b/internal/cli/revert.go
@@ -26,6 +26,8 @@
 	})
 }
 
+// revert undoes the change that made version, or with wholeTree restores the tree of
+// version. base is the version that the new change is made for; 0 is the newest.
 func (a *app) revertAt(f *changeFlags, version uint64, whole bool, base uint64) error {
 	now, at, err := a.readTree(base)
 	if err != nil {
@@ -52,8 +54,8 @@
 	return a.change(f, now, at, rec.Before)
 }
 
-// overlap returns an edit of later that touches what one of edits touched:
-// undoing those would undo the later one as well.
+// findOverlap returns an edit of later that affects the same setting or node as one
+// of edits. Undoing edits would undo that later edit too.
 func overlap(edits, later []settings.Edit) (settings.Edit, bool) {
 	for _, l := range later {
 		for _, e := range edits {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -21,10 +21,10 @@
 	PeerAddr string `json:"peer_addr"`
 	Voter    bool   `json:"voter"`
 	Leader   bool   `json:"leader"`
-	Match    uint64 `json:"match_index"` // last log entry known to be on its disk
+	Match    uint64 `json:"match_index"` // index of the last log entry known to be on its disk
 }
 
-// daemonState is one daemon as the leader sees it.
+// daemonState is the state of one daemon as known to the leader.
 type daemonState struct {
 	Name       string `json:"name"`
 	Domain     string `json:"domain"`
@@ -37,6 +37,7 @@
 	LeaseMS    uint32 `json:"lease_left_ms"`
 }
 
+// statusResult is the output of the status command.
 type status struct {
 	Term    uint64        `json:"term"`
 	Commit  uint64        `json:"commit"`
@@ -45,7 +46,7 @@
 	Pending uint64        `json:"pending_epoch,omitempty"`
 	Group   []controlVM   `json:"control"`
 	Daemons []daemonState `json:"daemons"`
-	Stale   bool          `json:"stale"`       // no leader answered; this is what another control VM knows
+	Stale   bool          `json:"stale"`       // no leader answered; the status is from another control VM
 	Behind  []string      `json:"unconfirmed"` // daemons that have not confirmed the newest version
 	InForce bool          `json:"in_force"`    // the newest version is in force everywhere
 
@@ -61,8 +62,8 @@
 	c.Action(func(*kingpin.ParseContext) error { return a.status(all) })
 }
 
-// statusTimeout bounds the wait for the leader: without one, what another control
-// VM knows is worth more than a long wait.
+// statusTimeout limits the wait for the leader. If there is none, an early answer
+// from another control VM is more useful than a long wait.
 const statusTimeout = 4 * time.Second
 
 func (a *app) status(all bool) error {
@@ -94,8 +95,9 @@
 	return a.print(out)
 }
 
-// readStatus asks the leader. If there is none to be had, it returns what another
-// control VM knows, which then names no daemons or redirects.
+// readStatus returns the leader's status. If no leader answers, it returns the status
+// of the control VM with the highest commit index; that reply redirects to a leader or
+// lists no leader.
 func (a *app) readStatus() (*wire.StatusReply, error) {
 	c, err := a.connect()
 	if err != nil {
@@ -113,7 +115,7 @@
 			known = one
 		}
 		if one.GetRedirect() == "" && !hasLeader(one) {
-			return nil, errNoLeader // others may know one: this VM may have been removed
+			return nil, errNoLeader // try the others: this VM may have been removed from the group
 		}
 		return one, nil
 	})
@@ -129,7 +131,7 @@
 	return nil, &exitError{code: ExitUnreachable, cause: errors.Wrapf(err, "no control VM of %v answered", c.addrs)}
 }
 
-var errNoLeader = errors.New("no leader is known there")
+var errNoLeader = errors.New("the control VM knows no leader")
 
 func hasLeader(reply *wire.StatusReply) bool {
 	for _, m := range reply.GetGroup() {
@@ -184,14 +186,14 @@
 	s.writeDaemons(w)
 }
 
-// maxListed is how many daemons are listed without --all.
+// maxListedDaemons is how many daemons are listed without --all.
 const maxListed = 30
 
 func (s *status) writeDaemons(w io.Writer) {
 	listed := s.Daemons
 	if !s.all && len(listed) > maxListed {
 		listed = s.conspicuous()
-		fmt.Fprintf(w, "%d of %d daemons serve at the newest version; not so:\n", len(s.Daemons)-len(listed), len(s.Daemons))
+		fmt.Fprintf(w, "%d of %d daemons serve at the newest version; the others:\n", len(s.Daemons)-len(listed), len(s.Daemons))
 		listed = listed[:min(len(listed), maxListed)]
 	}
 	rows := make([][]string, len(listed))
@@ -201,7 +203,8 @@
 	table(w, "DAEMON|DOMAIN|PHASE|CONFIGURATION|EPOCH|LEASE LEFT|CALLERS USE", rows)
 }
 
-// conspicuous returns the daemons that do not serve at the newest version.
+// daemonsNotCurrent returns the daemons that are not serving, have an older version
+// than the newest, or hold no lease.
 func (s *status) conspicuous() []daemonState {
 	var out []daemonState
 	for _, d := range s.Daemons {
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -9,7 +9,7 @@
 	"pearmoor/internal/logs"
 )
 
-// trace is what was found of a request.
+// traceResult is the output of the trace command.
 type trace struct{ *logs.Story }
 
 func (a *app) declareTrace(k *kingpin.Application) {
@@ -35,12 +35,12 @@
 	case len(t.Lines) == 0:
 		return failWith(ExitFailed, "nothing about request %s in %s (%s)", id, plural(len(files), "file"), plural(len(t.Troubles), "trouble"))
 	case len(t.Troubles) > 0:
-		return failWith(ExitFailed, "%s: the story may be incomplete", plural(len(t.Troubles), "trouble"))
+		return failWith(ExitFailed, "%s: the trace may be incomplete", plural(len(t.Troubles), "trouble"))
 	}
 	return nil
 }
 
-// mostTroubles bounds the troubles that are shown as text.
+// maxShownTroubles limits how many unreadable files and lines are shown as text.
 const mostTroubles = 20
 
 func (t *trace) writeText(w io.Writer) {
@@ -56,6 +56,6 @@
 			fmt.Fprintf(w, "not read: %s: %s\n", x.File, x.Why)
 			continue
 		}
-		fmt.Fprintf(w, "no log line: %s:%d: %s\n", x.File, x.Line, x.Why)
+		fmt.Fprintf(w, "not a log line: %s:%d: %s\n", x.File, x.Line, x.Why)
 	}
 }
--- a/internal/cli/trail.go
+++ b/internal/cli/trail.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	auditPage     = 200 // records asked for at once
-	maxShownEdits = 20  // of one change, as text
+	auditPage     = 200 // records requested per call
+	maxShownEdits = 20  // edits of one change printed as text
 )
 
-// record is one accepted change.
+// changeRecord is one accepted change of the audit trail.
 type record struct {
 	Version    uint64          `json:"version"`
 	Base       uint64          `json:"base_version"`
@@ -27,7 +27,7 @@
 	AcceptedMS int64           `json:"accepted_unix_ms"`
 	InForceMS  int64           `json:"in_force_unix_ms,omitempty"` // 0: not yet in force everywhere
 	Edits      []settings.Edit `json:"edits"`
-	Before     []settings.Edit `json:"before"` // the edits that would undo it
+	Before     []settings.Edit `json:"before"` // edits that undo the change
 }
 
 func newRecord(w *wire.AuditRecord) record {
@@ -45,6 +45,8 @@
 	}
 }
 
+// affects reports whether the change edits a node at or below path, or removes one
+// above it.
 func (r *record) touches(path string) bool {
 	for _, e := range r.Edits {
 		if within(e.Path, path) || e.Op == settings.Remove && within(path, e.Path) {
@@ -54,7 +56,8 @@
 	return false
 }
 
-// auditPageFrom returns records: from a version on, or the newest first if from is 0.
+// readAuditPage returns up to limit records in ascending order starting at version
+// from, or the newest ones in descending order if from is 0.
 func (a *app) auditPageFrom(from uint64, limit uint32) ([]record, error) {
 	reply, err := read(a, func(ctx context.Context, c wire.DRPCControlClient) (*wire.AuditReply, error) {
 		return c.Audit(ctx, &wire.AuditRequest{FromVersion: from, Limit: limit})
@@ -69,7 +72,8 @@
 	return out, nil
 }
 
-// auditRecord returns the record of one change, nil if it is not kept any more.
+// readAuditRecord returns the record of one change, or nil if the audit trail no
+// longer holds it.
 func (a *app) auditRecord(version uint64) (*record, error) {
 	records, err := a.auditPageFrom(version, 1)
 	if err != nil || len(records) == 0 || records[0].Version != version {
@@ -78,12 +82,13 @@
 	return &records[0], nil
 }
 
+// auditTrail is the output of the history and audit commands.
 type trail struct {
 	Records []record `json:"records"`
 	detail  bool
 }
 
-// trailFlags choose records.
+// trailFilter selects records of the audit trail.
 type trailFlags struct {
 	path     string
 	operator string
@@ -115,7 +120,7 @@
 
 func (a *app) trail(f trailFlags, detail bool) error {
 	if f.limit <= 0 {
-		return usage("--limit is 1 or more")
+		return usage("--limit must be at least 1")
 	}
 	out := &trail{detail: detail, Records: []record{}}
 	var err error
@@ -130,6 +135,8 @@
 	return a.print(out)
 }
 
+// appendMatching appends the records that match the filter to out, and reports
+// whether the limit is reached.
 func (f *trailFlags) add(out *trail, records []record) (full bool) {
 	for _, r := range records {
 		if len(out.Records) == f.limit {
@@ -142,6 +149,7 @@
 	return len(out.Records) == f.limit
 }
 
+// collectAscending reads pages from version f.from on, oldest change first.
 func (a *app) upwards(f trailFlags, out *trail) error {
 	for from := f.from; ; {
 		records, err := a.auditPageFrom(from, auditPage)
@@ -152,8 +160,9 @@
 	}
 }
 
-// downwards pages from the newest change back. Only the first page can be asked
-// for newest first; the ones before it are read upwards and turned round.
+// collectDescending reads pages from the newest change backwards. The control VMs
+// return only the newest page in descending order; earlier pages are read in
+// ascending order and reversed.
 func (a *app) downwards(f trailFlags, out *trail) error {
 	records, err := a.auditPageFrom(0, auditPage)
 	for {
@@ -168,6 +177,7 @@
 	}
 }
 
+// readAuditPageBefore returns the page that ends before version, newest change first.
 func (a *app) pageBefore(version uint64) ([]record, error) {
 	from, limit := uint64(1), version-1
 	if limit > auditPage {
@@ -214,7 +224,7 @@
 	}
 }
 
-// showStep shows an edit with the value it replaced.
+// formatEditWithOldValue formats an edit with the value that it replaced.
 func (r *record) showStep(e settings.Edit) string {
 	text := showEdit(e)
 	if e.Op == settings.Remove {
--- a/internal/cli/tree.go
+++ b/internal/cli/tree.go
@@ -18,7 +18,7 @@
 		return nil, 0, err
 	}
 	if version != 0 && reply.GetVersion() != version {
-		return nil, 0, failWith(ExitFailed, "version %d is not kept any more", version)
+		return nil, 0, failWith(ExitFailed, "version %d is no longer kept", version)
 	}
 	if len(reply.GetSnapshot()) == 0 {
 		return settings.New(), reply.GetVersion(), nil
--- a/internal/cli/values.go
+++ b/internal/cli/values.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// commaList is a flag that may hold several values separated by commas.
+// commaList is the value of a flag that takes a comma-separated list.
 type commaList []string
 
 // Set implements kingpin.Value; a second use of the flag adds to the first.
@@ -24,7 +24,7 @@
 // IsCumulative lets the flag be given more than once.
 func (l *commaList) IsCumulative() bool { return true }
 
-// optionalUint is a flag whose absence differs from 0.
+// optionalUint is the value of a flag for which 0 differs from unset.
 type optionalUint struct {
 	value uint64
 	given bool
