--- a/cmd/pearmoor-entry/main.go
+++ b/cmd/pearmoor-entry/main.go
@@ -28,63 +28,63 @@
 var version = "development"
 
 const (
-	exitOK    = 0
-	exitFault = 1
-	exitUsage = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
 // options are the command-line options: the path of the settings file, and what the
 // file does not configure.
-type flags struct {
-	settings string
-	metrics  string
-	peers    string
-	gcShare  int
+type options struct {
+	settingsPath string
+	metricsPort  string
+	peersListen  string
+	gcPercent    int
 }
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-func parse(args []string) (flags, error) {
-	var f flags
+func parseFlags(args []string) (options, error) {
+	var opts options
 	app := kingpin.New("pearmoor-entry", "One VM of a pearmoor tier on a platform that supplies its settings file.")
 	app.Version(version)
-	app.Flag("settings", "The platform's settings file.").Envar(platform.SettingsVariable).Required().StringVar(&f.settings)
-	app.Flag("metrics-port", "Port of the metrics, on the VM's own address; 0 is none.").Envar("PEARMOOR_METRICS_PORT").Default("9464").StringVar(&f.metrics)
-	app.Flag("peers-listen", "Address to take other daemons' connections at, as IP:PORT, where it is not the one they are told of, as behind a forwarder.").Envar("PEARMOOR_PEERS_LISTEN").StringVar(&f.peers)
-	app.Flag("gc-percent", "Garbage collection target, in percent of the live heap. A low one costs processor time and keeps the process small.").Envar("PEARMOOR_GC_PERCENT").Default("50").IntVar(&f.gcShare)
+	app.Flag("settings", "The platform's settings file.").Envar(platform.SettingsVariable).Required().StringVar(&opts.settingsPath)
+	app.Flag("metrics-port", "Port of the metrics, on the VM's own address; 0 is none.").Envar("PEARMOOR_METRICS_PORT").Default("9464").StringVar(&opts.metricsPort)
+	app.Flag("peers-listen", "Address to take other daemons' connections at, as IP:PORT, where it is not the one they are told of, as behind a forwarder.").Envar("PEARMOOR_PEERS_LISTEN").StringVar(&opts.peersListen)
+	app.Flag("gc-percent", "Garbage collection target, in percent of the live heap. A low one costs processor time and keeps the process small.").Envar("PEARMOOR_GC_PERCENT").Default("50").IntVar(&opts.gcPercent)
 	_, err := app.Parse(args)
-	return f, err
+	return opts, err
 }
 
 func run(args []string) int {
-	f, err := parse(args)
+	opts, err := parseFlags(args)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "pearmoor-entry: %v; try --help\n", err)
 		return exitUsage
 	}
-	out := decision.New(os.Stdout)
-	defer out.Close()
-	if err := out.TakeKlog(); err != nil {
+	decisionLog := decision.New(os.Stdout)
+	defer decisionLog.Close()
+	if err := decisionLog.TakeKlog(); err != nil {
 		fmt.Fprintf(os.Stderr, "pearmoor-entry: %v\n", err)
-		return exitFault
+		return exitFailure
 	}
-	debug.SetGCPercent(f.gcShare)
-	set, err := platform.ReadSettings(f.settings)
+	debug.SetGCPercent(opts.gcPercent)
+	settings, err := platform.ReadSettings(opts.settingsPath)
 	if err != nil {
-		report(err)
+		logFaults(err)
 		return exitUsage
 	}
-	klog.Infof("entry: start version=%s vm=%s domain=%s disk=%q first_start=%v seeds=%v", version, set.VM.Name, set.VM.Domain, set.VM.DataDir, set.VM.FirstStart, set.VM.Seeds)
-	if err := serve(f, set, out); err != nil {
+	klog.Infof("entry: start version=%s vm=%s domain=%s disk=%q first_start=%v seeds=%v", version, settings.VM.Name, settings.VM.Domain, settings.VM.DataDir, settings.VM.FirstStart, settings.VM.Seeds)
+	if err := serve(opts, settings, decisionLog); err != nil {
 		klog.Errorf("entry: stopped: %v", err)
-		return exitFault
+		return exitFailure
 	}
-	klog.Infof("entry: stop vm=%s", set.VM.Name)
+	klog.Infof("entry: stop vm=%s", settings.VM.Name)
 	return exitOK
 }
 
 // logFaults logs err, or each fault of a contract.Faults on its own line.
-func report(err error) {
+func logFaults(err error) {
 	var faults contract.Faults
 	if !errors.As(err, &faults) {
 		klog.Errorf("entry: %v", err)
@@ -95,82 +95,82 @@
 	}
 }
 
-func serve(f flags, set *platform.Settings, out *decision.Log) error {
+func serve(opts options, settings *platform.Settings, decisionLog *decision.Log) error {
 	var listAddr atomic.Pointer[string]
-	listAddr.Store(&set.ListAddr)
-	conf := set.VM
+	listAddr.Store(&settings.ListAddr)
+	conf := settings.VM
 	conf.Source = platform.NewList(func() string { return *listAddr.Load() })
-	conf.Dialect, conf.Log = platform.Dialect(), out
+	conf.Dialect, conf.Log = platform.Dialect(), decisionLog
 	v, err := entryvm.New(conf)
 	if err != nil {
 		return err
 	}
-	lis, closeAll, err := listen(f, set, v)
+	listeners, closeAll, err := listen(opts, settings, v)
 	if err != nil {
 		return err
 	}
 	defer closeAll()
-	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
 	// SIGHUP may arrive while the VM drains. Without a handler it would end the
 	// process and lose every request in flight.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	go reload(stop, hup, f.settings, v, &listAddr)
-	return v.Run(stop, lis)
+	go reloadSettings(ctx, hup, opts.settingsPath, v, &listAddr)
+	return v.Run(ctx, listeners)
 }
 
 // listen binds every address that the VM serves, and starts the side servers. These
 // run until closeAll is called, because readiness must be served while the VM drains.
-func listen(f flags, set *platform.Settings, v *entryvm.VM) (entryvm.Listeners, func(), error) {
+func listen(opts options, settings *platform.Settings, v *entryvm.VM) (entryvm.Listeners, func(), error) {
 	var open []net.Listener
 	closeAll := func() {
 		for _, l := range open {
 			_ = l.Close()
 		}
 	}
-	bind := func(what, addr string) (net.Listener, error) {
+	bind := func(name, addr string) (net.Listener, error) {
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			closeAll()
-			return nil, errors.Wrapf(err, "entry: %s", what)
+			return nil, errors.Wrapf(err, "entry: %s", name)
 		}
 		open = append(open, l)
 		return l, nil
 	}
 	var out entryvm.Listeners
 	var err error
-	peers := set.VM.PeerAddr
-	if f.peers != "" {
-		peers = f.peers
+	peersAddr := settings.VM.PeerAddr
+	if opts.peersListen != "" {
+		peersAddr = opts.peersListen
 	}
-	if out.Peers, err = bind("peers", peers); err != nil {
+	if out.Peers, err = bind("peers", peersAddr); err != nil {
 		return out, nil, err
 	}
-	if set.Callers != "" {
-		if out.Callers, err = bind("callers", set.Callers); err != nil {
+	if settings.Callers != "" {
+		if out.Callers, err = bind("callers", settings.Callers); err != nil {
 			return out, nil, err
 		}
 	}
-	host, _, _ := net.SplitHostPort(set.VM.PeerAddr) // can't fail: ReadSettings joined it from an IP and a port
-	sides := []struct {
-		what, addr string
+	host, _, _ := net.SplitHostPort(settings.VM.PeerAddr) // can't fail: ReadSettings joined it from an IP and a port
+	sideServers := []struct {
+		name, addr string
 		handler    http.Handler
 	}{
-		{"readiness", set.Readiness, platform.ReadinessHandler(v)},
-		{"operators", set.Operators, platform.OperatorHandler(v, set.Operators)},
-		{"directory", set.Directory, platform.DirectoryHandler(v)},
-		{"metrics", metricsAddr(host, f.metrics), entryvm.MetricsHandler()},
+		{"readiness", settings.Readiness, platform.ReadinessHandler(v)},
+		{"operators", settings.Operators, platform.OperatorHandler(v, settings.Operators)},
+		{"directory", settings.Directory, platform.DirectoryHandler(v)},
+		{"metrics", metricsAddr(host, opts.metricsPort), entryvm.MetricsHandler()},
 	}
-	for _, s := range sides {
+	for _, s := range sideServers {
 		if s.addr == "" {
 			continue
 		}
-		l, err := bind(s.what, s.addr)
+		l, err := bind(s.name, s.addr)
 		if err != nil {
 			return out, nil, err
 		}
-		go serveSide(s.what, l, s.handler)
+		go serveSideServer(s.name, l, s.handler)
 	}
 	return out, closeAll, nil
 }
@@ -183,64 +183,64 @@
 }
 
 const (
-	sideHeaderTimeout = 5 * time.Second
-	sideIdleTimeout   = 30 * time.Second
+	sideReadHeaderTimeout = 5 * time.Second
+	sideIdleTimeout       = 30 * time.Second
 )
 
-func serveSide(what string, l net.Listener, h http.Handler) {
+func serveSideServer(name string, l net.Listener, h http.Handler) {
 	s := &http.Server{
-		Handler: h, ReadHeaderTimeout: sideHeaderTimeout, IdleTimeout: sideIdleTimeout,
-		ErrorLog: decision.ServerLog(what),
+		Handler: h, ReadHeaderTimeout: sideReadHeaderTimeout, IdleTimeout: sideIdleTimeout,
+		ErrorLog: decision.ServerLog(name),
 	}
 	if err := s.Serve(l); err != nil && !errors.Is(err, net.ErrClosed) {
-		klog.Errorf("entry: stopped serving %s: %v", what, err)
+		klog.Errorf("entry: stopped serving %s: %v", name, err)
 	}
 }
 
-const reloadEvery = time.Second
+const settingsPollInterval = time.Second
 
 // reloadSettings reads the settings file again on SIGHUP and whenever it has changed,
 // and applies the seeds and the list address. A file with faults is reported and
 // changes nothing.
-func reload(ctx context.Context, hup <-chan os.Signal, path string, v *entryvm.VM, listAddr *atomic.Pointer[string]) {
-	ticker := time.NewTicker(reloadEvery)
+func reloadSettings(ctx context.Context, hup <-chan os.Signal, path string, v *entryvm.VM, listAddr *atomic.Pointer[string]) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	last := modified(path)
+	lastStamp := statFile(path)
 	for {
-		why := "file changed"
+		trigger := "file changed"
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
-			why = "signal"
+			trigger = "signal"
 		case <-ticker.C:
-			if modified(path) == last {
+			if statFile(path) == lastStamp {
 				continue
 			}
 		}
-		last = modified(path)
-		set, err := platform.ReadSettings(path)
+		lastStamp = statFile(path)
+		settings, err := platform.ReadSettings(path)
 		if err != nil {
-			klog.Errorf("entry: settings not reloaded, why=%q; the previous settings stay in force", why)
-			report(err)
+			klog.Errorf("entry: settings not reloaded, why=%q; the previous settings stay in force", trigger)
+			logFaults(err)
 			continue
 		}
-		v.SetSeeds(set.VM.Seeds)
-		listAddr.Store(&set.ListAddr)
-		klog.Infof("entry: settings reloaded why=%q seeds=%v list=%s", why, set.VM.Seeds, set.ListAddr)
+		v.SetSeeds(settings.VM.Seeds)
+		listAddr.Store(&settings.ListAddr)
+		klog.Infof("entry: settings reloaded why=%q seeds=%v list=%s", trigger, settings.VM.Seeds, settings.ListAddr)
 	}
 }
 
 // fileStamp is the modification time and size of a file, by which a change is detected.
-type stamp struct {
-	at   time.Time
-	size int64
+type fileStamp struct {
+	modTime time.Time
+	size    int64
 }
 
-func modified(path string) stamp {
+func statFile(path string) fileStamp {
 	info, err := os.Stat(path)
 	if err != nil {
-		return stamp{} // probably being replaced; the next poll reads it
+		return fileStamp{} // probably being replaced; the next poll reads it
 	}
-	return stamp{info.ModTime(), info.Size()}
+	return fileStamp{info.ModTime(), info.Size()}
 }
--- a/cmd/pearmoor-entry/main_test.go
+++ b/cmd/pearmoor-entry/main_test.go
@@ -16,10 +16,10 @@
 )
 
 // runMainEnv is the environment variable that makes the test binary run the command.
-const asProgram = "PEARMOOR_ENTRY_TEST_RUN"
+const runMainEnv = "PEARMOOR_ENTRY_TEST_RUN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		os.Exit(run(nil))
 	}
 	os.Exit(m.Run())
@@ -27,32 +27,32 @@
 
 // writeSettings writes the settings file of a tier with a single VM, and returns its
 // path.
-func settingsOf(t *testing.T, dir string, graceS float64) string {
+func writeSettings(t *testing.T, dir string, graceSeconds float64) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "settings.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fill := []string{"@dir", filepath.Join(dir, "data"), "@grace", fmt.Sprint(graceS)}
+	replacements := []string{"@dir", filepath.Join(dir, "data"), "@grace", fmt.Sprint(graceSeconds)}
 	ports, err := freeport.Ports("127.0.0.1", 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, port := range ports {
-		fill = append(fill, fmt.Sprintf("@%d", i+1), port)
+		replacements = append(replacements, fmt.Sprintf("@%d", i+1), port)
 	}
 	path := filepath.Join(dir, "settings.json")
-	if err := os.WriteFile(path, []byte(strings.NewReplacer(fill...).Replace(string(text))), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.NewReplacer(replacements...).Replace(string(text))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
 // start starts the command and returns it with a channel of its output lines.
-func start(t *testing.T, settings string) (*exec.Cmd, <-chan string) {
+func start(t *testing.T, settingsPath string) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", platform.SettingsVariable+"="+settings, "PEARMOOR_METRICS_PORT=0")
+	cmd.Env = append(os.Environ(), runMainEnv+"=1", platform.SettingsVariable+"="+settingsPath, "PEARMOOR_METRICS_PORT=0")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -71,7 +71,7 @@
 	return cmd, lines
 }
 
-func await(t *testing.T, lines <-chan string, want string) {
+func awaitLine(t *testing.T, lines <-chan string, want string) {
 	t.Helper()
 	timeout := time.After(20 * time.Second)
 	for {
@@ -92,18 +92,18 @@
 // SIGHUP arrives while the VM drains after SIGTERM. If SIGHUP were not handled, it
 // would end the process at once, and callers would lose the answers to requests in
 // flight.
-func TestReloadWhileStopping(t *testing.T) {
-	cmd, lines := start(t, settingsOf(t, t.TempDir(), 2))
-	await(t, lines, `"part":"entry","what":"start `)
+func TestReloadDuringDrainKeepsProcessRunning(t *testing.T) {
+	cmd, lines := start(t, writeSettings(t, t.TempDir(), 2))
+	awaitLine(t, lines, `"part":"entry","what":"start `)
 	time.Sleep(300 * time.Millisecond)
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, lines, "drains\"}")
+	awaitLine(t, lines, "drains\"}")
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	await(t, lines, `"part":"entry","what":"stop `)
+	awaitLine(t, lines, `"part":"entry","what":"stop `)
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("the process ended with %v", err)
 	}
@@ -111,7 +111,7 @@
 
 // Every fault of a settings file must be logged with its field, and the process must
 // exit with exitUsage.
-func TestBadSettingsAreNamed(t *testing.T) {
+func TestInvalidSettingsAreReported(t *testing.T) {
 	cmd, lines := start(t, filepath.Join("testdata", "faults.json"))
 	var all []string
 	for line := range lines {
--- a/cmd/pearmoor-standin/leaves.go
+++ b/cmd/pearmoor-standin/leaves.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	leavesSetting = "leaves"
-	stopLimit     = 10 * time.Second // how long requests in flight may take after SIGTERM
-	headerLimit   = 10 * time.Second
-	outMode       = 0o644
+	leavesSetting     = "leaves"
+	shutdownTimeout   = 10 * time.Second // how long requests in flight may take after SIGTERM
+	readHeaderTimeout = 10 * time.Second
+	outFileMode       = 0o644
 )
 
 type leavesOptions struct {
@@ -31,7 +31,7 @@
 	shards          uint32
 	documents       int
 	seed            uint64
-	queue           int
+	queueLimit      int
 	latency         time.Duration
 	spread          float64
 	stragglerShare  float64
@@ -39,13 +39,13 @@
 	coldStart       time.Duration
 	coldFactor      float64
 	connectCost     time.Duration
-	set             string
+	behaviorJSON    string
 }
 
 // leavesCommand declares the leaves command and returns the function that runs it.
 func leavesCommand(app *kingpin.Application) func(context.Context) error {
 	var o leavesOptions
-	def := standin.DefaultBehavior()
+	defaults := standin.DefaultBehavior()
 	c := app.Command("leaves", "Start every leaf that a settings tree declares, all in this process.").Default()
 	c.Flag("tree", "Settings tree to read (YAML).").Required().StringVar(&o.tree)
 	c.Flag("out", "Where to write the tree with the real addresses.").Required().StringVar(&o.out)
@@ -55,15 +55,15 @@
 	c.Flag("shards", "Shards of each service; 0 takes 2, or the number of leaves where it is above 2.").Default("0").Uint32Var(&o.shards)
 	c.Flag("documents", "Documents of each service.").Default("32").IntVar(&o.documents)
 	c.Flag("seed", "Seed of all random draws.").Default("1").Uint64Var(&o.seed)
-	c.Flag("queue", "Requests that wait at a leaf; more are refused.").Default("64").IntVar(&o.queue)
-	c.Flag("latency", "Median time of a run.").Default(time.Duration(def.Latency).String()).DurationVar(&o.latency)
+	c.Flag("queue", "Requests that wait at a leaf; more are refused.").Default("64").IntVar(&o.queueLimit)
+	c.Flag("latency", "Median time of a run.").Default(time.Duration(defaults.Latency).String()).DurationVar(&o.latency)
 	c.Flag("spread", "Sigma of the lognormal factor on the latency; 0 is fixed.").Default("0").Float64Var(&o.spread)
 	c.Flag("straggler-share", "Share of runs that straggle.").Default("0").Float64Var(&o.stragglerShare)
 	c.Flag("straggler-factor", "How many times as long a straggler takes.").Default("20").Float64Var(&o.stragglerFactor)
 	c.Flag("cold-start", "How long a leaf is cold after its start.").Default("0s").DurationVar(&o.coldStart)
 	c.Flag("cold-factor", "How many times as long a run takes while cold.").Default("1").Float64Var(&o.coldFactor)
 	c.Flag("connect-cost", "Time a new connection takes; negative takes the tree's.").Default("-1ns").DurationVar(&o.connectCost)
-	c.Flag("set", "Further behavior of all leaves, as the JSON of POST /control's field set.").StringVar(&o.set)
+	c.Flag("set", "Further behavior of all leaves, as the JSON of POST /control's field set.").StringVar(&o.behaviorJSON)
 	return func(ctx context.Context) error { return runLeaves(ctx, &o) }
 }
 
@@ -76,7 +76,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "tree %s", o.tree)
 	}
-	services, err := o.services(tree)
+	services, err := o.serviceSpecs(tree)
 	if err != nil {
 		return err
 	}
@@ -94,30 +94,30 @@
 	if err != nil {
 		return errors.Wrap(err, "control-addr")
 	}
-	srv := &http.Server{Handler: fleet.Handler(), ReadHeaderTimeout: headerLimit}
+	srv := &http.Server{Handler: fleet.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	defer srv.Close()
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(lis) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(lis) }()
 
-	if err := o.announce(tree, fleet, "http://"+lis.Addr().String()); err != nil {
+	if err := o.writeTreeAndReadyFile(tree, fleet, "http://"+lis.Addr().String()); err != nil {
 		return err
 	}
 	klog.Infof("standin: %d leaves of %d services run; control at http://%s", len(fleet.Leaves()), len(services), lis.Addr())
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return errors.Wrap(err, "control")
 	case <-ctx.Done():
 	}
-	klog.Infof("standin: stopping; waiting up to %v for requests in flight", stopLimit)
-	end, cancel := context.WithTimeout(context.Background(), stopLimit)
+	klog.Infof("standin: stopping; waiting up to %v for requests in flight", shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	fleet.Shutdown(end)
+	fleet.Shutdown(shutdownCtx)
 	return nil
 }
 
 // serviceSpecs returns a spec for each query service of the tree. Slots, connections
 // and connect cost come from the tree, the rest of the behavior from the options.
-func (o *leavesOptions) services(tree *settings.Tree) ([]standin.ServiceSpec, error) {
+func (o *leavesOptions) serviceSpecs(tree *settings.Tree) ([]standin.ServiceSpec, error) {
 	var specs []standin.ServiceSpec
 	for _, path := range tree.Services(settings.Root) {
 		e, ok := tree.Effective(path)
@@ -149,20 +149,20 @@
 	if o.connectCost >= 0 {
 		b.ConnectCost = standin.Duration(o.connectCost)
 	}
-	b.Queue = o.queue
+	b.Queue = o.queueLimit
 	b.Latency = standin.Duration(o.latency)
 	b.Spread = o.spread
 	b.StragglerShare, b.StragglerFactor = o.stragglerShare, o.stragglerFactor
 	b.ColdStart, b.ColdFactor = standin.Duration(o.coldStart), o.coldFactor
-	if o.set == "" {
+	if o.behaviorJSON == "" {
 		return b, b.Validate()
 	}
-	return b.Update([]byte(o.set))
+	return b.Update([]byte(o.behaviorJSON))
 }
 
 // writeTreeAndReadyFile writes the tree with the actual addresses of the leaves and
 // then the ready file, so that the tree is complete when the ready file exists.
-func (o *leavesOptions) announce(tree *settings.Tree, fleet *standin.Fleet, controlURL string) error {
+func (o *leavesOptions) writeTreeAndReadyFile(tree *settings.Tree, fleet *standin.Fleet, controlURL string) error {
 	var edits []settings.Edit
 	for _, path := range tree.Services(settings.Root) {
 		e, _ := tree.Effective(path)
@@ -173,11 +173,11 @@
 		}
 		edits = append(edits, settings.Edit{Path: path, Name: leavesSetting, Value: settings.FormatLeaves(leaves), Op: settings.Set})
 	}
-	real, err := tree.Apply(1, edits)
+	resolved, err := tree.Apply(1, edits)
 	if err != nil {
 		return err
 	}
-	if err := replaceFile(o.out, real.ExportFile()); err != nil {
+	if err := replaceFile(o.out, resolved.ExportFile()); err != nil {
 		return err
 	}
 	if o.readyFile == "" {
@@ -194,7 +194,7 @@
 	}
 	defer os.Remove(tmp.Name())
 	_, err = tmp.Write(data)
-	err = errors.CombineErrors(err, tmp.Chmod(outMode))
+	err = errors.CombineErrors(err, tmp.Chmod(outFileMode))
 	err = errors.CombineErrors(err, tmp.Close())
 	if err != nil {
 		return err
--- a/internal/cli/certs.go
+++ b/internal/cli/certs.go
@@ -17,15 +17,15 @@
 	authorityValidity = 10 * 365 * 24 * time.Hour
 	certValidity      = 90 * 24 * time.Hour
 
-	authorityCert = "ca.pem"
-	authorityKey  = "ca.key"
+	authorityCertFile = "ca.pem"
+	authorityKeyFile  = "ca.key"
 
-	folderMode = 0o700
+	dirMode = 0o700
 )
 
 // certificateFiles is the output of the certs commands: the paths of the files
 // that were written.
-type issued struct {
+type certificateFiles struct {
 	CA   string `json:"ca"`
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
@@ -42,7 +42,7 @@
 	c := parent.Command("init", `Make an authority. One that is there already is kept.
 
 Example: pearmoor certs --dir=certs init`)
-	c.Action(func(*kingpin.ParseContext) error { return a.certsInit(dir) })
+	c.Action(func(*kingpin.ParseContext) error { return a.initAuthority(dir) })
 
 	var name string
 	var hosts []string
@@ -52,7 +52,7 @@
 	c.Arg("name", "The VM's name, as in its --name.").Required().StringVar(&name)
 	c.Flag("host", "IP numbers or names under which others reach the VM, separated by commas.").Required().SetValue((*commaList)(&hosts))
 	c.Action(func(*kingpin.ParseContext) error {
-		return a.certsIssue(dir, peer.Identity{Name: name, Kind: peer.VM}, hosts, validity)
+		return a.issueCertificate(dir, peer.Identity{Name: name, Kind: peer.VM}, hosts, validity)
 	})
 
 	var operator string
@@ -61,20 +61,20 @@
 Example: pearmoor certs --dir=certs operator asha`)
 	c.Arg("name", "The operator's name.").Required().StringVar(&operator)
 	c.Action(func(*kingpin.ParseContext) error {
-		return a.certsIssue(dir, peer.Identity{Name: operator, Kind: peer.Operator}, nil, validity)
+		return a.issueCertificate(dir, peer.Identity{Name: operator, Kind: peer.Operator}, nil, validity)
 	})
 }
 
-func (a *app) certsInit(dir string) error {
-	out := &issued{CA: filepath.Join(dir, authorityCert), Cert: filepath.Join(dir, authorityCert), Key: filepath.Join(dir, authorityKey)}
+func (a *app) initAuthority(dir string) error {
+	out := &certificateFiles{CA: filepath.Join(dir, authorityCertFile), Cert: filepath.Join(dir, authorityCertFile), Key: filepath.Join(dir, authorityKeyFile)}
 	// An existing authority is never overwritten: every certificate that it issued
 	// would be rejected at the next handshake.
 	for _, name := range []string{out.CA, out.Key} {
 		if _, err := os.Stat(name); err == nil {
-			return failWith(ExitFailed, "%s already exists; remove it to create a new authority", name)
+			return exitErrorf(ExitFailed, "%s already exists; remove it to create a new authority", name)
 		}
 	}
-	if err := os.MkdirAll(dir, folderMode); err != nil {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return errors.Wrap(err, "create the directory")
 	}
 	authority, err := peer.NewAuthority(authorityValidity)
@@ -87,22 +87,22 @@
 	return a.print(out)
 }
 
-func (a *app) certsIssue(dir string, id peer.Identity, hosts []string, validity time.Duration) error {
-	authority, err := peer.LoadAuthority(filepath.Join(dir, authorityCert), filepath.Join(dir, authorityKey))
+func (a *app) issueCertificate(dir string, id peer.Identity, hosts []string, validity time.Duration) error {
+	authority, err := peer.LoadAuthority(filepath.Join(dir, authorityCertFile), filepath.Join(dir, authorityKeyFile))
 	if err != nil {
 		return errors.Wrap(err, "load the authority; create it with 'pearmoor certs init' first")
 	}
 	base := filepath.Join(dir, id.Kind.String()+"-"+id.Name)
-	out := &issued{CA: filepath.Join(dir, authorityCert), Cert: base + ".pem", Key: base + ".key", URI: id.URI().String()}
+	out := &certificateFiles{CA: filepath.Join(dir, authorityCertFile), Cert: base + ".pem", Key: base + ".key", URI: id.URI().String()}
 	if err := authority.Issue(id, hosts, validity, out.Cert, out.Key); err != nil {
 		return err
 	}
 	return a.print(out)
 }
 
-func (i *issued) writeText(w io.Writer) {
-	if i.URI != "" {
-		fmt.Fprintf(w, "issued to %s\n", i.URI)
+func (f *certificateFiles) writeText(w io.Writer) {
+	if f.URI != "" {
+		fmt.Fprintf(w, "issued to %s\n", f.URI)
 	}
-	fmt.Fprintf(w, "authority %s\ncertificate %s\nkey %s\n", i.CA, i.Cert, i.Key)
+	fmt.Fprintf(w, "authority %s\ncertificate %s\nkey %s\n", f.CA, f.Cert, f.Key)
 }
--- a/internal/cli/change.go
+++ b/internal/cli/change.go
@@ -32,14 +32,14 @@
 }
 
 // conflictingChange is the accepted change that conflicts with a refused one.
-type winner struct {
+type conflictingChange struct {
 	Version  uint64 `json:"version"`
 	Operator string `json:"operator"`
 	Reason   string `json:"reason"`
 }
 
 // changeResult is the output of a command that changes the tree.
-type changed struct {
+type changeResult struct {
 	Version     uint64            `json:"version"`
 	Accepted    bool              `json:"accepted"`
 	Resend      bool              `json:"resend,omitempty"` // the change id had been accepted earlier; Version is from then
@@ -56,8 +56,8 @@
 
 // submitChange sends edits to the control group, waits until they are in force, and
 // prints their effects. old is the tree at version base.
-func (a *app) change(f *changeFlags, old *settings.Tree, base uint64, edits []settings.Edit) error {
-	out := &changed{DryRun: f.dryRun, Version: base, Edits: []settings.Edit{}, Effects: []settings.Effect{}}
+func (a *app) submitChange(f *changeFlags, old *settings.Tree, base uint64, edits []settings.Edit) error {
+	out := &changeResult{DryRun: f.dryRun, Version: base, Edits: []settings.Edit{}, Effects: []settings.Effect{}}
 	next, err := old.Apply(base+1, edits)
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 	if out.ChangeID == "" {
 		out.ChangeID = rand.Text()
 	}
-	began := time.Now()
+	start := time.Now()
 	reply, err := a.sendChange(f, base, edits, out.ChangeID)
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 	if a.output == outputText {
 		fmt.Fprintf(a.out, "accepted as version %d\n", out.Version)
 	}
-	err = a.awaitInForce(out, f.wait, began)
+	err = a.awaitInForce(out, f.wait, start)
 	if printErr := a.print(out); printErr != nil {
 		return printErr
 	}
@@ -95,13 +95,13 @@
 // sendChange sends the change until a control VM accepts or refuses it. Every
 // attempt has the same change id, so a retry after a lost reply can't apply the
 // change twice.
-func (a *app) sendChange(f *changeFlags, base uint64, edits []settings.Edit, id string) (*wire.ChangeReply, error) {
+func (a *app) sendChange(f *changeFlags, base uint64, edits []settings.Edit, changeID string) (*wire.ChangeReply, error) {
 	c, err := a.connect()
 	if err != nil {
 		return nil, err
 	}
 	req := &wire.ChangeRequest{
-		ChangeId:    id,
+		ChangeId:    changeID,
 		BaseVersion: base,
 		Edits:       settings.EditsToWire(edits),
 		Reason:      f.reason,
@@ -111,27 +111,27 @@
 	reply, sent, err := call(a.ctx, c, 0, func(ctx context.Context, cc wire.DRPCControlClient) (*wire.ChangeReply, error) {
 		return cc.Change(ctx, req)
 	})
-	unknown := fmt.Sprintf("repeat the command with --base=%d --change-id=%s to learn it without changing anything twice", base, id)
-	if err := outcomeOf(err, sent && !f.dryRun, unknown); err != nil {
+	recoveryHint := fmt.Sprintf("repeat the command with --base=%d --change-id=%s to learn it without changing anything twice", base, changeID)
+	if err := changeCallError(err, sent && !f.dryRun, recoveryHint); err != nil {
 		return nil, err
 	}
-	return reply, outcomeError(reply)
+	return reply, changeReplyError(reply)
 }
 
 // changeReplyError returns the error for a change that was not accepted, or nil.
-func outcomeError(reply *wire.ChangeReply) error {
+func changeReplyError(reply *wire.ChangeReply) error {
 	switch reply.GetOutcome() {
 	case wire.Outcome_ACCEPTED:
 		return nil
 	case wire.Outcome_CONFLICT:
 		c := reply.GetConflict()
-		return failWith(ExitConflict, "not accepted: %s",
-			conflictText(winner{Version: c.GetVersion(), Operator: c.GetOperator(), Reason: c.GetReason()}))
+		return exitErrorf(ExitConflict, "not accepted: %s",
+			conflictMessage(conflictingChange{Version: c.GetVersion(), Operator: c.GetOperator(), Reason: c.GetReason()}))
 	}
 	return &exitError{code: ExitInvalid, cause: settings.FaultsFromWire(reply.GetFaults())}
 }
 
-func (c *changed) writeText(w io.Writer) {
+func (c *changeResult) writeText(w io.Writer) {
 	switch {
 	case len(c.Edits) == 0:
 		fmt.Fprintf(w, "nothing to change: the tree at version %d is as asked\n", c.Version)
@@ -144,15 +144,15 @@
 	if c.Resend {
 		fmt.Fprintln(w, "it had been accepted before; this is its first outcome")
 	}
-	most := maxShownEffects
+	limit := maxShownEffects
 	if c.DryRun {
-		most = len(c.Effects)
+		limit = len(c.Effects)
 	}
-	writeEffects(w, c.Effects, most)
+	writeEffects(w, c.Effects, limit)
 	c.writeInForce(w)
 }
 
-func (c *changed) writeInForce(w io.Writer) {
+func (c *changeResult) writeInForce(w io.Writer) {
 	switch {
 	case !c.waited:
 	case c.InForce:
@@ -170,34 +170,34 @@
 // maxShownEffects and maxShownValueLength limit what is printed as text. 'plan',
 // 'diff' and dry runs show every effect.
 const (
-	maxShownEffects = 20
-	maxShownValue   = 60 // characters
+	maxShownEffects     = 20
+	maxShownValueLength = 60 // characters
 )
 
 // writeEffects writes a table of at most limit effects.
-func writeEffects(w io.Writer, effects []settings.Effect, most int) {
+func writeEffects(w io.Writer, effects []settings.Effect, limit int) {
 	var rows [][]string
-	for _, e := range effects[:min(len(effects), most)] {
-		rows = append(rows, []string{e.Service, e.Name, showValue(e.Before), showValue(e.After)})
+	for _, e := range effects[:min(len(effects), limit)] {
+		rows = append(rows, []string{e.Service, e.Name, formatValue(e.Before), formatValue(e.After)})
 	}
 	if len(rows) == 0 {
 		fmt.Fprintln(w, "no query service is affected")
 		return
 	}
-	table(w, "QUERY SERVICE|SETTING|BEFORE|AFTER", rows)
+	writeTable(w, "QUERY SERVICE|SETTING|BEFORE|AFTER", rows)
 	if more := len(effects) - len(rows); more > 0 {
 		fmt.Fprintf(w, "and %d more; 'pearmoor diff' shows all\n", more)
 	}
 }
 
-func showValue(s string) string {
+func formatValue(s string) string {
 	if s == "" {
 		return "-"
 	}
-	return shorten(s, maxShownValue)
+	return truncate(s, maxShownValueLength)
 }
 
-func orDash(s string) string {
+func dashIfEmpty(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/internal/cli/diff.go
+++ b/internal/cli/diff.go
@@ -10,7 +10,7 @@
 )
 
 // diffResult is the output of the diff command.
-type difference struct {
+type diffResult struct {
 	From    uint64            `json:"from"`
 	To      uint64            `json:"to"`
 	Edits   []settings.Edit   `json:"edits"`
@@ -35,11 +35,11 @@
 		if err != nil {
 			return err
 		}
-		return a.print(&difference{From: from, To: at, Edits: settings.Diff(old, next), Effects: settings.Plan(old, next)})
+		return a.print(&diffResult{From: from, To: at, Edits: settings.Diff(old, next), Effects: settings.Plan(old, next)})
 	})
 }
 
-func (d *difference) writeText(w io.Writer) {
+func (d *diffResult) writeText(w io.Writer) {
 	fmt.Fprintf(w, "from version %d to version %d\n", d.From, d.To)
 	writeEdits(w, d.Edits)
 	writeEffects(w, d.Effects, len(d.Effects))
--- a/internal/cli/domains.go
+++ b/internal/cli/domains.go
@@ -12,31 +12,31 @@
 )
 
 // nameList is the output of the domains command.
-type names struct {
+type nameList struct {
 	Names []string `json:"names"`
 }
 
 func (a *app) declareDomains(k *kingpin.Application) {
 	var file string
-	var region, desks bool
+	var firstLevel, secondLevel bool
 	c := k.Command("domains", `List the failure domains of the leaves that a tree in a file declares.
 
 Example: pearmoor domains --file=examples/bagmati.yaml`)
 	c.Flag("file", "The file; - is the standard input.").Required().StringVar(&file)
-	c.Flag("region", "List the nodes right below the root instead.").Envar("PEARMOOR_DOMAINS_REGION").BoolVar(&region)
-	c.Flag("desks", "List the nodes of the second level instead.").BoolVar(&desks)
+	c.Flag("region", "List the nodes right below the root instead.").Envar("PEARMOOR_DOMAINS_REGION").BoolVar(&firstLevel)
+	c.Flag("desks", "List the nodes of the second level instead.").BoolVar(&secondLevel)
 	c.Action(func(*kingpin.ParseContext) error {
 		tree, _, err := a.readTreeFile(file)
 		if err != nil {
 			return err
 		}
 		switch {
-		case region:
-			return a.print(&names{Names: ancestors(tree, 1)})
-		case desks:
-			return a.print(&names{Names: ancestors(tree, 2)})
+		case firstLevel:
+			return a.print(&nameList{Names: nodesAtLevel(tree, 1)})
+		case secondLevel:
+			return a.print(&nameList{Names: nodesAtLevel(tree, 2)})
 		}
-		return a.print(&names{Names: failureDomains(tree)})
+		return a.print(&nameList{Names: failureDomains(tree)})
 	})
 }
 
@@ -58,7 +58,7 @@
 
 // nodesAtLevel returns the paths of the nodes at a level of the tree that have query
 // services at or below them; level 1 is the one below the root.
-func ancestors(tree *settings.Tree, level int) []string {
+func nodesAtLevel(tree *settings.Tree, level int) []string {
 	var out []string
 	for _, service := range tree.Services(settings.Root) {
 		segments := strings.Split(strings.Trim(service, settings.Root), settings.Root)
@@ -70,7 +70,7 @@
 	return slices.Compact(out)
 }
 
-func (n *names) writeText(w io.Writer) {
+func (n *nameList) writeText(w io.Writer) {
 	for _, name := range n.Names {
 		fmt.Fprintln(w, name)
 	}
--- a/internal/cli/edit.go
+++ b/internal/cli/edit.go
@@ -11,9 +11,9 @@
 
 // settingFlag is the flag of one setting of the schema.
 type settingFlag struct {
-	setting settings.Setting
-	text    string
-	given   bool
+	setting   settings.Setting
+	value     string
+	setByUser bool
 }
 
 // declareEdit declares set, unset and remove.
@@ -29,31 +29,31 @@
 	c := k.Command("set", `State settings at a node of the tree.
 
 Example: pearmoor set /kathmandu-valley/counter-desk --hedge-after=20ms --reason="tail of counter searches"`)
-	c.Arg("path", "The node; it is made if need be.").Required().HintAction(a.completePath).StringVar(&path)
+	c.Arg("path", "The node; it is made if need be.").Required().HintAction(a.completePaths).StringVar(&path)
 	flags.declare(c)
-	stated := declareSettings(c)
+	settingFlags := declareSettingFlags(c)
 	c.Action(func(*kingpin.ParseContext) error {
 		var edits []settings.Edit
-		for _, s := range stated {
-			if s.isStated() {
-				edits = append(edits, settings.Edit{Path: path, Name: s.setting.Name, Value: s.text, Op: settings.Set})
+		for _, s := range settingFlags {
+			if s.isSet() {
+				edits = append(edits, settings.Edit{Path: path, Name: s.setting.Name, Value: s.value, Op: settings.Set})
 			}
 		}
 		if len(edits) == 0 {
-			return usage("set needs at least one setting, such as --hedge-after=20ms")
+			return usageError("set needs at least one setting, such as --hedge-after=20ms")
 		}
-		return a.edit(&flags, edits)
+		return a.submitEdits(&flags, edits)
 	})
 }
 
 // declareSettingFlags adds a flag for each setting of the schema.
-func declareSettings(c *kingpin.CmdClause) []*settingFlag {
+func declareSettingFlags(c *kingpin.CmdClause) []*settingFlag {
 	var out []*settingFlag
 	for _, s := range settings.Schema() {
-		f := &settingFlag{setting: s}
+		flag := &settingFlag{setting: s}
 		c.Flag(s.Name, settingHelp(s)).Envar(s.Env()).PlaceHolder(strings.ToUpper(s.Unit)).
-			HintOptions(s.Choices...).IsSetByUser(&f.given).StringVar(&f.text)
-		out = append(out, f)
+			HintOptions(s.Choices...).IsSetByUser(&flag.setByUser).StringVar(&flag.value)
+		out = append(out, flag)
 	}
 	return out
 }
@@ -76,8 +76,8 @@
 }
 
 // isSet reports whether the flag or its environment variable is set.
-func (f *settingFlag) isStated() bool {
-	return f.given || os.Getenv(f.setting.Env()) != ""
+func (f *settingFlag) isSet() bool {
+	return f.setByUser || os.Getenv(f.setting.Env()) != ""
 }
 
 func (a *app) declareUnset(k *kingpin.Application) {
@@ -87,7 +87,7 @@
 	c := k.Command("unset", `State settings no longer; what is inherited holds again.
 
 Example: pearmoor unset /kathmandu-valley/counter-desk hedge-after --reason="back to learned"`)
-	c.Arg("path", "The node.").Required().HintAction(a.completePath).StringVar(&path)
+	c.Arg("path", "The node.").Required().HintAction(a.completePaths).StringVar(&path)
 	c.Arg("setting", "Names of settings.").Required().HintAction(settingNames).StringsVar(&names)
 	flags.declare(c)
 	c.Action(func(*kingpin.ParseContext) error {
@@ -95,7 +95,7 @@
 		for _, name := range names {
 			edits = append(edits, settings.Edit{Path: path, Name: name, Op: settings.Unset})
 		}
-		return a.edit(&flags, edits)
+		return a.submitEdits(&flags, edits)
 	})
 }
 
@@ -105,24 +105,24 @@
 	c := k.Command("remove", `Drop a node with all below it.
 
 Example: pearmoor remove /kathmandu-valley/old-desk --reason="closed in March"`)
-	c.Arg("path", "The node.").Required().HintAction(a.completePath).StringVar(&path)
+	c.Arg("path", "The node.").Required().HintAction(a.completePaths).StringVar(&path)
 	flags.declare(c)
 	c.Action(func(*kingpin.ParseContext) error {
-		return a.edit(&flags, []settings.Edit{{Path: path, Op: settings.Remove}})
+		return a.submitEdits(&flags, []settings.Edit{{Path: path, Op: settings.Remove}})
 	})
 }
 
 // submitEdits submits edits to the newest tree, or to the tree at --base.
-func (a *app) edit(f *changeFlags, edits []settings.Edit) error {
+func (a *app) submitEdits(f *changeFlags, edits []settings.Edit) error {
 	base := f.base.value
-	if !f.base.given {
+	if !f.base.isSet {
 		base = 0
 	}
 	old, version, err := a.readTree(base)
 	if err != nil {
 		return err
 	}
-	return a.change(f, old, version, settings.Canonical(edits))
+	return a.submitChange(f, old, version, settings.Canonical(edits))
 }
 
 func settingNames() []string {
--- a/internal/cli/exit.go
+++ b/internal/cli/exit.go
@@ -36,19 +36,19 @@
 func (e *exitError) Unwrap() error { return e.cause }
 
 // exitErrorf returns a formatted error with an exit code.
-func failWith(code int, format string, args ...any) error {
+func exitErrorf(code int, format string, args ...any) error {
 	return &exitError{code: code, cause: errors.Newf(format, args...)}
 }
 
 // exitCode returns the exit code for err.
 func exitCode(err error) int {
-	var coded *exitError
+	var exitErr *exitError
 	var faults contract.Faults
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &coded):
-		return coded.code
+	case errors.As(err, &exitErr):
+		return exitErr.code
 	case errors.As(err, &faults):
 		return ExitInvalid
 	}
@@ -57,10 +57,10 @@
 
 // conflictMessage describes the conflicting change and how to proceed. The zero
 // conflictingChange stands for an unknown one.
-func conflictText(w winner) string {
-	if w.Version == 0 {
+func conflictMessage(change conflictingChange) string {
+	if change.Version == 0 {
 		return "the tree has changed since the base version; read it again with 'pearmoor get' and repeat the command"
 	}
 	return fmt.Sprintf("change %d by %s won (%q); look at it with 'pearmoor audit --from=%d --limit=1', and repeat the command if it still applies",
-		w.Version, w.Operator, w.Reason, w.Version)
+		change.Version, change.Operator, change.Reason, change.Version)
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -11,39 +11,39 @@
 )
 
 // explainedValue is one value that holds at a node, with the change that set it.
-type reason struct {
+type explainedValue struct {
 	settings.Explained
-	Operator      string `json:"operator,omitempty"`
-	Verified      bool   `json:"verified"` // a certificate vouches for the operator's name
-	AcceptedMS    int64  `json:"accepted_unix_ms,omitempty"`
-	Why           string `json:"reason,omitempty"`
-	OutOfTheTrail bool   `json:"out_of_the_trail,omitempty"` // the change is older than the retained audit trail
+	Operator   string `json:"operator,omitempty"`
+	Verified   bool   `json:"verified"` // a certificate vouches for the operator's name
+	AcceptedMS int64  `json:"accepted_unix_ms,omitempty"`
+	Reason     string `json:"reason,omitempty"`
+	NotInTrail bool   `json:"out_of_the_trail,omitempty"` // the change is older than the retained audit trail
 }
 
 // explanation is the output of the explain command.
 type explanation struct {
-	Path    string   `json:"path"`
-	Version uint64   `json:"version"`
-	Values  []reason `json:"values"`
+	Path    string           `json:"path"`
+	Version uint64           `json:"version"`
+	Values  []explainedValue `json:"values"`
 
-	all bool
+	showDefaults bool
 }
 
 func (a *app) declareExplain(k *kingpin.Application) {
 	var path, name string
-	var all bool
+	var showDefaults bool
 	c := k.Command("explain", `Show each value that holds at a node: the node that states it, who set it, when and why.
 
 Example: pearmoor explain /kathmandu-valley/counter-desk/search-07
 
 Example: pearmoor explain /kathmandu-valley/counter-desk hedge-after`)
-	c.Arg("path", "The node.").Required().HintAction(a.completePath).StringVar(&path)
+	c.Arg("path", "The node.").Required().HintAction(a.completePaths).StringVar(&path)
 	c.Arg("setting", "One setting only.").HintAction(settingNames).StringVar(&name)
-	c.Flag("all", "Show defaults too.").BoolVar(&all)
-	c.Action(func(*kingpin.ParseContext) error { return a.explain(path, name, all) })
+	c.Flag("all", "Show defaults too.").BoolVar(&showDefaults)
+	c.Action(func(*kingpin.ParseContext) error { return a.explain(path, name, showDefaults) })
 }
 
-func (a *app) explain(path, name string, all bool) error {
+func (a *app) explain(path, name string, showDefaults bool) error {
 	tree, version, err := a.readTree(0)
 	if err != nil {
 		return err
@@ -52,88 +52,88 @@
 	if err != nil {
 		return err
 	}
-	out := &explanation{Path: path, Version: version, all: all || name != ""}
-	trail := make(map[uint64]*record)
+	out := &explanation{Path: path, Version: version, showDefaults: showDefaults || name != ""}
+	records := make(map[uint64]*changeRecord)
 	for _, e := range explained {
 		if name != "" && e.Name != name {
 			continue
 		}
-		r, err := a.reasonOf(e, trail)
+		v, err := a.explainValue(e, records)
 		if err != nil {
 			return err
 		}
-		out.Values = append(out.Values, r)
+		out.Values = append(out.Values, v)
 	}
 	if name != "" && len(out.Values) == 0 {
-		return failWith(ExitInvalid, "%s has no value at %s; 'pearmoor explain %s --all' lists the settings", name, path, path)
+		return exitErrorf(ExitInvalid, "%s has no value at %s; 'pearmoor explain %s --all' lists the settings", name, path, path)
 	}
 	return a.print(out)
 }
 
 // explainValue adds the change that set a value. records caches the records that
 // were read, by version; nil stands for a change older than the audit trail.
-func (a *app) reasonOf(e settings.Explained, seen map[uint64]*record) (reason, error) {
-	r := reason{Explained: e}
+func (a *app) explainValue(e settings.Explained, records map[uint64]*changeRecord) (explainedValue, error) {
+	v := explainedValue{Explained: e}
 	if e.Version == 0 {
-		return r, nil
+		return v, nil
 	}
-	rec, ok := seen[e.Version]
+	record, ok := records[e.Version]
 	if !ok {
 		var err error
-		if rec, err = a.auditRecord(e.Version); err != nil {
-			return r, err
+		if record, err = a.readAuditRecord(e.Version); err != nil {
+			return v, err
 		}
-		seen[e.Version] = rec
+		records[e.Version] = record
 	}
-	if rec == nil {
-		r.OutOfTheTrail = true
-		return r, nil
+	if record == nil {
+		v.NotInTrail = true
+		return v, nil
 	}
-	r.Operator, r.Verified, r.AcceptedMS, r.Why = rec.Operator, rec.Verified, rec.AcceptedMS, rec.Reason
-	return r, nil
+	v.Operator, v.Verified, v.AcceptedMS, v.Reason = record.Operator, record.Verified, record.AcceptedMS, record.Reason
+	return v, nil
 }
 
-func (x *explanation) writeText(w io.Writer) {
-	fmt.Fprintf(w, "%s at version %d\n", x.Path, x.Version)
+func (e *explanation) writeText(w io.Writer) {
+	fmt.Fprintf(w, "%s at version %d\n", e.Path, e.Version)
 	var rows [][]string
 	defaults := 0
-	for _, r := range x.Values {
-		if r.StatedAt == settings.StatedAtDefault && !x.all {
+	for _, v := range e.Values {
+		if v.StatedAt == settings.StatedAtDefault && !e.showDefaults {
 			defaults++
 			continue
 		}
-		rows = append(rows, []string{r.Name, r.Value, r.StatedAt, r.version(), r.who(), showTime(r.AcceptedMS), r.why()})
+		rows = append(rows, []string{v.Name, v.Value, v.StatedAt, v.versionText(), v.operatorText(), formatTime(v.AcceptedMS), v.reasonText()})
 	}
-	table(w, "SETTING|VALUE|STATED AT|VERSION|BY|WHEN|WHY", rows)
+	writeTable(w, "SETTING|VALUE|STATED AT|VERSION|BY|WHEN|WHY", rows)
 	if defaults > 0 {
 		fmt.Fprintf(w, "%s at the default; --all shows them\n", plural(defaults, "setting"))
 	}
 }
 
-func (r *reason) version() string {
-	if r.Version == 0 {
+func (v *explainedValue) versionText() string {
+	if v.Version == 0 {
 		return "-"
 	}
-	return fmt.Sprint(r.Version)
+	return fmt.Sprint(v.Version)
 }
 
-func (r *reason) who() string {
-	if r.Operator == "" {
+func (v *explainedValue) operatorText() string {
+	if v.Operator == "" {
 		return "-"
 	}
-	return showOperator(r.Operator, r.Verified)
+	return formatOperator(v.Operator, v.Verified)
 }
 
-func (r *reason) why() string {
+func (v *explainedValue) reasonText() string {
 	var parts []string
-	if r.Obsolete {
+	if v.Obsolete {
 		parts = append(parts, "(not known to this version, no effect)")
 	}
-	if r.OutOfTheTrail {
+	if v.NotInTrail {
 		parts = append(parts, "(older than the audit trail)")
 	}
-	if r.Why != "" {
-		parts = append(parts, r.Why)
+	if v.Reason != "" {
+		parts = append(parts, v.Reason)
 	}
 	if len(parts) == 0 {
 		return "-"
@@ -141,7 +141,7 @@
 	return strings.Join(parts, " ")
 }
 
-func showOperator(name string, verified bool) string {
+func formatOperator(name string, verified bool) string {
 	if verified {
 		return name
 	}
--- a/internal/cli/file.go
+++ b/internal/cli/file.go
@@ -40,62 +40,62 @@
 Example: pearmoor apply tree.yaml --dry-run --reason=-`)
 	c.Arg("file", "The file; - is the standard input.").Required().StringVar(&file)
 	flags.declare(c)
-	c.Action(func(*kingpin.ParseContext) error { return a.apply(file, &flags) })
+	c.Action(func(*kingpin.ParseContext) error { return a.applyFile(file, &flags) })
 }
 
-func (a *app) apply(file string, f *changeFlags) error {
+func (a *app) applyFile(file string, f *changeFlags) error {
 	wanted, text, err := a.readTreeFile(file)
 	if err != nil {
 		return err
 	}
-	if !f.base.given {
-		f.base.value, f.base.given, err = settings.FileBase(text)
+	if !f.base.isSet {
+		f.base.value, f.base.isSet, err = settings.FileBase(text)
 		if err != nil {
 			return err
 		}
 	}
-	if f.changeID != "" && f.base.given {
-		return a.applyAt(f, wanted, f.base.value)
+	if f.changeID != "" && f.base.isSet {
+		return a.applyFileAt(f, wanted, f.base.value)
 	}
-	now, version, err := a.readTree(0)
+	current, version, err := a.readTree(0)
 	if err != nil {
 		return err
 	}
-	edits := outside(settings.Diff(now, wanted))
-	if f.base.given && f.base.value != version && len(edits) > 0 {
-		return a.staleBase(f.base.value, version)
+	edits := withoutQuarantine(settings.Diff(current, wanted))
+	if f.base.isSet && f.base.value != version && len(edits) > 0 {
+		return a.staleBaseError(f.base.value, version)
 	}
-	return a.change(f, now, version, edits)
+	return a.submitChange(f, current, version, edits)
 }
 
 // applyFileAt repeats an apply whose reply was lost. The edits must equal those of
 // the first attempt, so they are computed from the base and not from the newest tree.
-func (a *app) applyAt(f *changeFlags, wanted *settings.Tree, base uint64) error {
+func (a *app) applyFileAt(f *changeFlags, wanted *settings.Tree, base uint64) error {
 	old, version, err := a.readTree(base)
 	if err != nil {
 		return err
 	}
-	return a.change(f, old, version, outside(settings.Diff(old, wanted)))
+	return a.submitChange(f, old, version, withoutQuarantine(settings.Diff(old, wanted)))
 }
 
 // staleBaseError returns the error for a file that was exported before the newest
 // change; it names the first change after the file's base.
-func (a *app) staleBase(base, newest uint64) error {
-	rec, err := a.auditRecord(base + 1)
+func (a *app) staleBaseError(base, newest uint64) error {
+	record, err := a.readAuditRecord(base + 1)
 	if err != nil {
 		return err
 	}
-	var w winner
-	if rec != nil {
-		w = winner{Version: rec.Version, Operator: rec.Operator, Reason: rec.Reason}
+	var conflict conflictingChange
+	if record != nil {
+		conflict = conflictingChange{Version: record.Version, Operator: record.Operator, Reason: record.Reason}
 	}
-	return failWith(ExitConflict, "not applied: the file is based on version %d, the newest is %d; %s; see 'pearmoor diff %d', then export again and merge, or give --base=%d",
-		base, newest, conflictText(w), base, newest)
+	return exitErrorf(ExitConflict, "not applied: the file is based on version %d, the newest is %d; %s; see 'pearmoor diff %d', then export again and merge, or give --base=%d",
+		base, newest, conflictMessage(conflict), base, newest)
 }
 
 // readTreeFile reads a tree from a file, and returns the tree and the file's text.
 func (a *app) readTreeFile(name string) (*settings.Tree, []byte, error) {
-	text, err := a.readFile(name)
+	text, err := a.readFileOrStdin(name)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -103,7 +103,7 @@
 	return tree, text, err
 }
 
-func (a *app) readFile(name string) ([]byte, error) {
+func (a *app) readFileOrStdin(name string) ([]byte, error) {
 	if name == "-" {
 		text, err := io.ReadAll(io.LimitReader(a.in, settings.MaxFile+1))
 		return text, errors.Wrap(err, "read the standard input")
--- a/internal/cli/get.go
+++ b/internal/cli/get.go
@@ -12,17 +12,17 @@
 
 // nodeValues is one node with its own settings or, with --effective, with all values
 // that hold there.
-type node struct {
+type nodeValues struct {
 	Path   string            `json:"path"`
 	Values map[string]string `json:"values"`
 
-	order []string // keys of Values in the order of the output
+	names []string // keys of Values in the order of the output
 }
 
 // getResult is the output of the get command.
-type gotten struct {
-	Version uint64 `json:"version"`
-	Nodes   []node `json:"nodes"`
+type getResult struct {
+	Version uint64       `json:"version"`
+	Nodes   []nodeValues `json:"nodes"`
 }
 
 func (a *app) declareGet(k *kingpin.Application) {
@@ -34,7 +34,7 @@
 Example: pearmoor get /kathmandu-valley
 
 Example: pearmoor get /kathmandu-valley/counter-desk --effective`)
-	c.Arg("path", "The node.").Default(settings.Root).HintAction(a.completePath).StringVar(&path)
+	c.Arg("path", "The node.").Default(settings.Root).HintAction(a.completePaths).StringVar(&path)
 	c.Flag("at", "Version of the tree; 0 is the newest.").Uint64Var(&version)
 	c.Flag("effective", "Show every value that holds at the node, also the inherited ones.").BoolVar(&effective)
 	c.Action(func(*kingpin.ParseContext) error {
@@ -49,49 +49,49 @@
 		if err != nil {
 			return err
 		}
-		return a.print(&gotten{Version: at, Nodes: nodes})
+		return a.print(&getResult{Version: at, Nodes: nodes})
 	})
 }
 
 // effectiveNode returns the node with all values that hold there, also inherited ones.
-func effectiveNode(tree *settings.Tree, path string) ([]node, error) {
+func effectiveNode(tree *settings.Tree, path string) ([]nodeValues, error) {
 	explained, err := tree.Explain(path)
 	if err != nil {
 		return nil, err
 	}
-	n := node{Path: path, Values: make(map[string]string)}
+	n := nodeValues{Path: path, Values: make(map[string]string)}
 	for _, e := range explained {
 		if !e.Obsolete {
 			n.Values[e.Name] = e.Value
-			n.order = append(n.order, e.Name)
+			n.names = append(n.names, e.Name)
 		}
 	}
-	return []node{n}, nil
+	return []nodeValues{n}, nil
 }
 
 // statedNodes returns the nodes at and below path that state settings, taken from
 // the difference between the tree and an empty one.
-func statedNodes(tree *settings.Tree, path string) ([]node, error) {
+func statedNodes(tree *settings.Tree, path string) ([]nodeValues, error) {
 	if _, ok := tree.Effective(path); !ok {
-		return nil, failWith(ExitInvalid, "there is no node %q; 'pearmoor get /' lists them", path)
+		return nil, exitErrorf(ExitInvalid, "there is no node %q; 'pearmoor get /' lists them", path)
 	}
-	var nodes []node
+	var nodes []nodeValues
 	for _, e := range settings.Diff(settings.New(), tree) {
-		if e.Op != settings.Set || !within(e.Path, path) {
+		if e.Op != settings.Set || !isAtOrBelow(e.Path, path) {
 			continue
 		}
 		if len(nodes) == 0 || nodes[len(nodes)-1].Path != e.Path {
-			nodes = append(nodes, node{Path: e.Path, Values: make(map[string]string)})
+			nodes = append(nodes, nodeValues{Path: e.Path, Values: make(map[string]string)})
 		}
 		n := &nodes[len(nodes)-1]
 		n.Values[e.Name] = e.Value
-		n.order = append(n.order, e.Name)
+		n.names = append(n.names, e.Name)
 	}
 	return nodes, nil
 }
 
 // isAtOrBelow reports whether path is at or below root.
-func within(path, root string) bool {
+func isAtOrBelow(path, root string) bool {
 	path, root = strings.Trim(path, settings.Root), strings.Trim(root, settings.Root)
 	return root == "" || path == root || strings.HasPrefix(path, root+settings.Root)
 }
@@ -109,11 +109,11 @@
 	return paths
 }
 
-func (g *gotten) writeText(w io.Writer) {
+func (g *getResult) writeText(w io.Writer) {
 	fmt.Fprintf(w, "version %d\n", g.Version)
 	for _, n := range g.Nodes {
 		fmt.Fprintf(w, "%s\n", n.Path)
-		for _, name := range n.order {
+		for _, name := range n.names {
 			fmt.Fprintf(w, "  %s=%s\n", name, n.Values[name])
 		}
 	}
--- a/internal/cli/harness_test.go
+++ b/internal/cli/harness_test.go
@@ -28,80 +28,80 @@
 }
 
 // linkFault is the fault that a call to the control VM meets.
-type fate uint8
+type linkFault uint8
 
 const (
-	delivered   fate = iota
-	requestLost      // the connection breaks before the control VM handles the call
-	replyLost        // the connection breaks before the reply is sent
+	noFault     linkFault = iota
+	dropRequest           // the connection breaks before the control VM handles the call
+	dropReply             // the connection breaks before the reply is sent
 )
 
 // controlFixture is a control VM on a loopback port. chooseFault, if set, chooses the
 // fault of each call.
-type tier struct {
+type controlFixture struct {
 	t    *testing.T
 	addr string
 
-	mu   sync.Mutex
-	hook func(rpc string) fate
+	mu          sync.Mutex
+	chooseFault func(rpc string) linkFault
 }
 
-func (c *tier) setHook(h func(rpc string) fate) {
+func (c *controlFixture) injectFaults(choose func(rpc string) linkFault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hook = h
+	c.chooseFault = choose
 }
 
-func (c *tier) fateOf(rpc string) fate {
+func (c *controlFixture) faultOf(rpc string) linkFault {
 	c.mu.Lock()
-	hook := c.hook
+	choose := c.chooseFault
 	c.mu.Unlock()
-	if hook == nil {
-		return delivered
+	if choose == nil {
+		return noFault
 	}
-	return hook(rpc)
+	return choose(rpc)
 }
 
 // faultHandler wraps the control VM's handler and injects faults.
-type hooked struct {
-	tier  *tier
-	inner drpc.Handler
+type faultHandler struct {
+	fixture *controlFixture
+	inner   drpc.Handler
 }
 
 // HandleRPC implements drpc.Handler.
-func (h hooked) HandleRPC(stream drpc.Stream, rpc string) error {
-	switch h.tier.fateOf(rpc) {
-	case requestLost:
-		breakConn(stream)
+func (h faultHandler) HandleRPC(stream drpc.Stream, rpc string) error {
+	switch h.fixture.faultOf(rpc) {
+	case dropRequest:
+		closeTransport(stream)
 		return nil
-	case replyLost:
-		return h.inner.HandleRPC(&mute{stream}, rpc)
+	case dropReply:
+		return h.inner.HandleRPC(&replyDropper{stream}, rpc)
 	}
 	return h.inner.HandleRPC(stream, rpc)
 }
 
 // replyDropper closes the connection before the reply is sent.
-type mute struct{ drpc.Stream }
+type replyDropper struct{ drpc.Stream }
 
 // MsgSend implements drpc.Stream.
-func (s *mute) MsgSend(msg drpc.Message, enc drpc.Encoding) error {
-	breakConn(s.Stream)
+func (s *replyDropper) MsgSend(msg drpc.Message, enc drpc.Encoding) error {
+	closeTransport(s.Stream)
 	return s.Stream.MsgSend(msg, enc)
 }
 
-func breakConn(stream drpc.Stream) {
+func closeTransport(stream drpc.Stream) {
 	if tr, ok := drpcctx.Transport(stream.Context()); ok {
 		_ = tr.Close()
 	}
 }
 
-func startTier(t *testing.T) *tier {
+func startControl(t *testing.T) *controlFixture {
 	t.Helper()
-	return startVoter(t, nil)
+	return startControlVM(t, nil)
 }
 
 // startControlVM starts control VM 1 of a group whose other voters are not started.
-func startVoter(t *testing.T, others map[uint64]string) *tier {
+func startControlVM(t *testing.T, others map[uint64]string) *controlFixture {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,11 +124,11 @@
 	if err := n.Register(mux); err != nil {
 		t.Fatal(err)
 	}
-	c := &tier{t: t, addr: lis.Addr().String()}
+	c := &controlFixture{t: t, addr: lis.Addr().String()}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { _ = n.Run(ctx) })
-	done.Go(func() { _ = peer.Serve(ctx, lis, hooked{tier: c, inner: mux}, nil) })
+	done.Go(func() { _ = peer.Serve(ctx, lis, faultHandler{fixture: c, inner: mux}, nil) })
 	t.Cleanup(func() {
 		cancel()
 		done.Wait()
@@ -138,35 +138,35 @@
 }
 
 // toolResult is the exit code and the output of one run of the tool.
-type result struct {
+type toolResult struct {
 	code     int
 	out, err string
 }
 
-func (r result) decode(t *testing.T, into any) {
+func (r toolResult) decode(t *testing.T, dst any) {
 	t.Helper()
-	if err := json.Unmarshal([]byte(r.out), into); err != nil {
+	if err := json.Unmarshal([]byte(r.out), dst); err != nil {
 		t.Fatalf("decode output: %v; output %q, error output %q", err, r.out, r.err)
 	}
 }
 
 // run runs the tool as operator asha unless args set --operator-name.
-func (c *tier) run(args ...string) result {
-	return c.runWith(nil, append([]string{"--control=" + c.addr}, args...)...)
+func (c *controlFixture) run(args ...string) toolResult {
+	return c.runWithInput(nil, append([]string{"--control=" + c.addr}, args...)...)
 }
 
-func (c *tier) runWith(in []byte, args ...string) result {
+func (c *controlFixture) runWithInput(in []byte, args ...string) toolResult {
 	var out, errOut bytes.Buffer
 	if !strings.Contains(strings.Join(args, " "), "--operator-name") {
 		args = append([]string{"--operator-name=asha"}, args...)
 	}
 	args = append([]string{"--plaintext-peers"}, args...)
 	code := Run(context.Background(), args, bytes.NewReader(in), &out, &errOut, "test")
-	return result{code: code, out: out.String(), err: errOut.String()}
+	return toolResult{code: code, out: out.String(), err: errOut.String()}
 }
 
 // mustRun runs the tool and fails the test unless it succeeds.
-func (c *tier) must(args ...string) result {
+func (c *controlFixture) mustRun(args ...string) toolResult {
 	c.t.Helper()
 	r := c.run(args...)
 	if r.code != ExitOK {
--- a/internal/cli/inforce.go
+++ b/internal/cli/inforce.go
@@ -10,38 +10,38 @@
 
 // inForceServerWait limits how long a control VM waits for confirmations before it
 // answers one InForce call.
-const inForceHold = time.Second
+const inForceServerWait = time.Second
 
 // awaitInForce polls until the version is in force everywhere or wait has elapsed,
 // and records the last known state in result.
-func (a *app) awaitInForce(out *changed, wait time.Duration, began time.Time) error {
-	out.waited = true
+func (a *app) awaitInForce(result *changeResult, wait time.Duration, start time.Time) error {
+	result.waited = true
 	deadline := time.Now().Add(wait)
 	for {
-		hold := max(0, min(inForceHold, time.Until(deadline)))
-		reply, err := a.inForce(out.Version, hold)
+		serverWait := max(0, min(inForceServerWait, time.Until(deadline)))
+		reply, err := a.readInForce(result.Version, serverWait)
 		if err != nil {
 			return &exitError{code: ExitUnconfirmed, cause: err}
 		}
 		if reply.GetInForce() {
-			out.InForce, out.InForceMS = true, time.Since(began).Milliseconds()
-			out.Unconfirmed = nil
+			result.InForce, result.InForceMS = true, time.Since(start).Milliseconds()
+			result.Unconfirmed = nil
 			return nil
 		}
-		out.Unconfirmed = reply.GetUnconfirmed()
+		result.Unconfirmed = reply.GetUnconfirmed()
 		if time.Now().After(deadline) {
-			return failWith(ExitUnconfirmed, "version %d is accepted and will come into force; it was not in force everywhere within %v", out.Version, wait)
+			return exitErrorf(ExitUnconfirmed, "version %d is accepted and will come into force; it was not in force everywhere within %v", result.Version, wait)
 		}
-		vm.Sleep(a.ctx, retryPause)
+		vm.Sleep(a.ctx, retryInterval)
 		if a.ctx.Err() != nil {
 			return &exitError{code: ExitUnconfirmed, cause: a.ctx.Err()}
 		}
 	}
 }
 
-func (a *app) inForce(version uint64, hold time.Duration) (*wire.InForceReply, error) {
-	req := &wire.InForceRequest{Version: version, WaitMs: uint32(hold.Milliseconds())}
-	return readHeld(a, hold, func(ctx context.Context, c wire.DRPCControlClient) (*wire.InForceReply, error) {
+func (a *app) readInForce(version uint64, serverWait time.Duration) (*wire.InForceReply, error) {
+	req := &wire.InForceRequest{Version: version, WaitMs: uint32(serverWait.Milliseconds())}
+	return readCallWait(a, serverWait, func(ctx context.Context, c wire.DRPCControlClient) (*wire.InForceReply, error) {
 		return c.InForce(ctx, req)
 	})
 }
--- a/internal/cli/inforce_test.go
+++ b/internal/cli/inforce_test.go
@@ -15,28 +15,28 @@
 
 // slowControl is a control VM that accepts every change. It reports entry-3 as
 // unconfirmed until the confirmAt-th InForce call.
-type slowTier struct {
+type slowControl struct {
 	wire.DRPCControlUnimplementedServer
-	confirmAt int32
-	asked     atomic.Int32
+	confirmAt    int32
+	inForceCalls atomic.Int32
 }
 
-func (s *slowTier) Read(context.Context, *wire.ReadRequest) (*wire.ReadReply, error) {
+func (s *slowControl) Read(context.Context, *wire.ReadRequest) (*wire.ReadReply, error) {
 	return &wire.ReadReply{}, nil
 }
 
-func (s *slowTier) Change(context.Context, *wire.ChangeRequest) (*wire.ChangeReply, error) {
+func (s *slowControl) Change(context.Context, *wire.ChangeRequest) (*wire.ChangeReply, error) {
 	return &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: 1}, nil
 }
 
-func (s *slowTier) InForce(context.Context, *wire.InForceRequest) (*wire.InForceReply, error) {
-	if s.asked.Add(1) >= s.confirmAt {
+func (s *slowControl) InForce(context.Context, *wire.InForceRequest) (*wire.InForceReply, error) {
+	if s.inForceCalls.Add(1) >= s.confirmAt {
 		return &wire.InForceReply{InForce: true}, nil
 	}
 	return &wire.InForceReply{Unconfirmed: []string{"entry-3"}}, nil
 }
 
-func (s *slowTier) start(t *testing.T) (addr string, stop func()) {
+func (s *slowControl) start(t *testing.T) (addr string, stop func()) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -56,14 +56,14 @@
 
 // A daemon is unreachable when a change is accepted. The tool must report that the
 // change is accepted, and which daemons have not confirmed it.
-func TestNotInForce(t *testing.T) {
+func TestChangeNotYetInForce(t *testing.T) {
 	Convey("A change that is not in force everywhere", t, func() {
 		set := []string{"set", "/desk", "--hedge-after=20ms", "--reason=x"}
 		Convey("is reported as accepted, with the daemons that have not confirmed it", func() {
-			tier := &slowTier{confirmAt: 1 << 30}
-			addr, stop := tier.start(t)
+			control := &slowControl{confirmAt: 1 << 30}
+			addr, stop := control.start(t)
 			defer stop()
-			c := testTier(t, addr)
+			c := newFixture(t, addr)
 			r := c.run(append(set, "--wait=300ms")...)
 			So(r.code, ShouldEqual, ExitUnconfirmed)
 			So(r.out, ShouldContainSubstring, "accepted as version 1")
@@ -73,14 +73,14 @@
 			So(c.run(append(set, "--wait=0s")...).code, ShouldEqual, ExitOK)
 		})
 		Convey("is waited for", func() {
-			tier := &slowTier{confirmAt: 3}
-			addr, stop := tier.start(t)
+			control := &slowControl{confirmAt: 3}
+			addr, stop := control.start(t)
 			defer stop()
-			r := testTier(t, addr).must(append(set, "--wait=20s")...)
+			r := newFixture(t, addr).mustRun(append(set, "--wait=20s")...)
 			So(r.out, ShouldContainSubstring, "in force everywhere after")
-			So(tier.asked.Load(), ShouldEqual, 3)
+			So(control.inForceCalls.Load(), ShouldEqual, 3)
 		})
 	})
 }
 
-func testTier(t *testing.T, addr string) *tier { return &tier{t: t, addr: addr} }
+func newFixture(t *testing.T, addr string) *controlFixture { return &controlFixture{t: t, addr: addr} }
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -39,14 +39,14 @@
 			return err
 		}
 		conf.Entries = entries.urls
-		return a.load(conf, dir)
+		return a.runLoad(conf, dir)
 	})
 }
 
-func (a *app) load(conf load.Config, dir string) error {
+func (a *app) runLoad(conf load.Config, dir string) error {
 	ctx, stop := signal.NotifyContext(a.ctx, os.Interrupt)
 	defer stop()
-	began := time.Now()
+	start := time.Now()
 	result, err := load.Run(ctx, conf)
 	if err != nil {
 		return err
@@ -56,19 +56,19 @@
 			return err
 		}
 	}
-	return a.print(&loaded{Result: result, dir: dir, took: time.Since(began)})
+	return a.print(&loadResult{Result: result, dir: dir, elapsed: time.Since(start)})
 }
 
 // loadResult is the output of the load command.
-type loaded struct {
+type loadResult struct {
 	*load.Result
-	dir  string
-	took time.Duration
+	dir     string
+	elapsed time.Duration
 }
 
-func (l *loaded) writeText(w io.Writer) {
+func (l *loadResult) writeText(w io.Writer) {
 	_ = l.WriteTable(w)
-	fmt.Fprintf(w, "took %v\n", l.took.Round(time.Millisecond))
+	fmt.Fprintf(w, "took %v\n", l.elapsed.Round(time.Millisecond))
 	if l.dir != "" {
 		fmt.Fprintf(w, "results in %s\n", l.dir)
 	}
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -35,20 +35,20 @@
 }
 
 // errorOutput is the JSON form of an error.
-type failure struct {
+type errorOutput struct {
 	Error  string           `json:"error"`
 	Exit   int              `json:"exit"`
 	Faults []contract.Fault `json:"faults,omitempty"`
 }
 
 // reportError writes err as text to the error output, or as JSON to the output.
-func (a *app) report(err error) {
+func (a *app) reportError(err error) {
 	var faults contract.Faults
 	_ = errors.As(err, &faults)
 	if a.output == outputJSON {
 		enc := json.NewEncoder(a.out)
 		enc.SetIndent("", "  ")
-		_ = enc.Encode(failure{Error: err.Error(), Exit: exitCode(err), Faults: faults})
+		_ = enc.Encode(errorOutput{Error: err.Error(), Exit: exitCode(err), Faults: faults})
 		return
 	}
 	fmt.Fprintf(a.errOut, "pearmoor: %s\n", strings.ReplaceAll(err.Error(), "\n", "\n  "))
@@ -56,7 +56,7 @@
 
 // writeTable writes rows in aligned columns below a header whose columns are separated
 // by | or tabs. Without rows it writes nothing.
-func table(w io.Writer, header string, rows [][]string) {
+func writeTable(w io.Writer, header string, rows [][]string) {
 	if len(rows) == 0 {
 		return
 	}
@@ -68,7 +68,7 @@
 	_ = tw.Flush()
 }
 
-func showTime(unixMS int64) string {
+func formatTime(unixMS int64) string {
 	if unixMS == 0 {
 		return "-"
 	}
@@ -76,18 +76,18 @@
 }
 
 // plural returns n followed by noun, in the plural unless n is 1.
-func plural(n int, one string) string {
+func plural(n int, noun string) string {
 	if n == 1 {
-		return "1 " + one
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", n, one)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
 
 // truncate returns s cut to maxLength characters, with "..." appended if it was cut.
-func shorten(s string, most int) string {
+func truncate(s string, maxLength int) string {
 	runes := []rune(s)
-	if len(runes) <= most {
+	if len(runes) <= maxLength {
 		return s
 	}
-	return string(runes[:most]) + "..."
+	return string(runes[:maxLength]) + "..."
 }
--- a/internal/cli/plan.go
+++ b/internal/cli/plan.go
@@ -10,7 +10,7 @@
 )
 
 // planResult is the output of the plan command.
-type planned struct {
+type planResult struct {
 	Version uint64            `json:"version"`
 	Edits   []settings.Edit   `json:"edits"`
 	Effects []settings.Effect `json:"effects"`
@@ -25,33 +25,33 @@
 Example: pearmoor plan /kathmandu-valley --hedge-budget=0.03
 
 Example: pearmoor plan --file=examples/kathmandu-valley.yaml`)
-	c.Arg("path", "The node.").HintAction(a.completePath).StringVar(&path)
+	c.Arg("path", "The node.").HintAction(a.completePaths).StringVar(&path)
 	c.Flag("file", "Plan what 'apply' would do with this file.").StringVar(&file)
 	c.Flag("unset", "Names of settings to state no longer.").SetValue((*commaList)(&unset))
 	c.Flag("remove", "Drop the node.").BoolVar(&remove)
-	stated := declareSettings(c)
+	settingFlags := declareSettingFlags(c)
 	c.Action(func(*kingpin.ParseContext) error {
 		old, version, err := a.readTree(0)
 		if err != nil {
 			return err
 		}
 		if file != "" {
-			return a.planFile(file, old, version)
+			return a.printFilePlan(file, old, version)
 		}
 		if path == "" {
-			return usage("plan needs a path or --file")
+			return usageError("plan needs a path or --file")
 		}
-		edits := plannedEdits(path, stated, unset, remove)
-		return a.plan(old, version, settings.Canonical(edits))
+		edits := editsFromFlags(path, settingFlags, unset, remove)
+		return a.printPlan(old, version, settings.Canonical(edits))
 	})
 }
 
 // editsFromFlags returns the edits that the flags of the plan command describe.
-func plannedEdits(path string, stated []*settingFlag, unset []string, remove bool) []settings.Edit {
+func editsFromFlags(path string, settingFlags []*settingFlag, unset []string, remove bool) []settings.Edit {
 	var edits []settings.Edit
-	for _, s := range stated {
-		if s.isStated() {
-			edits = append(edits, settings.Edit{Path: path, Name: s.setting.Name, Value: s.text, Op: settings.Set})
+	for _, s := range settingFlags {
+		if s.isSet() {
+			edits = append(edits, settings.Edit{Path: path, Name: s.setting.Name, Value: s.value, Op: settings.Set})
 		}
 	}
 	for _, name := range unset {
@@ -63,23 +63,23 @@
 	return edits
 }
 
-func (a *app) planFile(file string, old *settings.Tree, version uint64) error {
+func (a *app) printFilePlan(file string, old *settings.Tree, version uint64) error {
 	next, _, err := a.readTreeFile(file)
 	if err != nil {
 		return err
 	}
-	return a.plan(old, version, settings.Diff(old, next))
+	return a.printPlan(old, version, settings.Diff(old, next))
 }
 
-func (a *app) plan(old *settings.Tree, version uint64, edits []settings.Edit) error {
+func (a *app) printPlan(old *settings.Tree, version uint64, edits []settings.Edit) error {
 	next, err := old.Apply(version+1, edits)
 	if err != nil {
 		return err
 	}
-	return a.print(&planned{Version: version, Edits: edits, Effects: settings.Plan(old, next)})
+	return a.print(&planResult{Version: version, Edits: edits, Effects: settings.Plan(old, next)})
 }
 
-func (p *planned) writeText(w io.Writer) {
+func (p *planResult) writeText(w io.Writer) {
 	fmt.Fprintf(w, "at version %d this would do:\n", p.Version)
 	writeEdits(w, p.Edits)
 	writeEffects(w, p.Effects, len(p.Effects))
@@ -87,11 +87,11 @@
 
 func writeEdits(w io.Writer, edits []settings.Edit) {
 	for _, e := range edits {
-		fmt.Fprintf(w, "  %s\n", showEdit(e))
+		fmt.Fprintf(w, "  %s\n", formatEdit(e))
 	}
 }
 
-func showEdit(e settings.Edit) string {
+func formatEdit(e settings.Edit) string {
 	switch e.Op {
 	case settings.Set:
 		return fmt.Sprintf("set %s %s=%s", e.Path, e.Name, e.Value)
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -14,20 +14,20 @@
 )
 
 // quarantineEntry is one request in quarantine.
-type quarantined struct {
-	Fingerprint string    `json:"fingerprint"`
-	Blocked     bool      `json:"blocked"`
-	LeafEnds    int       `json:"leaf_ends"`
-	Crashes     int       `json:"crashes"`
-	Attempts    int       `json:"attempts"`
-	Seen        time.Time `json:"seen"`
-	Request     string    `json:"request"`
+type quarantineEntry struct {
+	Fingerprint        string    `json:"fingerprint"`
+	Blocked            bool      `json:"blocked"`
+	LeafExits          int       `json:"leaf_ends"`
+	CrashedAttempts    int       `json:"crashes"`
+	UnansweredAttempts int       `json:"attempts"`
+	LastReport         time.Time `json:"seen"`
+	Description        string    `json:"request"`
 }
 
 // quarantineList is the output of the quarantine command.
 type quarantineList struct {
-	Version  uint64        `json:"version"`
-	Requests []quarantined `json:"requests"`
+	Version  uint64            `json:"version"`
+	Requests []quarantineEntry `json:"requests"`
 }
 
 // declareQuarantine declares quarantine and lift.
@@ -38,7 +38,7 @@
 Example: pearmoor quarantine
 
 Example: pearmoor explain /quarantine/3f2a…`)
-	c.Action(func(*kingpin.ParseContext) error { return a.quarantine() })
+	c.Action(func(*kingpin.ParseContext) error { return a.listQuarantine() })
 
 	var names []string
 	var flags changeFlags
@@ -51,28 +51,28 @@
 		var edits []settings.Edit
 		for _, name := range names {
 			if _, err := quarantine.ParseFingerprint(name); err != nil {
-				return failWith(ExitInvalid, "%v", err)
+				return exitErrorf(ExitInvalid, "%v", err)
 			}
 			edits = append(edits, settings.Edit{Path: settings.QuarantinePath + settings.Root + name, Op: settings.Remove})
 		}
-		return a.edit(&flags, edits)
+		return a.submitEdits(&flags, edits)
 	})
 }
 
-func (a *app) quarantine() error {
+func (a *app) listQuarantine() error {
 	tree, version, err := a.readTree(0)
 	if err != nil {
 		return err
 	}
 	cases := quarantine.CasesFromTree(tree)
-	out := &quarantineList{Version: version, Requests: []quarantined{}}
+	out := &quarantineList{Version: version, Requests: []quarantineEntry{}}
 	for f, c := range cases {
-		out.Requests = append(out.Requests, quarantined{
-			Fingerprint: f.String(), Blocked: c.Blocked, LeafEnds: c.LeafExits, Crashes: c.CrashedAttempts, Attempts: c.UnansweredAttempts, Seen: c.LastReport, Request: c.Description,
+		out.Requests = append(out.Requests, quarantineEntry{
+			Fingerprint: f.String(), Blocked: c.Blocked, LeafExits: c.LeafExits, CrashedAttempts: c.CrashedAttempts, UnansweredAttempts: c.UnansweredAttempts, LastReport: c.LastReport, Description: c.Description,
 		})
 	}
-	slices.SortFunc(out.Requests, func(x, y quarantined) int {
-		return cmp.Or(y.Seen.Compare(x.Seen), cmp.Compare(x.Fingerprint, y.Fingerprint))
+	slices.SortFunc(out.Requests, func(x, y quarantineEntry) int {
+		return cmp.Or(y.LastReport.Compare(x.LastReport), cmp.Compare(x.Fingerprint, y.Fingerprint))
 	})
 	return a.print(out)
 }
@@ -88,14 +88,14 @@
 		if r.Blocked {
 			state = "blocked"
 		}
-		rows[i] = []string{r.Fingerprint, state, strconv.Itoa(r.LeafEnds), strconv.Itoa(r.Crashes), strconv.Itoa(r.Attempts), r.Seen.Format(time.RFC3339), r.Request}
+		rows[i] = []string{r.Fingerprint, state, strconv.Itoa(r.LeafExits), strconv.Itoa(r.CrashedAttempts), strconv.Itoa(r.UnansweredAttempts), r.LastReport.Format(time.RFC3339), r.Description}
 	}
-	table(w, "FINGERPRINT\tSTATE\tLEAF ENDS\tCRASHES\tATTEMPTS\tSEEN\tREQUEST", rows)
+	writeTable(w, "FINGERPRINT\tSTATE\tLEAF ENDS\tCRASHES\tATTEMPTS\tSEEN\tREQUEST", rows)
 }
 
 // withoutQuarantine drops the edits to the quarantine. Exported files leave the
 // quarantine out, so applying one would otherwise lift it and let requests that
 // crash leaves run again.
-func outside(edits []settings.Edit) []settings.Edit {
+func withoutQuarantine(edits []settings.Edit) []settings.Edit {
 	return slices.DeleteFunc(edits, func(e settings.Edit) bool { return settings.Below(e.Path, settings.QuarantinePath) })
 }
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -48,24 +48,24 @@
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(text) {
-		return nil, usage("--entry-ca %s holds no PEM certificate", f.ca)
+		return nil, usageError("--entry-ca %s holds no PEM certificate", f.ca)
 	}
 	return &tls.Config{RootCAs: roots}, nil
 }
 
 // queryFlags are the flags of the query command.
 type queryFlags struct {
-	entry      entryFlags
-	path       string
-	body       string
-	deadline   time.Duration
-	limit      int
-	once       bool
-	key        string
-	session    string
-	minCover   float64
-	earlyGiven bool
-	require    float64
+	entry            entryFlags
+	path             string
+	body             string
+	deadline         time.Duration
+	limit            int
+	once             bool
+	key              string
+	session          string
+	minCoverage      float64
+	minCoverageSet   bool
+	requiredCoverage float64
 }
 
 func (a *app) declareQuery(k *kingpin.Application) {
@@ -81,9 +81,9 @@
 	c.Flag("once", "Send it as not repeatable: it runs at most once.").BoolVar(&f.once)
 	c.Flag("key", "Request key of --once; the same key on a resend. Left out: a new one.").StringVar(&f.key)
 	c.Flag("session", "Session of --once; needed, with --key, to resend. Left out: a new one.").StringVar(&f.session)
-	c.Flag("min-coverage", "Accept an early answer from this coverage on, 0 to 1, where the tree allows it.").IsSetByUser(&f.earlyGiven).FloatVar(&f.minCover)
-	c.Flag("require-coverage", "Exit with 10 if the answer covers less than this, 0 to 1.").FloatVar(&f.require)
-	c.Action(func(*kingpin.ParseContext) error { return a.query(&f) })
+	c.Flag("min-coverage", "Accept an early answer from this coverage on, 0 to 1, where the tree allows it.").IsSetByUser(&f.minCoverageSet).FloatVar(&f.minCoverage)
+	c.Flag("require-coverage", "Exit with 10 if the answer covers less than this, 0 to 1.").FloatVar(&f.requiredCoverage)
+	c.Action(func(*kingpin.ParseContext) error { return a.runQuery(&f) })
 
 	var entries entryFlags
 	var path string
@@ -93,11 +93,11 @@
 	entries.declare(c)
 	c.Arg("path", "A query service, or a node above several.").Required().StringVar(&path)
 	c.Action(func(*kingpin.ParseContext) error {
-		caller, err := newCaller(&entries, a.timeout)
+		entryCaller, err := newCaller(&entries, a.timeout)
 		if err != nil {
 			return err
 		}
-		list, err := a.askAddresses(caller, entries.urls, path)
+		list, err := a.fetchAddresses(entryCaller, entries.urls, path)
 		if err != nil {
 			return err
 		}
@@ -106,42 +106,42 @@
 }
 
 // fetchAddresses returns the address list for path from the first entry that answers.
-func (a *app) askAddresses(c *caller, entries []string, path string) (*contract.Addresses, error) {
-	var last error
-	for _, e := range entries {
-		list, err := c.addresses(a.ctx, e, path)
+func (a *app) fetchAddresses(c *caller, entries []string, path string) (*contract.Addresses, error) {
+	var lastErr error
+	for _, entry := range entries {
+		list, err := c.addresses(a.ctx, entry, path)
 		if err == nil {
 			return list, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, &exitError{code: ExitNotRun, cause: errors.Wrap(last, "no entry VM returned an address list; no request was run")}
+	return nil, &exitError{code: ExitNotRun, cause: errors.Wrap(lastErr, "no entry VM returned an address list; no request was run")}
 }
 
 // request builds the request from the flags, with the body from in for --body=-.
 func (f *queryFlags) request(in io.Reader) (*contract.Request, error) {
-	raw := []byte(f.body)
+	body := []byte(f.body)
 	if f.body == "-" {
 		var err error
-		if raw, err = io.ReadAll(in); err != nil {
+		if body, err = io.ReadAll(in); err != nil {
 			return nil, errors.Wrap(err, "read the standard input")
 		}
 	}
-	if !json.Valid(raw) {
-		return nil, usage("--body is not JSON")
+	if !json.Valid(body) {
+		return nil, usageError("--body is not JSON")
 	}
-	r := &contract.Request{Path: f.path, Body: raw, DeadlineMS: f.deadline.Milliseconds(), Limit: f.limit}
-	if f.earlyGiven {
-		r.MinCoverage = &f.minCover
+	r := &contract.Request{Path: f.path, Body: body, DeadlineMS: f.deadline.Milliseconds(), Limit: f.limit}
+	if f.minCoverageSet {
+		r.MinCoverage = &f.minCoverage
 	}
 	if f.once {
 		repeatable := false
-		r.Repeatable, r.Key, r.Session = &repeatable, orNewID(f.key), f.session
+		r.Repeatable, r.Key, r.Session = &repeatable, idOrRandom(f.key), f.session
 	}
 	return r, nil
 }
 
-func (a *app) query(f *queryFlags) error {
+func (a *app) runQuery(f *queryFlags) error {
 	r, err := f.request(a.in)
 	if err != nil {
 		return err
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	list, err := a.askAddresses(c, f.entry.urls, f.path)
+	list, err := a.fetchAddresses(c, f.entry.urls, f.path)
 	if err != nil {
 		return err
 	}
@@ -161,11 +161,11 @@
 	if err != nil {
 		return queryError(err, r)
 	}
-	if err := a.print(&answered{Answer: answer, limited: r.Limit > 0}); err != nil {
+	if err := a.print(&queryResult{Answer: answer, limited: r.Limit > 0}); err != nil {
 		return err
 	}
-	if got := answer.Coverage.Fraction(); got < f.require {
-		return failWith(ExitPartial, "the answer covers %.1f%%, less than --require-coverage", 100*got)
+	if coverage := answer.Coverage.Fraction(); coverage < f.requiredCoverage {
+		return exitErrorf(ExitPartial, "the answer covers %.1f%%, less than --require-coverage", 100*coverage)
 	}
 	return nil
 }
@@ -174,7 +174,7 @@
 // It stops at the first error that every daemon would return, and, unless the request
 // is repeatable, as soon as the request may have run.
 func tryAddresses(ctx context.Context, c *caller, list []contract.Address, r *contract.Request) (*contract.Answer, error) {
-	err := error(failWith(ExitNotRun, "the list of addresses is empty"))
+	err := error(exitErrorf(ExitNotRun, "the list of addresses is empty"))
 	verdict := contract.NotRun
 	for _, address := range list {
 		var answer *contract.Answer
@@ -183,23 +183,23 @@
 			return answer, nil
 		}
 		verdict = verdict.Join(verdictOf(err))
-		if final(err) || verdict != contract.NotRun && !r.IsRepeatable() {
+		if failsEverywhere(err) || verdict != contract.NotRun && !r.IsRepeatable() {
 			break
 		}
 	}
-	return nil, &exitError{code: verdictExit(verdict), cause: err}
+	return nil, &exitError{code: exitCodeOfVerdict(verdict), cause: err}
 }
 
 // failsEverywhere reports whether every other daemon would refuse the request too.
-func final(err error) bool {
-	var refused *refusal
-	if !errors.As(err, &refused) {
+func failsEverywhere(err error) bool {
+	var failed *failureResponse
+	if !errors.As(err, &failed) {
 		return false
 	}
-	return refused.Reason == contract.ReasonInvalid || refused.Reason == contract.ReasonUnknownPath
+	return failed.Reason == contract.ReasonInvalid || failed.Reason == contract.ReasonUnknownPath
 }
 
-func verdictExit(v contract.Verdict) int {
+func exitCodeOfVerdict(v contract.Verdict) int {
 	if v == contract.NotRun {
 		return ExitNotRun
 	}
@@ -209,10 +209,10 @@
 // queryError adds the verdict to err and, for a request that is not repeatable, the
 // flags that resend it under the same key and session.
 func queryError(err error, r *contract.Request) error {
-	code := verdictExit(verdictOf(err))
-	var coded *exitError
-	if errors.As(err, &coded) {
-		code = coded.code
+	code := exitCodeOfVerdict(verdictOf(err))
+	var exitErr *exitError
+	if errors.As(err, &exitErr) {
+		code = exitErr.code
 	}
 	verdict := "the request was not run"
 	if code == ExitInDoubt {
@@ -233,70 +233,70 @@
 	for i, a := range l.Addresses {
 		rows[i] = []string{a.URL, a.VM, a.Domain}
 	}
-	table(w, "ADDRESS|VM|DOMAIN", rows)
+	writeTable(w, "ADDRESS|VM|DOMAIN", rows)
 }
 
 // queryResult is the output of the query command.
-type answered struct {
+type queryResult struct {
 	*contract.Answer
 	limited bool
 }
 
-func (a *answered) writeText(w io.Writer) {
+func (r *queryResult) writeText(w io.Writer) {
 	fmt.Fprintf(w, "request %s: %s, answered by %s in %.1f ms at configuration %d\n",
-		a.RequestID, a.Verdict, a.ServedBy, a.ElapsedMS, a.ConfigVersion)
+		r.RequestID, r.Verdict, r.ServedBy, r.ElapsedMS, r.ConfigVersion)
 	early := ""
-	if a.Early {
+	if r.Early {
 		early = ", early"
 	}
-	fmt.Fprintf(w, "coverage %d of %d shards (%.1f%%)%s\n", a.Coverage.Answered, a.Coverage.Total, 100*a.Coverage.Fraction(), early)
-	a.writeVersions(w)
-	a.writeMissing(w)
-	a.writeHits(w)
+	fmt.Fprintf(w, "coverage %d of %d shards (%.1f%%)%s\n", r.Coverage.Answered, r.Coverage.Total, 100*r.Coverage.Fraction(), early)
+	r.writeIndexVersions(w)
+	r.writeMissing(w)
+	r.writeHits(w)
 }
 
 // writeIndexVersions writes one line if all services have the same index version,
 // otherwise one line for each service.
-func (a *answered) writeVersions(w io.Writer) {
+func (r *queryResult) writeIndexVersions(w io.Writer) {
 	var services []string
 	versions := make(map[uint64]bool)
-	for service, v := range a.IndexVersions {
+	for service, v := range r.IndexVersions {
 		services = append(services, service)
 		versions[v] = true
 	}
 	slices.Sort(services)
 	if len(versions) == 1 {
-		fmt.Fprintf(w, "index version %d over %s\n", a.IndexVersions[services[0]], plural(len(services), "service"))
+		fmt.Fprintf(w, "index version %d over %s\n", r.IndexVersions[services[0]], plural(len(services), "service"))
 		return
 	}
 	for _, service := range services {
-		fmt.Fprintf(w, "index version %d of %s\n", a.IndexVersions[service], service)
+		fmt.Fprintf(w, "index version %d of %s\n", r.IndexVersions[service], service)
 	}
 }
 
-func (a *answered) writeMissing(w io.Writer) {
+func (r *queryResult) writeMissing(w io.Writer) {
 	var rows [][]string
-	for _, m := range a.Coverage.Missing[:min(len(a.Coverage.Missing), maxShownMissing)] {
+	for _, m := range r.Coverage.Missing[:min(len(r.Coverage.Missing), maxShownMissing)] {
 		rows = append(rows, []string{m.Service, fmt.Sprint(m.Shard), string(m.Reason), m.Verdict.String()})
 	}
-	table(w, "MISSING|SHARD|REASON|VERDICT", rows)
-	if more := len(a.Coverage.Missing) - len(rows); more > 0 {
+	writeTable(w, "MISSING|SHARD|REASON|VERDICT", rows)
+	if more := len(r.Coverage.Missing) - len(rows); more > 0 {
 		fmt.Fprintf(w, "and %d more\n", more)
 	}
 }
 
-func (a *answered) writeHits(w io.Writer) {
-	fmt.Fprint(w, plural(len(a.Hits), "hit"))
-	if a.HitsOmitted > 0 {
-		fmt.Fprintf(w, ", %d more were left out by the limit", a.HitsOmitted)
+func (r *queryResult) writeHits(w io.Writer) {
+	fmt.Fprint(w, plural(len(r.Hits), "hit"))
+	if r.HitsOmitted > 0 {
+		fmt.Fprintf(w, ", %d more were left out by the limit", r.HitsOmitted)
 	}
 	fmt.Fprintln(w)
 	var rows [][]string
-	for _, h := range a.Hits[:min(len(a.Hits), maxShownHits)] {
-		rows = append(rows, []string{h.ID, fmt.Sprintf("%.4g", h.Score), h.Service, fmt.Sprint(h.Shard), shorten(string(h.Data), maxShownData)})
+	for _, h := range r.Hits[:min(len(r.Hits), maxShownHits)] {
+		rows = append(rows, []string{h.ID, fmt.Sprintf("%.4g", h.Score), h.Service, fmt.Sprint(h.Shard), truncate(string(h.Data), maxShownData)})
 	}
-	table(w, "HIT|SCORE|SERVICE|SHARD|DATA", rows)
-	if more := len(a.Hits) - len(rows); more > 0 {
+	writeTable(w, "HIT|SCORE|SERVICE|SHARD|DATA", rows)
+	if more := len(r.Hits) - len(rows); more > 0 {
 		fmt.Fprintf(w, "and %d more; --output=json shows all\n", more)
 	}
 }
--- a/internal/cli/ready.go
+++ b/internal/cli/ready.go
@@ -11,7 +11,7 @@
 )
 
 // maxReadinessBytes limits the body of a readiness response.
-const maxReadiness = 64 << 10
+const maxReadinessBytes = 64 << 10
 
 // readiness is the output of the ready command.
 type readiness struct {
@@ -25,10 +25,10 @@
 
 Example: pearmoor ready --operator=127.0.0.1:7402`)
 	c.Flag("operator", "host:port of the operator port.").Default("127.0.0.1:7402").StringVar(&addr)
-	c.Action(func(*kingpin.ParseContext) error { return a.ready(addr) })
+	c.Action(func(*kingpin.ParseContext) error { return a.checkReady(addr) })
 }
 
-func (a *app) ready(addr string) error {
+func (a *app) checkReady(addr string) error {
 	req, err := http.NewRequestWithContext(a.ctx, http.MethodGet, "http://"+addr+"/readyz", nil)
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 		return &exitError{code: ExitUnreachable, cause: errors.Wrap(err, "the daemon does not answer")}
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReadiness))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReadinessBytes))
 	if err != nil {
 		return &exitError{code: ExitUnreachable, cause: err}
 	}
@@ -48,7 +48,7 @@
 		return err
 	}
 	if !out.Ready {
-		return failWith(ExitFailed, "%s takes no work", addr)
+		return exitErrorf(ExitFailed, "%s takes no work", addr)
 	}
 	return nil
 }
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -10,7 +10,7 @@
 )
 
 // traceResult is the output of the trace command.
-type trace struct{ *logs.Story }
+type traceResult struct{ *logs.Story }
 
 func (a *app) declareTrace(k *kingpin.Application) {
 	var id string
@@ -23,39 +23,39 @@
 Example: pearmoor trace e03c7c20ffb7c88d logs/*.log`)
 	c.Arg("id", "The request's id, as its caller sent it.").Required().StringVar(&id)
 	c.Arg("files", "Logs of daemons.").Required().StringsVar(&files)
-	c.Action(func(*kingpin.ParseContext) error { return a.trace(id, files) })
+	c.Action(func(*kingpin.ParseContext) error { return a.printTrace(id, files) })
 }
 
-func (a *app) trace(id string, files []string) error {
-	t := &trace{logs.Of(id, files)}
+func (a *app) printTrace(id string, files []string) error {
+	t := &traceResult{logs.Of(id, files)}
 	if err := a.print(t); err != nil {
 		return err
 	}
 	switch {
 	case len(t.Lines) == 0:
-		return failWith(ExitFailed, "nothing about request %s in %s (%s)", id, plural(len(files), "file"), plural(len(t.Troubles), "trouble"))
+		return exitErrorf(ExitFailed, "nothing about request %s in %s (%s)", id, plural(len(files), "file"), plural(len(t.Troubles), "trouble"))
 	case len(t.Troubles) > 0:
-		return failWith(ExitFailed, "%s: the trace may be incomplete", plural(len(t.Troubles), "trouble"))
+		return exitErrorf(ExitFailed, "%s: the trace may be incomplete", plural(len(t.Troubles), "trouble"))
 	}
 	return nil
 }
 
 // maxShownTroubles limits how many unreadable files and lines are shown as text.
-const mostTroubles = 20
+const maxShownTroubles = 20
 
-func (t *trace) writeText(w io.Writer) {
+func (t *traceResult) writeText(w io.Writer) {
 	for _, l := range t.Lines {
 		fmt.Fprintf(w, "%s  %s  %s\n", l.Time.UTC().Format("15:04:05.000"), l.File, l.Text)
 	}
-	for i, x := range t.Troubles {
-		if i == mostTroubles {
+	for i, trouble := range t.Troubles {
+		if i == maxShownTroubles {
 			fmt.Fprintf(w, "and %s more\n", plural(len(t.Troubles)-i, "trouble"))
 			return
 		}
-		if x.Line == 0 {
-			fmt.Fprintf(w, "not read: %s: %s\n", x.File, x.Why)
+		if trouble.Line == 0 {
+			fmt.Fprintf(w, "not read: %s: %s\n", trouble.File, trouble.Why)
 			continue
 		}
-		fmt.Fprintf(w, "not a log line: %s:%d: %s\n", x.File, x.Line, x.Why)
+		fmt.Fprintf(w, "not a log line: %s:%d: %s\n", trouble.File, trouble.Line, trouble.Why)
 	}
 }
--- a/internal/cli/values.go
+++ b/internal/cli/values.go
@@ -27,7 +27,7 @@
 // optionalUint is the value of a flag for which 0 differs from unset.
 type optionalUint struct {
 	value uint64
-	given bool
+	isSet bool
 }
 
 // Set implements kingpin.Value.
@@ -36,13 +36,13 @@
 	if err != nil {
 		return err
 	}
-	o.value, o.given = n, true
+	o.value, o.isSet = n, true
 	return nil
 }
 
 // String implements kingpin.Value.
 func (o *optionalUint) String() string {
-	if !o.given {
+	if !o.isSet {
 		return ""
 	}
 	return strconv.FormatUint(o.value, 10)
