--- a/cmd/pearmoor-entry/main_test.go
+++ b/cmd/pearmoor-entry/main_test.go
@@ -15,43 +15,44 @@
 	"pearmoor/platform"
 )
 
-// asProgram makes the test binary the program itself.
-const asProgram = "PEARMOOR_ENTRY_TEST_RUN"
+// runMainEnv is the environment variable that makes the test binary run the command.
+const runMainEnv = "PEARMOOR_ENTRY_TEST_RUN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		os.Exit(run(nil))
 	}
 	os.Exit(m.Run())
 }
 
-// settingsOf writes the settings of a VM that is a tier of its own.
-func settingsOf(t *testing.T, dir string, graceS float64) string {
+// writeSettings writes the settings file of a tier with a single VM, and returns its
+// path.
+func writeSettings(t *testing.T, dir string, graceSeconds float64) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "settings.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	fill := []string{"@dir", filepath.Join(dir, "data"), "@grace", fmt.Sprint(graceS)}
+	replacements := []string{"@dir", filepath.Join(dir, "data"), "@grace", fmt.Sprint(graceSeconds)}
 	ports, err := freeport.Ports("127.0.0.1", 5)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, port := range ports {
-		fill = append(fill, fmt.Sprintf("@%d", i+1), port)
+		replacements = append(replacements, fmt.Sprintf("@%d", i+1), port)
 	}
 	path := filepath.Join(dir, "settings.json")
-	if err := os.WriteFile(path, []byte(strings.NewReplacer(fill...).Replace(string(text))), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.NewReplacer(replacements...).Replace(string(text))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// start runs the program and returns it with a channel of its lines.
-func start(t *testing.T, settings string) (*exec.Cmd, <-chan string) {
+// start starts the command and returns it with a channel of its output lines.
+func start(t *testing.T, settingsPath string) (*exec.Cmd, <-chan string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", platform.SettingsVariable+"="+settings, "PEARMOOR_METRICS_PORT=0")
+	cmd.Env = append(os.Environ(), runMainEnv+"=1", platform.SettingsVariable+"="+settingsPath, "PEARMOOR_METRICS_PORT=0")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +71,7 @@
 	return cmd, lines
 }
 
-func await(t *testing.T, lines <-chan string, want string) {
+func awaitLine(t *testing.T, lines <-chan string, want string) {
 	t.Helper()
 	timeout := time.After(20 * time.Second)
 	for {
@@ -83,34 +84,34 @@
 				return
 			}
 		case <-timeout:
-			t.Fatalf("no line with %q", want)
+			t.Fatalf("timed out waiting for a line with %q", want)
 		}
 	}
 }
 
-// A VM is told to stop, and while it still answers the requests it has, it is told
-// that its settings have changed. Were the second signal not handled any more, it
-// would end the process at once, and callers would lose answers that were under way.
-func TestReloadWhileStopping(t *testing.T) {
-	cmd, lines := start(t, settingsOf(t, t.TempDir(), 2))
-	await(t, lines, `"part":"entry","what":"start `)
+// SIGHUP arrives while the VM drains after SIGTERM. If SIGHUP were not handled, it
+// would end the process at once, and callers would lose the answers to requests in
+// flight.
+func TestReloadDuringDrainKeepsProcessRunning(t *testing.T) {
+	cmd, lines := start(t, writeSettings(t, t.TempDir(), 2))
+	awaitLine(t, lines, `"part":"entry","what":"start `)
 	time.Sleep(300 * time.Millisecond)
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, lines, "drains\"}")
+	awaitLine(t, lines, "drains\"}")
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	await(t, lines, `"part":"entry","what":"stop `)
+	awaitLine(t, lines, `"part":"entry","what":"stop `)
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("the process ended with %v", err)
 	}
 }
 
-// Settings with several faults: each is named, and the process ends with the status
-// that says so.
-func TestBadSettingsAreNamed(t *testing.T) {
+// Every fault of a settings file must be logged with its field, and the process must
+// exit with exitUsage.
+func TestInvalidSettingsAreReported(t *testing.T) {
 	cmd, lines := start(t, filepath.Join("testdata", "faults.json"))
 	var all []string
 	for line := range lines {
--- a/internal/cli/output.go
+++ b/internal/cli/output.go
@@ -13,13 +13,13 @@
 	"pearmoor/internal/contract"
 )
 
-// The forms of output.
+// Values of --output.
 const (
 	outputText = "text"
 	outputJSON = "json"
 )
 
-// printable is what a command shows: itself as JSON, or text for people.
+// printable is the output of a command: encoded as JSON or written as text.
 type printable interface {
 	writeText(w io.Writer)
 }
@@ -34,28 +34,29 @@
 	return nil
 }
 
-// failure is an error in the JSON form.
-type failure struct {
+// errorOutput is the JSON form of an error.
+type errorOutput struct {
 	Error  string           `json:"error"`
 	Exit   int              `json:"exit"`
 	Faults []contract.Fault `json:"faults,omitempty"`
 }
 
-// report writes an error: to the error output as text, or as JSON to the output.
-func (a *app) report(err error) {
+// reportError writes err as text to the error output, or as JSON to the output.
+func (a *app) reportError(err error) {
 	var faults contract.Faults
 	_ = errors.As(err, &faults)
 	if a.output == outputJSON {
 		enc := json.NewEncoder(a.out)
 		enc.SetIndent("", "  ")
-		_ = enc.Encode(failure{Error: err.Error(), Exit: exitCode(err), Faults: faults})
+		_ = enc.Encode(errorOutput{Error: err.Error(), Exit: exitCode(err), Faults: faults})
 		return
 	}
 	fmt.Fprintf(a.errOut, "pearmoor: %s\n", strings.ReplaceAll(err.Error(), "\n", "\n  "))
 }
 
-// table writes aligned columns, or nothing for no rows.
-func table(w io.Writer, header string, rows [][]string) {
+// writeTable writes rows in aligned columns below a header whose columns are separated
+// by | or tabs. Without rows it writes nothing.
+func writeTable(w io.Writer, header string, rows [][]string) {
 	if len(rows) == 0 {
 		return
 	}
@@ -67,25 +68,26 @@
 	_ = tw.Flush()
 }
 
-func showTime(unixMS int64) string {
+func formatTime(unixMS int64) string {
 	if unixMS == 0 {
 		return "-"
 	}
 	return time.UnixMilli(unixMS).Format(time.DateTime)
 }
 
-func plural(n int, one string) string {
+// plural returns n followed by noun, in the plural unless n is 1.
+func plural(n int, noun string) string {
 	if n == 1 {
-		return "1 " + one
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", n, one)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
 
-// shorten cuts s to most characters.
-func shorten(s string, most int) string {
+// truncate returns s cut to maxLength characters, with "..." appended if it was cut.
+func truncate(s string, maxLength int) string {
 	runes := []rune(s)
-	if len(runes) <= most {
+	if len(runes) <= maxLength {
 		return s
 	}
-	return string(runes[:most]) + "..."
+	return string(runes[:maxLength]) + "..."
 }
--- a/internal/cli/values.go
+++ b/internal/cli/values.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// commaList is a flag that may hold several values separated by commas.
+// commaList is the value of a flag that takes a comma-separated list.
 type commaList []string
 
 // Set implements kingpin.Value; a second use of the flag adds to the first.
@@ -24,10 +24,10 @@
 // IsCumulative lets the flag be given more than once.
 func (l *commaList) IsCumulative() bool { return true }
 
-// optionalUint is a flag whose absence differs from 0.
+// optionalUint is the value of a flag for which 0 differs from unset.
 type optionalUint struct {
 	value uint64
-	given bool
+	isSet bool
 }
 
 // Set implements kingpin.Value.
@@ -36,13 +36,13 @@
 	if err != nil {
 		return err
 	}
-	o.value, o.given = n, true
+	o.value, o.isSet = n, true
 	return nil
 }
 
 // String implements kingpin.Value.
 func (o *optionalUint) String() string {
-	if !o.given {
+	if !o.isSet {
 		return ""
 	}
 	return strconv.FormatUint(o.value, 10)
