--- a/internal/audit/doc.go
+++ b/internal/audit/doc.go
@@ -1,4 +1,4 @@
-// Package audit keeps the trail of changes on disk: who changed what, when and
-// why, and when it was in force everywhere. It holds what the control group's
-// log and snapshots no longer do, for as long as the data folder lasts.
+// Package audit stores the audit trail of configuration changes on disk: who changed
+// what, when and why, and when the change was in force on all daemons. It keeps
+// records that the control group's log and snapshots have already dropped.
 package audit
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -14,32 +14,33 @@
 
 const (
 	filePrefix   = "audit"
-	segmentBytes = 4 << 20 // what a read of one old record costs
-	// limitFiles is how many files a bounded trail has at its limit; the oldest one
-	// goes as a whole.
+	segmentBytes = 4 << 20 // a read of one record reads a whole segment
+	// filesAtLimit is the number of segment files of a trail that has reached its size
+	// limit. The oldest one is removed as a whole.
 	limitFiles = 4
 )
 
-// Trail is an append-only list of audit records, ascending by version. Records
-// are kept in memory only until the next Flush. Append, Flush and Close are for
-// one goroutine; Read and Last may run beside them.
+// Trail is an append-only list of audit records in ascending order of version. Appended
+// records are buffered in memory until the next Flush. Append, Flush and Close must be
+// called from one goroutine; Read and Last may be called concurrently.
 type Trail struct {
 	log   *journal.Segments
-	limit int64 // bytes; 0: none
+	limit int64 // maximum size in bytes; 0: unlimited
 
 	mu       sync.RWMutex
 	buffered []*wire.AuditRecord
-	last     uint64 // newest version flushed
-	files    []file // oldest first, each with the first version in it
+	last     uint64 // newest flushed version
+	files    []file // oldest first
 }
 
+// segment is a segment file and the first version in it.
 type file struct {
 	number uint64
 	first  uint64
 }
 
-// Open reads the trail in dir. A nil fs is the machine's own. Above limit bytes the
-// oldest records are dropped; 0 keeps them all.
+// Open opens the trail in dir. A nil fs means the file system of the operating system.
+// When the trail exceeds limit bytes, its oldest records are dropped; 0 keeps them all.
 func Open(dir string, fs journal.FS, limit int64) (*Trail, error) {
 	if fs == nil {
 		fs = journal.OS{}
@@ -65,6 +66,8 @@
 	return b.Records, err
 }
 
+// recordFlushed updates the list of segments and the newest version after records were
+// written to, or read from, the segment with that number.
 func (t *Trail) note(number uint64, records []*wire.AuditRecord) {
 	if len(records) == 0 {
 		return
@@ -77,13 +80,14 @@
 	t.last = records[len(records)-1].Version
 }
 
-// Last returns the newest version written or waiting to be; 0 if none.
+// Last returns the newest version, flushed or buffered; 0 if there is none.
 func (t *Trail) Last() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.newest()
 }
 
+// newestVersion is Last for a caller that holds t.mu.
 func (t *Trail) newest() uint64 {
 	if n := len(t.buffered); n > 0 {
 		return t.buffered[n-1].Version
@@ -91,7 +95,7 @@
 	return t.last
 }
 
-// Append adds a record, unless one of its version is there already.
+// Append buffers a record. It ignores a record whose version is not newer than Last.
 func (t *Trail) Append(r *wire.AuditRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,8 +104,8 @@
 	}
 }
 
-// Skip gives up the versions up to that one, which nobody holds any more. It is
-// not written: after a restart they are missing again until they are skipped.
+// SkipTo marks the versions up to and including version as lost, because no control VM
+// has them any more. The mark is not stored and must be set again after a restart.
 func (t *Trail) Skip(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,8 +114,8 @@
 	}
 }
 
-// Flush makes the appended records durable. After journal.ErrFull it may be
-// called again; any other error ends the process.
+// Flush makes the appended records durable. It may be retried after journal.ErrFull; any
+// other error is fatal for the process.
 func (t *Trail) Flush() error {
 	t.mu.RLock()
 	records := t.buffered
@@ -146,8 +150,9 @@
 	return min(segmentBytes, max(t.limit/limitFiles, 1))
 }
 
-// trim drops the oldest files above the limit. Without it a trail on a disk of 64 MB
-// fills it after some 300,000 changes of 200 bytes, and then no change is taken any more.
+// dropOldest removes the oldest segments while the trail exceeds its limit. An unlimited
+// trail fills a disk of 64 MB after about 300,000 changes of 200 bytes, and then no
+// further change is accepted.
 func (t *Trail) trim() error {
 	for t.limit > 0 && t.log.Size() > t.limit {
 		t.mu.Lock()
@@ -166,8 +171,8 @@
 	return nil
 }
 
-// Read returns up to limit flushed records from version from on, ascending.
-// Versions that this disk never held are left out.
+// Read returns up to limit flushed records in ascending order, starting at version from.
+// Versions that are not in the trail are omitted.
 func (t *Trail) Read(from uint64, limit int) ([]*wire.AuditRecord, error) {
 	var out []*wire.AuditRecord
 	for _, f := range t.filesFrom(from) {
@@ -184,7 +189,7 @@
 			return nil
 		})
 		if errors.Is(err, os.ErrNotExist) {
-			continue // dropped in between, as the oldest of a bounded trail
+			continue // dropOldest removed it after segmentsFrom returned
 		}
 		if err != nil || len(out) >= limit {
 			return out, err
@@ -193,7 +198,7 @@
 	return out, nil
 }
 
-// filesFrom returns the files that may hold versions at or above from.
+// segmentsFrom returns the segments that may have versions at or above from.
 func (t *Trail) filesFrom(from uint64) []file {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -23,10 +23,10 @@
 	return out
 }
 
-// A control VM restarts and applies the end of its log again, which hands the
-// trail records that it already holds. Each must stand there once.
+// A restarted control VM applies the end of its log again and appends records that the
+// trail already has. Each record must be stored once.
 func TestTrailOutlastsRestarts(t *testing.T) {
-	Convey("Records appended again after a restart are left out, and all read back", t, func() {
+	Convey("Records appended again after a restart are ignored, and all are read back", t, func() {
 		dir := t.TempDir()
 		for _, from := range []uint64{1, 41, 61} {
 			trail, err := Open(dir, nil, 0)
@@ -51,7 +51,7 @@
 		So(trail.Close(), ShouldBeNil)
 	})
 
-	Convey("Records are found over many files", t, func() {
+	Convey("Records are read from many segment files", t, func() {
 		trail, err := Open(t.TempDir(), nil, 0)
 		So(err, ShouldBeNil)
 		long := make([]byte, 1<<20)
@@ -71,8 +71,8 @@
 	})
 }
 
-// A small disk. Changes come for years; the trail must not fill the disk, or no change
-// is taken any more, and the newest records must stay, also over restarts.
+// A trail that fills the disk stops all further changes. It must stay within its limit
+// and keep the newest records, also after restarts.
 func TestTrailKeepsToItsLimit(t *testing.T) {
 	const limit = 40 << 10
 	Convey("A bounded trail drops its oldest records and keeps the newest", t, func() {
--- a/internal/contract/doc.go
+++ b/internal/contract/doc.go
@@ -1,6 +1,6 @@
-// Package contract holds what a caller and a target are promised: the request,
-// the verdict that says whether a request may have run, coverage, the answer,
-// and the published HTTP messages exchanged with targets.
+// Package contract defines the messages exchanged with callers and targets: requests,
+// answers with their coverage, failures, and the verdict that says whether a request may
+// have run.
 //
 // The package has no I/O and no state; every other package may import it.
 package contract
--- a/internal/contract/fault.go
+++ b/internal/contract/fault.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Fault names one field that is wrong, its value, why, and how to mend it.
+// Fault describes an invalid field: its name, its value, the reason and a fix.
 type Fault struct {
 	Field string `json:"field"`
 	Value string `json:"value,omitempty"`
@@ -13,12 +13,12 @@
 	Fix   string `json:"fix"`
 }
 
-// String returns the fault in one line.
+// String returns the fault as one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%s=%q: %s; %s", f.Field, f.Value, f.Why, f.Fix)
 }
 
-// Faults is an error that lists every fault found, not only the first.
+// Faults is an error that lists all faults found.
 type Faults []Fault
 
 // Error implements error.
@@ -30,7 +30,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// ErrOrNil returns nil when there is no fault.
+// ErrOrNil returns fs as an error, or nil if fs is empty.
 func (fs Faults) ErrOrNil() error {
 	if len(fs) == 0 {
 		return nil
--- a/internal/contract/leaf.go
+++ b/internal/contract/leaf.go
@@ -2,29 +2,28 @@
 
 import "encoding/json"
 
-// The published HTTP interface of a target. A target refuses before running
-// with 429 or 503 (and Retry-After, in seconds), and with 409 when it does not
-// hold the shard at that index version; every other failure leaves it open
-// whether the request ran.
+// Paths of the HTTP API of a target. A target that rejects a request before running it
+// answers 429 or 503 (with Retry-After, in seconds), or 409 if it does not have the shard
+// at the requested index version. After any other failure the request may have run.
 const (
 	LeafQueryPath  = "/v1/leaf/query"  // POST LeafRequest, replies LeafReply
 	LeafStatusPath = "/v1/leaf/status" // GET, replies LeafStatus
 )
 
-// LeafRequest asks a target for one shard at one index version.
+// LeafRequest is a query to a target for one shard at one index version.
 type LeafRequest struct {
-	ID           string          `json:"id"`      // request, unique over daemons and time
-	Attempt      uint32          `json:"attempt"` // counts attempts of the request and shard
+	ID           string          `json:"id"`      // request id, unique over all daemons and restarts
+	Attempt      uint32          `json:"attempt"` // number of the attempt for this request and shard
 	Service      string          `json:"service"`
 	Shard        uint32          `json:"shard"`
 	IndexVersion uint64          `json:"index_version"`
-	DeadlineMS   int64           `json:"deadline_ms"` // milliseconds left when sent
+	DeadlineMS   int64           `json:"deadline_ms"` // milliseconds left at the time of sending
 	Repeatable   bool            `json:"repeatable"`
 	Body         json.RawMessage `json:"body"`
 }
 
-// LeafReply echoes the request's identity, so that a late or crossed reply is
-// recognised, and carries the shard's hits.
+// LeafReply contains the hits of the shard. It repeats the identifying fields of the
+// request, so that a late or misdirected reply is detected.
 type LeafReply struct {
 	ID           string `json:"id"`
 	Attempt      uint32 `json:"attempt"`
@@ -34,23 +33,24 @@
 	Hits         []Hit  `json:"hits"`
 }
 
-// Matches reports whether r replies to exactly q.
+// Matches reports whether r is the reply to q.
 func (r *LeafReply) Matches(q *LeafRequest) bool {
 	return r.ID == q.ID && r.Attempt == q.Attempt && r.Service == q.Service &&
 		r.Shard == q.Shard && r.IndexVersion == q.IndexVersion
 }
 
-// LeafState is a target's own word on its lifecycle.
+// LeafState is the lifecycle state that a target reports.
 type LeafState string
 
-// The states a target reports.
+// States of a target.
 const (
-	LeafStarting LeafState = "starting" // cold: answers slowly, takes little work
+	LeafStarting LeafState = "starting" // cold: answers slowly, accepts few requests
 	LeafServing  LeafState = "serving"
-	LeafDraining LeafState = "draining" // finishes what it has, takes no new work
+	LeafDraining LeafState = "draining" // finishes its requests, accepts no new ones
 )
 
-// LeafStatus is a target's health, load and index report. It may lag or mislead.
+// LeafStatus is a target's report of its health, load and indexes. It may be outdated or
+// wrong.
 type LeafStatus struct {
 	Name     string      `json:"name"`
 	State    LeafState   `json:"state"`
@@ -59,8 +59,8 @@
 	Indexes  []LeafIndex `json:"indexes"`
 }
 
-// LeafIndex is one index version a target holds for a service: Shards is the
-// size of that version's partition map, Held the shards present here.
+// LeafIndex is an index version of a service on a target. Shards is the size of the
+// version's partition map, HeldShards lists the shards that the target has.
 type LeafIndex struct {
 	Service string   `json:"service"`
 	Version uint64   `json:"version"`
@@ -68,7 +68,7 @@
 	Held    []uint32 `json:"held"`
 }
 
-// PlatformVM is one row of the platform's VM list (GET /v1/vms), which lags.
+// PlatformVM is an entry of the platform's VM list (GET /v1/vms), which may be outdated.
 type PlatformVM struct {
 	Name    string `json:"name"`
 	Addr    string `json:"addr"`
@@ -76,5 +76,5 @@
 	Leaving bool   `json:"leaving"`
 }
 
-// PlatformVMsPath is where the platform publishes its VM list.
+// PlatformVMsPath is the path of the platform's VM list.
 const PlatformVMsPath = "/v1/vms"
--- a/internal/contract/verdict.go
+++ b/internal/contract/verdict.go
@@ -6,19 +6,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Verdict says whether a request, or one attempt of it, may have run at a target.
-// The zero value is MayHaveRun, so that a forgotten verdict never promises
-// something that is not known.
+// Verdict says whether a request, or one attempt of it, may have run on a target. The
+// zero value is MayHaveRun, so that a verdict that was not set is never read as NotRun.
 type Verdict uint8
 
 const (
 	// MayHaveRun means the request may have reached a target; a request that is
 	// not repeatable must not be sent again.
 	MayHaveRun Verdict = iota
-	// NotRun means it is certain that no target ran the request: it never left,
-	// or the target itself refused it before running.
+	// NotRun means that certainly no target ran the request: it was never sent, or
+	// the target rejected it before running it.
 	NotRun
-	// Ran means a target's reply proves that the request ran.
+	// Ran means that a target's reply proves that the request ran.
 	Ran
 )
 
@@ -46,8 +45,8 @@
 	return errors.Newf("verdict %q is unknown; use may_have_run, not_run or ran", text)
 }
 
-// Join combines the verdicts of two attempts of one request: it is NotRun only
-// when both are, and Ran when either is.
+// Combine returns the verdict of a request from the verdicts of two attempts: Ran if
+// either is Ran, NotRun only if both are NotRun, and MayHaveRun otherwise.
 func (v Verdict) Join(o Verdict) Verdict {
 	if v == Ran || o == Ran {
 		return Ran
@@ -58,11 +57,12 @@
 	return MayHaveRun
 }
 
-// Error is a failed request or attempt with the verdict that says if a resend is safe.
+// Error is the failure of a request or of one attempt. Its verdict says whether a resend
+// is safe.
 type Error struct {
 	Verdict    Verdict
 	Reason     Reason
-	RetryAfter int64 // milliseconds after which the caller may come back; 0 if unknown
+	RetryAfter int64 // milliseconds after which the caller may retry; 0 if unknown
 	Cause      error
 }
 
@@ -74,11 +74,11 @@
 	return fmt.Sprintf("%s (%s): %v", e.Reason, e.Verdict, e.Cause)
 }
 
-// ErrLeafEnded marks the cause of a failure under which the target itself has ended: nothing
-// listens at its address, or another incarnation has taken its place.
+// ErrLeafExited marks the cause of a failure after which the target no longer runs: nothing
+// listens on its address, or another incarnation has replaced it.
 var ErrLeafEnded = errors.New("the leaf ended under the request")
 
-// LeafEnded reports whether the target ended under a request that it may have run.
+// LeafExited reports whether the target exited during a request that it may have run.
 func (e *Error) LeafEnded() bool {
 	return e != nil && e.Verdict != NotRun && e.Cause != nil && errors.Is(e.Cause, ErrLeafEnded)
 }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -11,7 +11,7 @@
 	"pearmoor/internal/contract"
 )
 
-// Limits of the flags that are numbers or durations.
+// Ranges of the numeric and duration flags.
 const (
 	minPlatformInterval = 200 * time.Millisecond
 	maxPlatformInterval = time.Hour
@@ -22,42 +22,42 @@
 	maxDirect           = 4096
 )
 
-// Config is what a daemon learns from its flags and environment.
+// Config is the configuration of a daemon, from flags and environment variables.
 type Config struct {
 	Name   string // VM name, unique in the tier
 	Domain string // failure domain
 	Region string
 
-	CallerListen    string // host:port callers connect to
-	CallerURL       string // base URL told to callers; empty: from CallerListen
-	CallerCert      string // PEM files; both empty: plain HTTP to callers
+	CallerListen    string // host:port that callers connect to
+	CallerURL       string // base URL advertised to callers; empty: derived from CallerListen
+	CallerCert      string // PEM files; both empty: callers use plain HTTP
 	CallerKey       string
-	PeerListen      string // host:port for other daemons
-	PeerAddr        string // host:port told to other daemons; empty: from PeerListen
-	OperatorListen  string // host:port for metrics, health, readiness
+	PeerListen      string // host:port that other daemons connect to
+	PeerAddr        string // host:port advertised to other daemons; empty: derived from PeerListen
+	OperatorListen  string // host:port for metrics, health, readiness, status and profiles
 	ReadyFile       string // written with the bound addresses once serving
 	PlaintextPeers  bool   // no TLS between daemons; loopback only
 	PeerCA          string // PEM files for mutual TLS between daemons
 	PeerCert        string
 	PeerKey         string
-	LeafCA          string        // PEM file; empty: the system's authorities
+	LeafCA          string        // PEM file; empty: the system's certificate authorities
 	PlatformURL     string        // base URL of the platform's VM list; empty: none
-	PlatformEvery   time.Duration // how often the list is read
+	PlatformEvery   time.Duration // interval between reads of the VM list
 	SyncEvery       time.Duration // heartbeat interval
-	Direct          int           // most daemons that sync with the leader itself; a larger tier has relays
-	Fanout          int           // daemons below one relay
-	Entry           bool          // serve callers; false on a VM set aside for control
+	Direct          int           // maximum number of daemons that sync directly with the leader; a larger tier uses relays
+	Fanout          int           // number of daemons below one relay
+	Entry           bool          // serve callers; false on a dedicated control VM
 	Control         []string      // peer addresses of the control VMs
 	ControlID       uint64        // this control VM's id; 0: not a control VM
-	DataDir         string        // the control VM's data folder
-	Bootstrap       bool          // found a new control group with this VM as its only voter
-	BootstrapVoters []string      // id=host:port of every first voter; empty with Bootstrap: this VM alone
+	DataDir         string        // data directory of a control VM
+	Bootstrap       bool          // create a new control group
+	BootstrapVoters []string      // id=host:port of every initial voter; empty with Bootstrap: only this VM
 }
 
 // IsControl reports whether this daemon is a control VM.
 func (c *Config) IsControl() bool { return c.ControlID != 0 }
 
-// Validate returns contract.Faults that list every fault of c at once, or nil.
+// Validate returns all faults of c as contract.Faults, or nil.
 func (c *Config) Validate() error {
 	var faults contract.Faults
 	faults = append(faults, c.identityFaults()...)
@@ -199,7 +199,7 @@
 	return faults
 }
 
-// voters parses BootstrapVoters into ids and addresses.
+// voters parses BootstrapVoters into addresses by id.
 func (c *Config) voters() (map[uint64]string, contract.Faults) {
 	var faults contract.Faults
 	voters := make(map[uint64]string, len(c.BootstrapVoters))
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -19,14 +19,14 @@
 	}
 }
 
-// An operator who starts a daemon with several wrong settings sees all of them at
-// once, each with its flag and what to write instead, and nothing is bound.
+// Validate must report all invalid settings at once, each with its flag and a fix, so
+// that an operator need not restart the daemon once for each of them.
 func TestValidateListsEveryFault(t *testing.T) {
-	Convey("Given settings that are right", t, func() {
+	Convey("Given a valid configuration", t, func() {
 		c := validConfig()
 		So(c.Validate(), ShouldBeNil)
 
-		Convey("several wrong ones are all listed", func() {
+		Convey("several invalid settings are all listed", func() {
 			c.Name, c.Domain, c.PeerListen, c.Fanout = "", "a/b", "nowhere", 0
 			faults, ok := c.Validate().(contract.Faults)
 			So(ok, ShouldBeTrue)
@@ -38,21 +38,21 @@
 			}
 			So(strings.Join(fields, " "), ShouldEqual, "--name --domain --peer-listen --relay-fanout")
 		})
-		Convey("plain text is refused on an address that others reach", func() {
+		Convey("plain text is rejected on an address that is not loopback", func() {
 			c.PeerListen = "10.0.0.5:7401"
 			So(c.Validate().Error(), ShouldContainSubstring, "not a loopback address")
 		})
-		Convey("an address of every interface can't be told to others", func() {
+		Convey("a wildcard listen address needs an advertised address", func() {
 			c.CallerListen = "0.0.0.0:7400"
 			So(c.Validate().Error(), ShouldContainSubstring, "--caller-url")
 		})
-		Convey("without plain text every TLS file is wanted", func() {
+		Convey("without plain text every TLS file is required", func() {
 			c.PlaintextPeers = false
 			for _, flag := range []string{"--peer-ca", "--peer-cert", "--peer-key"} {
 				So(c.Validate().Error(), ShouldContainSubstring, flag)
 			}
 		})
-		Convey("a control VM wants a data folder, and its own id among the first voters", func() {
+		Convey("a control VM requires a data directory and its own id among the initial voters", func() {
 			c.ControlID, c.Bootstrap, c.BootstrapVoters = 1, true, []string{"2=127.0.0.1:7401", "2=127.0.0.1:7402", "x"}
 			text := c.Validate().Error()
 			So(text, ShouldContainSubstring, "--data-dir")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,16 +30,16 @@
 	conf      Config
 	self      vm.Identity
 	listeners listeners
-	peerTLS   *peer.Reloader // nil: plain text
+	peerTLS   *peer.Reloader // nil: plain text between daemons
 	lifecycle lifecycle
 
-	// Heartbeats and queries have connections of their own, so that slow queries
-	// never hold up a heartbeat and cost the daemon its lease.
+	// Heartbeats and queries use separate connections, so that a slow query can't
+	// delay a heartbeat until the daemon's lease expires.
 	controlConns *peer.Pool
 	queryConns   *peer.Pool
 
 	control    *control.Node // nil: not a control VM
-	client     *relay.Client // nil: no entry
+	client     *relay.Client // nil: does not serve callers
 	engine     *query.Engine
 	quarantine *quarantine.Registry
 	entry      *entry.Server
@@ -50,7 +50,7 @@
 	horizon    directory.ListExpiry
 }
 
-// New binds the daemon's ports and puts its parts together; nothing runs yet.
+// New binds the daemon's ports and creates its components. Run starts them.
 func New(conf Config) (*Daemon, error) {
 	d := &Daemon{conf: conf}
 	var err error
@@ -122,7 +122,7 @@
 	if !c.IsControl() {
 		return nil
 	}
-	voters, _ := c.voters() // validated before
+	voters, _ := c.voters() // Validate has reported the faults
 	node, err := control.Open(control.Config{
 		ID:        c.ControlID,
 		Name:      c.Name,
@@ -139,7 +139,8 @@
 	return nil
 }
 
-// controlAddrs lists the control VMs to ask, this one first if it is one.
+// controlAddrs returns the peer addresses of the control VMs, this VM first if it is
+// one of them.
 func (d *Daemon) controlAddrs() []string {
 	if d.control == nil {
 		return d.conf.Control
@@ -214,14 +215,14 @@
 	return wire.DRPCRegisterHome(mux, d.engine.Home())
 }
 
-// Run serves until stop ends, then shuts down gracefully; hurry cuts the
-// shutdown short. It returns nil after a planned stop.
+// Run serves until shutdown is done, then drains; when abort is done, it stops without
+// waiting further. It returns nil after a planned stop.
 func (d *Daemon) Run(stop, hurry context.Context) error {
 	mux := drpcmux.New()
 	if err := d.register(mux); err != nil {
 		return err
 	}
-	// The peer and control parts go on until the entry has drained: a leaving
+	// The peer, operator and control servers run until the drain has ended: a draining
 	// daemon still renews its lease and answers other daemons.
 	base, endBase := context.WithCancel(context.WithoutCancel(stop))
 	defer endBase()
@@ -274,7 +275,8 @@
 	g.Go(func() error { return d.entry.Serve(callers, d.listeners.caller, d.callerTLS()) })
 }
 
-// ended drops the error of a part that stopped because it was told to.
+// ignoreAfterCancel returns err, or nil if ctx is done: an error after cancellation is
+// part of the shutdown.
 func ended(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -304,7 +306,8 @@
 	d.listeners.close()
 }
 
-// ready tells whether this daemon takes new work.
+// ready reports whether this daemon accepts new requests, and its state or the reason
+// why not.
 func (d *Daemon) ready() (bool, string) {
 	if phase := d.lifecycle.get(); phase != phaseServing {
 		return false, phase.String()
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,4 +1,4 @@
-// Package daemon assembles pearmoord from its parts: settings from flags and
-// environment variables, the operator port, the lifecycle, and the loop that
-// turns the agreed state into permits, probes and connections.
+// Package daemon implements the pearmoord process: its configuration from flags and
+// environment variables, the operator port, the lifecycle with graceful shutdown, and
+// the loop that applies the agreed state to gates, probes and leaf connections.
 package daemon
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -11,18 +11,17 @@
 )
 
 const (
-	// agreeLimit bounds the wait for the agreed membership to show this daemon as
-	// leaving; without control there is nobody to agree.
+	// delistTimeout bounds the wait until the agreed membership no longer lists this
+	// daemon as serving, which never happens while control is unreachable.
 	agreeLimit = 15 * time.Second
-	// leaveLimit bounds the last word to control.
+	// goneTimeout bounds the wait until control has recorded this daemon as gone.
 	leaveLimit = 2 * time.Second
 	drainPoll  = 20 * time.Millisecond
 )
 
-// drain is the graceful shutdown. Callers keep an address for its lifetime, so a
-// daemon that closed its port at once would cut them off: it first leaves the
-// address lists and hands on its shares, then serves until the last list that
-// names it has run out, then finishes what is in flight.
+// drain shuts down gracefully. Callers keep an address list for its lifetime, so the
+// daemon first leaves the address lists and gives up its shares, then serves until the
+// last list that names it has expired, and then finishes the requests in flight.
 func (d *Daemon) drain(hurry context.Context, endCallers func()) {
 	d.lifecycle.set(phaseDraining)
 	if d.entry == nil {
@@ -42,8 +41,8 @@
 	waitFor(hurry, leaveLimit, func() bool { return isGone(d.client.Current(), d.self) })
 }
 
-// hasLeft reports whether the agreed membership no longer names self as serving,
-// so that no daemon that knows it lists self.
+// isDelisted reports whether the agreed membership no longer has self as serving. A
+// daemon with that membership does not put self on an address list.
 func hasLeft(v *relay.View, self vm.Identity) bool {
 	if v.Settled == nil || v.Pending != nil {
 		return false
@@ -52,6 +51,8 @@
 	return !ok || !m.Same(self) || m.Phase != vm.Serving
 }
 
+// isGone reports whether neither the agreed nor the pending membership has self in a phase
+// other than Gone.
 func isGone(v *relay.View, self vm.Identity) bool {
 	for _, m := range []*vm.Membership{v.Settled, v.Pending} {
 		if m == nil {
@@ -64,7 +65,7 @@
 	return true
 }
 
-// waitFor polls done until it holds, limit has passed or ctx ends.
+// pollUntil polls done until it returns true, the timeout has passed or ctx is done.
 func waitFor(ctx context.Context, limit time.Duration, done func() bool) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -17,11 +17,12 @@
 	"pearmoor/internal/vm"
 )
 
-// respectPoll is how often a shrinking home looks whether its requests in flight
-// fit its smaller shares.
+// ackPollInterval is the interval at which a daemon whose shares have shrunk checks
+// whether its requests in flight fit the new shares.
 const respectPoll = 10 * time.Millisecond
 
-// stateKey names what shares depend on; a new lease alone changes none of it.
+// shareVersion identifies the state that shares are computed from. A lease renewal
+// does not change it.
 type stateKey struct {
 	config, inForce, settled, pending uint64
 }
@@ -37,8 +38,8 @@
 	return k
 }
 
-// homes keeps permits, probes and connections in step with the shares that the
-// agreed state gives this daemon.
+// shareManager applies this daemon's shares of the leaves, as given by the agreed state,
+// to the admission gates, the prober and the leaf connections.
 type homes struct {
 	self    vm.Identity
 	source  relay.Source
@@ -49,18 +50,18 @@
 	horizon *directory.ListExpiry
 
 	applied stateKey
-	mu      sync.Mutex // guards held against services
+	mu      sync.Mutex // guards assigned: run writes it, services reads it
 	held    held
 	acked   stateKey
 }
 
-// held is what this daemon has a share of.
+// assignment is the set of leaves and services that this daemon has a share of.
 type held struct {
 	leaves   map[string]settings.Leaf // by address
 	services map[string]bool
 }
 
-// run follows the source until ctx ends.
+// run applies and acknowledges each new view of the source until ctx is done.
 func (h *homes) run(ctx context.Context) {
 	for {
 		changed := h.source.Changed()
@@ -77,7 +78,8 @@
 	}
 }
 
-// waitChange waits for changed, or for at most wait when it is not negative.
+// waitForChange waits for changed, and at most for wait unless it is negative. It
+// returns false when ctx is done.
 func waitChange(ctx context.Context, changed <-chan struct{}, wait time.Duration) bool {
 	var timeout <-chan time.Time
 	if wait >= 0 {
@@ -94,8 +96,8 @@
 	return true
 }
 
-// follow applies a view. The fence comes last: a permit handed out in between
-// would be measured against the old shares and the new lease.
+// apply applies a view. The lease end is set last: otherwise a permit could be granted
+// under the new lease with the old shares.
 func (h *homes) follow(v *relay.View) {
 	key := keyOf(v)
 	if key != h.applied && v.Tree != nil {
@@ -105,8 +107,8 @@
 	h.gates.SetLeaseEnd(v.Lease)
 }
 
-// configure gives every leaf of every service its share; a leaf that is no longer
-// this daemon's gets none and is not probed.
+// configure sets the share of every leaf. A leaf of which this daemon no longer has a
+// share gets zero limits and is no longer probed.
 func (h *homes) configure(v *relay.View) {
 	now := held{leaves: make(map[string]settings.Leaf), services: make(map[string]bool)}
 	for _, path := range v.Tree.Services("") {
@@ -153,10 +155,11 @@
 	h.prober.Watch(e.Path, &part)
 }
 
-// acknowledge tells control that this daemon respects the shares last configured. Without
-// the wait for requests in flight, the new holder of a share would send while
-// the old one's requests still run, and the leaf would see more than its slots;
-// likewise for connections and the leaf's cap.
+// acknowledge reports to control that this daemon is within its current shares, and
+// returns false while requests or connections still exceed them. Without this wait the
+// new owner of a share would send requests while those of the old owner still run, and
+// the leaf would get more requests than it has slots, or more connections than it
+// accepts.
 func (h *homes) acknowledge() bool {
 	if h.acked == h.applied {
 		return true
@@ -169,7 +172,7 @@
 	return true
 }
 
-// services lists the query services this daemon has a share of, sorted.
+// services returns the sorted query services that this daemon has a share of.
 func (h *homes) services() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Phase of the process as the operator port shows it.
+// processPhase is the phase of the process, as shown on the operator port.
 type processPhase int32
 
 const (
@@ -15,7 +15,7 @@
 
 func (p processPhase) String() string { return processPhaseNames[p] }
 
-// lifecycle is the phase of this process, read by the operator port.
+// lifecycle holds the phase of this process. It is safe for concurrent use.
 type lifecycle struct {
 	phase atomic.Int32
 }
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// listeners are the daemon's bound ports; caller is nil on a VM set aside for control.
+// listeners holds the daemon's bound ports. caller is nil on a dedicated control VM.
 type listeners struct {
 	caller, peer, operator net.Listener
 }
@@ -44,7 +44,7 @@
 	}
 }
 
-// peerAddr is the address told to other daemons.
+// peerAddr returns the address advertised to other daemons.
 func (c *Config) peerAddr(l listeners) string {
 	if c.PeerAddr != "" {
 		return c.PeerAddr
@@ -52,7 +52,8 @@
 	return l.peer.Addr().String()
 }
 
-// callerURL is the base URL told to callers, empty without an entry.
+// callerURL returns the base URL advertised to callers, or an empty string if the
+// daemon does not serve callers.
 func (c *Config) callerURL(l listeners) string {
 	switch {
 	case l.caller == nil:
@@ -66,7 +67,7 @@
 	}
 }
 
-// Ready is what --ready-file holds.
+// ReadyInfo is the content of the --ready-file.
 type Ready struct {
 	Name      string `json:"name"`
 	CallerURL string `json:"caller_url,omitempty"`
@@ -74,8 +75,8 @@
 	Operator  string `json:"operator"`
 }
 
-// writeReady writes the file whole: a script that polls for it must never read
-// half of it, so it is written beside and then renamed.
+// writeReadyFile writes the ready file atomically, by renaming a temporary file, so
+// that a script that polls for it never reads a partial file.
 func (c *Config) writeReady(l listeners) error {
 	if c.ReadyFile == "" {
 		return nil
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -7,20 +7,19 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// metricPrefix stands before the name of every published metric.
+// metricPrefix is the prefix of every published metric name.
 const metricPrefix = "pearmoor_"
 
-// quantiles published of every histogram and timer.
+// quantiles are published for every histogram and timer.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// collector publishes a go-metrics registry through the Prometheus client
-// library, whose text format the operator port serves.
+// collector is a Prometheus collector for the metrics of a go-metrics registry.
 type collector struct {
 	registry metrics.Registry
 }
 
-// Describe sends nothing: the registry's names are not known beforehand, which
-// makes this an unchecked collector.
+// Describe sends nothing, which makes this an unchecked collector: metrics may be
+// registered at any time, so their names are not known in advance.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
@@ -41,6 +40,7 @@
 	}, name)
 }
 
+// constMetrics converts a go-metrics metric. It returns nil for an unsupported type.
 func points(name string, m any) []prometheus.Metric {
 	switch m := m.(type) {
 	case metrics.Counter:
--- a/internal/daemon/operator.go
+++ b/internal/daemon/operator.go
@@ -20,10 +20,11 @@
 // send its request.
 const operatorReadTimeout = 5 * time.Second
 
-// readiness answers whether the daemon takes new work, and if not, why.
+// readinessFunc reports whether the daemon accepts new requests, and its state or the
+// reason why not.
 type readiness func() (ready bool, why string)
 
-// operatorServer serves metrics, health, readiness, status and profiles.
+// operatorServer is the HTTP server for metrics, health, readiness, status and profiles.
 type operatorServer struct {
 	http *http.Server
 }
@@ -60,7 +61,7 @@
 	}
 }
 
-// serve runs until ctx ends.
+// serve serves lis until ctx is done.
 func (o *operatorServer) serve(ctx context.Context, lis net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { o.http.Close() })
 	defer stop()
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -2,7 +2,7 @@
 
 import "pearmoor/internal/vm"
 
-// Status is what GET /status of the operator port shows.
+// Status is the reply to GET /status on the operator port.
 type Status struct {
 	Name          string   `json:"name"`
 	Domain        string   `json:"domain"`
@@ -15,7 +15,7 @@
 	PendingEpoch  uint64   `json:"pending_epoch,omitempty"`
 	LeaseLeftMS   int64    `json:"lease_left_ms"`
 	InFlight      int      `json:"in_flight"`
-	Services      []string `json:"services"` // query services this daemon is a home of
+	Services      []string `json:"services"` // query services that this daemon has a share of
 }
 
 func (d *Daemon) status() Status {
--- a/internal/decision/blocks.go
+++ b/internal/decision/blocks.go
@@ -2,12 +2,12 @@
 
 import "io"
 
-// blockBytes is how much is written at once, in bytes.
+// blockBytes is the size of the write buffer, in bytes.
 const blockBytes = 8 << 10
 
-// blockWriter joins lines to blocks and writes only whole lines: whoever else writes to
-// the same output, as the runtime does when the process crashes, stands between lines
-// and not inside one. One goroutine uses it.
+// blockWriter buffers lines and writes them in blocks of whole lines. Other output to the
+// same file, such as the trace of a crash by the Go runtime, then falls between lines and
+// not inside one. It is not safe for concurrent use.
 type blockWriter struct {
 	out io.Writer
 	buf []byte
@@ -30,7 +30,8 @@
 	w.buf = append(w.buf, line...)
 }
 
-// flush puts out the block. A failure to write the log can't be told anywhere but in the log.
+// flush writes the buffered lines. A write error is ignored, because there is no other
+// place to report it than the log.
 func (w *blockWriter) flush() {
 	if len(w.buf) > 0 {
 		_, _ = w.out.Write(w.buf)
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,8 +1,8 @@
-// Package decision writes the log of a process, one JSON object a line: its own lines,
-// one for each decision that touches a request, and those of klog, in the order in which
-// they were made. Writing never blocks and is bounded: a line that would go beyond the
-// rate, or that a slow reader of the output leaves no place for, is left out, and how
-// many were is told in a line of its own.
+// Package decision writes the log of a process as JSON objects, one per line. It contains
+// one line for each decision on a request, and the lines of klog, in the order in which
+// they were logged. Logging never blocks: a line that exceeds the rate limit, or for which
+// the queue is full because the output is read too slowly, is dropped, and a later line
+// reports the number of dropped lines.
 package decision
 
 import (
@@ -17,15 +17,15 @@
 )
 
 const (
-	// queuedLines is how many lines wait to be written at most.
+	// queueCapacity is the maximum number of lines that wait to be written.
 	queuedLines = 512
 	flushEvery  = 200 * time.Millisecond
-	// linesPerSecond bounds the processor time that lines about requests take: 2 µs each
-	// (BenchmarkLine), and about as much again to write them out in blocks.
+	// maxLinesPerSecond limits the processor time spent on lines about requests: 2 µs
+	// for each (BenchmarkLine), and about as much again to write it.
 	linesPerSecond = 400
-	// longestValue bounds a text in a line, in bytes.
+	// maxValueBytes limits the length of a text value, in bytes.
 	longestValue = 200
-	// closeWait bounds the wait for a reader of the output that does not read.
+	// closeTimeout bounds the wait in Close when writes to the output block.
 	closeWait = time.Second
 )
 
@@ -34,12 +34,12 @@
 	leftOut = metrics.GetOrRegisterCounter("decision.lines.left_out", metrics.DefaultRegistry)
 )
 
-// Names of the fields of every line.
+// Names of the fields that every line has.
 const (
-	timeField  = "time" // UTC, to the millisecond
+	timeField  = "time" // UTC, in milliseconds
 	levelField = "level"
-	partField  = "part" // of the program
-	whatField  = "what" // it decided or met
+	partField  = "part" // component of the program
+	whatField  = "what" // event: the decision or condition
 )
 
 func init() {
@@ -49,9 +49,9 @@
 	zerolog.MessageFieldName = whatField
 }
 
-// Log writes lines. A nil Log writes nothing.
+// Log queues lines and writes them in the background. A nil Log discards them.
 type Log struct {
-	out    zerolog.Logger // to the queue
+	out    zerolog.Logger // writes to queue
 	queue  chan []byte
 	blocks *blockWriter
 	stop   chan struct{}
@@ -63,7 +63,7 @@
 	dropped int64
 }
 
-// New returns a log that writes to w until Close.
+// New returns a Log that writes to w until Close.
 func New(w io.Writer) *Log {
 	l := &Log{
 		queue:  make(chan []byte, queuedLines),
@@ -76,7 +76,8 @@
 	return l
 }
 
-// Close writes out what there is. Lines that come later are lost.
+// Close writes the queued lines, waiting for at most closeTimeout. Lines logged after
+// Close are lost.
 func (l *Log) Close() {
 	close(l.stop)
 	select {
@@ -100,7 +101,8 @@
 	}
 }
 
-// flush writes out the queue, then how many lines found no place in it or in the rate.
+// flush writes the queued lines, and a line with the number of lines dropped since the
+// last flush, if any.
 func (l *Log) flush() {
 	for range len(l.queue) {
 		l.blocks.add(<-l.queue)
@@ -119,7 +121,7 @@
 // queueWriter queues lines for flush.
 type queueWriter struct{ log *Log }
 
-// Write implements io.Writer for one whole line, which it copies.
+// Write implements io.Writer. Each call has one whole line, which is copied.
 func (w queueWriter) Write(line []byte) (int, error) {
 	select {
 	case w.log.queue <- bytes.Clone(line):
@@ -131,7 +133,7 @@
 	return len(line), nil
 }
 
-// drop counts a line that is left out; the lock is held.
+// countDropped counts a dropped line. The caller must hold l.mu.
 func (l *Log) drop() {
 	l.dropped++
 	leftOut.Inc(1)
@@ -143,8 +145,8 @@
 	return Line{out.Log().Timestamp().Str(levelField, level).Str(partField, part)}
 }
 
-// Line begins a line: the part of the program, and what it decided. Where the line is
-// left out, its methods do nothing.
+// Line starts a line with the component of the program and the event. If the line exceeds
+// the rate limit, the methods of the returned Line do nothing.
 func (l *Log) Line(part, what string) Line {
 	if l == nil || !l.allow() {
 		return Line{}
@@ -155,6 +157,7 @@
 	return line
 }
 
+// allow reports whether another line is within maxLinesPerSecond, and counts it.
 func (l *Log) allow() bool {
 	now := time.Now().Unix()
 	l.mu.Lock()
@@ -170,10 +173,10 @@
 	return true
 }
 
-// Line is one line being put together.
+// Line is a log line under construction.
 type Line struct{ e *zerolog.Event }
 
-// Str adds a text.
+// Str adds a text field, truncated to maxValueBytes.
 func (l Line) Str(k, v string) Line {
 	if len(v) > longestValue {
 		v = v[:longestValue]
@@ -182,19 +185,19 @@
 	return l
 }
 
-// Int adds a number.
+// Int adds an integer field.
 func (l Line) Int(k string, v int64) Line {
 	l.e.Int64(k, v)
 	return l
 }
 
-// Bool adds a yes or no.
+// Bool adds a boolean field.
 func (l Line) Bool(k string, v bool) Line {
 	l.e.Bool(k, v)
 	return l
 }
 
-// Ms adds a duration in milliseconds, to a tenth.
+// Ms adds a duration in milliseconds with one decimal place.
 func (l Line) Ms(k string, d time.Duration) Line {
 	if l.e != nil {
 		var b [24]byte
@@ -203,7 +206,7 @@
 	return l
 }
 
-// Err adds an error, if there is one.
+// Err adds the field "error" unless err is nil.
 func (l Line) Err(err error) Line {
 	if l.e == nil || err == nil {
 		return l
@@ -211,7 +214,7 @@
 	return l.Str("error", err.Error())
 }
 
-// End hands the line over.
+// End queues the line.
 func (l Line) End() { l.e.Send() }
 
 func (l Line) end(what string) { l.e.Msg(what) }
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -15,7 +15,7 @@
 	"k8s.io/klog/v2"
 )
 
-// output keeps each write apart.
+// recordingOutput records each write separately.
 type output struct {
 	mu     sync.Mutex
 	writes [][]byte
@@ -35,7 +35,7 @@
 	var out []map[string]any
 	for _, w := range o.writes {
 		if !bytes.HasSuffix(w, []byte("\n")) {
-			t.Errorf("a write ends inside a line: %q", w[max(0, len(w)-60):])
+			t.Errorf("write ends in the middle of a line: %q", w[max(0, len(w)-60):])
 		}
 		for _, text := range strings.Split(strings.TrimSuffix(string(w), "\n"), "\n") {
 			var line map[string]any
@@ -49,8 +49,8 @@
 	return out
 }
 
-// Two logs of one process go to one output, in blocks. Whoever follows a request's id
-// through them needs whole lines, in the order in which things happened.
+// Decision lines and klog lines go to one output, in blocks. They must be whole JSON lines
+// in the order in which they were logged, or a request can't be followed by its id.
 func TestLinesAreWholeAndInOrder(t *testing.T) {
 	out := &output{}
 	log := New(out)
@@ -67,7 +67,7 @@
 	log.Close()
 	lines := out.lines(t)
 	if len(lines) != 2*pairs {
-		t.Fatalf("%d lines", len(lines))
+		t.Fatalf("got %d lines", len(lines))
 	}
 	for i := range pairs {
 		a, b := lines[2*i], lines[2*i+1]
@@ -80,7 +80,7 @@
 	}
 }
 
-// stuck blocks every write until it is let go.
+// blockedOutput blocks every write until unblock is closed.
 type stuck struct {
 	output
 	gate chan struct{}
@@ -91,8 +91,8 @@
 	return s.output.Write(p)
 }
 
-// The reader of the output stops reading. Callers must go on being served: no line
-// blocks, what there is no place for is left out, and how much is told later.
+// The output blocks. Logging must not block, or requests would wait for it: lines beyond
+// the queue are dropped, and their number is logged later.
 func TestLogNeverBlocks(t *testing.T) {
 	out := &stuck{gate: make(chan struct{})}
 	log := New(out)
@@ -101,7 +101,7 @@
 		log.line("info", "gather").Int("n", int64(i)).end("answered")
 	}
 	close(out.gate)
-	time.Sleep(3 * flushEvery) // for what was overwritten to be counted and told
+	time.Sleep(3 * flushEvery) // until the dropped lines are reported
 	log.line("info", "gather").Int("n", lines).end("answered")
 	log.Close()
 	got := out.lines(t)
@@ -114,14 +114,14 @@
 		}
 	}
 	if kept+int(told) != lines+1 {
-		t.Errorf("%d lines written and %v told to be left out, of %d", kept, told, lines+1)
+		t.Errorf("%d lines written and %v reported as dropped, of %d", kept, told, lines+1)
 	}
 	if last := got[len(got)-1]; last["n"] != float64(lines) {
-		t.Errorf("the last line is %v", last)
+		t.Errorf("got last line %v", last)
 	}
 }
 
-// Guards against lines that are counted as left out twice when many goroutines write at once.
+// Guards against counting a dropped line twice when many goroutines log concurrently.
 func TestLinesOfManyWritersAreCountedOnce(t *testing.T) {
 	out := &stuck{gate: make(chan struct{})}
 	log := New(out)
@@ -139,11 +139,11 @@
 	time.Sleep(3 * flushEvery)
 	log.Close()
 	if n := out.counted(t); n != writers*each {
-		t.Errorf("%d lines written or told to be left out, of %d", n, writers*each)
+		t.Errorf("%d lines written or reported as dropped, of %d", n, writers*each)
 	}
 }
 
-// Guards against lines that are counted as left out twice when one is queued while another is written out.
+// Guards against counting a dropped line twice when lines are queued during a flush.
 func TestLinesWrittenOutMeanwhileAreCountedOnce(t *testing.T) {
 	const logs, each = 16, 50000
 	var wg sync.WaitGroup
@@ -163,14 +163,14 @@
 			}
 			log.Close()
 			if n := out.counted(t); n != each {
-				t.Errorf("%d lines written or told to be left out, of %d", n, each)
+				t.Errorf("%d lines written or reported as dropped, of %d", n, each)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// counted returns how many lines were written, or told to be left out.
+// linesAccountedFor returns the number of lines written or reported as dropped.
 func (s *stuck) counted(t *testing.T) int {
 	n := 0
 	for _, l := range s.lines(t) {
@@ -183,7 +183,7 @@
 	return n
 }
 
-// More lines than the rate allows are left out, and their number is told.
+// Lines beyond the rate limit must be dropped, and their number logged.
 func TestRateOfLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &output{}
@@ -196,7 +196,7 @@
 		log.Close()
 		got := out.lines(t)
 		if len(got) != linesPerSecond+1 || got[len(got)-1]["lines"] != 100.0 {
-			t.Errorf("%d lines, the last %v", len(got), got[len(got)-1])
+			t.Errorf("got %d lines, the last %v", len(got), got[len(got)-1])
 		}
 	})
 }
--- a/internal/decision/klog.go
+++ b/internal/decision/klog.go
@@ -10,15 +10,15 @@
 	"k8s.io/klog/v2"
 )
 
-// TakeKlog puts the lines of klog into this log. Their text begins with the part of the
-// program and a colon.
+// RedirectKlog redirects klog to this log. The text of a klog line begins with the
+// component of the program and a colon.
 func (l *Log) TakeKlog() error {
 	set := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(set)
 	var err error
 	for name, value := range map[string]string{
 		"logtostderr": "false", "stderrthreshold": "FATAL",
-		"one_output":   "true", // or an error would be told as a warning and an info as well
+		"one_output":   "true", // otherwise klog writes an error also as a warning and as an info line
 		"skip_headers": "true",
 	} {
 		err = errors.CombineErrors(err, set.Set(name, value))
@@ -29,16 +29,17 @@
 	return errors.Wrap(err, "decision: klog")
 }
 
-// klogWriter takes the lines of one severity.
+// klogWriter logs the klog lines of one severity.
 type klogWriter struct {
 	log   *Log
 	level string
 }
 
-// longestKlog bounds a line of klog, in bytes: a list of addresses is some hundreds.
+// maxKlogBytes limits the text of a klog line, in bytes. A line with a list of addresses
+// needs some hundreds.
 const longestKlog = 2000
 
-// Write implements io.Writer for one line.
+// Write implements io.Writer. Each call has one line.
 func (w klogWriter) Write(p []byte) (int, error) {
 	text := string(bytes.TrimRight(p, "\n"))
 	part, what, found := strings.Cut(text, ": ")
@@ -52,13 +53,13 @@
 	return len(p), nil
 }
 
-// ServerLog returns a log for the faults that a http.Server meets, panics of its handlers
-// among them; part names the server.
+// NewServerLog returns a logger for the errors of an http.Server, including panics of its
+// handlers. They are logged as warnings; component names the server.
 func ServerLog(part string) *log.Logger { return log.New(serverWriter{part}, "", 0) }
 
 type serverWriter struct{ part string }
 
-// Write implements io.Writer for one fault.
+// Write implements io.Writer. Each call has one message of the server.
 func (w serverWriter) Write(p []byte) (int, error) {
 	klog.Warningf("%s: %s", w.part, bytes.TrimRight(p, "\n"))
 	return len(p), nil
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -22,8 +22,8 @@
 	return a
 }
 
-// BenchmarkQuery compares the port with a bare net/http handler that decodes and
-// encodes the same, each without a network.
+// BenchmarkQuery compares Server with a plain net/http handler that decodes and
+// encodes the same messages. Both run without a network.
 func BenchmarkQuery(b *testing.B) {
 	for _, hits := range []int{10, 1000} {
 		answer := largeAnswer(hits)
--- a/internal/entry/bodylimit.go
+++ b/internal/entry/bodylimit.go
@@ -6,25 +6,28 @@
 	"pearmoor/internal/relay"
 )
 
-// envelope is what a request may have around its body: path, key, session.
+// requestOverhead is the allowance for the fields of a request other than its body:
+// path, key, session.
 const envelope = 16 << 10 // bytes
 
-// firstLimit holds until the tree is known, in bytes.
+// defaultReadLimit is the lowest read limit, in bytes. It applies until the settings
+// tree is known.
 const firstLimit = 1 << 20
 
-// bodyLimit knows the largest body that any query service takes, so that a
-// request is refused before it is read whole and its own path is known.
+// readLimit is the number of bytes read of any request: the largest body limit of all
+// query services and the overhead. It bounds the read before the path of the request,
+// and so its own limit, is known.
 //
-// The limit never goes down in the life of a daemon. A resend of a request that
-// ran under a higher limit has to be read to learn its key; refused unread, the
-// caller would be told not_run of a request that ran.
+// The limit never decreases while the daemon runs. A resent request that ran under a
+// higher limit must be read to learn its key: if it were rejected unread, the caller
+// would be told not_run although the request ran.
 type bodyLimit struct {
 	mu      sync.Mutex
 	version uint64
 	limit   int64
 }
 
-// of returns the limit in bytes under v, which may be nil.
+// forView returns the limit in bytes, raised to what v requires. v may be nil.
 func (b *bodyLimit) of(v *relay.View) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -35,6 +38,7 @@
 	return max(b.limit, firstLimit)
 }
 
+// maxRequestBytes returns the largest body limit of all services plus requestOverhead.
 func largest(v *relay.View) int64 {
 	limit := 0
 	for _, service := range v.Tree.Services("") {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -75,7 +75,7 @@
 	return s
 }
 
-// recorder counts the deadlines set on the connection.
+// recorder is a ResponseRecorder that counts the write deadlines set.
 type recorder struct {
 	*httptest.ResponseRecorder
 	deadlines int
@@ -83,7 +83,7 @@
 
 func newRecorder() *recorder { return &recorder{ResponseRecorder: httptest.NewRecorder()} }
 
-// SetWriteDeadline is found by http.ResponseController.
+// SetWriteDeadline is called by http.ResponseController.
 func (r *recorder) SetWriteDeadline(time.Time) error {
 	r.deadlines++
 	return nil
@@ -99,9 +99,9 @@
 
 const goodRequest = `{"path":"/desk/a","body":{"q":"x"}}`
 
-// A caller decides from status and verdict whether to send again. A 429 or 503
-// makes HTTP clients resend by themselves, so neither may stand over a request
-// that may have run, whatever the engine failed with.
+// A caller decides by status and verdict whether to resend. HTTP clients resend
+// automatically on 429 and 503, so neither may be returned for a request that may
+// have run, whatever error the engine returned.
 func TestFailures(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -137,8 +137,8 @@
 		}
 	})
 
-	// The engine panics in mid-request. net/http would drop the connection, which
-	// says nothing; the caller must hear that its request may have run.
+	// The engine panics during a request. net/http would only close the connection;
+	// the caller must be told that its request may have run.
 	Convey("A panic is answered with may_have_run", t, func() {
 		s := testServer(t, &fakeEngine{run: func(context.Context, string, *contract.Request) (*contract.Answer, error) {
 			panic("broken")
@@ -191,9 +191,9 @@
 	})
 }
 
-// A caller charged a fee and resends the request, here to a daemon that has just
-// started, or after body-limit was lowered below it. This daemon can't know
-// whether it ran: were it to say not_run, the caller would charge again.
+// A caller resends a request that is not repeatable to a daemon that has just started,
+// or after body-limit was lowered below the size of the request. The daemon can't know
+// whether the request ran: on not_run the caller would run it a second time.
 func TestResendIsNeverToldNotRun(t *testing.T) {
 	const fee = `{"path":"/desk/a","repeatable":false,"key":"fee-1","session":"s-1","body":"%s"}`
 	Convey("A request that is not repeatable", t, func() {
@@ -202,24 +202,24 @@
 			reached++
 			return &contract.Answer{Verdict: contract.Ran}, nil
 		}}
-		Convey("is in doubt at a daemon without a configuration", func() {
+		Convey("gets may_have_run from a daemon without a configuration", func() {
 			s := testServer(t, engine, false)
 			s.conf.Source.(*fakeSource).view = nil
 			w, f := post(s, fmt.Sprintf(fee, "x"))
 			So(w.Code, ShouldEqual, 409)
 			So(f.Verdict, ShouldEqual, contract.MayHaveRun)
-			w, f = post(s, goodRequest) // a repeatable one was not run
+			w, f = post(s, goodRequest) // a repeatable request is reported not_run
 			So(w.Code, ShouldEqual, 503)
 			So(f.Verdict, ShouldEqual, contract.NotRun)
 			So(reached, ShouldEqual, 0)
 		})
-		Convey("reaches the engine although it is over the limit of its path", func() {
+		Convey("reaches the engine although its body exceeds the limit of its path", func() {
 			w, _ := post(testServer(t, engine, false), fmt.Sprintf(fee, strings.Repeat("x", 2<<10)))
 			So(w.Code, ShouldEqual, 200)
 			So(reached, ShouldEqual, 1)
 		})
 	})
-	Convey("The limit of what is read never goes down", t, func() {
+	Convey("The read limit never decreases", t, func() {
 		tree := func(limit string) *relay.View {
 			v, err := settings.New().Apply(1, []settings.Edit{
 				{Path: "/desk/a", Name: "leaves", Value: "l1=127.0.0.1:9001@hall-0"},
@@ -254,9 +254,10 @@
 			So(a.LifetimeMS, ShouldBeBetweenOrEqual, 24000, 30000)
 			So(a.Session, ShouldEqual, "session-1")
 		})
-		// A caller would keep a list whose session ends with the daemon, or whose
-		// members may have left: its fee charges fail for a whole lifetime.
-		Convey("is refused by a daemon that is leaving or has no lease", func() {
+		// The session of a list ends with its daemon, and without a lease the members
+		// may have left: the caller's non-repeatable requests would fail for the whole
+		// lifetime of the list.
+		Convey("is refused by a daemon that is draining or has no lease", func() {
 			status, _ := getAddresses(testServer(t, nil, true), "/desk/a")
 			So(status, ShouldEqual, 503)
 			s := testServer(t, nil, false)
@@ -264,7 +265,7 @@
 			status, _ = getAddresses(s, "/desk/a")
 			So(status, ShouldEqual, 503)
 		})
-		Convey("of an unknown path is a 404, and of none a 400", func() {
+		Convey("is a 404 for an unknown path, and a 400 without a path", func() {
 			status, _ := getAddresses(testServer(t, nil, false), "/nowhere")
 			So(status, ShouldEqual, 404)
 			status, _ = getAddresses(testServer(t, nil, false), "")
@@ -273,10 +274,10 @@
 	})
 }
 
-// A planned stop begins while a query runs. Serve must wait for it, and the
-// caller must get its whole answer.
+// A planned stop begins while a query runs. Serve must wait for the query, and the
+// caller must receive its complete answer.
 func TestGracefulShutdown(t *testing.T) {
-	Convey("Serve finishes the request under way", t, func() {
+	Convey("Serve finishes the request in flight", t, func() {
 		entered, hold := make(chan struct{}), make(chan struct{})
 		s := testServer(t, &fakeEngine{run: func(context.Context, string, *contract.Request) (*contract.Answer, error) {
 			close(entered)
@@ -321,11 +322,11 @@
 	})
 }
 
-// A caller on a slow line takes a large answer for longer than any one deadline,
-// and another takes nothing at all: the first must get the whole of it, the second
-// must not hold its connection for ever. So each part has a deadline of its own.
+// Each chunk of an answer must have its own write deadline. A caller on a slow network
+// needs longer than one deadline for a large answer and must receive all of it; a
+// caller that reads nothing must not hold its connection forever.
 func TestWriteDeadlines(t *testing.T) {
-	Convey("Each part of an answer sets a new deadline", t, func() {
+	Convey("Each chunk of an answer sets a new deadline", t, func() {
 		s := testServer(t, &fakeEngine{run: func(context.Context, string, *contract.Request) (*contract.Answer, error) {
 			return &contract.Answer{Verdict: contract.Ran, ServedBy: strings.Repeat("x", 3*writePart)}, nil
 		}}, false)
@@ -336,11 +337,11 @@
 	})
 }
 
-// A daemon leaves, and a caller keeps a connection to it open until the port is
-// closed. A request sent into the closing is lost in doubt, so callers have to be
-// told to come by other connections while the daemon still answers.
+// A draining daemon must close each connection after its answer. On a connection that
+// is kept until the listener closes, a request sent during the close is lost, and the
+// caller does not know whether it ran.
 func TestDrainingEndsConnections(t *testing.T) {
-	Convey("Answers of a draining daemon end their connection", t, func() {
+	Convey("A draining daemon closes the connection after each answer", t, func() {
 		engine := &fakeEngine{run: func(context.Context, string, *contract.Request) (*contract.Answer, error) {
 			return &contract.Answer{Verdict: contract.Ran}, nil
 		}}
@@ -356,8 +357,8 @@
 	})
 }
 
-// FuzzQuery sends any bytes as a request body: whatever they are, the answer is
-// JSON with a verdict, and the engine is asked only for a well-formed request.
+// FuzzQuery sends arbitrary bytes as the request body. The answer must be JSON with a
+// verdict, and the status is 200 only if the engine ran the request.
 func FuzzQuery(f *testing.F) {
 	for _, seed := range []string{goodRequest, ``, `{`, `{"path":1}`, `null`, `{"path":"/desk/a","body":null,"deadline_ms":-1}`, "\xff\xfe{}"} {
 		f.Add([]byte(seed))
--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/contract"
 )
 
-// httpError is a refusal by this package itself, with the status that fits it.
+// httpError is a request rejected by this package, with its HTTP status.
 type httpError struct {
 	contract.Failure
 	status                    int
@@ -31,6 +31,7 @@
 	return contract.Fault{Field: e.location, Value: e.value, Why: why, Fix: e.fix}
 }
 
+// toFailure returns the HTTP status and the response body for an error.
 func failureOf(err error) (int, contract.Failure) {
 	var own *httpError
 	var faults contract.Faults
@@ -67,8 +68,8 @@
 	}
 }
 
-// statusOf chooses the status by reason. 429 and 503 invite any HTTP client to
-// send again, so they are given only with verdict not_run.
+// statusOf returns the HTTP status for an error. HTTP clients resend automatically on
+// 429 and 503, so these are returned only with verdict not_run.
 func statusOf(e *contract.Error) int {
 	switch e.Reason {
 	case contract.ReasonInvalid:
@@ -92,7 +93,7 @@
 	return http.StatusBadGateway
 }
 
-// minRetryAfter is the shortest Retry-After, whose unit is the second.
+// minRetryAfter is the shortest Retry-After; the header counts whole seconds.
 const minRetryAfter = time.Second
 
 func writeFailure(w responseWriter, id string, err error) {
@@ -111,12 +112,12 @@
 	writeJSON(w, status, f)
 }
 
-// writeJSON sends body with its length, so that a caller tells a whole answer
-// from one that was cut off.
+// writeJSON sends body with its Content-Length, so that a caller can detect a
+// truncated answer.
 func writeJSON(w responseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		klog.Errorf("entry: answer can't be encoded: %v", err)
+		klog.Errorf("entry: can't encode answer: %v", err)
 		status, raw = http.StatusInternalServerError, encodeFailed
 	}
 	h := w.Header()
@@ -124,18 +125,19 @@
 	h.Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(status)
 	if err := writeAll(w, raw); err != nil {
-		writeErrors.Inc(1) // the caller has left
+		writeErrors.Inc(1) // the caller closed the connection or stopped reading
 	}
 }
 
-// responseWriter is the HTTP library's, which hides what sets deadlines.
+// responseWriter is the response writer of iris. Naive returns the underlying
+// net/http writer, which supports write deadlines.
 type responseWriter interface {
 	http.ResponseWriter
 	Naive() http.ResponseWriter
 }
 
-// writeAll gives each part of the answer its own time: a caller on a slow line
-// gets the whole of a large one, and one that takes nothing ends its connection.
+// writeAll writes raw in chunks with a deadline for each chunk. A slow caller receives
+// the whole of a large answer, and a caller that reads nothing loses its connection.
 func writeAll(w responseWriter, raw []byte) error {
 	control := http.NewResponseController(w.Naive())
 	for len(raw) > 0 {
@@ -151,8 +153,8 @@
 	return nil
 }
 
-// encodeFailed is sent when the engine's answer is not JSON, which a target that
-// sends broken data could cause.
+// encodeFailedBody is sent when the answer can't be encoded, which invalid JSON from
+// a target may cause.
 var encodeFailed = []byte(`{"verdict":"may_have_run","reason":"internal","message":"the answer can't be encoded"}`)
 
 func countFailure(reason contract.Reason) {
--- a/internal/entry/handle.go
+++ b/internal/entry/handle.go
@@ -22,7 +22,8 @@
 // handler answers one request: body is sent as JSON with status 200 unless err is set.
 type handler func(r *http.Request, id string) (body any, err error)
 
-// handle gives each request an id, and answers whatever h returns, a panic too.
+// handle returns an iris handler that assigns a request id, calls h and writes its
+// result. A panic of h is answered as a failure.
 func (s *Server) handle(h handler) iris.Handler {
 	return func(ctx iris.Context) {
 		began := time.Now()
@@ -30,9 +31,9 @@
 		w := ctx.ResponseWriter()
 		w.Header().Set("X-Request-ID", id)
 		if s.conf.Draining() {
-			// Callers open their next connection elsewhere while this daemon still
-			// answers. One that kept its connection until the listener closes could
-			// send into the closing and not know whether its request ran.
+			// Makes callers connect to another daemon while this one still answers. A
+			// request sent on a connection that is just being closed is lost, and its
+			// caller does not know whether it ran.
 			w.Header().Set("Connection", "close")
 		}
 		body, err := guard(h, ctx.Request(), id)
@@ -45,8 +46,8 @@
 	}
 }
 
-// guard turns a panic of h into an error whose verdict is may_have_run: nothing
-// is known of how far the request got.
+// callRecovering calls h and turns a panic into an error with verdict may_have_run:
+// it is unknown how far the request got.
 func guard(h handler, r *http.Request, id string) (body any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -90,11 +91,11 @@
 	return answer, nil
 }
 
-// refuse returns an error for a request that need not reach the engine.
+// checkRequest returns an error for a request that must not be passed to the engine.
 func (s *Server) refuse(v *relay.View, req *contract.Request) error {
 	if !req.IsRepeatable() {
-		// It may be a resend of one that ran. Only the engine, which knows the
-		// keys, may say of it that it was not run.
+		// This may be a resend of a request that ran. Only the engine knows the keys
+		// of earlier requests and can report not_run.
 		if !ready(v) {
 			return notReady(contract.MayHaveRun, contract.ReasonKeyInDoubt)
 		}
@@ -106,6 +107,7 @@
 	return checkBodyLimit(v, req)
 }
 
+// hasConfig reports whether v has a settings tree. v may be nil.
 func ready(v *relay.View) bool { return v != nil && v.Tree != nil }
 
 func notReady(verdict contract.Verdict, reason contract.Reason) error {
@@ -117,7 +119,8 @@
 	}
 }
 
-// startupRetryMS is when a caller may come back to a daemon that is starting.
+// startupRetryMS is the retry delay, in milliseconds, given to callers while the
+// daemon is starting.
 const startupRetryMS = 1000
 
 func (s *Server) readBody(r *http.Request, v *relay.View) ([]byte, error) {
@@ -135,7 +138,7 @@
 	return raw, nil
 }
 
-// checkBodyLimit applies the limit of the path that the request names.
+// checkBodyLimit checks the body against the limit of the request's path.
 func checkBodyLimit(v *relay.View, req *contract.Request) error {
 	e, ok := v.Tree.Effective(req.Path)
 	if ok && e.BodyLimit > 0 && len(req.Body) > e.BodyLimit {
@@ -168,9 +171,10 @@
 	}, nil
 }
 
-// mayList refuses lists from a daemon that is leaving or cut off. A session dies
-// with its daemon, and a membership that is not confirmed may name daemons that
-// have left: callers would hold for a whole lifetime what works no more.
+// checkCanList returns an error if this daemon is draining or its lease has expired.
+// The session of a list ends with the daemon, and an unconfirmed membership may name
+// daemons that have left: callers would keep unusable addresses for the whole lifetime
+// of the list.
 func (s *Server) mayList(v *relay.View, now vm.Instant) error {
 	refusal := &contract.Error{Verdict: contract.NotRun, RetryAfter: startupRetryMS}
 	switch {
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -10,8 +10,8 @@
 	"k8s.io/klog/v2"
 )
 
-// connLog takes the lines of net/http about single connections, such as a failed
-// TLS handshake. They are the callers' faults and would flood the log.
+// connErrorWriter logs net/http's messages about single connections, such as a failed
+// TLS handshake, at verbosity 1. They are caused by callers and would flood the log.
 type connLog struct{}
 
 // Write implements io.Writer.
@@ -21,7 +21,7 @@
 }
 
 const (
-	// failureLines bounds the lines a second about requests that were not answered.
+	// failureLinesPerSecond limits the rate of log lines about failed requests.
 	failureLines      = 20
 	failureLinesBurst = 100
 )
@@ -31,7 +31,7 @@
 	failuresLeftOut = metrics.GetOrRegisterCounter("entry.failures.not_logged", nil)
 )
 
-// logFailure tells why a request was not answered.
+// logFailure logs why a request failed, within the rate limit unless the status is 500.
 func logFailure(id string, status int, err error) {
 	switch {
 	case status == http.StatusInternalServerError:
--- a/internal/entry/requestid.go
+++ b/internal/entry/requestid.go
@@ -8,7 +8,8 @@
 	"pearmoor/internal/vm"
 )
 
-// requestIDs makes ids that no other daemon, and no other run of this one, makes.
+// requestIDGenerator generates request ids that are unique over all daemons and over
+// restarts of this daemon.
 type requestIDs struct {
 	prefix string
 	next   atomic.Uint64
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -17,25 +17,25 @@
 	"pearmoor/internal/vm"
 )
 
-// Limits of a caller's connection. A caller that trickles its request in, or
-// never reads its answer, must not hold a connection for ever.
+// Limits of a caller's connection, so that a caller that sends its request too slowly
+// or does not read its answer can't hold a connection forever.
 const (
 	headerTimeout = 5 * time.Second
 	readTimeout   = 30 * time.Second
-	writeTimeout  = 30 * time.Second // of each part of an answer
+	writeTimeout  = 30 * time.Second // for each chunk of an answer
 	writePart     = 256 << 10        // bytes
 	idleTimeout   = 2 * time.Minute
 	maxHeader     = 16 << 10 // bytes
 )
 
-// The paths callers use.
+// Paths of the caller API.
 const (
 	AddressesPath = "/v1/addresses"
 	QueryPath     = "/v1/query"
 )
 
-// Engine runs queries. Its errors are contract.Faults or *contract.Error; the
-// verdict of any other is taken as may_have_run.
+// Engine runs queries. Its errors are contract.Faults or *contract.Error; any other
+// error is reported with verdict may_have_run.
 type Engine interface {
 	Query(ctx context.Context, requestID string, r *contract.Request) (*contract.Answer, error)
 	// IssueSession returns a session for requests that are not repeatable, owned
@@ -43,16 +43,16 @@
 	IssueSession() string
 }
 
-// Config is what a Server is made of.
+// Config holds the dependencies of a Server.
 type Config struct {
 	Self     vm.Identity
 	Engine   Engine
 	Source   relay.Source
 	Clock    vm.Clock
-	Draining func() bool // set: the daemon is on its way out; nil: never
+	Draining func() bool // reports whether the daemon is draining; nil: never
 }
 
-// Server is the caller port of a daemon. It is an http.Handler.
+// Server is the HTTP server for callers. It implements http.Handler.
 type Server struct {
 	conf   Config
 	app    *iris.Application
@@ -60,7 +60,7 @@
 	bodies bodyLimit
 }
 
-// New returns a Server. It fails only on a fault in its own routes.
+// New returns a Server. It fails only if the HTTP routes can't be built.
 func New(conf Config) (*Server, error) {
 	if conf.Draining == nil {
 		conf.Draining = func() bool { return false }
@@ -84,7 +84,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.app.ServeHTTP(w, r) }
 
 // Serve answers callers on lis until ctx ends; it then stops accepting, waits
-// for the requests under way and returns nil. tlsConf nil means plain HTTP.
+// for the requests in flight and returns nil. A nil tlsConf means plain HTTP.
 func (s *Server) Serve(ctx context.Context, lis net.Listener, tlsConf *tls.Config) error {
 	lis = peer.WatchCallers(lis)
 	if tlsConf != nil {
@@ -105,7 +105,7 @@
 		return errors.Wrap(err, "entry: serve callers")
 	case <-ctx.Done():
 	}
-	klog.Infof("entry: waiting for requests under way")
+	klog.Infof("entry: waiting for requests in flight")
 	err := server.Shutdown(context.WithoutCancel(ctx))
 	<-served
 	return errors.Wrap(err, "entry: stop serving callers")
--- a/internal/freeport/freeport.go
+++ b/internal/freeport/freeport.go
@@ -1,4 +1,4 @@
-// Package freeport finds ports for processes that tests and benches start.
+// Package freeport finds free ports for processes started by tests and benchmarks.
 package freeport
 
 import (
@@ -7,9 +7,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Addrs returns n addresses on the host that are free now, each with a port of its
-// own. All are held until the last is found: the kernel may give a port that was
-// just released again, and a process told to listen on it twice does not start.
+// Addrs returns n free addresses on the host with different ports. All listeners stay open
+// until the last one is found: the kernel may return a port that was just released again,
+// and a process that is to listen on one port twice does not start.
 func Addrs(host string, n int) ([]string, error) {
 	out := make([]string, n)
 	for i := range out {
@@ -23,7 +23,7 @@
 	return out, nil
 }
 
-// Ports is Addrs without the host.
+// Ports is like Addrs but returns only the ports.
 func Ports(host string, n int) ([]string, error) {
 	out, err := Addrs(host, n)
 	for i := range out {
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A daemon is given three ports of one host. Drawn one after the other, each released
-// before the next, two of them are the same now and then, and the daemon does not start.
+// The ports must differ. If each were released before the next is found, the kernel would
+// sometimes return one twice, and a daemon given both would not start.
 func TestPortsOfOneHostDiffer(t *testing.T) {
 	const rounds, each = 300, 40
 	for range rounds {
@@ -17,7 +17,7 @@
 		seen := make(map[string]bool)
 		for _, p := range ports {
 			if seen[p] {
-				t.Fatalf("port %s is there twice", p)
+				t.Fatalf("port %s returned twice", p)
 			}
 			seen[p] = true
 		}
@@ -37,6 +37,6 @@
 		lis.Close()
 	}
 	if _, err := Addrs("no.such.host.invalid", 1); err == nil {
-		t.Error("no error for a host that is none")
+		t.Error("no error for a host that does not exist")
 	}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs finds what collected logs of a tier tell of one request.
+// Package logs extracts the lines about one request from the collected logs of a tier.
 package logs
 
 import (
@@ -15,42 +15,43 @@
 )
 
 const (
-	// around is how long before and after a request's lines a daemon's beliefs are told:
-	// what it did not know yet when it decided stands a moment later.
+	// contextWindow is the time before the first and after the last line of a request for
+	// which lines without a request id are included. They show the daemon's state; a change
+	// that it learned only after its decision is logged shortly afterwards.
 	around = time.Second
-	// longestLine bounds one line, in bytes.
+	// maxLineBytes limits the length of a line, in bytes.
 	longestLine = 1 << 20
 )
 
-// Line is one line of a log.
+// Line is a line of a log.
 type Line struct {
 	Time time.Time `json:"time"`
 	File string    `json:"file"`
-	Text string    `json:"text"` // as it was written
-	own  bool      // of the request itself
+	Text string    `json:"text"` // the JSON object, unchanged
+	own  bool      // has the id of the request
 }
 
-// Trouble is a file that can't be read, or a line that is none.
+// Problem is a file that can't be read or a line that can't be parsed.
 type Trouble struct {
 	File string `json:"file"`
 	Line int    `json:"line,omitempty"` // 0: the whole file
 	Why  string `json:"why"`
 }
 
-// Story is what was found of a request.
+// Trace holds the lines about a request, and the problems met in reading the logs.
 type Story struct {
 	Lines    []Line    `json:"lines"`
 	Troubles []Trouble `json:"troubles,omitempty"`
 }
 
-// record is what of a line is looked at.
+// logRecord holds the fields of a line that are used here.
 type record struct {
 	Time time.Time `json:"time"`
 	ID   string    `json:"id"`
 }
 
-// Of reads the files and returns the lines about the request of that id, and what the
-// daemons that decided on it believed meanwhile, in order of time.
+// ReadTrace reads the log files and returns the lines with the request id, and the lines
+// without any id that the same files have around them, ordered by time.
 func Of(id string, files []string) *Story {
 	out := &Story{}
 	for _, file := range files {
@@ -62,7 +63,7 @@
 	return out
 }
 
-// read returns the lines of a file about the request, and those about no request.
+// readFile returns the lines of a file that have the given id or no id.
 func read(id, file string) ([]Line, []Trouble) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -99,7 +100,7 @@
 
 var errNoRecord = errors.New("it holds no JSON object with a time")
 
-// parse reads a line. What a collector has put before the object is passed over.
+// parse parses a line. It skips a prefix added by a log collector.
 func parse(line string) (record, string, error) {
 	at := strings.IndexByte(line, '{')
 	if at < 0 {
@@ -115,8 +116,9 @@
 	return r, line[at:], nil
 }
 
-// withBeliefs leaves of one file's lines those of the request and, of the others, those
-// from shortly before its first to shortly after its last.
+// trimToWindow keeps the lines of the request, and the other lines from contextWindow
+// before its first line to contextWindow after its last. It returns nil if the file has no
+// line of the request.
 func withBeliefs(lines []Line) []Line {
 	var first, last time.Time
 	for _, l := range lines {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -16,9 +16,9 @@
 	return file
 }
 
-// An operator has a failed request's id and the logs of two hundred VMs, of which two have
-// decided on it, one was not collected and one ends in half a line. The story has the decisions of
-// both in order, what they believed around them, and names what is not there.
+// The logs of two daemons have lines of one request, one log is missing and one ends in a
+// truncated line. The trace must have the request's lines of both in order of time and the
+// lines around them, and report the missing file and the lines that can't be parsed.
 func TestStoryOfARequest(t *testing.T) {
 	const day = `{"time":"2026-01-04T23:34:`
 	one := write(t, "vm-1.log", strings.Join([]string{
@@ -39,7 +39,7 @@
 	s := Of("aa", []string{one, two, other, missing})
 	want := []string{"a leaf left", "send failed", "answered", "after"}
 	if len(s.Lines) != len(want) {
-		t.Fatalf("%d lines: %+v", len(s.Lines), s.Lines)
+		t.Fatalf("got %d lines: %+v", len(s.Lines), s.Lines)
 	}
 	for i, w := range want {
 		if !strings.Contains(s.Lines[i].Text, w) || !strings.HasPrefix(s.Lines[i].Text, "{") {
@@ -47,6 +47,6 @@
 		}
 	}
 	if len(s.Troubles) != 3 || s.Troubles[0].Line != 6 || s.Troubles[1].Line != 3 || s.Troubles[2].File != missing {
-		t.Errorf("troubles %+v", s.Troubles)
+		t.Errorf("got problems %+v", s.Troubles)
 	}
 }
--- a/internal/route/doc.go
+++ b/internal/route/doc.go
@@ -1,8 +1,8 @@
-// Package route holds the routes of requests that are forwarded as they are: which
-// route takes a request, and where it goes.
+// Package route selects the route of a forwarded request and the services that the
+// request is sent to.
 //
-// A Release is a whole configuration as an operator's system sends it, under a
-// number of its own. It becomes ordinary nodes of the settings tree (Edits), so
-// that plan, explain, diff and history work on it, and is read back from there
-// (FromTree). A Table is the form in which a daemon looks routes up.
+// A Release is a complete, numbered routing configuration sent by an operator's
+// system. Edits stores it as ordinary nodes of the settings tree, so that plan,
+// explain, diff and history cover it, and FromTree reads it back. A Table is the
+// index in which a daemon looks up routes.
 package route
--- a/internal/route/release.go
+++ b/internal/route/release.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Release is a whole configuration. Of two releases the one with the higher
-// number holds.
+// Release is a complete routing configuration. The release with the higher number
+// replaces the one with the lower number.
 type Release struct {
 	Number   uint64    `json:"number"`
 	Routes   []Route   `json:"routes"`
 	Services []Service `json:"services"`
 	Limits   Limits    `json:"limits"`
-	Extra    string    `json:"extra,omitempty"` // a JSON object of fields that are kept and have no effect
+	Extra    string    `json:"extra,omitempty"` // JSON object with unknown fields; stored, not interpreted
 }
 
-// Route selects requests and says where they go: to Service, to one of Split, or
-// to every service of Shards.
+// Route selects requests by host and path prefix. It sends them to Service, to one
+// service of Split chosen by weight, or to every service of Shards.
 type Route struct {
 	Name          string        `json:"name"`
 	Host          string        `json:"host"`
@@ -22,34 +22,36 @@
 	Timeout       time.Duration `json:"timeout"`
 	TargetLatency time.Duration `json:"target_latency"`
 	Priority      int           `json:"priority"` // 0 is the highest
-	Attempts      int           `json:"attempts"` // most leaves a request is sent to; of each shard
+	Attempts      int           `json:"attempts"` // maximum number of leaves that a request is sent to, for each shard
 	Service       string        `json:"service,omitempty"`
 	Split         []Weighted    `json:"split,omitempty"`
 	Shards        []string      `json:"shards,omitempty"`
-	Top           int           `json:"top,omitempty"`            // records in an answer made of parts
-	LeastCoverage float64       `json:"least_coverage,omitempty"` // share of the shards, 0 to 1
+	Top           int           `json:"top,omitempty"`            // maximum number of records in a gathered answer
+	LeastCoverage float64       `json:"least_coverage,omitempty"` // minimum fraction of the shards in an answer, 0 to 1
 	Extra         string        `json:"extra,omitempty"`
 
-	AnswerMargin time.Duration `json:"-"` // of the tree, not of the release
+	AnswerMargin time.Duration `json:"-"` // set in the settings tree by an operator; not part of a release
 }
 
-// Weighted is a service with its share of a route's requests.
+// WeightedService is a service that receives a share of a route's requests in
+// proportion to its weight.
 type Weighted struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
 
-// Service is a group of leaves that answer alike.
+// Service is a group of interchangeable leaves.
 type Service struct {
 	Name        string `json:"name"`
 	HealthPath  string `json:"health_path,omitempty"`
-	Connections int    `json:"connections,omitempty"` // a leaf accepts from all daemons together; 0: unknown
+	Connections int    `json:"connections,omitempty"` // maximum that one leaf accepts from all daemons together; 0: unknown
 	Protocol    string `json:"protocol,omitempty"`
 	TLS         bool   `json:"tls,omitempty"`
 	Extra       string `json:"extra,omitempty"`
 }
 
-// Limits bound what a caller may send, and how long it may take or be idle.
+// Limits bounds the size of a caller's headers and body, the time to send the
+// headers and the time that a connection may be idle.
 type Limits struct {
 	HeaderBytes   int           `json:"header_bytes"`
 	BodyBytes     int64         `json:"body_bytes"`
@@ -57,10 +59,11 @@
 	IdleTimeout   time.Duration `json:"idle_timeout"`
 }
 
-// Gathers reports whether the route's answers are made of the parts of shards.
+// IsGather reports whether an answer of the route is merged from the replies of
+// several shards.
 func (r *Route) Gathers() bool { return len(r.Shards) > 0 }
 
-// Targets lists the services the route may send a request to.
+// Targets returns the services that the route may send a request to.
 func (r *Route) Targets() []string {
 	switch {
 	case r.Gathers():
--- a/internal/route/spread.go
+++ b/internal/route/spread.go
@@ -5,9 +5,10 @@
 	"sync"
 )
 
-// spread deals requests out by weight. After any number of requests each service
-// is within one of its share, which a random draw would miss by its spread: over
-// 300 requests of two equal parts that is 5 in 100 in one of four draws.
+// weightedPicker distributes requests over services by smooth weighted round robin.
+// After any number of requests each service is within one request of its share. A
+// random choice deviates more: with two services of equal weight and 300 requests,
+// one run in four is off by 5 in 100.
 type spread struct {
 	mu     sync.Mutex
 	parts  []Weighted
@@ -23,8 +24,9 @@
 	for _, p := range parts {
 		s.total += p.Weight
 	}
-	// Daemons that all began with the heaviest part would send it too much while
-	// each has had only few requests.
+	// Random initial credit: if every daemon started with the service of the highest
+	// weight, that service would get too many requests while each daemon has sent
+	// only a few.
 	for i, p := range parts {
 		s.credit[i] = p.Weight * rand.Float64()
 	}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -9,23 +9,23 @@
 	"pearmoor/internal/work"
 )
 
-// Table finds the route of a request. It is immutable.
+// Table finds the route of a request by host and path. It is immutable.
 type Table struct {
 	Number  uint64
 	Limits  Limits
-	hosts   map[string][]*Entry // by prefix, the longest first
+	hosts   map[string][]*Entry // by normalized host; longest prefix first
 	service map[string]*Service
 	entries []*Entry
 }
 
-// Entry is a route in a Table. Its address names the route for as long as the
-// table is in use.
+// Entry is a route in a Table. Its pointer identifies the route while the table is
+// in use.
 type Entry struct {
 	Route
 	spread *spread
 }
 
-// NewTable returns the table of a release.
+// NewTable returns the lookup table of a release.
 func NewTable(r *Release) *Table {
 	t := &Table{
 		Number: r.Number, Limits: r.Limits,
@@ -50,7 +50,8 @@
 	return t
 }
 
-// distinct keeps the first of each name: a shard that is named twice is one shard.
+// dedupe removes repeated names and keeps the order: a shard that is listed twice
+// counts as one shard.
 func distinct(names []string) []string {
 	seen := make(map[string]bool, len(names))
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool {
@@ -60,8 +61,7 @@
 	})
 }
 
-// Find returns the route with the longest prefix that begins the path, among
-// those of the host.
+// Find returns the route of the host with the longest prefix that matches the path.
 func (t *Table) Find(host, path string) (*Entry, bool) {
 	for _, e := range t.hosts[NormalHost(host)] {
 		if strings.HasPrefix(path, e.Prefix) {
@@ -71,16 +71,17 @@
 	return nil, false
 }
 
-// Entries lists the routes in the release's order. The caller must not change it.
+// Entries returns the routes in the order of the release. The slice must not be
+// modified.
 func (t *Table) Entries() []*Entry { return t.entries }
 
-// Service returns what the release says of a service.
+// Service returns the release's definition of the named service.
 func (t *Table) Service(name string) (*Service, bool) {
 	s, ok := t.service[name]
 	return s, ok
 }
 
-// Pick returns the service for the next request of a route without shards.
+// PickService returns the service for the next request of a route without shards.
 func (e *Entry) Pick() string {
 	if e.spread == nil {
 		return e.Service
@@ -88,8 +89,8 @@
 	return e.spread.next()
 }
 
-// NormalHost brings a host name into the form in which hosts are compared: lower
-// case, without a port and without the final dot.
+// NormalizeHost returns host in the form used for comparison: lower case, without
+// port and trailing dot.
 func NormalHost(host string) string {
 	if strings.Contains(host, ":") {
 		if name, _, err := net.SplitHostPort(host); err == nil {
--- a/internal/route/tree.go
+++ b/internal/route/tree.go
@@ -15,8 +15,9 @@
 	"pearmoor/internal/work"
 )
 
-// Edits returns what turns the tree's release into r, and nothing else: what an
-// operator states besides, such as a margin on one route, stays.
+// Edits returns the edits that replace the release in the tree by r. Settings that
+// an operator has made on the same nodes, such as an answer margin of one route,
+// are not changed.
 func Edits(t *settings.Tree, r *Release) []settings.Edit {
 	var out []settings.Edit
 	want := states(r)
@@ -39,8 +40,8 @@
 	return out
 }
 
-// isReleased reports whether a release made the node, and not an operator who
-// states something there for a route to come.
+// setByRelease reports whether a release created the node. An operator may have set
+// something on a node whose route no release defines yet.
 func isReleased(t *settings.Tree, path string) bool {
 	for name := range t.Stated(path) {
 		if released[name] {
@@ -50,7 +51,8 @@
 	return false
 }
 
-// changes returns the edits that make the node at path state what is wanted.
+// nodeEdits returns the edits that change the release settings of the node at path
+// from have to want.
 func changes(path string, have, want map[string]string) []settings.Edit {
 	var out []settings.Edit
 	for _, name := range releasedNames {
@@ -66,7 +68,7 @@
 	return out
 }
 
-// releasedNames are the settings that a release states, at whatever node.
+// releaseSettings lists the settings that a release may set, on any node.
 var releasedNames = []string{
 	settings.NameRouteName, settings.NameRouteHost, settings.NameRoutePrefix, settings.NameRouteService,
 	settings.NameRouteSplit, settings.NameRouteShards, settings.NameRouteRepeatable, settings.NameRouteAttempts,
@@ -86,8 +88,8 @@
 	return out
 }()
 
-// node collects what is stated at one path, in canonical form; an empty text is
-// not stated.
+// nodeValues holds the settings of one node, by name, in canonical form. An empty
+// text is not set.
 type node map[string]string
 
 func (n node) text(name, value string) {
@@ -96,8 +98,9 @@
 	}
 }
 
-// value states a value unless it is the default, which never changes: of the
-// thousands of routes that a release may hold, most differ from it in little.
+// setUnlessDefault sets a value unless it equals the setting's default. Defaults
+// never change, and most of the thousands of routes in a release differ from them in
+// few settings.
 func (n node) value(name, value string) {
 	canonical := settings.Canonical([]settings.Edit{{Path: settings.Root, Name: name, Value: value, Op: settings.Set}})
 	if s, ok := settings.Lookup(name); ok && s.Default == canonical[0].Value {
@@ -106,7 +109,7 @@
 	n[name] = canonical[0].Value
 }
 
-// states returns, by path, what the tree states for a release.
+// releaseNodes returns, by path, the settings that represent a release in the tree.
 func states(r *Release) map[string]map[string]string {
 	out := make(map[string]map[string]string, len(r.Routes)+len(r.Services)+2)
 	routes, services := segments{taken: make(map[string]bool)}, segments{taken: make(map[string]bool)}
@@ -172,8 +175,8 @@
 	return n
 }
 
-// HeldNumber returns the number of the release that the tree holds, and false
-// when it holds none.
+// ReleaseNumber returns the number of the release in the tree, and false if there
+// is none.
 func HeldNumber(t *settings.Tree) (uint64, bool) {
 	e, ok := t.Effective(settings.ReleasePath)
 	if !ok || e.Release.Number == "" {
@@ -183,7 +186,7 @@
 	return n, err == nil
 }
 
-// FromTree reads the release that the tree holds; nil when it holds none.
+// FromTree returns the release in the tree, or nil if there is none.
 func FromTree(t *settings.Tree) (*Release, error) {
 	number, ok := HeldNumber(t)
 	if !ok {
@@ -193,7 +196,7 @@
 	r := &Release{Number: number, Extra: rel.Release.Extra}
 	limits, ok := t.Effective(settings.LimitsPath)
 	if !ok {
-		limits, _ = t.Effective(settings.Root) // all of them are the defaults
+		limits, _ = t.Effective(settings.Root) // no limits node: every limit has its default
 	}
 	r.Limits = Limits(limits.Caller)
 	for _, seg := range ordered(t.Children(settings.ServicesPath), rel.Release.ServiceOrder) {
@@ -249,14 +252,15 @@
 	return r, u.err
 }
 
-// segments gives each name a node of its own.
+// segmentNames assigns a unique path segment to each route or service name.
 type segments struct {
 	list  []string
 	taken map[string]bool
 }
 
-// add returns the node's name: the name itself where it may be one, else a hash
-// of it, which stays the same over releases.
+// assign returns the path segment for a name: the name itself if it is a valid
+// segment, otherwise a hash of it, which is the same in every release. A segment
+// that is already taken gets a numeric suffix.
 func (s *segments) add(name string) string {
 	seg := name
 	if !settings.IsSegment(seg) {
@@ -275,8 +279,8 @@
 	return seg
 }
 
-// order returns the nodes in the release's order, empty where that is the order
-// of their names.
+// orderSetting returns the segments in the order of the release, or an empty string
+// if that is the sorted order.
 func (s *segments) order() string {
 	if slices.IsSorted(s.list) {
 		return ""
@@ -284,7 +288,8 @@
 	return strings.Join(s.list, ",")
 }
 
-// ordered returns names in the order stated; those it does not name come last.
+// sortByOrder returns names sorted by their position in order; names that are not in
+// order come last.
 func ordered(names []string, order string) []string {
 	if order == "" {
 		return names
@@ -304,12 +309,12 @@
 	return out
 }
 
-// special are the characters that separate names in a list, and those that a text
-// value loses or refuses.
+// reservedChars are the separators of lists and the characters that a text setting
+// strips or rejects.
 const special = ",=%\r\n\x00 \t"
 
-// quote returns a name as it can stand in a list. Names are taken as they are but
-// for the rare one with a separator in it.
+// escape returns a name in the form used in lists. A name with a reserved character
+// is query-escaped and gets the prefix %; others are unchanged.
 func quote(name string) string {
 	if !strings.ContainsAny(name, special) {
 		return name
@@ -317,7 +322,8 @@
 	return "%" + url.QueryEscape(name)
 }
 
-// quoteName is quote for a value that is stated also where it is empty.
+// escapeOrMarkEmpty is escape for a value that must be stored even if it is empty:
+// the empty name becomes "%".
 func quoteName(name string) string {
 	if name == "" {
 		return "%"
@@ -341,7 +347,7 @@
 	return strings.Join(out, ",")
 }
 
-// unquoter reads what quote wrote and keeps the first error.
+// unescaper reverses escape and keeps the first error.
 type unquoter struct{ err error }
 
 func (u *unquoter) fail(err error) {
--- a/internal/route/tree_test.go
+++ b/internal/route/tree_test.go
@@ -14,7 +14,7 @@
 	"pearmoor/internal/settings"
 )
 
-// TestMain gives rapid a fixed seed, so that every run has the same verdict.
+// TestMain gives rapid a fixed seed, so that every run checks the same inputs.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "11", "rapid.checks": "200", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -73,19 +73,20 @@
 	return rel
 }
 
-// An operator reads back the configuration that was sent: each must come out of the
-// tree as it went in, whatever release the tree held before, odd names included.
+// A release that is stored in the tree must be read back unchanged, whatever release
+// was stored before. Guards against names that need escaping and leftovers of the
+// previous release.
 func TestReleaseThroughTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := settings.New()
 		for version := uint64(1); version <= 3; version++ {
 			want := drawRelease(t, version*7)
 			if err := want.Validate(); err != nil {
-				t.Fatalf("drawn release is invalid: %v", err)
+				t.Fatalf("generated release is invalid: %v", err)
 			}
 			next, err := tree.Apply(version, Edits(tree, want))
 			if err != nil {
-				t.Fatalf("the tree refuses a valid release: %v", err)
+				t.Fatalf("tree rejects a valid release: %v", err)
 			}
 			tree = next
 			got, err := FromTree(tree)
@@ -93,19 +94,19 @@
 				t.Fatal(err)
 			}
 			for i := range got.Routes {
-				got.Routes[i].AnswerMargin = 0 // of the tree, not of the release
+				got.Routes[i].AnswerMargin = 0 // set in the tree, not part of a release
 			}
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("got  %+v\nwant %+v", got, want)
 			}
 			if again := Edits(tree, want); len(again) != 0 {
-				t.Fatalf("the same release would change %v", again)
+				t.Fatalf("storing the same release again gives edits %v", again)
 			}
 		}
 	})
 }
 
-// What an operator states beside a release stays when the next release comes.
+// A setting that an operator made on a route's node must survive the next release.
 func TestReleaseLeavesOtherSettings(t *testing.T) {
 	rel := &Release{Number: 1, Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", Host: "h", Prefix: "/", Timeout: time.Second, Service: "s"}}}
 	tree, err := settings.New().Apply(1, Edits(settings.New(), rel))
@@ -136,11 +137,11 @@
 	}
 	err := rel.Validate()
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid release accepted")
 	}
 	for _, want := range []string{"no such service", "the same host and prefix", "no request could be answered", "add up to 0", "names no service"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not named in\n%v", want, err)
+			t.Errorf("%q is missing from\n%v", want, err)
 		}
 	}
 }
@@ -155,13 +156,13 @@
 	} {
 		e, ok := table.Find(c.host, c.path)
 		if ok != (c.want != "") || ok && e.Name != c.want {
-			t.Errorf("%s%s goes to %v, want %q", c.host, c.path, e, c.want)
+			t.Errorf("%s%s: got route %v, want %q", c.host, c.path, e, c.want)
 		}
 	}
 }
 
-// Requests are dealt out by weight: over any stretch each part is within one of its
-// share, which a random draw misses.
+// Each service must receive its share of 300 requests to within two, for any weights.
+// A random choice would deviate more.
 func TestSpreadByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "parts")
@@ -182,7 +183,7 @@
 		}
 		for _, p := range parts {
 			if d := count[p.Service] - 300*p.Weight/total; d > 2 || d < -2 {
-				t.Fatalf("%v of %v: %v is %v off its share", p, parts, count[p.Service], d)
+				t.Fatalf("%v of %v: got %v requests, off by %v", p, parts, count[p.Service], d)
 			}
 		}
 	})
--- a/internal/route/validate.go
+++ b/internal/route/validate.go
@@ -7,7 +7,7 @@
 	"pearmoor/internal/contract"
 )
 
-// Validate returns every fault of the release, as contract.Faults.
+// Validate returns all faults of the release as contract.Faults, or nil.
 func (r *Release) Validate() error {
 	v := validator{services: make(map[string]bool, len(r.Services)), places: make(map[place]string, len(r.Routes))}
 	for i := range r.Services {
@@ -19,9 +19,10 @@
 	return v.faults.ErrOrNil()
 }
 
-// place is what a route is selected by.
+// routeKey is the host and prefix by which a route is selected.
 type place struct{ host, prefix string }
 
+// validator collects the faults of a release.
 type validator struct {
 	services map[string]bool
 	places   map[place]string
@@ -40,7 +41,7 @@
 	v.line(fmt.Sprintf("services[%d]", i), s.Name, s.HealthPath, s.Protocol)
 }
 
-// line refuses text that could not be kept as one line.
+// checkSingleLine rejects texts that can't be stored as one line.
 func (v *validator) line(field string, texts ...string) {
 	for _, t := range texts {
 		if strings.ContainsAny(t, "\r\n\x00") {
--- a/internal/work/each.go
+++ b/internal/work/each.go
@@ -8,15 +8,15 @@
 	"pearmoor/internal/vm"
 )
 
-// Each runs at most one task for a key at a time. The zero value is ready for use.
+// KeyedRunner runs at most one task per key at a time. The zero value is ready for use.
 type Each struct {
 	mu   sync.Mutex
 	busy map[string]bool
 	wait sync.WaitGroup
 }
 
-// Go runs f on a goroutine of its own, unless a task for the key is under way. It
-// reports whether it does.
+// Go runs f on a new goroutine unless a task for the key is running. It reports whether
+// f was started.
 func (e *Each) Go(key string, f func()) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,8 +38,8 @@
 	return true
 }
 
-// InTurn starts f for one more key every pause, of those that keys names the first that
-// has no task, until done or the end of ctx, and waits for what it has started.
+// RunStaggered starts f once per interval, for the first of keys that has no running task,
+// until done returns true or ctx is done. It then waits for all running tasks.
 func (e *Each) InTurn(ctx context.Context, pause time.Duration, keys func() []string, done func() bool, f func(key string)) {
 	defer e.Wait()
 	for ctx.Err() == nil && !done() {
@@ -52,5 +52,5 @@
 	}
 }
 
-// Wait returns when no task is under way.
+// Wait waits until no task is running.
 func (e *Each) Wait() { e.wait.Wait() }
--- a/internal/work/each_test.go
+++ b/internal/work/each_test.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Tasks of different keys run beside one another; of one key only one at a time.
+// Tasks of different keys must run concurrently, and those of one key one at a time.
 func TestEach(t *testing.T) {
 	var e Each
 	gate := make(chan struct{})
 	var runs atomic.Int32
 	task := func() { runs.Add(1); <-gate }
 	if !e.Go("a", task) || !e.Go("b", task) || e.Go("a", task) {
-		t.Error("a second task of a key was started, or the first of another was not")
+		t.Error("a second task of a key was started, or the first task of another key was not")
 	}
 	close(gate)
 	e.Wait()
 	if !e.Go("a", task) {
-		t.Error("a key stays busy after its task")
+		t.Error("a key is still busy after its task has ended")
 	}
 	e.Wait()
 	if n := runs.Load(); n != 3 {
-		t.Errorf("%d tasks ran", n)
+		t.Errorf("got %d task runs", n)
 	}
 }
 
-// Of three VMs that are asked in turn the first does not answer. Others are asked while
-// that call is still under way, until the answer is there.
+// The task of the first key blocks, as a call to a VM that does not answer. The tasks of
+// other keys must be started meanwhile, until one of them has the answer.
 func TestInTurnPassesOverASilentOne(t *testing.T) {
 	var e Each
 	var known atomic.Bool
--- a/internal/work/pacer.go
+++ b/internal/work/pacer.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// paceSlice is how long a computation runs before it lets others run, and pacePause
-	// for how long at least: a yield alone does not look for what came from the network.
+	// computeSlice is the time that a computation runs before it sleeps for yieldSleep.
+	// It sleeps because runtime.Gosched does not poll the network.
 	paceSlice = time.Millisecond
 	pacePause = 50 * time.Microsecond
 )
 
-// Pacer breaks a long computation into slices. On one core a goroutine that computes is
-// preempted after 10 ms only, and each step of a request waits for that. The zero value
-// is ready for use.
+// Pacer splits a long computation into short slices. On one core the scheduler preempts a
+// computing goroutine only after 10 ms, and each step of a request would wait that long.
+// The zero value is ready for use.
 type Pacer struct{ began time.Time }
 
-// Step is called between two parts of the computation.
+// Step must be called regularly by the computation. It sleeps if the slice has ended.
 func (p *Pacer) Step() {
 	now := time.Now()
 	switch {
--- a/internal/work/pool.go
+++ b/internal/work/pool.go
@@ -1,24 +1,24 @@
-// Package work runs tasks on goroutines that are used again.
+// Package work provides helpers that run tasks on goroutines: a pool of reusable
+// goroutines, at most one task per key, and long computations in short slices.
 package work
 
 import "sync"
 
-// idleMost is how many goroutines a pool keeps parked: those of one gather over 90
-// shards and some more.
+// maxIdle is the maximum number of idle goroutines of a pool: enough for one gather over
+// 90 shards, with some reserve.
 const idleMost = 128
 
-// Pool runs tasks of one kind on goroutines that are used again: the stack of a
-// new one has to grow several times in each exchange with a leaf, which cost 8% of
-// the sending side's processor time.
+// Pool runs tasks on reusable goroutines. The stack of a new goroutine has to grow several
+// times in each exchange with a leaf, which costs 8% of the sender's processor time.
 type Pool[T any] struct {
 	do   func(T)
 	work chan T
-	idle chan struct{} // one token for each goroutine that may park
+	idle chan struct{} // one token for each idle goroutine
 	quit chan struct{}
 	once sync.Once
 }
 
-// NewPool returns a pool whose goroutines call do.
+// NewPool returns a pool whose goroutines call run for each task.
 func NewPool[T any](do func(T)) *Pool[T] {
 	return &Pool[T]{
 		do:   do,
@@ -28,7 +28,7 @@
 	}
 }
 
-// Run starts t on a parked goroutine, or on a new one.
+// Run starts t on an idle goroutine, or on a new one if there is none.
 func (p *Pool[T]) Run(t T) {
 	select {
 	case p.work <- t:
@@ -37,7 +37,8 @@
 	}
 }
 
-// serve runs t, and then what comes while the goroutine may park.
+// runTasks runs t and then further tasks, until the pool is closed or has enough idle
+// goroutines.
 func (p *Pool[T]) serve(t T) {
 	var none T
 	for {
@@ -57,5 +58,5 @@
 	}
 }
 
-// Close ends the parked goroutines; those at work end after their task.
+// Close ends the idle goroutines. The others end after their current task.
 func (p *Pool[T]) Close() { p.once.Do(func() { close(p.quit) }) }
