--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -17,7 +17,7 @@
 	segmentBytes = 4 << 20 // a read of one record reads a whole segment
 	// filesAtLimit is the number of segment files of a trail that has reached its size
 	// limit. The oldest one is removed as a whole.
-	limitFiles = 4
+	filesAtLimit = 4
 )
 
 // Trail is an append-only list of audit records in ascending order of version. Appended
@@ -27,16 +27,16 @@
 	log   *journal.Segments
 	limit int64 // maximum size in bytes; 0: unlimited
 
-	mu       sync.RWMutex
-	buffered []*wire.AuditRecord
-	last     uint64 // newest flushed version
-	files    []file // oldest first
+	mu          sync.RWMutex
+	buffered    []*wire.AuditRecord
+	lastFlushed uint64    // newest flushed version
+	segments    []segment // oldest first
 }
 
 // segment is a segment file and the first version in it.
-type file struct {
-	number uint64
-	first  uint64
+type segment struct {
+	number       uint64
+	firstVersion uint64
 }
 
 // Open opens the trail in dir. A nil fs means the file system of the operating system.
@@ -50,7 +50,7 @@
 	t.log, err = journal.OpenSegments(fs, dir, filePrefix, func(number uint64, payload []byte) error {
 		records, err := decode(payload)
 		if err == nil {
-			t.note(number, records)
+			t.recordFlushed(number, records)
 		}
 		return err
 	})
@@ -68,38 +68,38 @@
 
 // recordFlushed updates the list of segments and the newest version after records were
 // written to, or read from, the segment with that number.
-func (t *Trail) note(number uint64, records []*wire.AuditRecord) {
+func (t *Trail) recordFlushed(number uint64, records []*wire.AuditRecord) {
 	if len(records) == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if n := len(t.files); n == 0 || t.files[n-1].number != number {
-		t.files = append(t.files, file{number, records[0].Version})
+	if n := len(t.segments); n == 0 || t.segments[n-1].number != number {
+		t.segments = append(t.segments, segment{number, records[0].Version})
 	}
-	t.last = records[len(records)-1].Version
+	t.lastFlushed = records[len(records)-1].Version
 }
 
 // Last returns the newest version, flushed or buffered; 0 if there is none.
 func (t *Trail) Last() uint64 {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.newest()
+	return t.newestVersion()
 }
 
 // newestVersion is Last for a caller that holds t.mu.
-func (t *Trail) newest() uint64 {
+func (t *Trail) newestVersion() uint64 {
 	if n := len(t.buffered); n > 0 {
 		return t.buffered[n-1].Version
 	}
-	return t.last
+	return t.lastFlushed
 }
 
 // Append buffers a record. It ignores a record whose version is not newer than Last.
 func (t *Trail) Append(r *wire.AuditRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if r.Version > t.newest() {
+	if r.Version > t.newestVersion() {
 		t.buffered = append(t.buffered, r)
 	}
 }
@@ -109,8 +109,8 @@
 func (t *Trail) Skip(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if version > t.newest() && len(t.buffered) == 0 {
-		t.last = version
+	if version > t.newestVersion() && len(t.buffered) == 0 {
+		t.lastFlushed = version
 	}
 }
 
@@ -123,7 +123,7 @@
 	if len(records) == 0 {
 		return nil
 	}
-	if _, size := t.log.Current(); size >= t.fileBytes() {
+	if _, size := t.log.Current(); size >= t.maxSegmentBytes() {
 		if err := t.log.Rotate(); err != nil {
 			return err
 		}
@@ -136,37 +136,37 @@
 		return err
 	}
 	number, _ := t.log.Current()
-	t.note(number, records)
+	t.recordFlushed(number, records)
 	t.mu.Lock()
 	t.buffered = nil
 	t.mu.Unlock()
-	return t.trim()
+	return t.dropOldest()
 }
 
-func (t *Trail) fileBytes() int64 {
+func (t *Trail) maxSegmentBytes() int64 {
 	if t.limit <= 0 {
 		return segmentBytes
 	}
-	return min(segmentBytes, max(t.limit/limitFiles, 1))
+	return min(segmentBytes, max(t.limit/filesAtLimit, 1))
 }
 
 // dropOldest removes the oldest segments while the trail exceeds its limit. An unlimited
 // trail fills a disk of 64 MB after about 300,000 changes of 200 bytes, and then no
 // further change is accepted.
-func (t *Trail) trim() error {
+func (t *Trail) dropOldest() error {
 	for t.limit > 0 && t.log.Size() > t.limit {
 		t.mu.Lock()
-		if len(t.files) < 2 {
+		if len(t.segments) < 2 {
 			t.mu.Unlock()
 			return nil
 		}
-		next := t.files[1]
-		t.files = t.files[1:]
+		next := t.segments[1]
+		t.segments = t.segments[1:]
 		t.mu.Unlock()
 		if err := t.log.RemoveBefore(next.number); err != nil {
 			return err
 		}
-		klog.Infof("audit: records before version %d dropped, limit=%d bytes", next.first, t.limit)
+		klog.Infof("audit: records before version %d dropped, limit=%d bytes", next.firstVersion, t.limit)
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 // Versions that are not in the trail are omitted.
 func (t *Trail) Read(from uint64, limit int) ([]*wire.AuditRecord, error) {
 	var out []*wire.AuditRecord
-	for _, f := range t.filesFrom(from) {
+	for _, f := range t.segmentsFrom(from) {
 		err := t.log.ReadSegment(f.number, func(_ uint64, payload []byte) error {
 			records, err := decode(payload)
 			if err != nil {
@@ -199,14 +199,14 @@
 }
 
 // segmentsFrom returns the segments that may have versions at or above from.
-func (t *Trail) filesFrom(from uint64) []file {
+func (t *Trail) segmentsFrom(from uint64) []segment {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	i := len(t.files) - 1
-	for i > 0 && t.files[i].first > from {
+	i := len(t.segments) - 1
+	for i > 0 && t.segments[i].firstVersion > from {
 		i--
 	}
-	return append([]file(nil), t.files[max(i, 0):]...)
+	return append([]segment(nil), t.segments[max(i, 0):]...)
 }
 
 // Close flushes and closes the trail.
--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -25,7 +25,7 @@
 
 // A restarted control VM applies the end of its log again and appends records that the
 // trail already has. Each record must be stored once.
-func TestTrailOutlastsRestarts(t *testing.T) {
+func TestTrailIgnoresRecordsReappliedAfterRestart(t *testing.T) {
 	Convey("Records appended again after a restart are ignored, and all are read back", t, func() {
 		dir := t.TempDir()
 		for _, from := range []uint64{1, 41, 61} {
@@ -61,7 +61,7 @@
 			trail.Append(r)
 			So(trail.Flush(), ShouldBeNil)
 		}
-		So(len(trail.files), ShouldBeGreaterThan, 3)
+		So(len(trail.segments), ShouldBeGreaterThan, 3)
 		for v := uint64(1); v <= 20; v++ {
 			got, err := trail.Read(v, 1)
 			So(err, ShouldBeNil)
@@ -73,7 +73,7 @@
 
 // A trail that fills the disk stops all further changes. It must stay within its limit
 // and keep the newest records, also after restarts.
-func TestTrailKeepsToItsLimit(t *testing.T) {
+func TestTrailStaysWithinSizeLimit(t *testing.T) {
 	const limit = 40 << 10
 	Convey("A bounded trail drops its oldest records and keeps the newest", t, func() {
 		dir := t.TempDir()
--- a/internal/contract/verdict.go
+++ b/internal/contract/verdict.go
@@ -47,11 +47,11 @@
 
 // Combine returns the verdict of a request from the verdicts of two attempts: Ran if
 // either is Ran, NotRun only if both are NotRun, and MayHaveRun otherwise.
-func (v Verdict) Join(o Verdict) Verdict {
-	if v == Ran || o == Ran {
+func (v Verdict) Join(other Verdict) Verdict {
+	if v == Ran || other == Ran {
 		return Ran
 	}
-	if v == NotRun && o == NotRun {
+	if v == NotRun && other == NotRun {
 		return NotRun
 	}
 	return MayHaveRun
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -19,7 +19,7 @@
 	maxSyncInterval     = 10 * time.Second
 	minFanout           = 2
 	maxFanout           = 1024
-	maxDirect           = 4096
+	maxRelayThreshold   = 4096
 )
 
 // Config is the configuration of a daemon, from flags and environment variables.
@@ -204,28 +204,28 @@
 	var faults contract.Faults
 	voters := make(map[uint64]string, len(c.BootstrapVoters))
 	for _, v := range c.BootstrapVoters {
-		id, addr, err := parseVoter(v)
-		if err != "" {
-			faults = append(faults, fault("--bootstrap-voter", v, err, "write id=host:port with a different id for each, 1 or higher"))
+		id, addr, why := parseVoter(v)
+		if why != "" {
+			faults = append(faults, fault("--bootstrap-voter", v, why, "write id=host:port with a different id for each, 1 or higher"))
 			continue
 		}
-		if _, twice := voters[id]; twice {
+		if _, duplicate := voters[id]; duplicate {
 			faults = append(faults, fault("--bootstrap-voter", v, "repeats an id", "give every control VM its own"))
 		}
 		voters[id] = addr
 	}
-	if _, own := voters[c.ControlID]; len(voters) > 0 && !own {
+	if _, hasOwn := voters[c.ControlID]; len(voters) > 0 && !hasOwn {
 		faults = append(faults, fault("--bootstrap-voter", strings.Join(c.BootstrapVoters, ","), "does not name this VM's own --control-id", "list every first voter, this VM too"))
 	}
 	return voters, faults
 }
 
 func parseVoter(v string) (id uint64, addr, why string) {
-	left, addr, ok := strings.Cut(v, "=")
+	idText, addr, ok := strings.Cut(v, "=")
 	if !ok {
 		return 0, "", "has no '='"
 	}
-	id, err := strconv.ParseUint(left, 10, 64)
+	id, err := strconv.ParseUint(idText, 10, 64)
 	if err != nil || id == 0 {
 		return 0, "", "has no positive id"
 	}
@@ -242,7 +242,7 @@
 	if c.SyncEvery < minSyncInterval || c.SyncEvery > maxSyncInterval {
 		faults = append(faults, fault("--sync-every", c.SyncEvery.String(), "is out of range", "choose 50ms to 10s"))
 	}
-	if c.Direct < 1 || c.Direct > maxDirect {
+	if c.Direct < 1 || c.Direct > maxRelayThreshold {
 		faults = append(faults, fault("--relay-above", strconv.Itoa(c.Direct), "is out of range", "choose 1 to 4096"))
 	}
 	if c.Fanout < minFanout || c.Fanout > maxFanout {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -45,9 +45,9 @@
 	entry      *entry.Server
 	sender     *leaf.Sender
 	prober     *leaf.Prober
-	homes      *homes
+	shares     *shareManager
 	gates      *admit.Gates
-	horizon    directory.ListExpiry
+	listExpiry directory.ListExpiry
 }
 
 // New binds the daemon's ports and creates its components. Run starts them.
@@ -167,9 +167,9 @@
 	d.prober = leaf.NewProber(leaf.ProberConfig{
 		Sender: d.sender, Gates: d.gates, PlatformURL: d.conf.PlatformURL, Clock: vm.Now,
 	})
-	d.homes = &homes{
+	d.shares = &shareManager{
 		self: d.self, source: d.client, gates: d.gates, sender: d.sender, prober: d.prober, ack: d.client.Ack,
-		horizon: &d.horizon,
+		listExpiry: &d.listExpiry,
 	}
 	d.quarantine = quarantine.NewRegistry(vm.Now, &quarantine.RemoteLeader{
 		Conns:        d.queryConns,
@@ -217,34 +217,34 @@
 
 // Run serves until shutdown is done, then drains; when abort is done, it stops without
 // waiting further. It returns nil after a planned stop.
-func (d *Daemon) Run(stop, hurry context.Context) error {
+func (d *Daemon) Run(shutdown, abort context.Context) error {
 	mux := drpcmux.New()
 	if err := d.register(mux); err != nil {
 		return err
 	}
 	// The peer, operator and control servers run until the drain has ended: a draining
 	// daemon still renews its lease and answers other daemons.
-	base, endBase := context.WithCancel(context.WithoutCancel(stop))
-	defer endBase()
-	g, ctx := errgroup.WithContext(base)
-	d.startBase(g, ctx, mux)
-	callers, endCallers := context.WithCancel(ctx)
-	defer endCallers()
-	d.startEntry(g, ctx, callers)
-	if err := d.conf.writeReady(d.listeners); err != nil {
+	baseCtx, cancelBase := context.WithCancel(context.WithoutCancel(shutdown))
+	defer cancelBase()
+	g, ctx := errgroup.WithContext(baseCtx)
+	d.startServers(g, ctx, mux)
+	callerCtx, stopCallers := context.WithCancel(ctx)
+	defer stopCallers()
+	d.startEntry(g, ctx, callerCtx)
+	if err := d.conf.writeReadyFile(d.listeners); err != nil {
 		return err
 	}
 	d.lifecycle.set(phaseServing)
 	klog.Infof("daemon: %s serves; callers %s, peers %s, operators %s",
 		d.self.Name, d.self.CallerAddr, d.self.PeerAddr, d.listeners.operator.Addr())
 	g.Go(func() error {
-		defer endBase()
+		defer cancelBase()
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-stop.Done():
+		case <-shutdown.Done():
 		}
-		d.drain(hurry, endCallers)
+		d.drain(abort, stopCallers)
 		return nil
 	})
 	err := g.Wait()
@@ -253,7 +253,7 @@
 	return err
 }
 
-func (d *Daemon) startBase(g *errgroup.Group, ctx context.Context, mux *drpcmux.Mux) {
+func (d *Daemon) startServers(g *errgroup.Group, ctx context.Context, mux *drpcmux.Mux) {
 	g.Go(func() error { return peer.Serve(ctx, d.listeners.peer, mux, d.serverTLS()) })
 	operator := newOperatorServer(d.ready, func() any { return d.status() })
 	g.Go(func() error { return operator.serve(ctx, d.listeners.operator) })
@@ -262,22 +262,22 @@
 	}
 }
 
-func (d *Daemon) startEntry(g *errgroup.Group, ctx, callers context.Context) {
+func (d *Daemon) startEntry(g *errgroup.Group, ctx, callerCtx context.Context) {
 	if d.entry == nil {
 		return
 	}
 	d.client.SetPhase(vm.Serving)
-	g.Go(func() error { return ended(ctx, d.client.Run(ctx)) })
-	g.Go(func() error { return ended(ctx, d.prober.Run(ctx)) })
-	g.Go(func() error { d.homes.run(ctx); return nil })
+	g.Go(func() error { return ignoreAfterCancel(ctx, d.client.Run(ctx)) })
+	g.Go(func() error { return ignoreAfterCancel(ctx, d.prober.Run(ctx)) })
+	g.Go(func() error { d.shares.run(ctx); return nil })
 	g.Go(func() error { d.quarantine.Run(ctx); return nil })
 	g.Go(func() error { d.gates.WatchStalls(ctx); return nil })
-	g.Go(func() error { return d.entry.Serve(callers, d.listeners.caller, d.callerTLS()) })
+	g.Go(func() error { return d.entry.Serve(callerCtx, d.listeners.caller, d.callerTLS()) })
 }
 
 // ignoreAfterCancel returns err, or nil if ctx is done: an error after cancellation is
 // part of the shutdown.
-func ended(ctx context.Context, err error) error {
+func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -322,8 +322,8 @@
 	if m, ok := v.Settled.Find(d.self.Name); !ok || !m.Same(d.self) {
 		return false, "joining: the agreed membership does not hold this daemon yet"
 	}
-	if left := v.Lease.Sub(vm.Now()); left <= 0 {
-		return false, "unconfirmed: the daemon lease ran out " + (-left).Round(time.Millisecond).String() + " ago"
+	if remaining := v.Lease.Sub(vm.Now()); remaining <= 0 {
+		return false, "unconfirmed: the daemon lease ran out " + (-remaining).Round(time.Millisecond).String() + " ago"
 	}
 	return true, phaseServing.String()
 }
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -13,37 +13,37 @@
 const (
 	// delistTimeout bounds the wait until the agreed membership no longer lists this
 	// daemon as serving, which never happens while control is unreachable.
-	agreeLimit = 15 * time.Second
+	delistTimeout = 15 * time.Second
 	// goneTimeout bounds the wait until control has recorded this daemon as gone.
-	leaveLimit = 2 * time.Second
-	drainPoll  = 20 * time.Millisecond
+	goneTimeout       = 2 * time.Second
+	drainPollInterval = 20 * time.Millisecond
 )
 
 // drain shuts down gracefully. Callers keep an address list for its lifetime, so the
 // daemon first leaves the address lists and gives up its shares, then serves until the
 // last list that names it has expired, and then finishes the requests in flight.
-func (d *Daemon) drain(hurry context.Context, endCallers func()) {
+func (d *Daemon) drain(abort context.Context, stopCallers func()) {
 	d.lifecycle.set(phaseDraining)
 	if d.entry == nil {
 		return
 	}
 	klog.Infof("daemon: %s drains: leaving the address lists", d.self.Name)
 	d.client.SetPhase(vm.Draining)
-	waitFor(hurry, agreeLimit, func() bool { return hasLeft(d.client.Current(), d.self) })
-	lifetime := d.horizon.Remaining(vm.Now())
+	pollUntil(abort, delistTimeout, func() bool { return isDelisted(d.client.Current(), d.self) })
+	lifetime := d.listExpiry.Remaining(vm.Now())
 	klog.Infof("daemon: %s drains: callers keep its address for %s; %d requests in flight", d.self.Name, lifetime, d.engine.InFlight())
-	waitFor(hurry, lifetime, func() bool { return false })
-	endCallers()
-	if err := d.engine.Drain(hurry); err != nil {
+	pollUntil(abort, lifetime, func() bool { return false })
+	stopCallers()
+	if err := d.engine.Drain(abort); err != nil {
 		klog.Warningf("daemon: %s cuts off %d requests in flight: %v", d.self.Name, d.engine.InFlight(), err)
 	}
 	d.client.SetPhase(vm.Gone)
-	waitFor(hurry, leaveLimit, func() bool { return isGone(d.client.Current(), d.self) })
+	pollUntil(abort, goneTimeout, func() bool { return isGone(d.client.Current(), d.self) })
 }
 
 // isDelisted reports whether the agreed membership no longer has self as serving. A
 // daemon with that membership does not put self on an address list.
-func hasLeft(v *relay.View, self vm.Identity) bool {
+func isDelisted(v *relay.View, self vm.Identity) bool {
 	if v.Settled == nil || v.Pending != nil {
 		return false
 	}
@@ -66,10 +66,10 @@
 }
 
 // pollUntil polls done until it returns true, the timeout has passed or ctx is done.
-func waitFor(ctx context.Context, limit time.Duration, done func() bool) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func pollUntil(ctx context.Context, timeout time.Duration, done func() bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for !done() {
 		select {
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -19,60 +19,60 @@
 
 // ackPollInterval is the interval at which a daemon whose shares have shrunk checks
 // whether its requests in flight fit the new shares.
-const respectPoll = 10 * time.Millisecond
+const ackPollInterval = 10 * time.Millisecond
 
 // shareVersion identifies the state that shares are computed from. A lease renewal
 // does not change it.
-type stateKey struct {
+type shareVersion struct {
 	config, inForce, settled, pending uint64
 }
 
-func keyOf(v *relay.View) stateKey {
-	k := stateKey{config: v.ConfigVersion, inForce: v.InForce}
+func shareVersionOf(v *relay.View) shareVersion {
+	version := shareVersion{config: v.ConfigVersion, inForce: v.InForce}
 	if v.Settled != nil {
-		k.settled = v.Settled.Epoch
+		version.settled = v.Settled.Epoch
 	}
 	if v.Pending != nil {
-		k.pending = v.Pending.Epoch
+		version.pending = v.Pending.Epoch
 	}
-	return k
+	return version
 }
 
 // shareManager applies this daemon's shares of the leaves, as given by the agreed state,
 // to the admission gates, the prober and the leaf connections.
-type homes struct {
-	self    vm.Identity
-	source  relay.Source
-	gates   *admit.Gates
-	sender  *leaf.Sender
-	prober  *leaf.Prober
-	ack     func(config, epoch uint64)
-	horizon *directory.ListExpiry
-
-	applied stateKey
-	mu      sync.Mutex // guards assigned: run writes it, services reads it
-	held    held
-	acked   stateKey
+type shareManager struct {
+	self       vm.Identity
+	source     relay.Source
+	gates      *admit.Gates
+	sender     *leaf.Sender
+	prober     *leaf.Prober
+	ack        func(config, epoch uint64)
+	listExpiry *directory.ListExpiry
+
+	applied      shareVersion
+	mu           sync.Mutex // guards assigned: run writes it, services reads it
+	assigned     assignment
+	acknowledged shareVersion
 }
 
 // assignment is the set of leaves and services that this daemon has a share of.
-type held struct {
+type assignment struct {
 	leaves   map[string]settings.Leaf // by address
 	services map[string]bool
 }
 
 // run applies and acknowledges each new view of the source until ctx is done.
-func (h *homes) run(ctx context.Context) {
+func (m *shareManager) run(ctx context.Context) {
 	for {
-		changed := h.source.Changed()
-		v := h.source.Current()
-		h.horizon.Observe(v, vm.Now())
-		h.follow(v)
+		changed := m.source.Changed()
+		v := m.source.Current()
+		m.listExpiry.Observe(v, vm.Now())
+		m.apply(v)
 		wait := time.Duration(-1)
-		if !h.acknowledge() {
-			wait = respectPoll
+		if !m.acknowledge() {
+			wait = ackPollInterval
 		}
-		if !waitChange(ctx, changed, wait) {
+		if !waitForChange(ctx, changed, wait) {
 			return
 		}
 	}
@@ -80,7 +80,7 @@
 
 // waitForChange waits for changed, and at most for wait unless it is negative. It
 // returns false when ctx is done.
-func waitChange(ctx context.Context, changed <-chan struct{}, wait time.Duration) bool {
+func waitForChange(ctx context.Context, changed <-chan struct{}, wait time.Duration) bool {
 	var timeout <-chan time.Time
 	if wait >= 0 {
 		timer := time.NewTimer(wait)
@@ -98,61 +98,61 @@
 
 // apply applies a view. The lease end is set last: otherwise a permit could be granted
 // under the new lease with the old shares.
-func (h *homes) follow(v *relay.View) {
-	key := keyOf(v)
-	if key != h.applied && v.Tree != nil {
-		h.configure(v)
-		h.applied = key
+func (m *shareManager) apply(v *relay.View) {
+	version := shareVersionOf(v)
+	if version != m.applied && v.Tree != nil {
+		m.configure(v)
+		m.applied = version
 	}
-	h.gates.SetLeaseEnd(v.Lease)
+	m.gates.SetLeaseEnd(v.Lease)
 }
 
 // configure sets the share of every leaf. A leaf of which this daemon no longer has a
 // share gets zero limits and is no longer probed.
-func (h *homes) configure(v *relay.View) {
-	now := held{leaves: make(map[string]settings.Leaf), services: make(map[string]bool)}
+func (m *shareManager) configure(v *relay.View) {
+	next := assignment{leaves: make(map[string]settings.Leaf), services: make(map[string]bool)}
 	for _, path := range v.Tree.Services("") {
 		if e, ok := v.Tree.Effective(path); ok {
-			h.configureService(v, e, now)
+			m.configureService(v, e, next)
 		}
 	}
-	for addr, l := range h.held.leaves {
-		if _, kept := now.leaves[addr]; !kept {
-			h.gates.Configure(addr, admit.Limits{})
-			h.sender.Configure(l, leaf.ConnConfig{})
+	for addr, l := range m.assigned.leaves {
+		if _, kept := next.leaves[addr]; !kept {
+			m.gates.Configure(addr, admit.Limits{})
+			m.sender.Configure(l, leaf.ConnConfig{})
 		}
 	}
-	for service := range h.held.services {
-		if !now.services[service] {
-			h.prober.Watch(service, nil)
+	for service := range m.assigned.services {
+		if !next.services[service] {
+			m.prober.Watch(service, nil)
 		}
 	}
-	h.mu.Lock()
-	h.held = now
-	h.mu.Unlock()
+	m.mu.Lock()
+	m.assigned = next
+	m.mu.Unlock()
 	klog.V(1).Infof("homes: %d leaves of %d services at configuration %d, epoch %d",
-		len(now.leaves), len(now.services), v.ConfigVersion, v.Epoch())
+		len(next.leaves), len(next.services), v.ConfigVersion, v.Epoch())
 }
 
-func (h *homes) configureService(v *relay.View, e *settings.Effective, now held) {
-	var own []settings.Leaf
+func (m *shareManager) configureService(v *relay.View, e *settings.Effective, next assignment) {
+	var ownLeaves []settings.Leaf
 	for i, l := range e.Leaves {
-		slots, conns := v.Share(e.Path, e, i, h.self)
+		slots, conns := v.Share(e.Path, e, i, m.self)
 		if slots <= 0 || conns <= 0 {
 			continue
 		}
-		own = append(own, l)
-		now.leaves[l.Addr] = l
-		h.gates.Configure(l.Addr, admit.Limits{Slots: slots, MaxQueue: e.QueueLimit, Ramp: e.Ramp})
-		h.sender.Configure(l, leaf.ConnConfig{MaxConns: conns, TLS: e.LeafTLS, ConnectTime: e.ConnectCost})
+		ownLeaves = append(ownLeaves, l)
+		next.leaves[l.Addr] = l
+		m.gates.Configure(l.Addr, admit.Limits{Slots: slots, MaxQueue: e.QueueLimit, Ramp: e.Ramp})
+		m.sender.Configure(l, leaf.ConnConfig{MaxConns: conns, TLS: e.LeafTLS, ConnectTime: e.ConnectCost})
 	}
-	if len(own) == 0 {
+	if len(ownLeaves) == 0 {
 		return
 	}
-	now.services[e.Path] = true
-	part := *e
-	part.Leaves = own
-	h.prober.Watch(e.Path, &part)
+	next.services[e.Path] = true
+	ownService := *e
+	ownService.Leaves = ownLeaves
+	m.prober.Watch(e.Path, &ownService)
 }
 
 // acknowledge reports to control that this daemon is within its current shares, and
@@ -160,21 +160,21 @@
 // new owner of a share would send requests while those of the old owner still run, and
 // the leaf would get more requests than it has slots, or more connections than it
 // accepts.
-func (h *homes) acknowledge() bool {
-	if h.acked == h.applied {
+func (m *shareManager) acknowledge() bool {
+	if m.acknowledged == m.applied {
 		return true
 	}
-	if !h.gates.WithinLimits() || !h.sender.WithinLimits() {
+	if !m.gates.WithinLimits() || !m.sender.WithinLimits() {
 		return false
 	}
-	h.acked = h.applied
-	h.ack(h.acked.config, max(h.acked.settled, h.acked.pending))
+	m.acknowledged = m.applied
+	m.ack(m.acknowledged.config, max(m.acknowledged.settled, m.acknowledged.pending))
 	return true
 }
 
 // services returns the sorted query services that this daemon has a share of.
-func (h *homes) services() []string {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return slices.Sorted(maps.Keys(h.held.services))
+func (m *shareManager) services() []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.Sorted(maps.Keys(m.assigned.services))
 }
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -77,7 +77,7 @@
 
 // writeReadyFile writes the ready file atomically, by renaming a temporary file, so
 // that a script that polls for it never reads a partial file.
-func (c *Config) writeReady(l listeners) error {
+func (c *Config) writeReadyFile(l listeners) error {
 	if c.ReadyFile == "" {
 		return nil
 	}
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -25,7 +25,7 @@
 // Collect implements prometheus.Collector.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	c.registry.Each(func(name string, m any) {
-		for _, p := range points(promName(name), m) {
+		for _, p := range constMetrics(promName(name), m) {
 			out <- p
 		}
 	})
@@ -41,16 +41,16 @@
 }
 
 // constMetrics converts a go-metrics metric. It returns nil for an unsupported type.
-func points(name string, m any) []prometheus.Metric {
+func constMetrics(name string, m any) []prometheus.Metric {
 	switch m := m.(type) {
 	case metrics.Counter:
-		return one(name, prometheus.UntypedValue, float64(m.Count()))
+		return singleValue(name, prometheus.UntypedValue, float64(m.Count()))
 	case metrics.Gauge:
-		return one(name, prometheus.GaugeValue, float64(m.Value()))
+		return singleValue(name, prometheus.GaugeValue, float64(m.Value()))
 	case metrics.GaugeFloat64:
-		return one(name, prometheus.GaugeValue, m.Value())
+		return singleValue(name, prometheus.GaugeValue, m.Value())
 	case metrics.Meter:
-		return one(name, prometheus.CounterValue, float64(m.Snapshot().Count()))
+		return singleValue(name, prometheus.CounterValue, float64(m.Snapshot().Count()))
 	case metrics.Histogram:
 		s := m.Snapshot()
 		return summary(name, s.Count(), float64(s.Sum()), s.Percentiles(quantiles))
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func one(name string, kind prometheus.ValueType, v float64) []prometheus.Metric {
+func singleValue(name string, kind prometheus.ValueType, v float64) []prometheus.Metric {
 	desc := prometheus.NewDesc(name, "go-metrics "+name, nil, nil)
 	return []prometheus.Metric{prometheus.MustNewConstMetric(desc, kind, v)}
 }
--- a/internal/daemon/operator.go
+++ b/internal/daemon/operator.go
@@ -22,14 +22,14 @@
 
 // readinessFunc reports whether the daemon accepts new requests, and its state or the
 // reason why not.
-type readiness func() (ready bool, why string)
+type readinessFunc func() (ready bool, why string)
 
 // operatorServer is the HTTP server for metrics, health, readiness, status and profiles.
 type operatorServer struct {
 	http *http.Server
 }
 
-func newOperatorServer(ready readiness, status func() any) *operatorServer {
+func newOperatorServer(ready readinessFunc, status func() any) *operatorServer {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{metrics.DefaultRegistry})
 	registry.MustRegister(collectors.NewGoCollector())
@@ -38,7 +38,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
-	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { writeReady(w, ready) })
+	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { writeReadiness(w, ready) })
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { writeStatus(w, status()) })
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
@@ -46,7 +46,7 @@
 	return &operatorServer{http: &http.Server{Handler: mux, ReadHeaderTimeout: operatorReadTimeout}}
 }
 
-func writeReady(w http.ResponseWriter, ready readiness) {
+func writeReadiness(w http.ResponseWriter, ready readinessFunc) {
 	ok, why := ready()
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -27,11 +27,11 @@
 		return s
 	}
 	v := d.client.Current()
-	key := keyOf(v)
-	s.ConfigVersion, s.InForce = key.config, key.inForce
-	s.SettledEpoch, s.PendingEpoch = key.settled, key.pending
+	version := shareVersionOf(v)
+	s.ConfigVersion, s.InForce = version.config, version.inForce
+	s.SettledEpoch, s.PendingEpoch = version.settled, version.pending
 	s.LeaseLeftMS = max(0, v.Lease.Sub(vm.Now()).Milliseconds())
 	s.InFlight = d.engine.InFlight()
-	s.Services = d.homes.services()
+	s.Services = d.shares.services()
 	return s
 }
--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -18,35 +18,35 @@
 
 const (
 	// queueCapacity is the maximum number of lines that wait to be written.
-	queuedLines = 512
-	flushEvery  = 200 * time.Millisecond
+	queueCapacity = 512
+	flushInterval = 200 * time.Millisecond
 	// maxLinesPerSecond limits the processor time spent on lines about requests: 2 µs
 	// for each (BenchmarkLine), and about as much again to write it.
-	linesPerSecond = 400
+	maxLinesPerSecond = 400
 	// maxValueBytes limits the length of a text value, in bytes.
-	longestValue = 200
+	maxValueBytes = 200
 	// closeTimeout bounds the wait in Close when writes to the output block.
-	closeWait = time.Second
+	closeTimeout = time.Second
 )
 
 var (
-	written = metrics.GetOrRegisterCounter("decision.lines", metrics.DefaultRegistry)
-	leftOut = metrics.GetOrRegisterCounter("decision.lines.left_out", metrics.DefaultRegistry)
+	linesWritten = metrics.GetOrRegisterCounter("decision.lines", metrics.DefaultRegistry)
+	linesDropped = metrics.GetOrRegisterCounter("decision.lines.left_out", metrics.DefaultRegistry)
 )
 
 // Names of the fields that every line has.
 const (
-	timeField  = "time" // UTC, in milliseconds
-	levelField = "level"
-	partField  = "part" // component of the program
-	whatField  = "what" // event: the decision or condition
+	timeField      = "time" // UTC, in milliseconds
+	levelField     = "level"
+	componentField = "part" // component of the program
+	eventField     = "what" // event: the decision or condition
 )
 
 func init() {
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
 	zerolog.TimestampFunc = func() time.Time { return time.Now().UTC() }
 	zerolog.TimestampFieldName = timeField
-	zerolog.MessageFieldName = whatField
+	zerolog.MessageFieldName = eventField
 }
 
 // Log queues lines and writes them in the background. A nil Log discards them.
@@ -57,16 +57,16 @@
 	stop   chan struct{}
 	done   chan struct{}
 
-	mu      sync.Mutex
-	second  int64
-	count   int
-	dropped int64
+	mu            sync.Mutex
+	currentSecond int64
+	lineCount     int
+	dropped       int64
 }
 
 // New returns a Log that writes to w until Close.
 func New(w io.Writer) *Log {
 	l := &Log{
-		queue:  make(chan []byte, queuedLines),
+		queue:  make(chan []byte, queueCapacity),
 		blocks: newBlockWriter(w),
 		stop:   make(chan struct{}),
 		done:   make(chan struct{}),
@@ -82,13 +82,13 @@
 	close(l.stop)
 	select {
 	case <-l.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
 
 func (l *Log) run() {
 	defer close(l.done)
-	ticker := time.NewTicker(flushEvery)
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -113,7 +113,7 @@
 	l.mu.Unlock()
 	if n > 0 {
 		out := zerolog.New(l.blocks)
-		lineTo(&out, "warning", "decision").Int("lines", n).end("left out")
+		newLineTo(&out, "warning", "decision").Int("lines", n).endWith("left out")
 	}
 	l.blocks.flush()
 }
@@ -127,33 +127,33 @@
 	case w.log.queue <- bytes.Clone(line):
 	default:
 		w.log.mu.Lock()
-		w.log.drop()
+		w.log.countDropped()
 		w.log.mu.Unlock()
 	}
 	return len(line), nil
 }
 
 // countDropped counts a dropped line. The caller must hold l.mu.
-func (l *Log) drop() {
+func (l *Log) countDropped() {
 	l.dropped++
-	leftOut.Inc(1)
+	linesDropped.Inc(1)
 }
 
-func (l *Log) line(level, part string) Line { return lineTo(&l.out, level, part) }
+func (l *Log) newLine(level, component string) Line { return newLineTo(&l.out, level, component) }
 
-func lineTo(out *zerolog.Logger, level, part string) Line {
-	return Line{out.Log().Timestamp().Str(levelField, level).Str(partField, part)}
+func newLineTo(out *zerolog.Logger, level, component string) Line {
+	return Line{out.Log().Timestamp().Str(levelField, level).Str(componentField, component)}
 }
 
 // Line starts a line with the component of the program and the event. If the line exceeds
 // the rate limit, the methods of the returned Line do nothing.
-func (l *Log) Line(part, what string) Line {
+func (l *Log) Line(component, event string) Line {
 	if l == nil || !l.allow() {
 		return Line{}
 	}
-	written.Inc(1)
-	line := l.line("info", part)
-	line.e.Str(whatField, what)
+	linesWritten.Inc(1)
+	line := l.newLine("info", component)
+	line.e.Str(eventField, event)
 	return line
 }
 
@@ -162,14 +162,14 @@
 	now := time.Now().Unix()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now != l.second {
-		l.second, l.count = now, 0
+	if now != l.currentSecond {
+		l.currentSecond, l.lineCount = now, 0
 	}
-	if l.count >= linesPerSecond {
-		l.drop()
+	if l.lineCount >= maxLinesPerSecond {
+		l.countDropped()
 		return false
 	}
-	l.count++
+	l.lineCount++
 	return true
 }
 
@@ -178,8 +178,8 @@
 
 // Str adds a text field, truncated to maxValueBytes.
 func (l Line) Str(k, v string) Line {
-	if len(v) > longestValue {
-		v = v[:longestValue]
+	if len(v) > maxValueBytes {
+		v = v[:maxValueBytes]
 	}
 	l.e.Str(k, v)
 	return l
@@ -217,4 +217,4 @@
 // End queues the line.
 func (l Line) End() { l.e.Send() }
 
-func (l Line) end(what string) { l.e.Msg(what) }
+func (l Line) endWith(event string) { l.e.Msg(event) }
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -16,19 +16,19 @@
 )
 
 // recordingOutput records each write separately.
-type output struct {
+type recordingOutput struct {
 	mu     sync.Mutex
 	writes [][]byte
 }
 
-func (o *output) Write(p []byte) (int, error) {
+func (o *recordingOutput) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.writes = append(o.writes, bytes.Clone(p))
 	return len(p), nil
 }
 
-func (o *output) lines(t *testing.T) []map[string]any {
+func (o *recordingOutput) lines(t *testing.T) []map[string]any {
 	t.Helper()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,7 +52,7 @@
 // Decision lines and klog lines go to one output, in blocks. They must be whole JSON lines
 // in the order in which they were logged, or a request can't be followed by its id.
 func TestLinesAreWholeAndInOrder(t *testing.T) {
-	out := &output{}
+	out := &recordingOutput{}
 	log := New(out)
 	if err := log.TakeKlog(); err != nil {
 		t.Fatal(err)
@@ -81,40 +81,40 @@
 }
 
 // blockedOutput blocks every write until unblock is closed.
-type stuck struct {
-	output
-	gate chan struct{}
+type blockedOutput struct {
+	recordingOutput
+	unblock chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.gate
-	return s.output.Write(p)
+func (s *blockedOutput) Write(p []byte) (int, error) {
+	<-s.unblock
+	return s.recordingOutput.Write(p)
 }
 
 // The output blocks. Logging must not block, or requests would wait for it: lines beyond
 // the queue are dropped, and their number is logged later.
 func TestLogNeverBlocks(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+	out := &blockedOutput{unblock: make(chan struct{})}
 	log := New(out)
-	const lines = 20 * queuedLines
+	const lines = 20 * queueCapacity
 	for i := range lines {
-		log.line("info", "gather").Int("n", int64(i)).end("answered")
+		log.newLine("info", "gather").Int("n", int64(i)).endWith("answered")
 	}
-	close(out.gate)
-	time.Sleep(3 * flushEvery) // until the dropped lines are reported
-	log.line("info", "gather").Int("n", lines).end("answered")
+	close(out.unblock)
+	time.Sleep(3 * flushInterval) // until the dropped lines are reported
+	log.newLine("info", "gather").Int("n", lines).endWith("answered")
 	log.Close()
 	got := out.lines(t)
-	told, kept := 0.0, 0
+	reported, kept := 0.0, 0
 	for _, l := range got {
 		if l["what"] == "left out" {
-			told += l["lines"].(float64)
+			reported += l["lines"].(float64)
 		} else {
 			kept++
 		}
 	}
-	if kept+int(told) != lines+1 {
-		t.Errorf("%d lines written and %v reported as dropped, of %d", kept, told, lines+1)
+	if kept+int(reported) != lines+1 {
+		t.Errorf("%d lines written and %v reported as dropped, of %d", kept, reported, lines+1)
 	}
 	if last := got[len(got)-1]; last["n"] != float64(lines) {
 		t.Errorf("got last line %v", last)
@@ -122,47 +122,47 @@
 }
 
 // Guards against counting a dropped line twice when many goroutines log concurrently.
-func TestLinesOfManyWritersAreCountedOnce(t *testing.T) {
-	out := &stuck{gate: make(chan struct{})}
+func TestConcurrentWritersCountEachLineOnce(t *testing.T) {
+	out := &blockedOutput{unblock: make(chan struct{})}
 	log := New(out)
 	const writers, each = 64, 2000
 	var wg sync.WaitGroup
 	for range writers {
 		wg.Go(func() {
 			for i := range each {
-				log.line("info", "gather").Int("n", int64(i)).end("answered")
+				log.newLine("info", "gather").Int("n", int64(i)).endWith("answered")
 			}
 		})
 	}
 	wg.Wait()
-	close(out.gate)
-	time.Sleep(3 * flushEvery)
+	close(out.unblock)
+	time.Sleep(3 * flushInterval)
 	log.Close()
-	if n := out.counted(t); n != writers*each {
+	if n := out.linesAccountedFor(t); n != writers*each {
 		t.Errorf("%d lines written or reported as dropped, of %d", n, writers*each)
 	}
 }
 
 // Guards against counting a dropped line twice when lines are queued during a flush.
-func TestLinesWrittenOutMeanwhileAreCountedOnce(t *testing.T) {
+func TestFlushDuringWritesCountsEachLineOnce(t *testing.T) {
 	const logs, each = 16, 50000
 	var wg sync.WaitGroup
 	for range logs {
 		wg.Go(func() {
-			out := &stuck{gate: make(chan struct{})}
+			out := &blockedOutput{unblock: make(chan struct{})}
 			log := New(out)
 			go func() {
-				time.Sleep(2 * flushEvery)
-				close(out.gate)
+				time.Sleep(2 * flushInterval)
+				close(out.unblock)
 			}()
 			for i := range each {
-				log.line("info", "gather").Int("n", int64(i)).end("answered")
+				log.newLine("info", "gather").Int("n", int64(i)).endWith("answered")
 				if i%1000 == 0 {
-					time.Sleep(flushEvery / 20)
+					time.Sleep(flushInterval / 20)
 				}
 			}
 			log.Close()
-			if n := out.counted(t); n != each {
+			if n := out.linesAccountedFor(t); n != each {
 				t.Errorf("%d lines written or reported as dropped, of %d", n, each)
 			}
 		})
@@ -171,7 +171,7 @@
 }
 
 // linesAccountedFor returns the number of lines written or reported as dropped.
-func (s *stuck) counted(t *testing.T) int {
+func (s *blockedOutput) linesAccountedFor(t *testing.T) int {
 	n := 0
 	for _, l := range s.lines(t) {
 		if l["what"] == "left out" {
@@ -184,24 +184,24 @@
 }
 
 // Lines beyond the rate limit must be dropped, and their number logged.
-func TestRateOfLines(t *testing.T) {
+func TestLineRateIsLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &output{}
+		out := &recordingOutput{}
 		log := New(out)
 		time.Sleep(time.Millisecond)
-		for range linesPerSecond + 100 {
+		for range maxLinesPerSecond + 100 {
 			log.Line("single", "answered").End()
 		}
-		time.Sleep(2 * flushEvery)
+		time.Sleep(2 * flushInterval)
 		log.Close()
 		got := out.lines(t)
-		if len(got) != linesPerSecond+1 || got[len(got)-1]["lines"] != 100.0 {
+		if len(got) != maxLinesPerSecond+1 || got[len(got)-1]["lines"] != 100.0 {
 			t.Errorf("got %d lines, the last %v", len(got), got[len(got)-1])
 		}
 	})
 }
 
-func TestNilLog(*testing.T) {
+func TestNilLogDiscardsLines(*testing.T) {
 	var log *Log
 	log.Line("gather", "answered").Str("id", "x").Int("n", 1).Ms("took", 1).Bool("b", true).Err(io.EOF).End()
 }
@@ -211,7 +211,7 @@
 	defer log.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		log.line("info", "gather").Str("id", "30fb27fe0a91d3f6").Str("route", "r-utvjfwk").Int("status", 200).
+		log.newLine("info", "gather").Str("id", "30fb27fe0a91d3f6").Str("route", "r-utvjfwk").Int("status", 200).
 			Ms("took", 139900*time.Microsecond).Ms("wait", time.Second).Int("sends", 56).Int("hedges", 2).Int("parts", 27).End()
 	}
 }
--- a/internal/decision/klog.go
+++ b/internal/decision/klog.go
@@ -37,30 +37,30 @@
 
 // maxKlogBytes limits the text of a klog line, in bytes. A line with a list of addresses
 // needs some hundreds.
-const longestKlog = 2000
+const maxKlogBytes = 2000
 
 // Write implements io.Writer. Each call has one line.
 func (w klogWriter) Write(p []byte) (int, error) {
 	text := string(bytes.TrimRight(p, "\n"))
-	part, what, found := strings.Cut(text, ": ")
-	if !found || strings.ContainsRune(part, ' ') {
-		part, what = "process", text
+	component, event, found := strings.Cut(text, ": ")
+	if !found || strings.ContainsRune(component, ' ') {
+		component, event = "process", text
 	}
-	if len(what) > longestKlog {
-		what = what[:longestKlog]
+	if len(event) > maxKlogBytes {
+		event = event[:maxKlogBytes]
 	}
-	w.log.line(w.level, part).end(what)
+	w.log.newLine(w.level, component).endWith(event)
 	return len(p), nil
 }
 
 // NewServerLog returns a logger for the errors of an http.Server, including panics of its
 // handlers. They are logged as warnings; component names the server.
-func ServerLog(part string) *log.Logger { return log.New(serverWriter{part}, "", 0) }
+func ServerLog(component string) *log.Logger { return log.New(serverLogWriter{component}, "", 0) }
 
-type serverWriter struct{ part string }
+type serverLogWriter struct{ component string }
 
 // Write implements io.Writer. Each call has one message of the server.
-func (w serverWriter) Write(p []byte) (int, error) {
-	klog.Warningf("%s: %s", w.part, bytes.TrimRight(p, "\n"))
+func (w serverLogWriter) Write(p []byte) (int, error) {
+	klog.Warningf("%s: %s", w.component, bytes.TrimRight(p, "\n"))
 	return len(p), nil
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -102,7 +102,7 @@
 // A caller decides by status and verdict whether to resend. HTTP clients resend
 // automatically on 429 and 503, so neither may be returned for a request that may
 // have run, whatever error the engine returned.
-func TestFailures(t *testing.T) {
+func TestFailureStatusAndVerdict(t *testing.T) {
 	cases := []struct {
 		name    string
 		err     error
@@ -151,9 +151,9 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	ran := 0
+	engineCalls := 0
 	s := testServer(t, &fakeEngine{run: func(context.Context, string, *contract.Request) (*contract.Answer, error) {
-		ran++
+		engineCalls++
 		return &contract.Answer{}, nil
 	}}, false)
 	Convey("Bad requests never reach the engine and name the field", t, func() {
@@ -177,7 +177,7 @@
 			So(len(f.Faults), ShouldBeGreaterThan, 0)
 			So(f.Faults[0].Field, ShouldEqual, c.field)
 		}
-		So(ran, ShouldEqual, 0)
+		So(engineCalls, ShouldEqual, 0)
 	})
 	Convey("Unknown routes and methods are answered in JSON", t, func() {
 		for target, status := range map[string]int{"/v2/query": 404, QueryPath: 405} {
@@ -194,29 +194,29 @@
 // A caller resends a request that is not repeatable to a daemon that has just started,
 // or after body-limit was lowered below the size of the request. The daemon can't know
 // whether the request ran: on not_run the caller would run it a second time.
-func TestResendIsNeverToldNotRun(t *testing.T) {
-	const fee = `{"path":"/desk/a","repeatable":false,"key":"fee-1","session":"s-1","body":"%s"}`
+func TestNonRepeatableResendIsNeverReportedNotRun(t *testing.T) {
+	const requestFormat = `{"path":"/desk/a","repeatable":false,"key":"fee-1","session":"s-1","body":"%s"}`
 	Convey("A request that is not repeatable", t, func() {
-		reached := 0
+		engineCalls := 0
 		engine := &fakeEngine{run: func(context.Context, string, *contract.Request) (*contract.Answer, error) {
-			reached++
+			engineCalls++
 			return &contract.Answer{Verdict: contract.Ran}, nil
 		}}
 		Convey("gets may_have_run from a daemon without a configuration", func() {
 			s := testServer(t, engine, false)
 			s.conf.Source.(*fakeSource).view = nil
-			w, f := post(s, fmt.Sprintf(fee, "x"))
+			w, f := post(s, fmt.Sprintf(requestFormat, "x"))
 			So(w.Code, ShouldEqual, 409)
 			So(f.Verdict, ShouldEqual, contract.MayHaveRun)
 			w, f = post(s, goodRequest) // a repeatable request is reported not_run
 			So(w.Code, ShouldEqual, 503)
 			So(f.Verdict, ShouldEqual, contract.NotRun)
-			So(reached, ShouldEqual, 0)
+			So(engineCalls, ShouldEqual, 0)
 		})
 		Convey("reaches the engine although its body exceeds the limit of its path", func() {
-			w, _ := post(testServer(t, engine, false), fmt.Sprintf(fee, strings.Repeat("x", 2<<10)))
+			w, _ := post(testServer(t, engine, false), fmt.Sprintf(requestFormat, strings.Repeat("x", 2<<10)))
 			So(w.Code, ShouldEqual, 200)
-			So(reached, ShouldEqual, 1)
+			So(engineCalls, ShouldEqual, 1)
 		})
 	})
 	Convey("The read limit never decreases", t, func() {
@@ -228,12 +228,12 @@
 			So(err, ShouldBeNil)
 			return &relay.View{Tree: v}
 		}
-		var b bodyLimit
-		So(b.of(nil), ShouldEqual, firstLimit)
+		var b readLimit
+		So(b.forView(nil), ShouldEqual, defaultReadLimit)
 		high, low := tree("8MiB"), tree("2MiB")
 		high.ConfigVersion, low.ConfigVersion = 1, 2
-		So(b.of(high), ShouldEqual, 8<<20+envelope)
-		So(b.of(low), ShouldEqual, 8<<20+envelope)
+		So(b.forView(high), ShouldEqual, 8<<20+requestOverhead)
+		So(b.forView(low), ShouldEqual, 8<<20+requestOverhead)
 	})
 }
 
@@ -278,10 +278,10 @@
 // caller must receive its complete answer.
 func TestGracefulShutdown(t *testing.T) {
 	Convey("Serve finishes the request in flight", t, func() {
-		entered, hold := make(chan struct{}), make(chan struct{})
+		started, release := make(chan struct{}), make(chan struct{})
 		s := testServer(t, &fakeEngine{run: func(context.Context, string, *contract.Request) (*contract.Answer, error) {
-			close(entered)
-			<-hold
+			close(started)
+			<-release
 			hits := make([]contract.ServiceHit, 5000)
 			return &contract.Answer{Verdict: contract.Ran, Hits: hits}, nil
 		}}, false)
@@ -305,9 +305,9 @@
 			raw, err := io.ReadAll(resp.Body)
 			got <- outcome{body: raw, err: err}
 		}()
-		<-entered
+		<-started
 		cancel()
-		close(hold)
+		close(release)
 		out := <-got
 		So(out.err, ShouldBeNil)
 		var a contract.Answer
@@ -325,22 +325,22 @@
 // Each chunk of an answer must have its own write deadline. A caller on a slow network
 // needs longer than one deadline for a large answer and must receive all of it; a
 // caller that reads nothing must not hold its connection forever.
-func TestWriteDeadlines(t *testing.T) {
+func TestEachChunkSetsWriteDeadline(t *testing.T) {
 	Convey("Each chunk of an answer sets a new deadline", t, func() {
 		s := testServer(t, &fakeEngine{run: func(context.Context, string, *contract.Request) (*contract.Answer, error) {
-			return &contract.Answer{Verdict: contract.Ran, ServedBy: strings.Repeat("x", 3*writePart)}, nil
+			return &contract.Answer{Verdict: contract.Ran, ServedBy: strings.Repeat("x", 3*writeChunkBytes)}, nil
 		}}, false)
 		w, _ := post(s, goodRequest)
 		So(w.Code, ShouldEqual, 200)
 		So(w.deadlines, ShouldEqual, 4)
-		So(w.Body.Len(), ShouldBeGreaterThan, 3*writePart)
+		So(w.Body.Len(), ShouldBeGreaterThan, 3*writeChunkBytes)
 	})
 }
 
 // A draining daemon must close each connection after its answer. On a connection that
 // is kept until the listener closes, a request sent during the close is lost, and the
 // caller does not know whether it ran.
-func TestDrainingEndsConnections(t *testing.T) {
+func TestDrainingClosesConnections(t *testing.T) {
 	Convey("A draining daemon closes the connection after each answer", t, func() {
 		engine := &fakeEngine{run: func(context.Context, string, *contract.Request) (*contract.Answer, error) {
 			return &contract.Answer{Verdict: contract.Ran}, nil
--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -32,16 +32,16 @@
 }
 
 // toFailure returns the HTTP status and the response body for an error.
-func failureOf(err error) (int, contract.Failure) {
-	var own *httpError
+func toFailure(err error) (int, contract.Failure) {
+	var refusal *httpError
 	var faults contract.Faults
 	var typed *contract.Error
 	switch {
-	case errors.As(err, &own):
-		f := own.Failure
-		f.Faults = contract.Faults{own.fault()}
-		f.Message = own.Error()
-		return own.status, f
+	case errors.As(err, &refusal):
+		f := refusal.Failure
+		f.Faults = contract.Faults{refusal.fault()}
+		f.Message = refusal.Error()
+		return refusal.status, f
 	case errors.As(err, &typed):
 		f := contract.Failure{
 			Verdict:      typed.Verdict,
@@ -97,7 +97,7 @@
 const minRetryAfter = time.Second
 
 func writeFailure(w responseWriter, id string, err error) {
-	status, f := failureOf(err)
+	status, f := toFailure(err)
 	f.RequestID = id
 	countFailure(f.Reason)
 	logFailure(id, status, err)
@@ -118,7 +118,7 @@
 	raw, err := json.Marshal(body)
 	if err != nil {
 		klog.Errorf("entry: can't encode answer: %v", err)
-		status, raw = http.StatusInternalServerError, encodeFailed
+		status, raw = http.StatusInternalServerError, encodeFailedBody
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -141,28 +141,28 @@
 func writeAll(w responseWriter, raw []byte) error {
 	control := http.NewResponseController(w.Naive())
 	for len(raw) > 0 {
-		part := raw[:min(len(raw), writePart)]
+		chunk := raw[:min(len(raw), writeChunkBytes)]
 		if err := control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return err
 		}
-		if _, err := w.Write(part); err != nil {
+		if _, err := w.Write(chunk); err != nil {
 			return err
 		}
-		raw = raw[len(part):]
+		raw = raw[len(chunk):]
 	}
 	return nil
 }
 
 // encodeFailedBody is sent when the answer can't be encoded, which invalid JSON from
 // a target may cause.
-var encodeFailed = []byte(`{"verdict":"may_have_run","reason":"internal","message":"the answer can't be encoded"}`)
+var encodeFailedBody = []byte(`{"verdict":"may_have_run","reason":"internal","message":"the answer can't be encoded"}`)
 
 func countFailure(reason contract.Reason) {
 	metrics.GetOrRegisterCounter("entry.failures."+string(reason), metrics.DefaultRegistry).Inc(1)
 }
 
 var (
-	requestTime = metrics.GetOrRegisterTimer("entry.requests", metrics.DefaultRegistry)
-	panics      = metrics.GetOrRegisterCounter("entry.panics", metrics.DefaultRegistry)
-	writeErrors = metrics.GetOrRegisterCounter("entry.write_errors", metrics.DefaultRegistry)
+	requestTimer = metrics.GetOrRegisterTimer("entry.requests", metrics.DefaultRegistry)
+	panics       = metrics.GetOrRegisterCounter("entry.panics", metrics.DefaultRegistry)
+	writeErrors  = metrics.GetOrRegisterCounter("entry.write_errors", metrics.DefaultRegistry)
 )
--- a/internal/entry/handle.go
+++ b/internal/entry/handle.go
@@ -26,7 +26,7 @@
 // result. A panic of h is answered as a failure.
 func (s *Server) handle(h handler) iris.Handler {
 	return func(ctx iris.Context) {
-		began := time.Now()
+		start := time.Now()
 		id := s.ids.new()
 		w := ctx.ResponseWriter()
 		w.Header().Set("X-Request-ID", id)
@@ -36,19 +36,19 @@
 			// caller does not know whether it ran.
 			w.Header().Set("Connection", "close")
 		}
-		body, err := guard(h, ctx.Request(), id)
+		body, err := callRecovering(h, ctx.Request(), id)
 		if err != nil {
 			writeFailure(w, id, err)
 		} else {
 			writeJSON(w, http.StatusOK, body)
 		}
-		requestTime.UpdateSince(began)
+		requestTimer.UpdateSince(start)
 	}
 }
 
 // callRecovering calls h and turns a panic into an error with verdict may_have_run:
 // it is unknown how far the request got.
-func guard(h handler, r *http.Request, id string) (body any, err error) {
+func callRecovering(h handler, r *http.Request, id string) (body any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			panics.Inc(1)
@@ -78,7 +78,7 @@
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 		req.Caller = host
 	}
-	if err := s.refuse(view, req); err != nil {
+	if err := s.checkRequest(view, req); err != nil {
 		return nil, err
 	}
 	answer, err := s.conf.Engine.Query(r.Context(), id, req)
@@ -92,25 +92,25 @@
 }
 
 // checkRequest returns an error for a request that must not be passed to the engine.
-func (s *Server) refuse(v *relay.View, req *contract.Request) error {
+func (s *Server) checkRequest(v *relay.View, req *contract.Request) error {
 	if !req.IsRepeatable() {
 		// This may be a resend of a request that ran. Only the engine knows the keys
 		// of earlier requests and can report not_run.
-		if !ready(v) {
-			return notReady(contract.MayHaveRun, contract.ReasonKeyInDoubt)
+		if !hasConfig(v) {
+			return notReadyError(contract.MayHaveRun, contract.ReasonKeyInDoubt)
 		}
 		return nil
 	}
-	if !ready(v) {
-		return notReady(contract.NotRun, contract.ReasonUnconfirmed)
+	if !hasConfig(v) {
+		return notReadyError(contract.NotRun, contract.ReasonUnconfirmed)
 	}
 	return checkBodyLimit(v, req)
 }
 
 // hasConfig reports whether v has a settings tree. v may be nil.
-func ready(v *relay.View) bool { return v != nil && v.Tree != nil }
+func hasConfig(v *relay.View) bool { return v != nil && v.Tree != nil }
 
-func notReady(verdict contract.Verdict, reason contract.Reason) error {
+func notReadyError(verdict contract.Verdict, reason contract.Reason) error {
 	return &contract.Error{
 		Verdict:    verdict,
 		Reason:     reason,
@@ -124,16 +124,16 @@
 const startupRetryMS = 1000
 
 func (s *Server) readBody(r *http.Request, v *relay.View) ([]byte, error) {
-	limit := s.bodies.of(v)
+	limit := s.readLimit.forView(v)
 	if r.ContentLength > limit {
-		return nil, tooLarge("request", r.ContentLength, limit)
+		return nil, tooLargeError("request", r.ContentLength, limit)
 	}
 	raw, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
 		return nil, contract.Refuse(contract.ReasonInvalid, errors.Wrap(err, "the request ended early"))
 	}
 	if int64(len(raw)) > limit {
-		return nil, tooLarge("request", int64(len(raw)), limit)
+		return nil, tooLargeError("request", int64(len(raw)), limit)
 	}
 	return raw, nil
 }
@@ -142,7 +142,7 @@
 func checkBodyLimit(v *relay.View, req *contract.Request) error {
 	e, ok := v.Tree.Effective(req.Path)
 	if ok && e.BodyLimit > 0 && len(req.Body) > e.BodyLimit {
-		return tooLarge("body", int64(len(req.Body)), int64(e.BodyLimit))
+		return tooLargeError("body", int64(len(req.Body)), int64(e.BodyLimit))
 	}
 	return nil
 }
@@ -156,7 +156,7 @@
 		}}
 	}
 	view, now := s.conf.Source.Current(), s.conf.Clock()
-	if err := s.mayList(view, now); err != nil {
+	if err := s.checkCanList(view, now); err != nil {
 		return nil, err
 	}
 	list, err := directory.List(view, path, s.conf.Self, now)
@@ -175,23 +175,23 @@
 // The session of a list ends with the daemon, and an unconfirmed membership may name
 // daemons that have left: callers would keep unusable addresses for the whole lifetime
 // of the list.
-func (s *Server) mayList(v *relay.View, now vm.Instant) error {
-	refusal := &contract.Error{Verdict: contract.NotRun, RetryAfter: startupRetryMS}
+func (s *Server) checkCanList(v *relay.View, now vm.Instant) error {
+	notListing := &contract.Error{Verdict: contract.NotRun, RetryAfter: startupRetryMS}
 	switch {
-	case !ready(v):
-		return notReady(contract.NotRun, contract.ReasonUnconfirmed)
+	case !hasConfig(v):
+		return notReadyError(contract.NotRun, contract.ReasonUnconfirmed)
 	case s.conf.Draining():
-		refusal.Reason = contract.ReasonDraining
+		notListing.Reason = contract.ReasonDraining
 	case !v.Confirmed(now):
-		refusal.Reason = contract.ReasonUnconfirmed
+		notListing.Reason = contract.ReasonUnconfirmed
 	default:
 		return nil
 	}
-	refusal.Cause = errors.New("this daemon gives no address lists now; ask another one")
-	return refusal
+	notListing.Cause = errors.New("this daemon gives no address lists now; ask another one")
+	return notListing
 }
 
-func (s *Server) unknownRoute(r *http.Request, _ string) (any, error) {
+func (s *Server) notFound(r *http.Request, _ string) (any, error) {
 	return nil, &httpError{
 		status:   http.StatusNotFound,
 		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalid},
@@ -200,7 +200,7 @@
 	}
 }
 
-func (s *Server) unknownMethod(r *http.Request, _ string) (any, error) {
+func (s *Server) methodNotAllowed(r *http.Request, _ string) (any, error) {
 	return nil, &httpError{
 		status:   http.StatusMethodNotAllowed,
 		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalid},
@@ -209,7 +209,7 @@
 	}
 }
 
-func tooLarge(field string, size, limit int64) error {
+func tooLargeError(field string, size, limit int64) error {
 	return &httpError{
 		status:   http.StatusRequestEntityTooLarge,
 		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalid},
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -12,23 +12,23 @@
 
 // connErrorWriter logs net/http's messages about single connections, such as a failed
 // TLS handshake, at verbosity 1. They are caused by callers and would flood the log.
-type connLog struct{}
+type connErrorWriter struct{}
 
 // Write implements io.Writer.
-func (connLog) Write(line []byte) (int, error) {
+func (connErrorWriter) Write(line []byte) (int, error) {
 	klog.V(1).Infof("entry: %s", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
 
 const (
 	// failureLinesPerSecond limits the rate of log lines about failed requests.
-	failureLines      = 20
-	failureLinesBurst = 100
+	failureLinesPerSecond = 20
+	failureLinesBurst     = 100
 )
 
 var (
-	failureLimit    = rate.NewLimiter(failureLines, failureLinesBurst)
-	failuresLeftOut = metrics.GetOrRegisterCounter("entry.failures.not_logged", nil)
+	failureLogLimiter = rate.NewLimiter(failureLinesPerSecond, failureLinesBurst)
+	failuresNotLogged = metrics.GetOrRegisterCounter("entry.failures.not_logged", nil)
 )
 
 // logFailure logs why a request failed, within the rate limit unless the status is 500.
@@ -36,11 +36,11 @@
 	switch {
 	case status == http.StatusInternalServerError:
 		klog.Errorf("entry: request %s failed: %v", id, err)
-	case failureLimit.Allow():
+	case failureLogLimiter.Allow():
 		klog.Infof("entry: request %s not answered status=%d: %v", id, status, err)
 	default:
-		failuresLeftOut.Inc(1)
+		failuresNotLogged.Inc(1)
 	}
 }
 
-func errorLog() *log.Logger { return log.New(connLog{}, "", 0) }
+func errorLog() *log.Logger { return log.New(connErrorWriter{}, "", 0) }
--- a/internal/entry/requestid.go
+++ b/internal/entry/requestid.go
@@ -10,15 +10,15 @@
 
 // requestIDGenerator generates request ids that are unique over all daemons and over
 // restarts of this daemon.
-type requestIDs struct {
-	prefix string
-	next   atomic.Uint64
+type requestIDGenerator struct {
+	prefix  string
+	counter atomic.Uint64
 }
 
-func newRequestIDs(self vm.Identity) *requestIDs {
-	return &requestIDs{prefix: fmt.Sprintf("%s-%x-", self.Name, self.Incarnation)}
+func newRequestIDGenerator(self vm.Identity) *requestIDGenerator {
+	return &requestIDGenerator{prefix: fmt.Sprintf("%s-%x-", self.Name, self.Incarnation)}
 }
 
-func (r *requestIDs) new() string {
-	return r.prefix + strconv.FormatUint(r.next.Add(1), 36)
+func (r *requestIDGenerator) new() string {
+	return r.prefix + strconv.FormatUint(r.counter.Add(1), 36)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -20,12 +20,12 @@
 // Limits of a caller's connection, so that a caller that sends its request too slowly
 // or does not read its answer can't hold a connection forever.
 const (
-	headerTimeout = 5 * time.Second
-	readTimeout   = 30 * time.Second
-	writeTimeout  = 30 * time.Second // for each chunk of an answer
-	writePart     = 256 << 10        // bytes
-	idleTimeout   = 2 * time.Minute
-	maxHeader     = 16 << 10 // bytes
+	headerTimeout   = 5 * time.Second
+	readTimeout     = 30 * time.Second
+	writeTimeout    = 30 * time.Second // for each chunk of an answer
+	writeChunkBytes = 256 << 10        // bytes
+	idleTimeout     = 2 * time.Minute
+	maxHeaderBytes  = 16 << 10 // bytes
 )
 
 // Paths of the caller API.
@@ -54,10 +54,10 @@
 
 // Server is the HTTP server for callers. It implements http.Handler.
 type Server struct {
-	conf   Config
-	app    *iris.Application
-	ids    *requestIDs
-	bodies bodyLimit
+	conf      Config
+	app       *iris.Application
+	ids       *requestIDGenerator
+	readLimit readLimit
 }
 
 // New returns a Server. It fails only if the HTTP routes can't be built.
@@ -65,13 +65,13 @@
 	if conf.Draining == nil {
 		conf.Draining = func() bool { return false }
 	}
-	s := &Server{conf: conf, ids: newRequestIDs(conf.Self)}
+	s := &Server{conf: conf, ids: newRequestIDGenerator(conf.Self)}
 	app := iris.New()
 	app.Logger().SetLevel("disable")
 	app.Get(AddressesPath, s.handle(s.addresses))
 	app.Post(QueryPath, s.handle(s.query))
-	app.OnErrorCode(http.StatusNotFound, s.handle(s.unknownRoute))
-	app.OnErrorCode(http.StatusMethodNotAllowed, s.handle(s.unknownMethod))
+	app.OnErrorCode(http.StatusNotFound, s.handle(s.notFound))
+	app.OnErrorCode(http.StatusMethodNotAllowed, s.handle(s.methodNotAllowed))
 	app.Configure(iris.WithoutStartupLog, iris.WithFireMethodNotAllowed)
 	if err := app.Build(); err != nil {
 		return nil, errors.Wrap(err, "entry: routes")
@@ -95,7 +95,7 @@
 		ReadHeaderTimeout: headerTimeout,
 		ReadTimeout:       readTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          errorLog(),
 	}
 	served := make(chan error, 1)
--- a/internal/freeport/freeport_test.go
+++ b/internal/freeport/freeport_test.go
@@ -7,7 +7,7 @@
 
 // The ports must differ. If each were released before the next is found, the kernel would
 // sometimes return one twice, and a daemon given both would not start.
-func TestPortsOfOneHostDiffer(t *testing.T) {
+func TestPortsAreDistinct(t *testing.T) {
 	const rounds, each = 300, 40
 	for range rounds {
 		ports, err := Ports("127.0.0.1", each)
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -18,17 +18,17 @@
 	// contextWindow is the time before the first and after the last line of a request for
 	// which lines without a request id are included. They show the daemon's state; a change
 	// that it learned only after its decision is logged shortly afterwards.
-	around = time.Second
+	contextWindow = time.Second
 	// maxLineBytes limits the length of a line, in bytes.
-	longestLine = 1 << 20
+	maxLineBytes = 1 << 20
 )
 
 // Line is a line of a log.
 type Line struct {
-	Time time.Time `json:"time"`
-	File string    `json:"file"`
-	Text string    `json:"text"` // the JSON object, unchanged
-	own  bool      // has the id of the request
+	Time      time.Time `json:"time"`
+	File      string    `json:"file"`
+	Text      string    `json:"text"` // the JSON object, unchanged
+	ofRequest bool      // has the id of the request
 }
 
 // Problem is a file that can't be read or a line that can't be parsed.
@@ -45,7 +45,7 @@
 }
 
 // logRecord holds the fields of a line that are used here.
-type record struct {
+type logRecord struct {
 	Time time.Time `json:"time"`
 	ID   string    `json:"id"`
 }
@@ -55,27 +55,27 @@
 func Of(id string, files []string) *Story {
 	out := &Story{}
 	for _, file := range files {
-		lines, troubles := read(id, file)
-		out.Troubles = append(out.Troubles, troubles...)
-		out.Lines = append(out.Lines, withBeliefs(lines)...)
+		lines, problems := readFile(id, file)
+		out.Troubles = append(out.Troubles, problems...)
+		out.Lines = append(out.Lines, trimToWindow(lines)...)
 	}
 	slices.SortStableFunc(out.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	return out
 }
 
 // readFile returns the lines of a file that have the given id or no id.
-func read(id, file string) ([]Line, []Trouble) {
+func readFile(id, file string) ([]Line, []Trouble) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, []Trouble{{File: file, Why: err.Error()}}
 	}
 	defer f.Close()
-	return scan(id, filepath.Base(file), f)
+	return scanLines(id, filepath.Base(file), f)
 }
 
-func scan(id, file string, from io.Reader) (lines []Line, troubles []Trouble) {
+func scanLines(id, file string, from io.Reader) (lines []Line, problems []Trouble) {
 	in := bufio.NewScanner(from)
-	in.Buffer(nil, longestLine)
+	in.Buffer(nil, maxLineBytes)
 	n := 0
 	for in.Scan() {
 		n++
@@ -85,47 +85,47 @@
 		r, text, err := parse(in.Text())
 		switch {
 		case err != nil:
-			troubles = append(troubles, Trouble{File: file, Line: n, Why: err.Error()})
+			problems = append(problems, Trouble{File: file, Line: n, Why: err.Error()})
 		case r.ID == id:
-			lines = append(lines, Line{Time: r.Time, File: file, Text: text, own: true})
+			lines = append(lines, Line{Time: r.Time, File: file, Text: text, ofRequest: true})
 		case r.ID == "":
 			lines = append(lines, Line{Time: r.Time, File: file, Text: text})
 		}
 	}
 	if err := in.Err(); err != nil {
-		troubles = append(troubles, Trouble{File: file, Line: n + 1, Why: err.Error()})
+		problems = append(problems, Trouble{File: file, Line: n + 1, Why: err.Error()})
 	}
-	return lines, troubles
+	return lines, problems
 }
 
-var errNoRecord = errors.New("it holds no JSON object with a time")
+var errNotLogRecord = errors.New("it holds no JSON object with a time")
 
 // parse parses a line. It skips a prefix added by a log collector.
-func parse(line string) (record, string, error) {
-	at := strings.IndexByte(line, '{')
-	if at < 0 {
-		return record{}, "", errNoRecord
+func parse(line string) (logRecord, string, error) {
+	start := strings.IndexByte(line, '{')
+	if start < 0 {
+		return logRecord{}, "", errNotLogRecord
 	}
-	var r record
-	if err := json.Unmarshal([]byte(line[at:]), &r); err != nil {
+	var r logRecord
+	if err := json.Unmarshal([]byte(line[start:]), &r); err != nil {
 		return r, "", err
 	}
 	if r.Time.IsZero() {
-		return r, "", errNoRecord
+		return r, "", errNotLogRecord
 	}
-	return r, line[at:], nil
+	return r, line[start:], nil
 }
 
 // trimToWindow keeps the lines of the request, and the other lines from contextWindow
 // before its first line to contextWindow after its last. It returns nil if the file has no
 // line of the request.
-func withBeliefs(lines []Line) []Line {
+func trimToWindow(lines []Line) []Line {
 	var first, last time.Time
 	for _, l := range lines {
-		if l.own && (first.IsZero() || l.Time.Before(first)) {
+		if l.ofRequest && (first.IsZero() || l.Time.Before(first)) {
 			first = l.Time
 		}
-		if l.own && l.Time.After(last) {
+		if l.ofRequest && l.Time.After(last) {
 			last = l.Time
 		}
 	}
@@ -133,6 +133,6 @@
 		return nil
 	}
 	return slices.DeleteFunc(lines, func(l Line) bool {
-		return !l.own && (l.Time.Before(first.Add(-around)) || l.Time.After(last.Add(around)))
+		return !l.ofRequest && (l.Time.Before(first.Add(-contextWindow)) || l.Time.After(last.Add(contextWindow)))
 	})
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func write(t *testing.T, name, text string) string {
+func writeLog(t *testing.T, name, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -19,9 +19,9 @@
 // The logs of two daemons have lines of one request, one log is missing and one ends in a
 // truncated line. The trace must have the request's lines of both in order of time and the
 // lines around them, and report the missing file and the lines that can't be parsed.
-func TestStoryOfARequest(t *testing.T) {
+func TestTraceMergesFilesInOrder(t *testing.T) {
 	const day = `{"time":"2026-01-04T23:34:`
-	one := write(t, "vm-1.log", strings.Join([]string{
+	one := writeLog(t, "vm-1.log", strings.Join([]string{
 		day + `10.000Z","part":"entry","what":"too early"}`,
 		day + `15.100Z","part":"discovery","what":"a leaf left"}`,
 		`vm-1 ` + day + `15.500Z","part":"gather","what":"answered","id":"aa"}`,
@@ -29,12 +29,12 @@
 		``,
 		day + `15.9`,
 	}, "\n"))
-	two := write(t, "vm-2.log", strings.Join([]string{
+	two := writeLog(t, "vm-2.log", strings.Join([]string{
 		day + `15.300Z","part":"gather","what":"send failed","id":"aa"}`,
 		day + `16.200Z","part":"relay","what":"after"}`,
 		`no object at all`,
 	}, "\n"))
-	other := write(t, "vm-3.log", day+`15.400Z","part":"entry","what":"of a daemon that did not decide"}`)
+	other := writeLog(t, "vm-3.log", day+`15.400Z","part":"entry","what":"of a daemon that did not decide"}`)
 	missing := filepath.Join(t.TempDir(), "vm-4.log")
 	s := Of("aa", []string{one, two, other, missing})
 	want := []string{"a leaf left", "send failed", "answered", "after"}
--- a/internal/route/spread.go
+++ b/internal/route/spread.go
@@ -9,35 +9,35 @@
 // After any number of requests each service is within one request of its share. A
 // random choice deviates more: with two services of equal weight and 300 requests,
 // one run in four is off by 5 in 100.
-type spread struct {
-	mu     sync.Mutex
-	parts  []Weighted
-	credit []float64
-	total  float64
+type weightedPicker struct {
+	mu          sync.Mutex
+	services    []Weighted
+	credit      []float64
+	totalWeight float64
 }
 
-func newSpread(parts []Weighted) *spread {
-	if len(parts) == 0 {
+func newWeightedPicker(services []Weighted) *weightedPicker {
+	if len(services) == 0 {
 		return nil
 	}
-	s := &spread{parts: parts, credit: make([]float64, len(parts))}
-	for _, p := range parts {
-		s.total += p.Weight
+	s := &weightedPicker{services: services, credit: make([]float64, len(services))}
+	for _, p := range services {
+		s.totalWeight += p.Weight
 	}
 	// Random initial credit: if every daemon started with the service of the highest
 	// weight, that service would get too many requests while each daemon has sent
 	// only a few.
-	for i, p := range parts {
+	for i, p := range services {
 		s.credit[i] = p.Weight * rand.Float64()
 	}
 	return s
 }
 
-func (s *spread) next() string {
+func (s *weightedPicker) next() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	best := -1
-	for i, p := range s.parts {
+	for i, p := range s.services {
 		if p.Weight <= 0 {
 			continue
 		}
@@ -49,6 +49,6 @@
 	if best < 0 {
 		return ""
 	}
-	s.credit[best] -= s.total
-	return s.parts[best].Service
+	s.credit[best] -= s.totalWeight
+	return s.services[best].Service
 }
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -11,40 +11,40 @@
 
 // Table finds the route of a request by host and path. It is immutable.
 type Table struct {
-	Number  uint64
-	Limits  Limits
-	hosts   map[string][]*Entry // by normalized host; longest prefix first
-	service map[string]*Service
-	entries []*Entry
+	Number   uint64
+	Limits   Limits
+	byHost   map[string][]*Entry // by normalized host; longest prefix first
+	services map[string]*Service
+	entries  []*Entry
 }
 
 // Entry is a route in a Table. Its pointer identifies the route while the table is
 // in use.
 type Entry struct {
 	Route
-	spread *spread
+	picker *weightedPicker
 }
 
 // NewTable returns the lookup table of a release.
 func NewTable(r *Release) *Table {
 	t := &Table{
 		Number: r.Number, Limits: r.Limits,
-		hosts:   make(map[string][]*Entry),
-		service: make(map[string]*Service, len(r.Services)),
+		byHost:   make(map[string][]*Entry),
+		services: make(map[string]*Service, len(r.Services)),
 	}
 	for i := range r.Services {
-		t.service[r.Services[i].Name] = &r.Services[i]
+		t.services[r.Services[i].Name] = &r.Services[i]
 	}
-	var pace work.Pacer
+	var pacer work.Pacer
 	for i := range r.Routes {
-		pace.Step()
-		e := &Entry{Route: r.Routes[i], spread: newSpread(r.Routes[i].Split)}
-		e.Shards = distinct(e.Shards)
+		pacer.Step()
+		e := &Entry{Route: r.Routes[i], picker: newWeightedPicker(r.Routes[i].Split)}
+		e.Shards = dedupe(e.Shards)
 		host := NormalHost(e.Host)
-		t.hosts[host] = append(t.hosts[host], e)
+		t.byHost[host] = append(t.byHost[host], e)
 		t.entries = append(t.entries, e)
 	}
-	for _, list := range t.hosts {
+	for _, list := range t.byHost {
 		slices.SortStableFunc(list, func(a, b *Entry) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	return t
@@ -52,18 +52,18 @@
 
 // dedupe removes repeated names and keeps the order: a shard that is listed twice
 // counts as one shard.
-func distinct(names []string) []string {
+func dedupe(names []string) []string {
 	seen := make(map[string]bool, len(names))
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool {
-		was := seen[n]
+		duplicate := seen[n]
 		seen[n] = true
-		return was
+		return duplicate
 	})
 }
 
 // Find returns the route of the host with the longest prefix that matches the path.
 func (t *Table) Find(host, path string) (*Entry, bool) {
-	for _, e := range t.hosts[NormalHost(host)] {
+	for _, e := range t.byHost[NormalHost(host)] {
 		if strings.HasPrefix(path, e.Prefix) {
 			return e, true
 		}
@@ -77,16 +77,16 @@
 
 // Service returns the release's definition of the named service.
 func (t *Table) Service(name string) (*Service, bool) {
-	s, ok := t.service[name]
+	s, ok := t.services[name]
 	return s, ok
 }
 
 // PickService returns the service for the next request of a route without shards.
 func (e *Entry) Pick() string {
-	if e.spread == nil {
+	if e.picker == nil {
 		return e.Service
 	}
-	return e.spread.next()
+	return e.picker.next()
 }
 
 // NormalizeHost returns host in the form used for comparison: lower case, without
--- a/internal/route/tree.go
+++ b/internal/route/tree.go
@@ -20,11 +20,11 @@
 // are not changed.
 func Edits(t *settings.Tree, r *Release) []settings.Edit {
 	var out []settings.Edit
-	want := states(r)
+	want := releaseNodes(r)
 	for _, base := range []string{settings.RoutesPath, settings.ServicesPath} {
 		for _, name := range t.Children(base) {
 			path := base + settings.Root + name
-			if _, kept := want[path]; !kept && isReleased(t, path) {
+			if _, kept := want[path]; !kept && setByRelease(t, path) {
 				out = append(out, settings.Edit{Path: path, Op: settings.Remove})
 			}
 		}
@@ -35,16 +35,16 @@
 	}
 	slices.Sort(paths)
 	for _, path := range paths {
-		out = append(out, changes(path, t.Stated(path), want[path])...)
+		out = append(out, nodeEdits(path, t.Stated(path), want[path])...)
 	}
 	return out
 }
 
 // setByRelease reports whether a release created the node. An operator may have set
 // something on a node whose route no release defines yet.
-func isReleased(t *settings.Tree, path string) bool {
+func setByRelease(t *settings.Tree, path string) bool {
 	for name := range t.Stated(path) {
-		if released[name] {
+		if isReleaseSetting[name] {
 			return true
 		}
 	}
@@ -53,14 +53,14 @@
 
 // nodeEdits returns the edits that change the release settings of the node at path
 // from have to want.
-func changes(path string, have, want map[string]string) []settings.Edit {
+func nodeEdits(path string, have, want map[string]string) []settings.Edit {
 	var out []settings.Edit
-	for _, name := range releasedNames {
-		was, stated := have[name]
-		is, wanted := want[name]
+	for _, name := range releaseSettings {
+		old, stated := have[name]
+		desired, wanted := want[name]
 		switch {
-		case wanted && (!stated || was != is):
-			out = append(out, settings.Edit{Path: path, Name: name, Value: is, Op: settings.Set})
+		case wanted && (!stated || old != desired):
+			out = append(out, settings.Edit{Path: path, Name: name, Value: desired, Op: settings.Set})
 		case stated && !wanted:
 			out = append(out, settings.Edit{Path: path, Name: name, Op: settings.Unset})
 		}
@@ -69,7 +69,7 @@
 }
 
 // releaseSettings lists the settings that a release may set, on any node.
-var releasedNames = []string{
+var releaseSettings = []string{
 	settings.NameRouteName, settings.NameRouteHost, settings.NameRoutePrefix, settings.NameRouteService,
 	settings.NameRouteSplit, settings.NameRouteShards, settings.NameRouteRepeatable, settings.NameRouteAttempts,
 	settings.NameRoutePriority, settings.NameRouteTop, settings.NameRouteLeastCoverage, settings.NameRouteTimeout,
@@ -80,9 +80,9 @@
 	settings.NameReleaseNumber, settings.NameReleaseRoutes, settings.NameReleaseServices, settings.NameReleaseExtra,
 }
 
-var released = func() map[string]bool {
-	out := make(map[string]bool, len(releasedNames))
-	for _, name := range releasedNames {
+var isReleaseSetting = func() map[string]bool {
+	out := make(map[string]bool, len(releaseSettings))
+	for _, name := range releaseSettings {
 		out[name] = true
 	}
 	return out
@@ -90,9 +90,9 @@
 
 // nodeValues holds the settings of one node, by name, in canonical form. An empty
 // text is not set.
-type node map[string]string
+type nodeValues map[string]string
 
-func (n node) text(name, value string) {
+func (n nodeValues) setText(name, value string) {
 	if value != "" {
 		n[name] = value
 	}
@@ -101,7 +101,7 @@
 // setUnlessDefault sets a value unless it equals the setting's default. Defaults
 // never change, and most of the thousands of routes in a release differ from them in
 // few settings.
-func (n node) value(name, value string) {
+func (n nodeValues) setUnlessDefault(name, value string) {
 	canonical := settings.Canonical([]settings.Edit{{Path: settings.Root, Name: name, Value: value, Op: settings.Set}})
 	if s, ok := settings.Lookup(name); ok && s.Default == canonical[0].Value {
 		return
@@ -110,68 +110,68 @@
 }
 
 // releaseNodes returns, by path, the settings that represent a release in the tree.
-func states(r *Release) map[string]map[string]string {
+func releaseNodes(r *Release) map[string]map[string]string {
 	out := make(map[string]map[string]string, len(r.Routes)+len(r.Services)+2)
-	routes, services := segments{taken: make(map[string]bool)}, segments{taken: make(map[string]bool)}
+	routes, services := segmentNames{taken: make(map[string]bool)}, segmentNames{taken: make(map[string]bool)}
 	for i := range r.Routes {
 		rt := &r.Routes[i]
-		seg := routes.add(rt.Name)
+		seg := routes.assign(rt.Name)
 		out[settings.RoutesPath+settings.Root+seg] = routeNode(rt, seg)
 	}
 	for i := range r.Services {
 		s := &r.Services[i]
-		seg := services.add(s.Name)
+		seg := services.assign(s.Name)
 		out[settings.ServicesPath+settings.Root+seg] = serviceNode(s)
 	}
 	out[settings.LimitsPath] = limitsNode(&r.Limits)
-	rel := node{settings.NameReleaseNumber: strconv.FormatUint(r.Number, 10)}
-	rel.text(settings.NameReleaseRoutes, routes.order())
-	rel.text(settings.NameReleaseServices, services.order())
-	rel.text(settings.NameReleaseExtra, r.Extra)
+	rel := nodeValues{settings.NameReleaseNumber: strconv.FormatUint(r.Number, 10)}
+	rel.setText(settings.NameReleaseRoutes, routes.orderSetting())
+	rel.setText(settings.NameReleaseServices, services.orderSetting())
+	rel.setText(settings.NameReleaseExtra, r.Extra)
 	out[settings.ReleasePath] = rel
 	return out
 }
 
-func routeNode(r *Route, seg string) node {
-	n := node{}
+func routeNode(r *Route, seg string) nodeValues {
+	n := nodeValues{}
 	if r.Name != seg {
-		n[settings.NameRouteName] = quoteName(r.Name)
-	}
-	n.text(settings.NameRouteHost, quote(r.Host))
-	n.text(settings.NameRoutePrefix, quote(r.Prefix))
-	n.text(settings.NameRouteService, quote(r.Service))
-	n.text(settings.NameRouteShards, joinNames(r.Shards))
-	n.text(settings.NameRouteSplit, joinSplit(r.Split))
-	n.value(settings.NameRouteRepeatable, strconv.FormatBool(r.Repeatable))
-	n.value(settings.NameRouteAttempts, strconv.Itoa(r.Attempts))
-	n.value(settings.NameRoutePriority, strconv.Itoa(r.Priority))
-	n.value(settings.NameRouteTimeout, r.Timeout.String())
-	n.value(settings.NameRouteTargetLatency, r.TargetLatency.String())
+		n[settings.NameRouteName] = escapeOrMarkEmpty(r.Name)
+	}
+	n.setText(settings.NameRouteHost, escape(r.Host))
+	n.setText(settings.NameRoutePrefix, escape(r.Prefix))
+	n.setText(settings.NameRouteService, escape(r.Service))
+	n.setText(settings.NameRouteShards, joinNames(r.Shards))
+	n.setText(settings.NameRouteSplit, joinSplit(r.Split))
+	n.setUnlessDefault(settings.NameRouteRepeatable, strconv.FormatBool(r.Repeatable))
+	n.setUnlessDefault(settings.NameRouteAttempts, strconv.Itoa(r.Attempts))
+	n.setUnlessDefault(settings.NameRoutePriority, strconv.Itoa(r.Priority))
+	n.setUnlessDefault(settings.NameRouteTimeout, r.Timeout.String())
+	n.setUnlessDefault(settings.NameRouteTargetLatency, r.TargetLatency.String())
 	if r.Gathers() {
-		n.value(settings.NameRouteTop, strconv.Itoa(r.Top))
-		n.value(settings.NameRouteLeastCoverage, strconv.FormatFloat(r.LeastCoverage, 'f', -1, 64))
+		n.setUnlessDefault(settings.NameRouteTop, strconv.Itoa(r.Top))
+		n.setUnlessDefault(settings.NameRouteLeastCoverage, strconv.FormatFloat(r.LeastCoverage, 'f', -1, 64))
 	}
-	n.text(settings.NameRouteExtra, r.Extra)
+	n.setText(settings.NameRouteExtra, r.Extra)
 	return n
 }
 
-func serviceNode(s *Service) node {
+func serviceNode(s *Service) nodeValues {
 	// The name is stated always: a node without a single value is none.
-	n := node{settings.NameServiceName: quoteName(s.Name)}
-	n.text(settings.NameServiceHealthPath, quote(s.HealthPath))
-	n.text(settings.NameServiceProtocol, quote(s.Protocol))
-	n.value(settings.NameServiceConnections, strconv.Itoa(s.Connections))
-	n.value(settings.NameServiceTLS, strconv.FormatBool(s.TLS))
-	n.text(settings.NameServiceExtra, s.Extra)
+	n := nodeValues{settings.NameServiceName: escapeOrMarkEmpty(s.Name)}
+	n.setText(settings.NameServiceHealthPath, escape(s.HealthPath))
+	n.setText(settings.NameServiceProtocol, escape(s.Protocol))
+	n.setUnlessDefault(settings.NameServiceConnections, strconv.Itoa(s.Connections))
+	n.setUnlessDefault(settings.NameServiceTLS, strconv.FormatBool(s.TLS))
+	n.setText(settings.NameServiceExtra, s.Extra)
 	return n
 }
 
-func limitsNode(l *Limits) node {
-	n := node{}
-	n.value(settings.NameHeaderLimit, strconv.Itoa(l.HeaderBytes))
-	n.value(settings.NameBodyLimit, strconv.FormatInt(l.BodyBytes, 10)+"B")
-	n.value(settings.NameHeaderTimeout, l.HeaderTimeout.String())
-	n.value(settings.NameIdleTimeout, l.IdleTimeout.String())
+func limitsNode(l *Limits) nodeValues {
+	n := nodeValues{}
+	n.setUnlessDefault(settings.NameHeaderLimit, strconv.Itoa(l.HeaderBytes))
+	n.setUnlessDefault(settings.NameBodyLimit, strconv.FormatInt(l.BodyBytes, 10)+"B")
+	n.setUnlessDefault(settings.NameHeaderTimeout, l.HeaderTimeout.String())
+	n.setUnlessDefault(settings.NameIdleTimeout, l.IdleTimeout.String())
 	return n
 }
 
@@ -199,8 +199,8 @@
 		limits, _ = t.Effective(settings.Root) // no limits node: every limit has its default
 	}
 	r.Limits = Limits(limits.Caller)
-	for _, seg := range ordered(t.Children(settings.ServicesPath), rel.Release.ServiceOrder) {
-		if path := settings.ServicesPath + settings.Root + seg; isReleased(t, path) {
+	for _, seg := range sortByOrder(t.Children(settings.ServicesPath), rel.Release.ServiceOrder) {
+		if path := settings.ServicesPath + settings.Root + seg; setByRelease(t, path) {
 			e, _ := t.Effective(path)
 			s, err := readService(e, seg)
 			if err != nil {
@@ -209,10 +209,10 @@
 			r.Services = append(r.Services, s)
 		}
 	}
-	var pace work.Pacer
-	for _, seg := range ordered(t.Children(settings.RoutesPath), rel.Release.RouteOrder) {
-		pace.Step()
-		if path := settings.RoutesPath + settings.Root + seg; isReleased(t, path) {
+	var pacer work.Pacer
+	for _, seg := range sortByOrder(t.Children(settings.RoutesPath), rel.Release.RouteOrder) {
+		pacer.Step()
+		if path := settings.RoutesPath + settings.Root + seg; setByRelease(t, path) {
 			e, _ := t.Effective(path)
 			rt, err := readRoute(e, seg)
 			if err != nil {
@@ -228,7 +228,7 @@
 	s := Service{
 		Connections: e.Service.Connections, TLS: e.LeafTLS, Extra: e.Service.Extra,
 	}
-	var u unquoter
+	var u unescaper
 	s.Name = u.text(cmp.Or(e.Service.Name, seg))
 	s.HealthPath = u.text(e.Service.HealthPath)
 	s.Protocol = u.text(e.Service.Protocol)
@@ -242,7 +242,7 @@
 		Priority: in.Priority, Attempts: in.Attempts, Top: in.Top, LeastCoverage: in.LeastCoverage,
 		Extra: in.Extra, AnswerMargin: in.AnswerMargin,
 	}
-	var u unquoter
+	var u unescaper
 	r.Name = u.text(cmp.Or(in.Name, seg))
 	r.Host = u.text(in.Host)
 	r.Prefix = u.text(in.Prefix)
@@ -253,15 +253,15 @@
 }
 
 // segmentNames assigns a unique path segment to each route or service name.
-type segments struct {
-	list  []string
-	taken map[string]bool
+type segmentNames struct {
+	assigned []string
+	taken    map[string]bool
 }
 
 // assign returns the path segment for a name: the name itself if it is a valid
 // segment, otherwise a hash of it, which is the same in every release. A segment
 // that is already taken gets a numeric suffix.
-func (s *segments) add(name string) string {
+func (s *segmentNames) assign(name string) string {
 	seg := name
 	if !settings.IsSegment(seg) {
 		var sum [8]byte
@@ -275,48 +275,48 @@
 		seg = strings.TrimSuffix(seg, "."+strconv.Itoa(n-1)) + "." + strconv.Itoa(n)
 	}
 	s.taken[seg] = true
-	s.list = append(s.list, seg)
+	s.assigned = append(s.assigned, seg)
 	return seg
 }
 
 // orderSetting returns the segments in the order of the release, or an empty string
 // if that is the sorted order.
-func (s *segments) order() string {
-	if slices.IsSorted(s.list) {
+func (s *segmentNames) orderSetting() string {
+	if slices.IsSorted(s.assigned) {
 		return ""
 	}
-	return strings.Join(s.list, ",")
+	return strings.Join(s.assigned, ",")
 }
 
 // sortByOrder returns names sorted by their position in order; names that are not in
 // order come last.
-func ordered(names []string, order string) []string {
+func sortByOrder(names []string, order string) []string {
 	if order == "" {
 		return names
 	}
-	at := make(map[string]int)
+	position := make(map[string]int)
 	for i, name := range strings.Split(order, ",") {
-		at[name] = i
+		position[name] = i
 	}
-	place := func(name string) int {
-		if i, ok := at[name]; ok {
+	rank := func(name string) int {
+		if i, ok := position[name]; ok {
 			return i
 		}
-		return len(at)
+		return len(position)
 	}
 	out := slices.Clone(names)
-	slices.SortStableFunc(out, func(a, b string) int { return cmp.Compare(place(a), place(b)) })
+	slices.SortStableFunc(out, func(a, b string) int { return cmp.Compare(rank(a), rank(b)) })
 	return out
 }
 
 // reservedChars are the separators of lists and the characters that a text setting
 // strips or rejects.
-const special = ",=%\r\n\x00 \t"
+const reservedChars = ",=%\r\n\x00 \t"
 
 // escape returns a name in the form used in lists. A name with a reserved character
 // is query-escaped and gets the prefix %; others are unchanged.
-func quote(name string) string {
-	if !strings.ContainsAny(name, special) {
+func escape(name string) string {
+	if !strings.ContainsAny(name, reservedChars) {
 		return name
 	}
 	return "%" + url.QueryEscape(name)
@@ -324,50 +324,50 @@
 
 // escapeOrMarkEmpty is escape for a value that must be stored even if it is empty:
 // the empty name becomes "%".
-func quoteName(name string) string {
+func escapeOrMarkEmpty(name string) string {
 	if name == "" {
 		return "%"
 	}
-	return quote(name)
+	return escape(name)
 }
 
 func joinNames(names []string) string {
 	out := make([]string, len(names))
 	for i, n := range names {
-		out[i] = quote(n)
+		out[i] = escape(n)
 	}
 	return strings.Join(out, ",")
 }
 
-func joinSplit(parts []Weighted) string {
-	out := make([]string, len(parts))
-	for i, p := range parts {
-		out[i] = quote(p.Service) + "=" + strconv.FormatFloat(p.Weight, 'g', -1, 64)
+func joinSplit(services []Weighted) string {
+	out := make([]string, len(services))
+	for i, p := range services {
+		out[i] = escape(p.Service) + "=" + strconv.FormatFloat(p.Weight, 'g', -1, 64)
 	}
 	return strings.Join(out, ",")
 }
 
 // unescaper reverses escape and keeps the first error.
-type unquoter struct{ err error }
+type unescaper struct{ err error }
 
-func (u *unquoter) fail(err error) {
+func (u *unescaper) setErr(err error) {
 	if u.err == nil {
 		u.err = err
 	}
 }
 
-func (u *unquoter) text(s string) string {
+func (u *unescaper) text(s string) string {
 	if !strings.HasPrefix(s, "%") {
 		return s
 	}
 	out, err := url.QueryUnescape(s[1:])
 	if err != nil {
-		u.fail(errors.Wrapf(err, "%q", s))
+		u.setErr(errors.Wrapf(err, "%q", s))
 	}
 	return out
 }
 
-func (u *unquoter) names(list string) []string {
+func (u *unescaper) names(list string) []string {
 	if list == "" {
 		return nil
 	}
@@ -378,7 +378,7 @@
 	return out
 }
 
-func (u *unquoter) split(list string) []Weighted {
+func (u *unescaper) split(list string) []Weighted {
 	if list == "" {
 		return nil
 	}
@@ -387,7 +387,7 @@
 		name, weight, _ := strings.Cut(item, "=")
 		w, err := strconv.ParseFloat(weight, 64)
 		if err != nil {
-			u.fail(errors.Wrapf(err, "weight %q", item))
+			u.setErr(errors.Wrapf(err, "weight %q", item))
 		}
 		out = append(out, Weighted{Service: u.text(name), Weight: w})
 	}
--- a/internal/route/tree_test.go
+++ b/internal/route/tree_test.go
@@ -25,11 +25,11 @@
 	os.Exit(m.Run())
 }
 
-var oddNames = []string{"a", "b", "svc-1", "Upper", "with space", "a,b", "a=b", "100%", "é", "x.2", "x", ""}
+var unusualNames = []string{"a", "b", "svc-1", "Upper", "with space", "a,b", "a=b", "100%", "é", "x.2", "x", ""}
 
 func drawService(t *rapid.T, i int) Service {
 	return Service{
-		Name:        fmt.Sprintf("%s%d", rapid.SampledFrom(oddNames).Draw(t, "service"), i),
+		Name:        fmt.Sprintf("%s%d", rapid.SampledFrom(unusualNames).Draw(t, "service"), i),
 		HealthPath:  rapid.SampledFrom([]string{"", "/health", "/h?x=1,2"}).Draw(t, "health"),
 		Connections: rapid.IntRange(0, 200).Draw(t, "connections"),
 		Protocol:    rapid.SampledFrom([]string{"", "h1"}).Draw(t, "protocol"),
@@ -40,7 +40,7 @@
 
 func drawRoute(t *rapid.T, i int, services []Service) Route {
 	r := Route{
-		Name:       rapid.SampledFrom(oddNames).Draw(t, "route"),
+		Name:       rapid.SampledFrom(unusualNames).Draw(t, "route"),
 		Host:       rapid.SampledFrom([]string{"h.example", "Other.example"}).Draw(t, "host"),
 		Prefix:     fmt.Sprintf("/p%d/", i),
 		Repeatable: rapid.Bool().Draw(t, "repeatable"),
@@ -76,7 +76,7 @@
 // A release that is stored in the tree must be read back unchanged, whatever release
 // was stored before. Guards against names that need escaping and leftovers of the
 // previous release.
-func TestReleaseThroughTree(t *testing.T) {
+func TestReleaseRoundTripsThroughTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := settings.New()
 		for version := uint64(1); version <= 3; version++ {
@@ -107,7 +107,7 @@
 }
 
 // A setting that an operator made on a route's node must survive the next release.
-func TestReleaseLeavesOtherSettings(t *testing.T) {
+func TestReleaseKeepsOperatorSettings(t *testing.T) {
 	rel := &Release{Number: 1, Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", Host: "h", Prefix: "/", Timeout: time.Second, Service: "s"}}}
 	tree, err := settings.New().Apply(1, Edits(settings.New(), rel))
 	if err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestValidateNamesEveryFault(t *testing.T) {
+func TestValidateReportsEveryFault(t *testing.T) {
 	rel := &Release{
 		Services: []Service{{Name: "s"}},
 		Routes: []Route{
@@ -163,7 +163,7 @@
 
 // Each service must receive its share of 300 requests to within two, for any weights.
 // A random choice would deviate more.
-func TestSpreadByWeight(t *testing.T) {
+func TestPickerFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "parts")
 		var parts []Weighted
@@ -176,7 +176,7 @@
 		if total == 0 {
 			return
 		}
-		s := newSpread(parts)
+		s := newWeightedPicker(parts)
 		count := map[string]float64{}
 		for i := 1; i <= 300; i++ {
 			count[s.next()]++
--- a/internal/work/each_test.go
+++ b/internal/work/each_test.go
@@ -10,20 +10,20 @@
 )
 
 // Tasks of different keys must run concurrently, and those of one key one at a time.
-func TestEach(t *testing.T) {
-	var e Each
+func TestOneTaskPerKey(t *testing.T) {
+	var r Each
 	gate := make(chan struct{})
 	var runs atomic.Int32
 	task := func() { runs.Add(1); <-gate }
-	if !e.Go("a", task) || !e.Go("b", task) || e.Go("a", task) {
+	if !r.Go("a", task) || !r.Go("b", task) || r.Go("a", task) {
 		t.Error("a second task of a key was started, or the first task of another key was not")
 	}
 	close(gate)
-	e.Wait()
-	if !e.Go("a", task) {
+	r.Wait()
+	if !r.Go("a", task) {
 		t.Error("a key is still busy after its task has ended")
 	}
-	e.Wait()
+	r.Wait()
 	if n := runs.Load(); n != 3 {
 		t.Errorf("got %d task runs", n)
 	}
@@ -31,15 +31,15 @@
 
 // The task of the first key blocks, as a call to a VM that does not answer. The tasks of
 // other keys must be started meanwhile, until one of them has the answer.
-func TestInTurnPassesOverASilentOne(t *testing.T) {
-	var e Each
+func TestRunStaggeredSkipsUnresponsiveKey(t *testing.T) {
+	var r Each
 	var known atomic.Bool
 	var mu sync.Mutex
 	var asked []string
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	answered := make(chan struct{})
-	e.InTurn(ctx, time.Millisecond, func() []string { return []string{"a", "b", "c"} }, known.Load, func(key string) {
+	r.InTurn(ctx, time.Millisecond, func() []string { return []string{"a", "b", "c"} }, known.Load, func(key string) {
 		mu.Lock()
 		asked = append(asked, key)
 		mu.Unlock()
--- a/internal/work/pool.go
+++ b/internal/work/pool.go
@@ -6,57 +6,57 @@
 
 // maxIdle is the maximum number of idle goroutines of a pool: enough for one gather over
 // 90 shards, with some reserve.
-const idleMost = 128
+const maxIdle = 128
 
 // Pool runs tasks on reusable goroutines. The stack of a new goroutine has to grow several
 // times in each exchange with a leaf, which costs 8% of the sender's processor time.
 type Pool[T any] struct {
-	do   func(T)
-	work chan T
-	idle chan struct{} // one token for each idle goroutine
-	quit chan struct{}
-	once sync.Once
+	run       func(T)
+	tasks     chan T
+	idleSlots chan struct{} // one token for each idle goroutine
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // NewPool returns a pool whose goroutines call run for each task.
-func NewPool[T any](do func(T)) *Pool[T] {
+func NewPool[T any](run func(T)) *Pool[T] {
 	return &Pool[T]{
-		do:   do,
-		work: make(chan T),
-		idle: make(chan struct{}, idleMost),
-		quit: make(chan struct{}),
+		run:       run,
+		tasks:     make(chan T),
+		idleSlots: make(chan struct{}, maxIdle),
+		closed:    make(chan struct{}),
 	}
 }
 
 // Run starts t on an idle goroutine, or on a new one if there is none.
 func (p *Pool[T]) Run(t T) {
 	select {
-	case p.work <- t:
+	case p.tasks <- t:
 	default:
-		go p.serve(t)
+		go p.runTasks(t)
 	}
 }
 
 // runTasks runs t and then further tasks, until the pool is closed or has enough idle
 // goroutines.
-func (p *Pool[T]) serve(t T) {
-	var none T
+func (p *Pool[T]) runTasks(t T) {
+	var zero T
 	for {
-		p.do(t)
-		t = none
+		p.run(t)
+		t = zero
 		select {
-		case p.idle <- struct{}{}:
+		case p.idleSlots <- struct{}{}:
 		default:
 			return
 		}
 		select {
-		case t = <-p.work:
-			<-p.idle
-		case <-p.quit:
+		case t = <-p.tasks:
+			<-p.idleSlots
+		case <-p.closed:
 			return
 		}
 	}
 }
 
 // Close ends the idle goroutines. The others end after their current task.
-func (p *Pool[T]) Close() { p.once.Do(func() { close(p.quit) }) }
+func (p *Pool[T]) Close() { p.closeOnce.Do(func() { close(p.closed) }) }
