--- a/internal/audit/trail_test.go
+++ b/internal/audit/trail_test.go
@@ -23,10 +23,10 @@
 	return out
 }
 
-// A control VM restarts and applies the end of its log again, which hands the
-// trail records that it already holds. Each must stand there once.
-func TestTrailOutlastsRestarts(t *testing.T) {
-	Convey("Records appended again after a restart are left out, and all read back", t, func() {
+// A restarted control VM applies the end of its log again and appends records that the
+// trail already has. Each record must be stored once.
+func TestTrailIgnoresRecordsReappliedAfterRestart(t *testing.T) {
+	Convey("Records appended again after a restart are ignored, and all are read back", t, func() {
 		dir := t.TempDir()
 		for _, from := range []uint64{1, 41, 61} {
 			trail, err := Open(dir, nil, 0)
@@ -51,7 +51,7 @@
 		So(trail.Close(), ShouldBeNil)
 	})
 
-	Convey("Records are found over many files", t, func() {
+	Convey("Records are read from many segment files", t, func() {
 		trail, err := Open(t.TempDir(), nil, 0)
 		So(err, ShouldBeNil)
 		long := make([]byte, 1<<20)
@@ -61,7 +61,7 @@
 			trail.Append(r)
 			So(trail.Flush(), ShouldBeNil)
 		}
-		So(len(trail.files), ShouldBeGreaterThan, 3)
+		So(len(trail.segments), ShouldBeGreaterThan, 3)
 		for v := uint64(1); v <= 20; v++ {
 			got, err := trail.Read(v, 1)
 			So(err, ShouldBeNil)
@@ -71,9 +71,9 @@
 	})
 }
 
-// A small disk. Changes come for years; the trail must not fill the disk, or no change
-// is taken any more, and the newest records must stay, also over restarts.
-func TestTrailKeepsToItsLimit(t *testing.T) {
+// A trail that fills the disk stops all further changes. It must stay within its limit
+// and keep the newest records, also after restarts.
+func TestTrailStaysWithinSizeLimit(t *testing.T) {
 	const limit = 40 << 10
 	Convey("A bounded trail drops its oldest records and keeps the newest", t, func() {
 		dir := t.TempDir()
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -11,7 +11,7 @@
 	"pearmoor/internal/contract"
 )
 
-// Limits of the flags that are numbers or durations.
+// Ranges of the numeric and duration flags.
 const (
 	minPlatformInterval = 200 * time.Millisecond
 	maxPlatformInterval = time.Hour
@@ -19,45 +19,45 @@
 	maxSyncInterval     = 10 * time.Second
 	minFanout           = 2
 	maxFanout           = 1024
-	maxDirect           = 4096
+	maxRelayThreshold   = 4096
 )
 
-// Config is what a daemon learns from its flags and environment.
+// Config is the configuration of a daemon, from flags and environment variables.
 type Config struct {
 	Name   string // VM name, unique in the tier
 	Domain string // failure domain
 	Region string
 
-	CallerListen    string // host:port callers connect to
-	CallerURL       string // base URL told to callers; empty: from CallerListen
-	CallerCert      string // PEM files; both empty: plain HTTP to callers
+	CallerListen    string // host:port that callers connect to
+	CallerURL       string // base URL advertised to callers; empty: derived from CallerListen
+	CallerCert      string // PEM files; both empty: callers use plain HTTP
 	CallerKey       string
-	PeerListen      string // host:port for other daemons
-	PeerAddr        string // host:port told to other daemons; empty: from PeerListen
-	OperatorListen  string // host:port for metrics, health, readiness
+	PeerListen      string // host:port that other daemons connect to
+	PeerAddr        string // host:port advertised to other daemons; empty: derived from PeerListen
+	OperatorListen  string // host:port for metrics, health, readiness, status and profiles
 	ReadyFile       string // written with the bound addresses once serving
 	PlaintextPeers  bool   // no TLS between daemons; loopback only
 	PeerCA          string // PEM files for mutual TLS between daemons
 	PeerCert        string
 	PeerKey         string
-	LeafCA          string        // PEM file; empty: the system's authorities
+	LeafCA          string        // PEM file; empty: the system's certificate authorities
 	PlatformURL     string        // base URL of the platform's VM list; empty: none
-	PlatformEvery   time.Duration // how often the list is read
+	PlatformEvery   time.Duration // interval between reads of the VM list
 	SyncEvery       time.Duration // heartbeat interval
-	Direct          int           // most daemons that sync with the leader itself; a larger tier has relays
-	Fanout          int           // daemons below one relay
-	Entry           bool          // serve callers; false on a VM set aside for control
+	Direct          int           // maximum number of daemons that sync directly with the leader; a larger tier uses relays
+	Fanout          int           // number of daemons below one relay
+	Entry           bool          // serve callers; false on a dedicated control VM
 	Control         []string      // peer addresses of the control VMs
 	ControlID       uint64        // this control VM's id; 0: not a control VM
-	DataDir         string        // the control VM's data folder
-	Bootstrap       bool          // found a new control group with this VM as its only voter
-	BootstrapVoters []string      // id=host:port of every first voter; empty with Bootstrap: this VM alone
+	DataDir         string        // data directory of a control VM
+	Bootstrap       bool          // create a new control group
+	BootstrapVoters []string      // id=host:port of every initial voter; empty with Bootstrap: only this VM
 }
 
 // IsControl reports whether this daemon is a control VM.
 func (c *Config) IsControl() bool { return c.ControlID != 0 }
 
-// Validate returns contract.Faults that list every fault of c at once, or nil.
+// Validate returns all faults of c as contract.Faults, or nil.
 func (c *Config) Validate() error {
 	var faults contract.Faults
 	faults = append(faults, c.identityFaults()...)
@@ -199,33 +199,33 @@
 	return faults
 }
 
-// voters parses BootstrapVoters into ids and addresses.
+// voters parses BootstrapVoters into addresses by id.
 func (c *Config) voters() (map[uint64]string, contract.Faults) {
 	var faults contract.Faults
 	voters := make(map[uint64]string, len(c.BootstrapVoters))
 	for _, v := range c.BootstrapVoters {
-		id, addr, err := parseVoter(v)
-		if err != "" {
-			faults = append(faults, fault("--bootstrap-voter", v, err, "write id=host:port with a different id for each, 1 or higher"))
+		id, addr, why := parseVoter(v)
+		if why != "" {
+			faults = append(faults, fault("--bootstrap-voter", v, why, "write id=host:port with a different id for each, 1 or higher"))
 			continue
 		}
-		if _, twice := voters[id]; twice {
+		if _, duplicate := voters[id]; duplicate {
 			faults = append(faults, fault("--bootstrap-voter", v, "repeats an id", "give every control VM its own"))
 		}
 		voters[id] = addr
 	}
-	if _, own := voters[c.ControlID]; len(voters) > 0 && !own {
+	if _, hasOwn := voters[c.ControlID]; len(voters) > 0 && !hasOwn {
 		faults = append(faults, fault("--bootstrap-voter", strings.Join(c.BootstrapVoters, ","), "does not name this VM's own --control-id", "list every first voter, this VM too"))
 	}
 	return voters, faults
 }
 
 func parseVoter(v string) (id uint64, addr, why string) {
-	left, addr, ok := strings.Cut(v, "=")
+	idText, addr, ok := strings.Cut(v, "=")
 	if !ok {
 		return 0, "", "has no '='"
 	}
-	id, err := strconv.ParseUint(left, 10, 64)
+	id, err := strconv.ParseUint(idText, 10, 64)
 	if err != nil || id == 0 {
 		return 0, "", "has no positive id"
 	}
@@ -242,7 +242,7 @@
 	if c.SyncEvery < minSyncInterval || c.SyncEvery > maxSyncInterval {
 		faults = append(faults, fault("--sync-every", c.SyncEvery.String(), "is out of range", "choose 50ms to 10s"))
 	}
-	if c.Direct < 1 || c.Direct > maxDirect {
+	if c.Direct < 1 || c.Direct > maxRelayThreshold {
 		faults = append(faults, fault("--relay-above", strconv.Itoa(c.Direct), "is out of range", "choose 1 to 4096"))
 	}
 	if c.Fanout < minFanout || c.Fanout > maxFanout {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -30,27 +30,27 @@
 	conf      Config
 	self      vm.Identity
 	listeners listeners
-	peerTLS   *peer.Reloader // nil: plain text
+	peerTLS   *peer.Reloader // nil: plain text between daemons
 	lifecycle lifecycle
 
-	// Heartbeats and queries have connections of their own, so that slow queries
-	// never hold up a heartbeat and cost the daemon its lease.
+	// Heartbeats and queries use separate connections, so that a slow query can't
+	// delay a heartbeat until the daemon's lease expires.
 	controlConns *peer.Pool
 	queryConns   *peer.Pool
 
 	control    *control.Node // nil: not a control VM
-	client     *relay.Client // nil: no entry
+	client     *relay.Client // nil: does not serve callers
 	engine     *query.Engine
 	quarantine *quarantine.Registry
 	entry      *entry.Server
 	sender     *leaf.Sender
 	prober     *leaf.Prober
-	homes      *homes
+	shares     *shareManager
 	gates      *admit.Gates
-	horizon    directory.ListExpiry
+	listExpiry directory.ListExpiry
 }
 
-// New binds the daemon's ports and puts its parts together; nothing runs yet.
+// New binds the daemon's ports and creates its components. Run starts them.
 func New(conf Config) (*Daemon, error) {
 	d := &Daemon{conf: conf}
 	var err error
@@ -122,7 +122,7 @@
 	if !c.IsControl() {
 		return nil
 	}
-	voters, _ := c.voters() // validated before
+	voters, _ := c.voters() // Validate has reported the faults
 	node, err := control.Open(control.Config{
 		ID:        c.ControlID,
 		Name:      c.Name,
@@ -139,7 +139,8 @@
 	return nil
 }
 
-// controlAddrs lists the control VMs to ask, this one first if it is one.
+// controlAddrs returns the peer addresses of the control VMs, this VM first if it is
+// one of them.
 func (d *Daemon) controlAddrs() []string {
 	if d.control == nil {
 		return d.conf.Control
@@ -166,9 +167,9 @@
 	d.prober = leaf.NewProber(leaf.ProberConfig{
 		Sender: d.sender, Gates: d.gates, PlatformURL: d.conf.PlatformURL, Clock: vm.Now,
 	})
-	d.homes = &homes{
+	d.shares = &shareManager{
 		self: d.self, source: d.client, gates: d.gates, sender: d.sender, prober: d.prober, ack: d.client.Ack,
-		horizon: &d.horizon,
+		listExpiry: &d.listExpiry,
 	}
 	d.quarantine = quarantine.NewRegistry(vm.Now, &quarantine.RemoteLeader{
 		Conns:        d.queryConns,
@@ -214,36 +215,36 @@
 	return wire.DRPCRegisterHome(mux, d.engine.Home())
 }
 
-// Run serves until stop ends, then shuts down gracefully; hurry cuts the
-// shutdown short. It returns nil after a planned stop.
-func (d *Daemon) Run(stop, hurry context.Context) error {
+// Run serves until shutdown is done, then drains; when abort is done, it stops without
+// waiting further. It returns nil after a planned stop.
+func (d *Daemon) Run(shutdown, abort context.Context) error {
 	mux := drpcmux.New()
 	if err := d.register(mux); err != nil {
 		return err
 	}
-	// The peer and control parts go on until the entry has drained: a leaving
+	// The peer, operator and control servers run until the drain has ended: a draining
 	// daemon still renews its lease and answers other daemons.
-	base, endBase := context.WithCancel(context.WithoutCancel(stop))
-	defer endBase()
-	g, ctx := errgroup.WithContext(base)
-	d.startBase(g, ctx, mux)
-	callers, endCallers := context.WithCancel(ctx)
-	defer endCallers()
-	d.startEntry(g, ctx, callers)
-	if err := d.conf.writeReady(d.listeners); err != nil {
+	baseCtx, cancelBase := context.WithCancel(context.WithoutCancel(shutdown))
+	defer cancelBase()
+	g, ctx := errgroup.WithContext(baseCtx)
+	d.startServers(g, ctx, mux)
+	callerCtx, stopCallers := context.WithCancel(ctx)
+	defer stopCallers()
+	d.startEntry(g, ctx, callerCtx)
+	if err := d.conf.writeReadyFile(d.listeners); err != nil {
 		return err
 	}
 	d.lifecycle.set(phaseServing)
 	klog.Infof("daemon: %s serves; callers %s, peers %s, operators %s",
 		d.self.Name, d.self.CallerAddr, d.self.PeerAddr, d.listeners.operator.Addr())
 	g.Go(func() error {
-		defer endBase()
+		defer cancelBase()
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-stop.Done():
+		case <-shutdown.Done():
 		}
-		d.drain(hurry, endCallers)
+		d.drain(abort, stopCallers)
 		return nil
 	})
 	err := g.Wait()
@@ -252,7 +253,7 @@
 	return err
 }
 
-func (d *Daemon) startBase(g *errgroup.Group, ctx context.Context, mux *drpcmux.Mux) {
+func (d *Daemon) startServers(g *errgroup.Group, ctx context.Context, mux *drpcmux.Mux) {
 	g.Go(func() error { return peer.Serve(ctx, d.listeners.peer, mux, d.serverTLS()) })
 	operator := newOperatorServer(d.ready, func() any { return d.status() })
 	g.Go(func() error { return operator.serve(ctx, d.listeners.operator) })
@@ -261,21 +262,22 @@
 	}
 }
 
-func (d *Daemon) startEntry(g *errgroup.Group, ctx, callers context.Context) {
+func (d *Daemon) startEntry(g *errgroup.Group, ctx, callerCtx context.Context) {
 	if d.entry == nil {
 		return
 	}
 	d.client.SetPhase(vm.Serving)
-	g.Go(func() error { return ended(ctx, d.client.Run(ctx)) })
-	g.Go(func() error { return ended(ctx, d.prober.Run(ctx)) })
-	g.Go(func() error { d.homes.run(ctx); return nil })
+	g.Go(func() error { return ignoreAfterCancel(ctx, d.client.Run(ctx)) })
+	g.Go(func() error { return ignoreAfterCancel(ctx, d.prober.Run(ctx)) })
+	g.Go(func() error { d.shares.run(ctx); return nil })
 	g.Go(func() error { d.quarantine.Run(ctx); return nil })
 	g.Go(func() error { d.gates.WatchStalls(ctx); return nil })
-	g.Go(func() error { return d.entry.Serve(callers, d.listeners.caller, d.callerTLS()) })
+	g.Go(func() error { return d.entry.Serve(callerCtx, d.listeners.caller, d.callerTLS()) })
 }
 
-// ended drops the error of a part that stopped because it was told to.
-func ended(ctx context.Context, err error) error {
+// ignoreAfterCancel returns err, or nil if ctx is done: an error after cancellation is
+// part of the shutdown.
+func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -304,7 +306,8 @@
 	d.listeners.close()
 }
 
-// ready tells whether this daemon takes new work.
+// ready reports whether this daemon accepts new requests, and its state or the reason
+// why not.
 func (d *Daemon) ready() (bool, string) {
 	if phase := d.lifecycle.get(); phase != phaseServing {
 		return false, phase.String()
@@ -319,8 +322,8 @@
 	if m, ok := v.Settled.Find(d.self.Name); !ok || !m.Same(d.self) {
 		return false, "joining: the agreed membership does not hold this daemon yet"
 	}
-	if left := v.Lease.Sub(vm.Now()); left <= 0 {
-		return false, "unconfirmed: the daemon lease ran out " + (-left).Round(time.Millisecond).String() + " ago"
+	if remaining := v.Lease.Sub(vm.Now()); remaining <= 0 {
+		return false, "unconfirmed: the daemon lease ran out " + (-remaining).Round(time.Millisecond).String() + " ago"
 	}
 	return true, phaseServing.String()
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -7,26 +7,25 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// metricPrefix stands before the name of every published metric.
+// metricPrefix is the prefix of every published metric name.
 const metricPrefix = "pearmoor_"
 
-// quantiles published of every histogram and timer.
+// quantiles are published for every histogram and timer.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// collector publishes a go-metrics registry through the Prometheus client
-// library, whose text format the operator port serves.
+// collector is a Prometheus collector for the metrics of a go-metrics registry.
 type collector struct {
 	registry metrics.Registry
 }
 
-// Describe sends nothing: the registry's names are not known beforehand, which
-// makes this an unchecked collector.
+// Describe sends nothing, which makes this an unchecked collector: metrics may be
+// registered at any time, so their names are not known in advance.
 func (c collector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect implements prometheus.Collector.
 func (c collector) Collect(out chan<- prometheus.Metric) {
 	c.registry.Each(func(name string, m any) {
-		for _, p := range points(promName(name), m) {
+		for _, p := range constMetrics(promName(name), m) {
 			out <- p
 		}
 	})
@@ -41,16 +40,17 @@
 	}, name)
 }
 
-func points(name string, m any) []prometheus.Metric {
+// constMetrics converts a go-metrics metric. It returns nil for an unsupported type.
+func constMetrics(name string, m any) []prometheus.Metric {
 	switch m := m.(type) {
 	case metrics.Counter:
-		return one(name, prometheus.UntypedValue, float64(m.Count()))
+		return singleValue(name, prometheus.UntypedValue, float64(m.Count()))
 	case metrics.Gauge:
-		return one(name, prometheus.GaugeValue, float64(m.Value()))
+		return singleValue(name, prometheus.GaugeValue, float64(m.Value()))
 	case metrics.GaugeFloat64:
-		return one(name, prometheus.GaugeValue, m.Value())
+		return singleValue(name, prometheus.GaugeValue, m.Value())
 	case metrics.Meter:
-		return one(name, prometheus.CounterValue, float64(m.Snapshot().Count()))
+		return singleValue(name, prometheus.CounterValue, float64(m.Snapshot().Count()))
 	case metrics.Histogram:
 		s := m.Snapshot()
 		return summary(name, s.Count(), float64(s.Sum()), s.Percentiles(quantiles))
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func one(name string, kind prometheus.ValueType, v float64) []prometheus.Metric {
+func singleValue(name string, kind prometheus.ValueType, v float64) []prometheus.Metric {
 	desc := prometheus.NewDesc(name, "go-metrics "+name, nil, nil)
 	return []prometheus.Metric{prometheus.MustNewConstMetric(desc, kind, v)}
 }
--- a/internal/daemon/operator.go
+++ b/internal/daemon/operator.go
@@ -20,15 +20,16 @@
 // send its request.
 const operatorReadTimeout = 5 * time.Second
 
-// readiness answers whether the daemon takes new work, and if not, why.
-type readiness func() (ready bool, why string)
+// readinessFunc reports whether the daemon accepts new requests, and its state or the
+// reason why not.
+type readinessFunc func() (ready bool, why string)
 
-// operatorServer serves metrics, health, readiness, status and profiles.
+// operatorServer is the HTTP server for metrics, health, readiness, status and profiles.
 type operatorServer struct {
 	http *http.Server
 }
 
-func newOperatorServer(ready readiness, status func() any) *operatorServer {
+func newOperatorServer(ready readinessFunc, status func() any) *operatorServer {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collector{metrics.DefaultRegistry})
 	registry.MustRegister(collectors.NewGoCollector())
@@ -37,7 +38,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
-	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { writeReady(w, ready) })
+	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { writeReadiness(w, ready) })
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { writeStatus(w, status()) })
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
@@ -45,7 +46,7 @@
 	return &operatorServer{http: &http.Server{Handler: mux, ReadHeaderTimeout: operatorReadTimeout}}
 }
 
-func writeReady(w http.ResponseWriter, ready readiness) {
+func writeReadiness(w http.ResponseWriter, ready readinessFunc) {
 	ok, why := ready()
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -60,7 +61,7 @@
 	}
 }
 
-// serve runs until ctx ends.
+// serve serves lis until ctx is done.
 func (o *operatorServer) serve(ctx context.Context, lis net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { o.http.Close() })
 	defer stop()
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -2,7 +2,7 @@
 
 import "pearmoor/internal/vm"
 
-// Status is what GET /status of the operator port shows.
+// Status is the reply to GET /status on the operator port.
 type Status struct {
 	Name          string   `json:"name"`
 	Domain        string   `json:"domain"`
@@ -15,7 +15,7 @@
 	PendingEpoch  uint64   `json:"pending_epoch,omitempty"`
 	LeaseLeftMS   int64    `json:"lease_left_ms"`
 	InFlight      int      `json:"in_flight"`
-	Services      []string `json:"services"` // query services this daemon is a home of
+	Services      []string `json:"services"` // query services that this daemon has a share of
 }
 
 func (d *Daemon) status() Status {
@@ -27,11 +27,11 @@
 		return s
 	}
 	v := d.client.Current()
-	key := keyOf(v)
-	s.ConfigVersion, s.InForce = key.config, key.inForce
-	s.SettledEpoch, s.PendingEpoch = key.settled, key.pending
+	version := shareVersionOf(v)
+	s.ConfigVersion, s.InForce = version.config, version.inForce
+	s.SettledEpoch, s.PendingEpoch = version.settled, version.pending
 	s.LeaseLeftMS = max(0, v.Lease.Sub(vm.Now()).Milliseconds())
 	s.InFlight = d.engine.InFlight()
-	s.Services = d.homes.services()
+	s.Services = d.shares.services()
 	return s
 }
--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/contract"
 )
 
-// httpError is a refusal by this package itself, with the status that fits it.
+// httpError is a request rejected by this package, with its HTTP status.
 type httpError struct {
 	contract.Failure
 	status                    int
@@ -31,16 +31,17 @@
 	return contract.Fault{Field: e.location, Value: e.value, Why: why, Fix: e.fix}
 }
 
-func failureOf(err error) (int, contract.Failure) {
-	var own *httpError
+// toFailure returns the HTTP status and the response body for an error.
+func toFailure(err error) (int, contract.Failure) {
+	var refusal *httpError
 	var faults contract.Faults
 	var typed *contract.Error
 	switch {
-	case errors.As(err, &own):
-		f := own.Failure
-		f.Faults = contract.Faults{own.fault()}
-		f.Message = own.Error()
-		return own.status, f
+	case errors.As(err, &refusal):
+		f := refusal.Failure
+		f.Faults = contract.Faults{refusal.fault()}
+		f.Message = refusal.Error()
+		return refusal.status, f
 	case errors.As(err, &typed):
 		f := contract.Failure{
 			Verdict:      typed.Verdict,
@@ -67,8 +68,8 @@
 	}
 }
 
-// statusOf chooses the status by reason. 429 and 503 invite any HTTP client to
-// send again, so they are given only with verdict not_run.
+// statusOf returns the HTTP status for an error. HTTP clients resend automatically on
+// 429 and 503, so these are returned only with verdict not_run.
 func statusOf(e *contract.Error) int {
 	switch e.Reason {
 	case contract.ReasonInvalid:
@@ -92,11 +93,11 @@
 	return http.StatusBadGateway
 }
 
-// minRetryAfter is the shortest Retry-After, whose unit is the second.
+// minRetryAfter is the shortest Retry-After; the header counts whole seconds.
 const minRetryAfter = time.Second
 
 func writeFailure(w responseWriter, id string, err error) {
-	status, f := failureOf(err)
+	status, f := toFailure(err)
 	f.RequestID = id
 	countFailure(f.Reason)
 	logFailure(id, status, err)
@@ -111,56 +112,57 @@
 	writeJSON(w, status, f)
 }
 
-// writeJSON sends body with its length, so that a caller tells a whole answer
-// from one that was cut off.
+// writeJSON sends body with its Content-Length, so that a caller can detect a
+// truncated answer.
 func writeJSON(w responseWriter, status int, body any) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		klog.Errorf("entry: answer can't be encoded: %v", err)
-		status, raw = http.StatusInternalServerError, encodeFailed
+		klog.Errorf("entry: can't encode answer: %v", err)
+		status, raw = http.StatusInternalServerError, encodeFailedBody
 	}
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(status)
 	if err := writeAll(w, raw); err != nil {
-		writeErrors.Inc(1) // the caller has left
+		writeErrors.Inc(1) // the caller closed the connection or stopped reading
 	}
 }
 
-// responseWriter is the HTTP library's, which hides what sets deadlines.
+// responseWriter is the response writer of iris. Naive returns the underlying
+// net/http writer, which supports write deadlines.
 type responseWriter interface {
 	http.ResponseWriter
 	Naive() http.ResponseWriter
 }
 
-// writeAll gives each part of the answer its own time: a caller on a slow line
-// gets the whole of a large one, and one that takes nothing ends its connection.
+// writeAll writes raw in chunks with a deadline for each chunk. A slow caller receives
+// the whole of a large answer, and a caller that reads nothing loses its connection.
 func writeAll(w responseWriter, raw []byte) error {
 	control := http.NewResponseController(w.Naive())
 	for len(raw) > 0 {
-		part := raw[:min(len(raw), writePart)]
+		chunk := raw[:min(len(raw), writeChunkBytes)]
 		if err := control.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 			return err
 		}
-		if _, err := w.Write(part); err != nil {
+		if _, err := w.Write(chunk); err != nil {
 			return err
 		}
-		raw = raw[len(part):]
+		raw = raw[len(chunk):]
 	}
 	return nil
 }
 
-// encodeFailed is sent when the engine's answer is not JSON, which a target that
-// sends broken data could cause.
-var encodeFailed = []byte(`{"verdict":"may_have_run","reason":"internal","message":"the answer can't be encoded"}`)
+// encodeFailedBody is sent when the answer can't be encoded, which invalid JSON from
+// a target may cause.
+var encodeFailedBody = []byte(`{"verdict":"may_have_run","reason":"internal","message":"the answer can't be encoded"}`)
 
 func countFailure(reason contract.Reason) {
 	metrics.GetOrRegisterCounter("entry.failures."+string(reason), metrics.DefaultRegistry).Inc(1)
 }
 
 var (
-	requestTime = metrics.GetOrRegisterTimer("entry.requests", metrics.DefaultRegistry)
-	panics      = metrics.GetOrRegisterCounter("entry.panics", metrics.DefaultRegistry)
-	writeErrors = metrics.GetOrRegisterCounter("entry.write_errors", metrics.DefaultRegistry)
+	requestTimer = metrics.GetOrRegisterTimer("entry.requests", metrics.DefaultRegistry)
+	panics       = metrics.GetOrRegisterCounter("entry.panics", metrics.DefaultRegistry)
+	writeErrors  = metrics.GetOrRegisterCounter("entry.write_errors", metrics.DefaultRegistry)
 )
--- a/internal/entry/handle.go
+++ b/internal/entry/handle.go
@@ -22,32 +22,33 @@
 // handler answers one request: body is sent as JSON with status 200 unless err is set.
 type handler func(r *http.Request, id string) (body any, err error)
 
-// handle gives each request an id, and answers whatever h returns, a panic too.
+// handle returns an iris handler that assigns a request id, calls h and writes its
+// result. A panic of h is answered as a failure.
 func (s *Server) handle(h handler) iris.Handler {
 	return func(ctx iris.Context) {
-		began := time.Now()
+		start := time.Now()
 		id := s.ids.new()
 		w := ctx.ResponseWriter()
 		w.Header().Set("X-Request-ID", id)
 		if s.conf.Draining() {
-			// Callers open their next connection elsewhere while this daemon still
-			// answers. One that kept its connection until the listener closes could
-			// send into the closing and not know whether its request ran.
+			// Makes callers connect to another daemon while this one still answers. A
+			// request sent on a connection that is just being closed is lost, and its
+			// caller does not know whether it ran.
 			w.Header().Set("Connection", "close")
 		}
-		body, err := guard(h, ctx.Request(), id)
+		body, err := callRecovering(h, ctx.Request(), id)
 		if err != nil {
 			writeFailure(w, id, err)
 		} else {
 			writeJSON(w, http.StatusOK, body)
 		}
-		requestTime.UpdateSince(began)
+		requestTimer.UpdateSince(start)
 	}
 }
 
-// guard turns a panic of h into an error whose verdict is may_have_run: nothing
-// is known of how far the request got.
-func guard(h handler, r *http.Request, id string) (body any, err error) {
+// callRecovering calls h and turns a panic into an error with verdict may_have_run:
+// it is unknown how far the request got.
+func callRecovering(h handler, r *http.Request, id string) (body any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			panics.Inc(1)
@@ -77,7 +78,7 @@
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil {
 		req.Caller = host
 	}
-	if err := s.refuse(view, req); err != nil {
+	if err := s.checkRequest(view, req); err != nil {
 		return nil, err
 	}
 	answer, err := s.conf.Engine.Query(r.Context(), id, req)
@@ -90,25 +91,26 @@
 	return answer, nil
 }
 
-// refuse returns an error for a request that need not reach the engine.
-func (s *Server) refuse(v *relay.View, req *contract.Request) error {
+// checkRequest returns an error for a request that must not be passed to the engine.
+func (s *Server) checkRequest(v *relay.View, req *contract.Request) error {
 	if !req.IsRepeatable() {
-		// It may be a resend of one that ran. Only the engine, which knows the
-		// keys, may say of it that it was not run.
-		if !ready(v) {
-			return notReady(contract.MayHaveRun, contract.ReasonKeyInDoubt)
+		// This may be a resend of a request that ran. Only the engine knows the keys
+		// of earlier requests and can report not_run.
+		if !hasConfig(v) {
+			return notReadyError(contract.MayHaveRun, contract.ReasonKeyInDoubt)
 		}
 		return nil
 	}
-	if !ready(v) {
-		return notReady(contract.NotRun, contract.ReasonUnconfirmed)
+	if !hasConfig(v) {
+		return notReadyError(contract.NotRun, contract.ReasonUnconfirmed)
 	}
 	return checkBodyLimit(v, req)
 }
 
-func ready(v *relay.View) bool { return v != nil && v.Tree != nil }
+// hasConfig reports whether v has a settings tree. v may be nil.
+func hasConfig(v *relay.View) bool { return v != nil && v.Tree != nil }
 
-func notReady(verdict contract.Verdict, reason contract.Reason) error {
+func notReadyError(verdict contract.Verdict, reason contract.Reason) error {
 	return &contract.Error{
 		Verdict:    verdict,
 		Reason:     reason,
@@ -117,29 +119,30 @@
 	}
 }
 
-// startupRetryMS is when a caller may come back to a daemon that is starting.
+// startupRetryMS is the retry delay, in milliseconds, given to callers while the
+// daemon is starting.
 const startupRetryMS = 1000
 
 func (s *Server) readBody(r *http.Request, v *relay.View) ([]byte, error) {
-	limit := s.bodies.of(v)
+	limit := s.readLimit.forView(v)
 	if r.ContentLength > limit {
-		return nil, tooLarge("request", r.ContentLength, limit)
+		return nil, tooLargeError("request", r.ContentLength, limit)
 	}
 	raw, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
 		return nil, contract.Refuse(contract.ReasonInvalid, errors.Wrap(err, "the request ended early"))
 	}
 	if int64(len(raw)) > limit {
-		return nil, tooLarge("request", int64(len(raw)), limit)
+		return nil, tooLargeError("request", int64(len(raw)), limit)
 	}
 	return raw, nil
 }
 
-// checkBodyLimit applies the limit of the path that the request names.
+// checkBodyLimit checks the body against the limit of the request's path.
 func checkBodyLimit(v *relay.View, req *contract.Request) error {
 	e, ok := v.Tree.Effective(req.Path)
 	if ok && e.BodyLimit > 0 && len(req.Body) > e.BodyLimit {
-		return tooLarge("body", int64(len(req.Body)), int64(e.BodyLimit))
+		return tooLargeError("body", int64(len(req.Body)), int64(e.BodyLimit))
 	}
 	return nil
 }
@@ -153,7 +156,7 @@
 		}}
 	}
 	view, now := s.conf.Source.Current(), s.conf.Clock()
-	if err := s.mayList(view, now); err != nil {
+	if err := s.checkCanList(view, now); err != nil {
 		return nil, err
 	}
 	list, err := directory.List(view, path, s.conf.Self, now)
@@ -168,26 +171,27 @@
 	}, nil
 }
 
-// mayList refuses lists from a daemon that is leaving or cut off. A session dies
-// with its daemon, and a membership that is not confirmed may name daemons that
-// have left: callers would hold for a whole lifetime what works no more.
-func (s *Server) mayList(v *relay.View, now vm.Instant) error {
-	refusal := &contract.Error{Verdict: contract.NotRun, RetryAfter: startupRetryMS}
+// checkCanList returns an error if this daemon is draining or its lease has expired.
+// The session of a list ends with the daemon, and an unconfirmed membership may name
+// daemons that have left: callers would keep unusable addresses for the whole lifetime
+// of the list.
+func (s *Server) checkCanList(v *relay.View, now vm.Instant) error {
+	notListing := &contract.Error{Verdict: contract.NotRun, RetryAfter: startupRetryMS}
 	switch {
-	case !ready(v):
-		return notReady(contract.NotRun, contract.ReasonUnconfirmed)
+	case !hasConfig(v):
+		return notReadyError(contract.NotRun, contract.ReasonUnconfirmed)
 	case s.conf.Draining():
-		refusal.Reason = contract.ReasonDraining
+		notListing.Reason = contract.ReasonDraining
 	case !v.Confirmed(now):
-		refusal.Reason = contract.ReasonUnconfirmed
+		notListing.Reason = contract.ReasonUnconfirmed
 	default:
 		return nil
 	}
-	refusal.Cause = errors.New("this daemon gives no address lists now; ask another one")
-	return refusal
+	notListing.Cause = errors.New("this daemon gives no address lists now; ask another one")
+	return notListing
 }
 
-func (s *Server) unknownRoute(r *http.Request, _ string) (any, error) {
+func (s *Server) notFound(r *http.Request, _ string) (any, error) {
 	return nil, &httpError{
 		status:   http.StatusNotFound,
 		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalid},
@@ -196,7 +200,7 @@
 	}
 }
 
-func (s *Server) unknownMethod(r *http.Request, _ string) (any, error) {
+func (s *Server) methodNotAllowed(r *http.Request, _ string) (any, error) {
 	return nil, &httpError{
 		status:   http.StatusMethodNotAllowed,
 		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalid},
@@ -205,7 +209,7 @@
 	}
 }
 
-func tooLarge(field string, size, limit int64) error {
+func tooLargeError(field string, size, limit int64) error {
 	return &httpError{
 		status:   http.StatusRequestEntityTooLarge,
 		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalid},
--- a/internal/entry/log.go
+++ b/internal/entry/log.go
@@ -10,37 +10,37 @@
 	"k8s.io/klog/v2"
 )
 
-// connLog takes the lines of net/http about single connections, such as a failed
-// TLS handshake. They are the callers' faults and would flood the log.
-type connLog struct{}
+// connErrorWriter logs net/http's messages about single connections, such as a failed
+// TLS handshake, at verbosity 1. They are caused by callers and would flood the log.
+type connErrorWriter struct{}
 
 // Write implements io.Writer.
-func (connLog) Write(line []byte) (int, error) {
+func (connErrorWriter) Write(line []byte) (int, error) {
 	klog.V(1).Infof("entry: %s", strings.TrimSpace(string(line)))
 	return len(line), nil
 }
 
 const (
-	// failureLines bounds the lines a second about requests that were not answered.
-	failureLines      = 20
-	failureLinesBurst = 100
+	// failureLinesPerSecond limits the rate of log lines about failed requests.
+	failureLinesPerSecond = 20
+	failureLinesBurst     = 100
 )
 
 var (
-	failureLimit    = rate.NewLimiter(failureLines, failureLinesBurst)
-	failuresLeftOut = metrics.GetOrRegisterCounter("entry.failures.not_logged", nil)
+	failureLogLimiter = rate.NewLimiter(failureLinesPerSecond, failureLinesBurst)
+	failuresNotLogged = metrics.GetOrRegisterCounter("entry.failures.not_logged", nil)
 )
 
-// logFailure tells why a request was not answered.
+// logFailure logs why a request failed, within the rate limit unless the status is 500.
 func logFailure(id string, status int, err error) {
 	switch {
 	case status == http.StatusInternalServerError:
 		klog.Errorf("entry: request %s failed: %v", id, err)
-	case failureLimit.Allow():
+	case failureLogLimiter.Allow():
 		klog.Infof("entry: request %s not answered status=%d: %v", id, status, err)
 	default:
-		failuresLeftOut.Inc(1)
+		failuresNotLogged.Inc(1)
 	}
 }
 
-func errorLog() *log.Logger { return log.New(connLog{}, "", 0) }
+func errorLog() *log.Logger { return log.New(connErrorWriter{}, "", 0) }
--- a/internal/route/tree_test.go
+++ b/internal/route/tree_test.go
@@ -14,7 +14,7 @@
 	"pearmoor/internal/settings"
 )
 
-// TestMain gives rapid a fixed seed, so that every run has the same verdict.
+// TestMain gives rapid a fixed seed, so that every run checks the same inputs.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "11", "rapid.checks": "200", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
@@ -25,11 +25,11 @@
 	os.Exit(m.Run())
 }
 
-var oddNames = []string{"a", "b", "svc-1", "Upper", "with space", "a,b", "a=b", "100%", "é", "x.2", "x", ""}
+var unusualNames = []string{"a", "b", "svc-1", "Upper", "with space", "a,b", "a=b", "100%", "é", "x.2", "x", ""}
 
 func drawService(t *rapid.T, i int) Service {
 	return Service{
-		Name:        fmt.Sprintf("%s%d", rapid.SampledFrom(oddNames).Draw(t, "service"), i),
+		Name:        fmt.Sprintf("%s%d", rapid.SampledFrom(unusualNames).Draw(t, "service"), i),
 		HealthPath:  rapid.SampledFrom([]string{"", "/health", "/h?x=1,2"}).Draw(t, "health"),
 		Connections: rapid.IntRange(0, 200).Draw(t, "connections"),
 		Protocol:    rapid.SampledFrom([]string{"", "h1"}).Draw(t, "protocol"),
@@ -40,7 +40,7 @@
 
 func drawRoute(t *rapid.T, i int, services []Service) Route {
 	r := Route{
-		Name:       rapid.SampledFrom(oddNames).Draw(t, "route"),
+		Name:       rapid.SampledFrom(unusualNames).Draw(t, "route"),
 		Host:       rapid.SampledFrom([]string{"h.example", "Other.example"}).Draw(t, "host"),
 		Prefix:     fmt.Sprintf("/p%d/", i),
 		Repeatable: rapid.Bool().Draw(t, "repeatable"),
@@ -73,19 +73,20 @@
 	return rel
 }
 
-// An operator reads back the configuration that was sent: each must come out of the
-// tree as it went in, whatever release the tree held before, odd names included.
-func TestReleaseThroughTree(t *testing.T) {
+// A release that is stored in the tree must be read back unchanged, whatever release
+// was stored before. Guards against names that need escaping and leftovers of the
+// previous release.
+func TestReleaseRoundTripsThroughTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := settings.New()
 		for version := uint64(1); version <= 3; version++ {
 			want := drawRelease(t, version*7)
 			if err := want.Validate(); err != nil {
-				t.Fatalf("drawn release is invalid: %v", err)
+				t.Fatalf("generated release is invalid: %v", err)
 			}
 			next, err := tree.Apply(version, Edits(tree, want))
 			if err != nil {
-				t.Fatalf("the tree refuses a valid release: %v", err)
+				t.Fatalf("tree rejects a valid release: %v", err)
 			}
 			tree = next
 			got, err := FromTree(tree)
@@ -93,20 +94,20 @@
 				t.Fatal(err)
 			}
 			for i := range got.Routes {
-				got.Routes[i].AnswerMargin = 0 // of the tree, not of the release
+				got.Routes[i].AnswerMargin = 0 // set in the tree, not part of a release
 			}
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("got  %+v\nwant %+v", got, want)
 			}
 			if again := Edits(tree, want); len(again) != 0 {
-				t.Fatalf("the same release would change %v", again)
+				t.Fatalf("storing the same release again gives edits %v", again)
 			}
 		}
 	})
 }
 
-// What an operator states beside a release stays when the next release comes.
-func TestReleaseLeavesOtherSettings(t *testing.T) {
+// A setting that an operator made on a route's node must survive the next release.
+func TestReleaseKeepsOperatorSettings(t *testing.T) {
 	rel := &Release{Number: 1, Services: []Service{{Name: "s"}}, Routes: []Route{{Name: "r", Host: "h", Prefix: "/", Timeout: time.Second, Service: "s"}}}
 	tree, err := settings.New().Apply(1, Edits(settings.New(), rel))
 	if err != nil {
@@ -125,7 +126,7 @@
 	}
 }
 
-func TestValidateNamesEveryFault(t *testing.T) {
+func TestValidateReportsEveryFault(t *testing.T) {
 	rel := &Release{
 		Services: []Service{{Name: "s"}},
 		Routes: []Route{
@@ -136,11 +137,11 @@
 	}
 	err := rel.Validate()
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("invalid release accepted")
 	}
 	for _, want := range []string{"no such service", "the same host and prefix", "no request could be answered", "add up to 0", "names no service"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q is not named in\n%v", want, err)
+			t.Errorf("%q is missing from\n%v", want, err)
 		}
 	}
 }
@@ -155,14 +156,14 @@
 	} {
 		e, ok := table.Find(c.host, c.path)
 		if ok != (c.want != "") || ok && e.Name != c.want {
-			t.Errorf("%s%s goes to %v, want %q", c.host, c.path, e, c.want)
+			t.Errorf("%s%s: got route %v, want %q", c.host, c.path, e, c.want)
 		}
 	}
 }
 
-// Requests are dealt out by weight: over any stretch each part is within one of its
-// share, which a random draw misses.
-func TestSpreadByWeight(t *testing.T) {
+// Each service must receive its share of 300 requests to within two, for any weights.
+// A random choice would deviate more.
+func TestPickerFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "parts")
 		var parts []Weighted
@@ -175,14 +176,14 @@
 		if total == 0 {
 			return
 		}
-		s := newSpread(parts)
+		s := newWeightedPicker(parts)
 		count := map[string]float64{}
 		for i := 1; i <= 300; i++ {
 			count[s.next()]++
 		}
 		for _, p := range parts {
 			if d := count[p.Service] - 300*p.Weight/total; d > 2 || d < -2 {
-				t.Fatalf("%v of %v: %v is %v off its share", p, parts, count[p.Service], d)
+				t.Fatalf("%v of %v: got %v requests, off by %v", p, parts, count[p.Service], d)
 			}
 		}
 	})
--- a/internal/work/pool.go
+++ b/internal/work/pool.go
@@ -1,61 +1,62 @@
-// Package work runs tasks on goroutines that are used again.
+// Package work provides helpers that run tasks on goroutines: a pool of reusable
+// goroutines, at most one task per key, and long computations in short slices.
 package work
 
 import "sync"
 
-// idleMost is how many goroutines a pool keeps parked: those of one gather over 90
-// shards and some more.
-const idleMost = 128
+// maxIdle is the maximum number of idle goroutines of a pool: enough for one gather over
+// 90 shards, with some reserve.
+const maxIdle = 128
 
-// Pool runs tasks of one kind on goroutines that are used again: the stack of a
-// new one has to grow several times in each exchange with a leaf, which cost 8% of
-// the sending side's processor time.
+// Pool runs tasks on reusable goroutines. The stack of a new goroutine has to grow several
+// times in each exchange with a leaf, which costs 8% of the sender's processor time.
 type Pool[T any] struct {
-	do   func(T)
-	work chan T
-	idle chan struct{} // one token for each goroutine that may park
-	quit chan struct{}
-	once sync.Once
+	run       func(T)
+	tasks     chan T
+	idleSlots chan struct{} // one token for each idle goroutine
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// NewPool returns a pool whose goroutines call do.
-func NewPool[T any](do func(T)) *Pool[T] {
+// NewPool returns a pool whose goroutines call run for each task.
+func NewPool[T any](run func(T)) *Pool[T] {
 	return &Pool[T]{
-		do:   do,
-		work: make(chan T),
-		idle: make(chan struct{}, idleMost),
-		quit: make(chan struct{}),
+		run:       run,
+		tasks:     make(chan T),
+		idleSlots: make(chan struct{}, maxIdle),
+		closed:    make(chan struct{}),
 	}
 }
 
-// Run starts t on a parked goroutine, or on a new one.
+// Run starts t on an idle goroutine, or on a new one if there is none.
 func (p *Pool[T]) Run(t T) {
 	select {
-	case p.work <- t:
+	case p.tasks <- t:
 	default:
-		go p.serve(t)
+		go p.runTasks(t)
 	}
 }
 
-// serve runs t, and then what comes while the goroutine may park.
-func (p *Pool[T]) serve(t T) {
-	var none T
+// runTasks runs t and then further tasks, until the pool is closed or has enough idle
+// goroutines.
+func (p *Pool[T]) runTasks(t T) {
+	var zero T
 	for {
-		p.do(t)
-		t = none
+		p.run(t)
+		t = zero
 		select {
-		case p.idle <- struct{}{}:
+		case p.idleSlots <- struct{}{}:
 		default:
 			return
 		}
 		select {
-		case t = <-p.work:
-			<-p.idle
-		case <-p.quit:
+		case t = <-p.tasks:
+			<-p.idleSlots
+		case <-p.closed:
 			return
 		}
 	}
 }
 
-// Close ends the parked goroutines; those at work end after their task.
-func (p *Pool[T]) Close() { p.once.Do(func() { close(p.quit) }) }
+// Close ends the idle goroutines. The others end after their current task.
+func (p *Pool[T]) Close() { p.closeOnce.Do(func() { close(p.closed) }) }
