--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -20,27 +20,28 @@
 	addressesPath = "/v1/addresses"
 	queryPath     = "/v1/query"
 	answerLimit   = 64 << 20
-	failoverPause = 20 * time.Millisecond // before a second round over a fresh list
+	failoverPause = 20 * time.Millisecond // before the addresses of a new list are tried
 
-	// A daemon that is paused accepts connections and answers nothing. A caller
-	// that asked it again first each time would lose every request to it.
-	askLimit = 250 * time.Millisecond // for one daemon to give a list
-	avoidFor = 5 * time.Second        // a daemon that did not answer is tried last
+	// A paused daemon accepts connections but never answers. Without avoidPeriod, a
+	// caller would try it first for every request and lose all of them.
+	askLimit = 250 * time.Millisecond // for one daemon to return an address list
+	avoidFor = 5 * time.Second        // for which a daemon that did not answer is tried last
 )
 
-var errNoEntry = errors.New("no daemon is known to ask for addresses")
+var errNoEntry = errors.New("no daemon is known from which to request addresses")
 
-// caller keeps address lists for their lifetime, one per path.
+// caller implements Querier. It caches one address list per path for the list's lifetime.
 type caller struct {
 	http    *http.Client
 	entries []string
 
 	mu     sync.Mutex
 	lists  map[string]*addressList
-	silent map[string]time.Time // base URL of a daemon that did not answer, and until when it is tried last
+	silent map[string]time.Time // by base URL of a daemon that did not answer: until when it is tried last
 }
 
-// addressList is filled once, by the first request that needs it.
+// addressList is the cached list of a path. mu is held while the list is fetched, so that
+// concurrent requests cause a single fetch.
 type addressList struct {
 	mu    sync.Mutex
 	reply *contract.Addresses
@@ -51,23 +52,24 @@
 	return &caller{http: client, entries: entries, lists: make(map[string]*addressList), silent: make(map[string]time.Time)}
 }
 
-// Outcome is how one request ended.
+// Outcome is the result of one request.
 type Outcome struct {
 	Answer    *contract.Answer  // nil unless the status was 200
-	Failure   *contract.Failure // nil when there was an answer or no daemon replied
-	Err       error             // the last transport error when no daemon replied
-	Failovers int               // attempts at a further address
-	Resends   int               // failovers of a not-repeatable request that may have arrived
-	Session   string            // under which a not-repeatable request was sent
+	Failure   *contract.Failure // nil if there was an answer or no daemon replied
+	Err       error             // last transport error if no daemon replied, or the error of decoding the reply
+	Failovers int               // attempts after the first
+	Resends   int               // failovers of a non-repeatable request after an attempt that may have arrived
+	Session   string            // session of a non-repeatable request
 }
 
-// Asker sends one request and follows it to its end. A session given in q is
-// kept: it is that of a resend.
+// Querier sends one request and returns its outcome. If q has a session, the request is a
+// resend and keeps that session.
 type Asker interface {
 	Ask(ctx context.Context, q contract.Request, deadline time.Time) Outcome
 }
 
-// addresses returns the list for a path, asking for a new one when it is too old.
+// addresses returns the address list of a path, fetching a new one if the cached one has
+// expired.
 func (c *caller) addresses(ctx context.Context, path string) (*contract.Addresses, error) {
 	c.mu.Lock()
 	l := c.lists[path]
@@ -101,9 +103,9 @@
 	}
 }
 
-// ask requests a list from the daemons of the old one and from the entries. A
-// leaving daemon gives a list without a session; a daemon of that list is asked
-// next, and the list without one is taken only when no other is had.
+// fetchAddresses requests an address list from the daemons of the old list and then from
+// entryURLs. A draining daemon returns a list without a session; then the daemons of that
+// list are tried next, and the list without a session is the last resort.
 func (c *caller) ask(ctx context.Context, path string, old *contract.Addresses) (*contract.Addresses, error) {
 	var bases []string
 	if old != nil {
@@ -147,7 +149,7 @@
 	c.silent[base] = time.Now().Add(avoidFor)
 }
 
-// silentLast returns bases with those that did not answer lately at the end.
+// avoidedLast returns bases with the daemons that did not answer recently moved to the end.
 func (c *caller) silentLast(bases []string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,12 +198,12 @@
 		return nil, errors.Wrap(err, u)
 	}
 	if len(reply.Addresses) == 0 {
-		return nil, errors.Newf("%s: the list is empty", u)
+		return nil, errors.Newf("%s: address list is empty", u)
 	}
 	return &reply, nil
 }
 
-// Ask implements Asker: it fails over along the address list until the deadline.
+// Query implements Querier. It fails over along the address list until the deadline.
 func (c *caller) Ask(ctx context.Context, q contract.Request, deadline time.Time) Outcome {
 	var out Outcome
 	for first := true; ; first = false {
@@ -227,7 +229,7 @@
 	}
 }
 
-// try sends to one address; it returns true when the request is decided.
+// tryAddress sends q to one address. It returns true if no further address may be tried.
 func (c *caller) try(ctx context.Context, base string, q contract.Request, deadline time.Time, out *Outcome) bool {
 	left := time.Until(deadline)
 	if left < time.Millisecond || ctx.Err() != nil {
@@ -260,7 +262,7 @@
 	return !elsewhere(out.Failure)
 }
 
-// elsewhere reports whether another address may do what this one refused.
+// retryElsewhere reports whether another address may accept the refused request.
 func elsewhere(f *contract.Failure) bool {
 	if f.Verdict != contract.NotRun {
 		return false
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -7,12 +7,12 @@
 	"pearmoor/internal/standin"
 )
 
-// Check counts what is wrong with answers of stand-in leaves.
+// Check counts the errors found in answers that come from stand-in leaves.
 type Check struct {
-	Lost     int `json:"lost_hits"`      // of a shard said to have answered
-	Doubled  int `json:"doubled_hits"`   // the same document twice
-	Mixed    int `json:"mixed_versions"` // hits of another version than the answer states
-	Foreign  int `json:"foreign_hits"`   // hits of another request
+	Lost     int `json:"lost_hits"`      // missing hits of a shard that is stated as answered
+	Doubled  int `json:"doubled_hits"`   // same document more than once
+	Mixed    int `json:"mixed_versions"` // hits of an index version other than the answer states
+	Foreign  int `json:"foreign_hits"`   // hits that belong to another request
 	Coverage int `json:"untrue_coverage"`
 }
 
@@ -25,11 +25,11 @@
 	c.Coverage += o.Coverage
 }
 
-// Bad reports whether anything is wrong.
+// HasErrors reports whether any error was found.
 func (c Check) Bad() bool { return c != Check{} }
 
-// CheckAnswer compares an answer without a limit on hits with the documents of
-// the leaves. runKey is the run_key of the request's body.
+// CheckAnswer compares an answer with the documents of the stand-in leaves. The request must
+// not have limited the hits; runKey is the run_key of its body.
 func CheckAnswer(a *contract.Answer, runKey string) Check {
 	var c Check
 	missing := map[string]map[uint32]bool{}
@@ -71,7 +71,7 @@
 	return c
 }
 
-// lost counts documents of shards that answered which are not among the hits.
+// countLost returns the number of documents of answered shards that are not among the hits.
 func lost(service string, o standin.Origin, seen map[string]bool, missing map[uint32]bool) int {
 	n := 0
 	for doc := range o.Documents {
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -9,26 +9,26 @@
 	"pearmoor/internal/contract"
 )
 
-// Config describes a run.
+// Config configures a run.
 type Config struct {
-	Entries       []string // base URLs of daemons to ask for addresses
-	Askers        []Asker  // used in turn in place of callers of Entries, where given
-	Paths         []string // nodes of the tree; requests go to them in turn
-	Rate          float64  // requests a second over all paths
+	Entries       []string // base URLs of daemons that return address lists
+	Askers        []Asker  // if not empty, used in turn instead of callers of Entries
+	Paths         []string // nodes of the tree, requested in turn
+	Rate          float64  // requests per second over all paths
 	Arrivals      Arrivals
 	Duration      time.Duration
 	Deadline      time.Duration // of each request, from its scheduled start
-	NotRepeatable float64       // share of requests sent as not repeatable, 0..1
-	Resend        float64       // share of not-repeatable requests sent a second time under the same key after their outcome
-	Callers       int           // each keeps its own address lists
-	Outstanding   int           // most requests under way in this process; arrivals beyond are counted as skipped
-	Window        time.Duration // width of a point in the plots
+	NotRepeatable float64       // share of requests sent as non-repeatable, 0 to 1
+	Resend        float64       // share of non-repeatable requests that are resent under the same key after their outcome, 0 to 1
+	Callers       int           // number of callers, each with its own address lists
+	Outstanding   int           // maximum of requests in flight in this process; further arrivals are counted as skipped
+	Window        time.Duration // time span of each point in the plots
 	Seed          uint64
-	Standin       string // control URL of stand-in leaves: in flight per leaf and runs; may be empty
+	Standin       string // control URL of the stand-in leaves, to report their counters; empty: no report
 	TLS           *tls.Config
 }
 
-// The defaults of Config's zero fields.
+// Defaults for zero fields of Config.
 const (
 	DefaultCallers     = 8
 	DefaultOutstanding = 4096
@@ -54,7 +54,7 @@
 	}
 }
 
-// validate returns contract.Faults that list every value at fault.
+// validate returns contract.Faults with every invalid value.
 func (c *Config) validate() error {
 	var fs contract.Faults
 	fault := func(bad bool, field string, value any, why, fix string) {
@@ -64,15 +64,15 @@
 	}
 	fault(len(c.Entries) == 0 && len(c.Askers) == 0, "entries", "", "no daemon is named", "give the base URL of at least one")
 	for _, e := range c.Entries {
-		fault(!strings.HasPrefix(e, "http://") && !strings.HasPrefix(e, "https://"), "entries", e, "is no base URL", "write http://host:port")
+		fault(!strings.HasPrefix(e, "http://") && !strings.HasPrefix(e, "https://"), "entries", e, "is not a base URL", "write http://host:port")
 	}
 	fault(len(c.Paths) == 0, "paths", "", "no path is named", "give a node of the tree")
 	fault(!(c.Rate > 0), "rate", c.Rate, "is not above 0", "give requests a second")
 	fault(c.Arrivals != Poisson && c.Arrivals != Constant, "arrivals", c.Arrivals, "is unknown", "use poisson or constant")
 	fault(c.Duration <= 0, "duration", c.Duration, "is not above 0", "give a time such as 30s")
 	fault(c.Deadline < time.Millisecond, "deadline", c.Deadline, "is under a millisecond", "give a time such as 500ms")
-	fault(!(c.NotRepeatable >= 0 && c.NotRepeatable <= 1), "not-repeatable", c.NotRepeatable, "is no share", "use 0 to 1")
-	fault(!(c.Resend >= 0 && c.Resend <= 1), "resend", c.Resend, "is no share", "use 0 to 1")
+	fault(!(c.NotRepeatable >= 0 && c.NotRepeatable <= 1), "not-repeatable", c.NotRepeatable, "is not a share", "use 0 to 1")
+	fault(!(c.Resend >= 0 && c.Resend <= 1), "resend", c.Resend, "is not a share", "use 0 to 1")
 	fault(c.Callers < 1, "callers", c.Callers, "is under 1", "use 1 or more")
 	fault(c.Outstanding < 1, "outstanding", c.Outstanding, "is under 1", "use 1 or more")
 	fault(c.Window < time.Millisecond, "window", c.Window, "is under a millisecond", "give a time such as 1s")
--- a/internal/load/doc.go
+++ b/internal/load/doc.go
@@ -1,9 +1,9 @@
-// Package load runs open-loop load against a tier: requests start on a schedule
-// that does not wait for answers, and latency counts from the scheduled start,
-// so that a stalled tier can't hide the requests that would have come meanwhile.
+// Package load generates open-loop load against a tier. Requests start on a schedule that
+// does not wait for answers, and latency is measured from the scheduled start, so that
+// a stalled tier does not hide the latency of the requests scheduled during the stall
+// (coordinated omission).
 //
-// Callers act as the published interface asks: they ask for addresses, keep the
-// answer for its lifetime, fail over to the next address, and resend a request
-// that is not repeatable only under its key. Answers are checked against the
-// documents of package standin.
+// Callers follow the published interface: they request an address list, cache it for its
+// lifetime, fail over to the next address, and resend a non-repeatable request only under
+// its key. Answers are checked against the documents of package standin.
 package load
--- a/internal/load/fake_test.go
+++ b/internal/load/fake_test.go
@@ -16,11 +16,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeEntry is a daemon that answers every query wholly, unless reply is set.
+// fakeEntry is a daemon that answers every query with all hits, unless reply replies.
 type fakeEntry struct {
 	*httptest.Server
 	list  *contract.Addresses
-	reply func(w http.ResponseWriter, q *contract.Request) bool // true: has replied
+	reply func(w http.ResponseWriter, q *contract.Request) bool // returns true if it has replied
 }
 
 func startEntry(t *testing.T) *fakeEntry {
--- a/internal/load/leaves.go
+++ b/internal/load/leaves.go
@@ -15,18 +15,18 @@
 
 const statsLimit = 10 * time.Second
 
-// LeafSeries is what one leaf had in flight over the run.
+// LeafSeries is the in-flight peak of one leaf in each window of a run.
 type LeafSeries struct {
 	Name    string    `json:"name"`
 	Service string    `json:"service"`
 	Slots   int       `json:"slots"`
-	Most    []int     `json:"most_in_flight"` // in each window: running plus queued
+	Most    []int     `json:"most_in_flight"` // peak of running plus queued requests in each window
 	At      []float64 `json:"at_s"`           // end of each window, from the start of the run
 }
 
-// LeafReport is the leaves' own side of a run.
+// LeafReport is a run as the stand-in leaves counted it.
 type LeafReport struct {
-	Runs           standin.RunStats   `json:"runs"` // of this run alone
+	Runs           standin.RunStats   `json:"runs"` // of this run only
 	MostInFlight   int                `json:"most_in_flight"`
 	MostOverSlots  float64            `json:"most_in_flight_over_slots"`
 	MostOpen       int                `json:"most_open"`
@@ -41,7 +41,7 @@
 	before, latest standin.FleetStats // first and last reading
 }
 
-// watcher polls the statistics of stand-in leaves during a run.
+// statsPoller polls the statistics of stand-in leaves during a run.
 type watcher struct {
 	http   *http.Client
 	url    string
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// Stats reads the statistics of stand-in leaves.
+// Stats returns the statistics of stand-in leaves.
 func Stats(ctx context.Context, client *http.Client, control string) (*standin.FleetStats, error) {
 	return readStats(ctx, client, strings.TrimSuffix(strings.TrimSpace(control), "/")+standin.StatsPath)
 }
@@ -114,7 +114,7 @@
 	return st, json.NewDecoder(resp.Body).Decode(st)
 }
 
-// run polls until ctx ends, and once more after that.
+// run polls until ctx ends, and once more after ctx has ended.
 func (w *watcher) run(ctx context.Context, window time.Duration) error {
 	tick := time.NewTicker(window)
 	defer tick.Stop()
@@ -150,7 +150,7 @@
 	}
 }
 
-// finish sums up the run from the first and the last reading.
+// finish returns the report, computed from the first and the last reading.
 func (w *watcher) finish() *LeafReport {
 	r := &w.report
 	r.Runs.Total = r.latest.Runs.Total - r.before.Runs.Total
@@ -175,7 +175,7 @@
 	return r
 }
 
-// busiest returns the n series with the highest peaks, highest first.
+// busiest returns the n series with the highest peaks, in descending order.
 func (r *LeafReport) busiest(n int) []LeafSeries {
 	peak := func(s LeafSeries) int {
 		if len(s.Most) == 0 {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -20,10 +20,9 @@
 	"pearmoor/internal/standin"
 )
 
-// A tier answers nothing until the last scheduled request has come. A tool that
-// waits for answers would never send it, and one that counts latency from the
-// send would hide the wait. The caller of the first request waited for the whole
-// span of the schedule, and the result must say so.
+// A tier answers no request until the last scheduled one has arrived. A closed-loop load
+// generator would never send that one, and latency measured from the send would hide the
+// wait. The result must show that the first request waited for the whole schedule.
 func TestNoCoordinatedOmission(t *testing.T) {
 	const n, gap = 200, time.Millisecond
 	e := startEntry(t)
@@ -45,13 +44,13 @@
 		t.Fatalf("%+v", res)
 	}
 	span := float64((n - 1) * gap.Milliseconds())
-	if res.Answers.Max < span*0.99 { // the histogram keeps three digits
-		t.Fatalf("the first request waited %.0f ms at least, told %.1f", span, res.Answers.Max)
+	if res.Answers.Max < span*0.99 { // the histogram has three significant digits
+		t.Fatalf("the first request waited at least %.0f ms, maximum latency in the result is %.1f", span, res.Answers.Max)
 	}
 }
 
-// The tool itself has too many requests under way. What it can't start is
-// counted, not dropped in silence.
+// The load generator reaches its own limit of requests in flight. Requests that it can't
+// start must be counted: otherwise the result would show a lower load than scheduled.
 func TestSkippedArrivalsAreCounted(t *testing.T) {
 	e := startEntry(t)
 	release := make(chan struct{})
@@ -104,7 +103,7 @@
 		first.list = listOf(first.URL, second.URL)
 		cfg := Config{Entries: []string{first.URL}, Paths: []string{testPath}, Callers: 1,
 			Rate: 1000, Arrivals: Constant, Duration: 20 * time.Millisecond, Deadline: 10 * time.Second}
-		Convey("goes on to the next address when one is draining", func() {
+		Convey("fails over to the next address if one is draining", func() {
 			first.reply = func(w http.ResponseWriter, _ *contract.Request) bool {
 				return refuse(w, contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonDraining})
 			}
@@ -113,7 +112,7 @@
 			So(res.Answered, ShouldEqual, res.Scheduled)
 			So(res.Failovers, ShouldEqual, res.Scheduled)
 		})
-		Convey("asks on when a leaving daemon gives a list without a session", func() {
+		Convey("asks another daemon if a draining one returns a list without a session", func() {
 			first.list = listOf(second.URL)
 			first.list.Session = ""
 			var mu sync.Mutex
@@ -130,7 +129,7 @@
 			So(res.Once.Ran, ShouldEqual, res.Scheduled)
 			So(sessions, ShouldResemble, map[string]bool{"session-1": true})
 		})
-		Convey("takes a refusal for overload as final", func() {
+		Convey("does not fail over after a refusal for overload", func() {
 			first.reply = func(w http.ResponseWriter, _ *contract.Request) bool {
 				return refuse(w, contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonOverload})
 			}
@@ -139,7 +138,7 @@
 			So(res.Refused, ShouldEqual, res.Scheduled)
 			So(res.Reasons[contract.ReasonOverload], ShouldEqual, res.Scheduled)
 		})
-		Convey("goes on after a broken connection, under the first session and key", func() {
+		Convey("fails over after a broken connection under the same session and key", func() {
 			var mu sync.Mutex
 			seen := map[string]int{}
 			note := func(q *contract.Request) {
@@ -153,7 +152,7 @@
 			}
 			second.reply = func(_ http.ResponseWriter, q *contract.Request) bool { note(q); return false }
 			cfg.NotRepeatable = 1
-			cfg.Callers = 100 // one for each request: a caller avoids what broke
+			cfg.Callers = 100 // one for each request, since a caller avoids a daemon after a failure
 			res, err := Run(context.Background(), cfg)
 			So(err, ShouldBeNil)
 			So(res.Once.Ran, ShouldEqual, res.Scheduled)
@@ -166,8 +165,8 @@
 	})
 }
 
-// A caller's time is over before it has asked anybody for addresses, as when a
-// machine stalls. It must be told so; it once took the missing list for one.
+// The context of a caller has ended before it requests an address list, as after a stall of
+// the machine. The outcome must be an error: the caller must not use the missing list.
 func TestCallerWithoutTimeLeft(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -178,14 +177,14 @@
 	}
 }
 
-// An answer with one thing wrong must be found out, whatever its size.
+// CheckAnswer must find a single error in an answer of any size.
 func TestCheckFindsEveryFault(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.Uint32Range(1, 9).Draw(t, "shards")
 		version := rapid.Uint64Range(1, 99).Draw(t, "version")
 		a := wholeAnswer(shards, version, "mine")
 		if c := CheckAnswer(a, "mine"); c.Bad() {
-			t.Fatalf("a whole answer is told as %+v", c)
+			t.Fatalf("errors found in a correct answer: %+v", c)
 		}
 		i := rapid.IntRange(0, len(a.Hits)-1).Draw(t, "hit")
 		switch rapid.IntRange(0, 4).Draw(t, "fault") {
@@ -214,7 +213,7 @@
 
 func expect(t *rapid.T, a *contract.Answer, want Check) {
 	if got := CheckAnswer(a, "mine"); got != want {
-		t.Fatalf("told %+v, want %+v", got, want)
+		t.Fatalf("found %+v, want %+v", got, want)
 	}
 }
 
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -12,12 +12,12 @@
 const (
 	plotWidth   = 20 * vg.Centimeter
 	plotHeight  = 12 * vg.Centimeter
-	plotLeaves  = 10  // most leaves drawn, the busiest
-	plotLowest  = 0.1 // ms; the log axis has no zero
+	plotLeaves  = 10  // maximum of leaves drawn
+	plotLowest  = 0.1 // ms, lower bound since a log axis has no zero
 	axisSeconds = "time since start (s)"
 )
 
-// PlotLatency draws the latency quantiles of each window as an SVG file.
+// PlotLatency writes an SVG file with the latency quantiles of each window.
 func PlotLatency(path string, windows []Window) error {
 	p := plot.New()
 	p.Title.Text = "latency from the scheduled start"
@@ -51,7 +51,8 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
-// PlotLeaves draws the most in flight per leaf over its slots as an SVG file.
+// PlotLeaves writes an SVG file with the peak of requests in flight relative to the slots,
+// for the busiest leaves.
 func PlotLeaves(path string, r *LeafReport) error {
 	p := plot.New()
 	p.Title.Text = "most in flight per leaf over its slots (busiest leaves)"
--- a/internal/load/post.go
+++ b/internal/load/post.go
@@ -12,7 +12,7 @@
 	"pearmoor/internal/contract"
 )
 
-// post sends q; wrote tells whether any of it may have left.
+// post sends q. wrote reports whether any part of it may have been sent.
 func (c *caller) post(ctx context.Context, u string, q *contract.Request) (status int, body []byte, wrote bool, err error) {
 	payload, err := json.Marshal(q)
 	if err != nil {
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	slowest      = 10 * time.Minute // longer latencies are recorded as this
+	slowest      = 10 * time.Minute // longer latencies are recorded as maxLatency
 	totalDigits  = 3
 	windowDigits = 2
 )
 
-// Recorder keeps latencies in HDR histograms, over the whole run and for each
-// window of it. It may be used by many goroutines.
+// Recorder records latencies in HDR histograms for the whole run and for each window. It is
+// safe for concurrent use.
 type Recorder struct {
 	mu      sync.Mutex
 	start   time.Time
@@ -23,7 +23,7 @@
 	windows []*hdrhistogram.Histogram
 }
 
-// NewRecorder returns a recorder of a run that begins at start.
+// NewRecorder returns a Recorder for a run that starts at start.
 func NewRecorder(start time.Time, window time.Duration) *Recorder {
 	return &Recorder{start: start, width: window, total: newHistogram(totalDigits)}
 }
@@ -32,7 +32,7 @@
 	return hdrhistogram.New(1, slowest.Microseconds(), digits)
 }
 
-// Record adds one latency to the window in which the request was to start.
+// Record adds one latency to the window of the request's scheduled start.
 func (r *Recorder) Record(intended time.Time, latency time.Duration) {
 	micros := min(max(latency.Microseconds(), 1), slowest.Microseconds())
 	i := max(int(intended.Sub(r.start)/r.width), 0)
@@ -41,11 +41,11 @@
 	for len(r.windows) <= i {
 		r.windows = append(r.windows, newHistogram(windowDigits))
 	}
-	_ = r.windows[i].RecordValue(micros) // within the range by the clamp above
+	_ = r.windows[i].RecordValue(micros) // in range because of the clamp above
 	_ = r.total.RecordValue(micros)
 }
 
-// Quantiles sums up a set of latencies.
+// Quantiles summarizes a set of latencies.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -56,7 +56,7 @@
 	Mean  float64 `json:"mean_ms"`
 }
 
-// Window is one slice of a run.
+// Window has the latency quantiles of one window of a run.
 type Window struct {
 	StartMS int64 `json:"start_ms"` // from the start of the run
 	Quantiles
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -7,30 +7,30 @@
 	"pearmoor/internal/contract"
 )
 
-// Result is what a run measured.
+// Result is the result of a run.
 type Result struct {
 	Rate       float64 `json:"rate"`
 	DurationMS int64   `json:"duration_ms"`
 	Scheduled  int     `json:"scheduled"`
-	Skipped    int     `json:"skipped"` // not started: this process had too many under way
+	Skipped    int     `json:"skipped"` // not started: this process had too many in flight
 	Answered   int     `json:"answered"`
 	Refused    int     `json:"refused"`  // verdict not_run
 	InDoubt    int     `json:"in_doubt"` // verdict may_have_run
 	Failed     int     `json:"failed"`   // no daemon replied before the deadline
 	Late       int     `json:"late"`     // answered after the deadline
 	Failovers  int     `json:"failovers"`
-	Whole      int     `json:"whole"`         // answered with every shard
-	Goodput    float64 `json:"goodput"`       // whole answers in time, a second
-	Coverage   float64 `json:"mean_coverage"` // over the answered
+	Whole      int     `json:"whole"`         // answered by every shard
+	Goodput    float64 `json:"goodput"`       // answers by every shard before the deadline, per second
+	Coverage   float64 `json:"mean_coverage"` // over the answered requests
 	Extra      int     `json:"extra_attempts"`
-	Errors     int     `json:"broken_answers"` // 200 with a body that can't be read
+	Errors     int     `json:"broken_answers"` // status 200 with a body that can't be decoded
 
 	LastError string `json:"last_error,omitempty"` // of a request without a reply
 
-	Reasons map[contract.Reason]int `json:"reasons"` // of refusals and doubts
+	Reasons map[contract.Reason]int `json:"reasons"` // of refused and in-doubt requests
 	Missing map[contract.Reason]int `json:"missing"` // of shards not covered
 
-	Messages map[contract.Reason]string `json:"messages,omitempty"` // the last one of each reason
+	Messages map[contract.Reason]string `json:"messages,omitempty"` // last message of each reason
 	Check    Check                      `json:"check"`
 	Once     Once                       `json:"not_repeatable"`
 
@@ -40,23 +40,23 @@
 	Leaves   *LeafReport `json:"leaves,omitempty"`
 }
 
-// Once counts the not-repeatable requests.
+// NonRepeatable counts the non-repeatable requests.
 type Once struct {
 	Sent     int `json:"sent"`
 	Ran      int `json:"ran"`
 	NotRun   int `json:"not_run"`
 	InDoubt  int `json:"in_doubt"`
 	Resends  int `json:"resends"`  // sent again under the same key
-	Changed  int `json:"changed"`  // resends told another outcome than a first that was certain
-	Repeated int `json:"repeated"` // resends answered with the first outcome
+	Changed  int `json:"changed"`  // resends refused as not run although the first had run
+	Repeated int `json:"repeated"` // resends with the verdict of the first
 }
 
-// tally gathers the results of requests that run at once.
+// tally accumulates the results of concurrent requests.
 type tally struct {
 	mu       sync.Mutex
 	res      Result
-	coverage float64 // sum over the answered
-	good     int     // whole and in time
+	coverage float64 // sum over the answered requests
+	good     int     // answers by every shard before the deadline
 	answers  *Recorder
 	refusals *Recorder
 }
@@ -76,7 +76,7 @@
 	t.res.Skipped++
 }
 
-// add counts one request that ended latency after its scheduled start.
+// add counts one request that ended at latency after its scheduled start.
 func (t *tally) add(o *Outcome, runKey string, intended time.Time, latency, deadline time.Duration) {
 	var check Check
 	if o.Answer != nil && o.Err == nil {
@@ -135,7 +135,7 @@
 	}
 }
 
-// finish sums up a run that took the given time.
+// finish returns the result of a run that took the given time.
 func (t *tally) finish(c *Config, took time.Duration) *Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -14,15 +14,15 @@
 	"pearmoor/internal/contract"
 )
 
-// grace lets the reply of a request reach the caller after its deadline, so
-// that a late answer is seen and counted as late.
+// lateReplyTimeout is how long a caller waits after the deadline, so that late answers are
+// received and counted as late.
 const grace = 2 * time.Second
 
-// idlePerHost keeps a caller's connections open between bursts.
+// maxIdlePerHost is large enough to keep the connections open between bursts.
 const idlePerHost = 512
 
-// Run runs load as cfg describes. It returns when the last request has ended;
-// when ctx ends, no further request starts.
+// Run generates the load described by cfg and returns after the last request has ended. No
+// further requests start after ctx has ended.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	cfg.fill()
 	if err := cfg.validate(); err != nil {
@@ -62,7 +62,7 @@
 
 type runner struct {
 	cfg    *Config
-	run    string // unique over runs, so that keys are
+	run    string // random, so that keys are unique across runs
 	askers []Asker
 	tally  *tally
 
@@ -93,7 +93,7 @@
 	return r.random.Float64() < share
 }
 
-// one runs the n-th request of the schedule.
+// runRequest runs the n-th request of the schedule.
 func (r *runner) one(n int, intended time.Time) {
 	deadline := intended.Add(r.cfg.Deadline)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(grace))
@@ -123,7 +123,7 @@
 		RunKey string `json:"run_key"`
 	}{key})
 	if err != nil {
-		panic(err) // a struct of a string always marshals
+		panic(err) // a struct of a string can always be encoded
 	}
 	q := contract.Request{Path: r.cfg.Paths[n%len(r.cfg.Paths)], Body: body}
 	if r.chance(r.cfg.NotRepeatable) {
@@ -134,8 +134,8 @@
 	return q
 }
 
-// resend sends a decided request once more under its key, as a caller does that
-// never saw the reply.
+// resend sends a request whose outcome is known again under its key, as a caller does that
+// did not receive the reply.
 func resend(asker Asker, q contract.Request, limit time.Duration) Outcome {
 	deadline := time.Now().Add(limit)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(grace))
@@ -143,7 +143,7 @@
 	return asker.Ask(ctx, q, deadline)
 }
 
-// verdict is what the caller knows of a request that has ended.
+// verdict returns what the caller knows about a request that has ended.
 func (o *Outcome) verdict() contract.Verdict {
 	switch {
 	case o.Answer != nil && o.Err == nil:
@@ -155,7 +155,7 @@
 	}
 }
 
-// addOnce counts a not-repeatable request and its resend, if there was one.
+// addNonRepeatable counts a non-repeatable request and its resend; again is nil if there was none.
 func (t *tally) addOnce(first, again *Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -12,17 +12,17 @@
 	"pearmoor/internal/vm"
 )
 
-// Arrivals names how the gaps between requests are drawn.
+// Arrivals is the arrival process of a schedule.
 type Arrivals string
 
-// The arrival processes.
+// Arrival processes.
 const (
-	Poisson  Arrivals = "poisson"  // exponential gaps, as from many callers of their own mind
+	Poisson  Arrivals = "poisson"  // exponential gaps, as from many independent callers
 	Constant Arrivals = "constant" // equal gaps
 )
 
-// Schedule yields the scheduled starts of requests, as offsets from the start
-// of the run. It depends on nothing but its parameters.
+// Schedule generates the scheduled starts of requests as offsets from the start of the run.
+// It is determined by its parameters.
 type Schedule struct {
 	arrivals Arrivals
 	gap      float64 // mean, in nanoseconds
@@ -31,7 +31,7 @@
 	at       float64
 }
 
-// NewSchedule returns a schedule of rate requests a second for d.
+// NewSchedule returns a schedule of rate requests per second for the duration d.
 func NewSchedule(a Arrivals, rate float64, d time.Duration, seed uint64) (*Schedule, error) {
 	if a != Poisson && a != Constant {
 		return nil, errors.Newf("arrivals %q are unknown; use %s or %s", a, Poisson, Constant)
@@ -47,7 +47,7 @@
 	}, nil
 }
 
-// Next returns the next start, and false past the end.
+// Next returns the next start, and false after the end of the schedule.
 func (s *Schedule) Next() (time.Duration, bool) {
 	gap := s.gap
 	if s.arrivals == Poisson {
@@ -58,10 +58,9 @@
 	return at, at < s.end
 }
 
-// Drive starts do at every scheduled instant, each in its own goroutine, and
-// returns when all have returned. The schedule never waits for do. When
-// outstanding calls reach limit (0: no limit), a further one is not started
-// and passed to skip; when ctx ends, no further one starts.
+// Drive calls do at every scheduled start, each in its own goroutine, and returns when all
+// calls have returned. The schedule never waits for do. While limit calls are in flight
+// (0: no limit), Drive calls skip instead of do. No further calls start after ctx ends.
 func Drive(ctx context.Context, s *Schedule, limit int, do func(n int, intended time.Time), skip func(n int, intended time.Time)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -16,7 +16,7 @@
 	"pearmoor/internal/contract"
 )
 
-// The files written by WriteFiles.
+// Files written by WriteFiles.
 const (
 	ResultFile  = "result.json"
 	LatencyFile = "latency.svg"
@@ -29,7 +29,7 @@
 	percent  = 100
 )
 
-// WriteTable prints r for a person.
+// WriteTable writes r as a table for human readers.
 func (r *Result) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	row := func(name, format string, args ...any) {
@@ -63,7 +63,7 @@
 	return w.Flush()
 }
 
-// String returns the quantiles in one line.
+// String returns the quantiles as one line.
 func (q Quantiles) String() string {
 	if q.Count == 0 {
 		return "none"
@@ -82,7 +82,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// WriteFiles writes the result as JSON and the plots into dir.
+// WriteFiles writes the result as JSON and the plots as SVG files to dir.
 func (r *Result) WriteFiles(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
--- a/internal/standin/behavior.go
+++ b/internal/standin/behavior.go
@@ -10,43 +10,43 @@
 	"pearmoor/internal/contract"
 )
 
-// Behavior is how a leaf acts. All of it may be changed while the leaf runs.
+// Behavior configures how a leaf behaves. It can be changed while the leaf runs.
 // Shares are fractions of requests from 0 to 1.
 type Behavior struct {
-	Slots       int      `json:"slots"`        // requests run at once
-	Queue       int      `json:"queue"`        // requests that wait for a slot; more are refused
-	Connections int      `json:"connections"`  // most open connections; 0 means no cap
-	ConnectCost Duration `json:"connect_cost"` // from accept to the first byte read
+	Slots       int      `json:"slots"`        // maximum of requests that run at once
+	Queue       int      `json:"queue"`        // maximum of requests that wait for a slot; more are refused
+	Connections int      `json:"connections"`  // maximum of open connections; 0: unlimited
+	ConnectCost Duration `json:"connect_cost"` // time from accept until the first byte is read
 
-	Latency         Duration `json:"latency"`          // median time of a run
-	Spread          float64  `json:"spread"`           // sigma of the lognormal factor on Latency; 0 is fixed
-	StragglerShare  float64  `json:"straggler_share"`  // runs that take StragglerFactor times as long
+	Latency         Duration `json:"latency"`          // median processing time
+	Spread          float64  `json:"spread"`           // sigma of the lognormal factor on Latency; 0: fixed latency
+	StragglerShare  float64  `json:"straggler_share"`  // run and take StragglerFactor times as long
 	StragglerFactor float64  `json:"straggler_factor"` // at least 1
-	ColdStart       Duration `json:"cold_start"`       // how long after its start a leaf is cold
+	ColdStart       Duration `json:"cold_start"`       // time after its start for which the leaf is cold
 	ColdFactor      float64  `json:"cold_factor"`      // latency factor while cold, at least 1
 
 	RefuseShare  float64  `json:"refuse_share"`  // refused before running
 	RefuseStatus int      `json:"refuse_status"` // 429 or 503
-	RetryAfter   Duration `json:"retry_after"`   // sent with refusals, in whole seconds
+	RetryAfter   Duration `json:"retry_after"`   // header of refusals, rounded up to whole seconds
 
-	HangShare         float64  `json:"hang_share"`          // keep the slot and never reply
+	HangShare         float64  `json:"hang_share"`          // occupy the slot and never reply
 	ResetShare        float64  `json:"reset_share"`         // run, then reset the connection
 	EarlyResetShare   float64  `json:"early_reset_share"`   // reset before running
 	LateShare         float64  `json:"late_share"`          // reply LateBy after the deadline
 	LateBy            Duration `json:"late_by"`             // see LateShare
-	CrossShare        float64  `json:"cross_share"`         // reply with another request's identity and hits
-	WrongVersionShare float64  `json:"wrong_version_share"` // run and reply another index version
+	CrossShare        float64  `json:"cross_share"`         // reply with the identity and hits of another request
+	WrongVersionShare float64  `json:"wrong_version_share"` // run and reply with another index version
 
-	CrashKey string   `json:"crash_key"` // run key of requests that end the leaf when they begin to run; "" is none
-	CrashFor Duration `json:"crash_for"` // how long it is down then
+	CrashKey string   `json:"crash_key"` // run key of requests that crash the leaf when they start to run; "": none
+	CrashFor Duration `json:"crash_for"` // downtime after a crash
 
-	Draining       bool     `json:"draining"`        // refuses new work, finishes what it has
-	ReportInFlight *int     `json:"report_inflight"` // load reported in place of the true one
-	ReportLag      Duration `json:"report_lag"`      // the status is refreshed this seldom
-	StatusHang     bool     `json:"status_hang"`     // the status endpoint never replies
+	Draining       bool     `json:"draining"`        // refuse new requests and finish those in flight
+	ReportInFlight *int     `json:"report_inflight"` // load to report instead of the actual load; nil: the actual load
+	ReportLag      Duration `json:"report_lag"`      // minimum age of the reported status before it is refreshed
+	StatusHang     bool     `json:"status_hang"`     // never answer status requests
 }
 
-// DefaultBehavior is a healthy leaf of a desk with two slots.
+// DefaultBehavior returns the behavior of a healthy leaf with two slots.
 func DefaultBehavior() Behavior {
 	return Behavior{
 		Slots:           2,
@@ -60,12 +60,12 @@
 	}
 }
 
-// Update returns b with the fields present in the JSON object patch replaced.
+// Update returns a copy of b in which the fields of the JSON object patch are replaced.
 func (b Behavior) Update(patch []byte) (Behavior, error) {
 	dec := json.NewDecoder(bytes.NewReader(patch))
 	dec.DisallowUnknownFields()
 	if b.ReportInFlight != nil {
-		// The decoder would write through the pointer into a copy in use.
+		// The decoder writes through the pointer, which other copies of b share.
 		v := *b.ReportInFlight
 		b.ReportInFlight = &v
 	}
@@ -75,7 +75,7 @@
 	return b, b.Validate()
 }
 
-// Validate returns contract.Faults that list every value out of range.
+// Validate returns contract.Faults with every value that is out of range.
 func (b Behavior) Validate() error {
 	var fs contract.Faults
 	atLeast := func(field string, v, least float64) {
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -11,15 +11,15 @@
 	"pearmoor/internal/contract"
 )
 
-// Command changes running leaves, the body of POST /control. Leaf and Service
-// choose whom; both empty means all leaves.
+// Command changes running leaves. It is the body of POST /control. Leaf and Service
+// select the leaves; if both are empty, all leaves are selected.
 type Command struct {
 	Leaf       string          `json:"leaf,omitempty"`    // name
 	Service    string          `json:"service,omitempty"` // path of a node: all leaves at or below it
 	Set        json.RawMessage `json:"set,omitempty"`     // the fields of Behavior to change
 	Publish    *Version        `json:"publish,omitempty"` // add an index version
-	Retire     uint64          `json:"retire,omitempty"`  // drop an index version
-	Power      Power           `json:"power,omitempty"`   // lose or bring back leaves
+	Retire     uint64          `json:"retire,omitempty"`  // remove an index version
+	Power      Power           `json:"power,omitempty"`   // take leaves down or bring them up
 	ResetPeaks bool            `json:"reset_peaks,omitempty"`
 }
 
@@ -29,19 +29,19 @@
 	Shards  uint32 `json:"shards"`
 }
 
-// Power takes a leaf off the network or brings it back.
+// Power selects whether a leaf is taken down or brought up.
 type Power string
 
-// The powers.
+// Values of Power.
 const (
 	PowerKeep Power = ""
 	PowerDown Power = "down" // listener and connections close at once
-	PowerUp   Power = "up"   // same address, cold
+	PowerUp   Power = "up"   // same address, cold start
 )
 
 const maxShards = 4096
 
-// ParseCommand decodes and checks a command.
+// ParseCommand decodes and validates a command.
 func ParseCommand(body []byte) (*Command, error) {
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
@@ -73,7 +73,7 @@
 	return fs.ErrOrNil()
 }
 
-// Apply carries c out and returns how many leaves it chose.
+// Apply applies c to the leaves that it selects and returns their number.
 func (f *Fleet) Apply(c *Command) (int, error) {
 	var errs error
 	n := 0
--- a/internal/standin/command_test.go
+++ b/internal/standin/command_test.go
@@ -24,7 +24,7 @@
 		var fs contract.Faults
 		if err != nil {
 			if !errors.As(err, &fs) || len(fs) == 0 {
-				t.Fatalf("no fault told for %q: %v", body, err)
+				t.Fatalf("no faults for %q: %v", body, err)
 			}
 			return
 		}
@@ -33,7 +33,7 @@
 		}
 		b, err := DefaultBehavior().Update(c.Set)
 		if err != nil || b.Validate() != nil {
-			t.Fatalf("accepted a behavior that is refused later: %q", body)
+			t.Fatalf("accepted a behavior that is invalid: %q", body)
 		}
 	})
 }
--- a/internal/standin/controlhttp.go
+++ b/internal/standin/controlhttp.go
@@ -11,22 +11,22 @@
 	"pearmoor/internal/contract"
 )
 
-// The endpoints of a fleet's control address.
+// Endpoints of a fleet's control address.
 const (
 	ControlPath = "/control" // POST Command
 	StatsPath   = "/stats"   // GET; window=1 starts a new window of in-flight peaks
 	VMsPath     = "/vms"     // POST PlatformUpdate
 )
 
-// PlatformUpdate is the body of POST /vms. A nil list keeps the one in force.
+// PlatformUpdate is the body of POST /vms. If VMs is nil, the list is unchanged.
 type PlatformUpdate struct {
 	Lag Duration              `json:"lag"`
 	VMs []contract.PlatformVM `json:"vms,omitempty"`
 }
 
-// Applied is the reply to POST /control.
+// ControlReply is the reply to POST /control.
 type Applied struct {
-	Leaves int `json:"leaves"` // how many were chosen
+	Leaves int `json:"leaves"` // number of selected leaves
 }
 
 // Handler serves control, statistics and the platform's VM list.
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,8 +1,7 @@
-// Package standin provides small stand-ins of what surrounds the query tier:
-// leaves that speak the published target protocol over documents that can be
-// checked, with slots, connection cap, latency and faults that can be changed
-// while they run, and the platform's list of VMs.
+// Package standin implements stand-ins for the systems around the query tier: leaves that
+// speak the published target protocol, and the platform's list of VMs. Slots, connection
+// limit, latency and faults of a leaf can be changed while it runs.
 //
-// Every document of a query service lies in exactly one shard of each index
-// version, so that a lost or doubled hit is seen by whoever reads the answer.
+// Every document of a query service is in exactly one shard of each index version, so
+// that the reader of an answer can detect lost and duplicated hits.
 package standin
--- a/internal/standin/documents.go
+++ b/internal/standin/documents.go
@@ -13,22 +13,22 @@
 // DefaultDocuments is the number of documents of each query service.
 const DefaultDocuments = 32
 
-// Origin is the data of every hit: enough to tell whether the whole answer is
-// one index version with no document lost or doubled.
+// Origin is the data of every hit. It allows the reader to check that an answer comes from
+// one index version and that no document is lost or duplicated.
 type Origin struct {
 	Version   uint64 `json:"version"`
 	Shards    uint32 `json:"shards"`            // size of that version's partition map
 	Documents int    `json:"documents"`         // of the query service, over all its shards
-	RunKey    string `json:"run_key,omitempty"` // from the body of the request that was answered
+	RunKey    string `json:"run_key,omitempty"` // from the body of the answered request
 }
 
-// DocumentID names the n-th document of a query service.
+// DocumentID returns the id of the n-th document of a query service.
 func DocumentID(service string, n int) string {
 	return service + "#" + strconv.Itoa(n)
 }
 
-// ShardOf returns the one shard that holds the n-th document at a version with
-// the given number of shards.
+// ShardOf returns the shard that holds the n-th document in an index version with the
+// given number of shards.
 func ShardOf(service string, version uint64, shards uint32, n int) uint32 {
 	if shards == 0 {
 		return 0
@@ -37,11 +37,11 @@
 	return uint32(sum % uint64(shards))
 }
 
-// Hits returns the hits of one shard: all its documents.
+// Hits returns a hit for every document of one shard.
 func Hits(service string, shard uint32, origin Origin) []contract.Hit {
 	data, err := json.Marshal(origin)
 	if err != nil {
-		panic(err) // a struct of numbers always marshals
+		panic(err) // a struct of numbers and strings can always be encoded
 	}
 	hits := []contract.Hit{}
 	for n := range origin.Documents {
@@ -59,8 +59,8 @@
 	return float64(xxhash.Sum64String(id)%buckets) / buckets
 }
 
-// Layout returns the shards that leaf number i of n holds. Up to two leaves are
-// whole replicas; of more, shard s lies on leaves s and s+1, modulo n.
+// HeldShards returns the shards that leaf i of n holds. If n is at most 2, every leaf holds
+// all shards; otherwise leaves s and s+1, modulo n, hold shard s.
 func Layout(i, n int, shards uint32) []uint32 {
 	held := []uint32{}
 	for s := range shards {
@@ -73,7 +73,7 @@
 	return held
 }
 
-// DefaultShards is the size of the partition map of a service with n leaves.
+// DefaultShards returns the number of shards of a service with n leaves.
 func DefaultShards(n int) uint32 {
 	const replicated = 2
 	if n <= replicated {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -11,7 +11,7 @@
 	"pearmoor/internal/contract"
 )
 
-// ServiceSpec is a query service whose leaves are to be started.
+// ServiceSpec describes a query service whose leaves StartFleet starts.
 type ServiceSpec struct {
 	Path     string
 	Leaves   []string // names, in the order of the tree
@@ -27,7 +27,7 @@
 	Seed      uint64
 }
 
-// FirstVersion is the index version all leaves start with.
+// FirstVersion is the index version with which all leaves start.
 const FirstVersion = 1
 
 // Fleet is a set of running leaves.
@@ -37,15 +37,15 @@
 	order    []fleetLeaf
 }
 
-// fleetLeaf is a leaf with its place among the leaves of its service.
+// fleetLeaf is a leaf with its position among the leaves of its service.
 type fleetLeaf struct {
 	*Leaf
 	service string
-	index   int // of count
+	index   int // 0 to count-1
 	count   int
 }
 
-// StartFleet starts every leaf; Close ends them.
+// StartFleet starts all leaves. Close or Shutdown stops them.
 func StartFleet(cfg FleetConfig) (*Fleet, error) {
 	f := &Fleet{runs: NewRuns(DefaultRunMemory), platform: NewPlatform(time.Now)}
 	for _, s := range cfg.Services {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Leaves returns the leaves in the order of the services.
+// Leaves returns the leaves in the order of FleetConfig.Services.
 func (f *Fleet) Leaves() []*Leaf {
 	out := make([]*Leaf, len(f.order))
 	for i := range f.order {
@@ -91,7 +91,7 @@
 	return out
 }
 
-// Addr returns the address of a leaf of a service, and "" for an unknown one.
+// Addr returns the address of a leaf of a service, or "" if there is no such leaf.
 func (f *Fleet) Addr(service, leaf string) string {
 	for i := range f.order {
 		if f.order[i].service == service && f.order[i].Name() == leaf {
@@ -101,18 +101,18 @@
 	return ""
 }
 
-// Runs returns the count of runs over all leaves.
+// Runs returns the run counter that all leaves share.
 func (f *Fleet) Runs() *Runs { return f.runs }
 
-// Platform returns the stand-in of the platform's VM list.
+// Platform returns the stand-in for the platform's list of VMs.
 func (f *Fleet) Platform() *Platform { return f.platform }
 
-// Close ends all leaves at once.
+// Close stops all leaves and closes their connections without waiting for requests.
 func (f *Fleet) Close() {
 	f.each(func(l fleetLeaf) { _ = l.Close() })
 }
 
-// Shutdown ends all leaves after the requests in flight, or when ctx ends.
+// Shutdown stops all leaves after the requests in flight, or when ctx ends.
 func (f *Fleet) Shutdown(ctx context.Context) {
 	f.each(func(l fleetLeaf) { _ = l.Shutdown(ctx) })
 }
@@ -131,7 +131,8 @@
 	Leaves []LeafStats `json:"leaves"`
 }
 
-// Stats returns the counters of all leaves; takeWindow starts a new window.
+// Stats returns the counters of all leaves. If takeWindow is set, it also starts a new window
+// of in-flight peaks.
 func (f *Fleet) Stats(takeWindow bool) FleetStats {
 	st := FleetStats{Runs: f.runs.Stats(), Leaves: make([]LeafStats, len(f.order))}
 	for i, l := range f.order {
--- a/internal/standin/handle.go
+++ b/internal/standin/handle.go
@@ -73,12 +73,12 @@
 	if b.CrashKey != "" && runKey(&q) == b.CrashKey {
 		l.slots.release()
 		go l.crash(time.Duration(b.CrashFor))
-		<-r.Context().Done() // the connections end with the leaf
+		<-r.Context().Done() // crash closes the connections
 		return
 	}
 	reply, ok := l.run(ctx, r, &task{LeafRequest: q, shards: shards}, b)
-	// The slot is free before the first byte of the reply leaves, so that a
-	// sender that counts exactly is never seen above the slots.
+	// Release the slot before the reply is written: a sender that starts its next
+	// request on the reply must not exceed the slots.
 	l.slots.release()
 	switch {
 	case !ok:
@@ -92,7 +92,7 @@
 	}
 }
 
-// refuse turns the request away before anything has run.
+// refuse refuses the request before it runs if b says so, and reports whether it did.
 func (l *Leaf) refuse(w http.ResponseWriter, b Behavior) bool {
 	switch {
 	case b.Draining:
@@ -113,15 +113,14 @@
 	http.Error(w, why, status)
 }
 
-// task is a request with the partition map found when it came. It is kept to
-// the end, as a version that is retired meanwhile is still read to its end.
+// task is a request with the number of shards of its index version on arrival. A request
+// whose version is retired while it runs is still answered from that version.
 type task struct {
 	contract.LeafRequest
 	shards uint32
 }
 
-// run does the work of q. It returns false when the work was stopped by the
-// caller or the deadline.
+// run processes q. It returns false if the caller or the deadline cancelled it.
 func (l *Leaf) run(ctx context.Context, r *http.Request, q *task, b Behavior) (*contract.LeafReply, bool) {
 	switch {
 	case l.chance(b.HangShare):
@@ -138,7 +137,7 @@
 	return l.reply(q, b), true
 }
 
-// latency draws the time of one run.
+// latency draws the processing time of one request.
 func (l *Leaf) latency(b Behavior) time.Duration {
 	d := float64(b.Latency)
 	l.mu.Lock()
@@ -156,7 +155,7 @@
 	return time.Duration(d)
 }
 
-// reply answers q, or, as the behavior says, another request or version.
+// reply returns the reply to q or, depending on b, one for another request or index version.
 func (l *Leaf) reply(q *task, b Behavior) *contract.LeafReply {
 	answered := *q
 	l.mu.Lock()
@@ -184,7 +183,7 @@
 	}
 }
 
-// lookup returns the size of a version's partition map and whether shard is here.
+// lookup returns the number of shards of an index version, and whether this leaf holds shard.
 func (l *Leaf) lookup(service string, shard uint32, version uint64) (uint32, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -201,8 +200,8 @@
 	return 0, false
 }
 
-// runID is the identity under which a run is counted: a resend by the caller is
-// a new request to the tier, and is told by the run_key in its body.
+// runID returns the identity under which a run is counted. A resend by the caller is a new
+// request to the tier with another id, and is recognized by the run_key in its body.
 func runID(q *contract.LeafRequest) string {
 	if key := runKey(q); key != "" {
 		return key
@@ -210,7 +209,7 @@
 	return q.ID
 }
 
-// runKey returns the run_key of a body that is an object with one, and "" else.
+// runKey returns the run_key of the body, or "" if the body has none.
 func runKey(q *contract.LeafRequest) string {
 	var body struct {
 		RunKey string `json:"run_key"`
--- a/internal/standin/leaf.go
+++ b/internal/standin/leaf.go
@@ -18,15 +18,15 @@
 // LeafConfig describes a leaf to start.
 type LeafConfig struct {
 	Name      string
-	Listen    string // host:port; empty takes a free port of 127.0.0.1
+	Listen    string // host:port; empty: a free port of 127.0.0.1
 	Indexes   []contract.LeafIndex
 	Documents int // of each query service; 0 means DefaultDocuments
 	Behavior  Behavior
 	Seed      uint64
-	Runs      *Runs // shared by leaves whose runs are counted together; may be nil
+	Runs      *Runs // shared by leaves whose runs are counted together; nil: the leaf counts its own
 }
 
-// Leaf is a running stand-in of a target.
+// Leaf is a stand-in for a leaf process.
 type Leaf struct {
 	name      string
 	documents int
@@ -43,9 +43,9 @@
 	started time.Time
 	indexes []contract.LeafIndex
 	random  *rand.Rand
-	last    *task // for crossed replies
+	last    *task // previous request, for CrossShare
 	report  contract.LeafStatus
-	read    time.Time // when report was made
+	read    time.Time // time of report
 	done    sync.WaitGroup
 }
 
@@ -59,7 +59,7 @@
 	lastNew   atomic.Int64  // Unix nanoseconds of the last arrival
 }
 
-// StartLeaf starts a leaf; Close ends it.
+// StartLeaf starts a leaf. Close or Shutdown stops it.
 func StartLeaf(cfg LeafConfig) (*Leaf, error) {
 	if err := cfg.Behavior.Validate(); err != nil {
 		return nil, err
@@ -86,7 +86,7 @@
 	return l, l.Up()
 }
 
-// Up makes a leaf that is down listen again on the address it had, cold.
+// Up makes a leaf that is down listen on its previous address again. The leaf is cold.
 func (l *Leaf) Up() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// Down closes the listener and all connections at once, as a lost target does.
+// Down closes the listener and all connections without waiting for requests, as the loss of
+// a leaf does.
 func (l *Leaf) Down() error {
 	l.mu.Lock()
 	srv := l.server
@@ -121,27 +122,27 @@
 	return err
 }
 
-// crash ends the leaf as Down does and starts it again.
+// crash takes the leaf down and brings it up again after the given time.
 func (l *Leaf) crash(down time.Duration) {
 	if l.Down() != nil {
 		return
 	}
 	time.Sleep(down)
-	for !l.closed.Load() && l.Up() != nil { // its port may still be in use
+	for !l.closed.Load() && l.Up() != nil { // the port may still be in use
 		time.Sleep(crashRetry)
 	}
 }
 
-// crashRetry is how long a leaf waits for its port.
+// crashRetryInterval is the time between attempts to listen on the port again.
 const crashRetry = 10 * time.Millisecond
 
-// Close ends the leaf.
+// Close stops the leaf without waiting for requests.
 func (l *Leaf) Close() error {
 	l.closed.Store(true)
 	return l.Down()
 }
 
-// Shutdown ends the leaf after the requests in flight, or when ctx ends.
+// Shutdown stops the leaf after the requests in flight, or when ctx ends.
 func (l *Leaf) Shutdown(ctx context.Context) error {
 	l.mu.Lock()
 	srv := l.server
@@ -155,17 +156,17 @@
 // Name returns the leaf's name.
 func (l *Leaf) Name() string { return l.name }
 
-// Addr returns host:port, the same also after Down and Up.
+// Addr returns host:port, which stays the same across Down and Up.
 func (l *Leaf) Addr() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addr
 }
 
-// Behavior returns the behavior in force.
+// Behavior returns the current behavior.
 func (l *Leaf) Behavior() Behavior { return *l.behavior.Load() }
 
-// SetBehavior replaces the behavior; requests already running keep theirs.
+// SetBehavior replaces the behavior. Requests that have arrived keep the previous one.
 func (l *Leaf) SetBehavior(b Behavior) error {
 	if err := b.Validate(); err != nil {
 		return err
@@ -175,7 +176,7 @@
 	return nil
 }
 
-// Publish adds an index version, or replaces it.
+// Publish adds or replaces an index version.
 func (l *Leaf) Publish(x contract.LeafIndex) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,7 +184,7 @@
 	l.indexes = append(l.indexes, x)
 }
 
-// Retire drops an index version.
+// Retire removes an index version.
 func (l *Leaf) Retire(service string, version uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -200,17 +201,17 @@
 	l.indexes = kept
 }
 
-// Runs returns how often the work of one request was run at a shard.
+// Runs returns how often a request was run at a shard.
 func (l *Leaf) Runs(service, request string, shard uint32) int {
 	return l.runs.Count(RunKey{Request: request, Service: service, Shard: shard})
 }
 
-// draw returns a number in [0, 1).
+// draw returns a random number in [0, 1).
 func (l *Leaf) draw() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.random.Float64()
 }
 
-// chance is true for the given share of calls.
+// chance returns true with probability share.
 func (l *Leaf) chance(share float64) bool { return share > 0 && l.draw() < share }
--- a/internal/standin/leaf_test.go
+++ b/internal/standin/leaf_test.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// send returns the status, the reply where it was 200, and the transport error.
+// send returns the status, the reply (empty unless the status is 200), and the error of the
+// transport or of decoding the reply.
 func send(ctx context.Context, c *http.Client, l *Leaf, q *contract.LeafRequest) (int, *contract.LeafReply, error) {
 	body, _ := json.Marshal(q)
 	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr()+contract.LeafQueryPath, bytes.NewReader(body))
@@ -78,12 +79,12 @@
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
-// Six requests reach a leaf of two slots and a queue of two at once. The callers
-// see four runs, two at a time, and two refusals that were not run: the leaf's
-// own count of what was put on it must show all of them.
+// Six requests reach a leaf with two slots and a queue of two. Two run, two wait and two
+// are refused without running. The in-flight peak must include a refused request:
+// otherwise it would hide a sender that exceeds the limits of the leaf.
 func TestLeafCountsRunningQueuedAndRefused(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Slots, b.Queue, b.HangShare = 2, 2, 1 })
 	c := newClient(t)
@@ -115,8 +116,8 @@
 	}
 }
 
-// A request waits behind one that never ends, and its deadline passes in the
-// queue. The caller is refused, and the work was never started.
+// A request waits in the queue behind one that never ends until its deadline passes. It
+// must be refused and must not run.
 func TestLeafRefusesWhatExpiredInTheQueue(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Slots, b.HangShare = 1, 1 })
 	c := newClient(t)
@@ -133,9 +134,8 @@
 	wg.Wait()
 }
 
-// A request runs while its index version is dropped. Its reply must still be the
-// whole shard of that version: a leaf that answered from what it holds at the
-// end would look like a tier that loses hits.
+// An index version is retired while a request for it runs. The reply must still have all
+// hits of the shard in that version: otherwise the tier would seem to lose hits.
 func TestLeafAnswersFromTheVersionItBeganWith(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Latency = Duration(50 * time.Millisecond) })
 	c := newClient(t)
@@ -160,8 +160,8 @@
 	}
 }
 
-// A caller opens one connection more than the leaf accepts. The leaf closes it
-// at once and counts it, so that a tier that went over the cap is found out.
+// A sender opens one connection more than the leaf accepts. The leaf must close it and
+// count it, so that a test can detect a tier that exceeds the connection limit.
 func TestLeafCapsConnections(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Connections = 2 })
 	var open []net.Conn
@@ -192,7 +192,7 @@
 }
 
 func TestLeafFaults(t *testing.T) {
-	Convey("A leaf acts as its behavior says", t, func() {
+	Convey("A leaf follows its behavior", t, func() {
 		l := startTestLeaf(t, func(*Behavior) {})
 		c := newClient(t)
 		ctx := context.Background()
@@ -239,13 +239,13 @@
 			So(err, ShouldBeNil)
 			So(reply.ID, ShouldEqual, "first")
 		})
-		Convey("a wrong version is told in the reply", func() {
+		Convey("a wrong version is stated in the reply", func() {
 			set(`{"wrong_version_share":1}`)
 			_, reply, err := ask("a")
 			So(err, ShouldBeNil)
 			So(reply.IndexVersion, ShouldEqual, 2)
 		})
-		Convey("a load report may lie", func() {
+		Convey("the reported load can differ from the actual load", func() {
 			set(`{"report_inflight":99}`)
 			So(l.status(l.Behavior()).InFlight, ShouldEqual, 99)
 		})
@@ -263,8 +263,8 @@
 	})
 }
 
-// Whatever the version and the number of shards, the shards together hold each
-// document once: a lost or doubled hit is then the reader's doing.
+// For every version and number of shards, each document must be in exactly one shard:
+// otherwise lost and duplicated hits could be caused by the stand-in instead of the tier.
 func TestShardsPartitionTheDocuments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Origin{
@@ -282,7 +282,7 @@
 			}
 		}
 		if len(seen) != o.Documents {
-			t.Fatalf("%d documents of %d", len(seen), o.Documents)
+			t.Fatalf("the shards hold %d documents of %d", len(seen), o.Documents)
 		}
 	})
 }
@@ -312,10 +312,10 @@
 	p.SetVMs([]contract.PlatformVM{{Name: "a"}})
 	now = now.Add(59 * time.Second)
 	if got := p.VMs(); len(got) != 0 {
-		t.Fatalf("seen too early: %v", got)
+		t.Fatalf("visible before the lag has passed: %v", got)
 	}
 	now = now.Add(time.Second)
 	if got := p.VMs(); len(got) != 1 {
-		t.Fatalf("not seen after the lag: %v", got)
+		t.Fatalf("not visible after the lag: %v", got)
 	}
 }
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// cappedListener accepts up to a number of connections and closes the rest at
-// once, as a target that has run out of them does.
+// limitedListener accepts connections up to the limit of the behavior and closes further
+// ones at once, as a leaf without free connections does.
 type cappedListener struct {
 	net.Listener
 	behavior func() Behavior
 	conns    *connCount
 }
 
-// connCount outlives a listener, so that a leaf that was down and came back
-// goes on counting.
+// connCount counts connections. It outlives a listener, so that the counts continue after
+// the leaf was down.
 type connCount struct {
 	mu      sync.Mutex
 	open    int
-	peak    int // most open at once, with the refused one counted in
+	peak    int // maximum of open connections, including the one being refused
 	opened  uint64
 	refused uint64
 }
@@ -60,7 +60,8 @@
 	}
 }
 
-// countedConn makes its first read wait for the connect cost.
+// countedConn is a connection that is counted until it is closed. Its first read waits for
+// Behavior.ConnectCost.
 type countedConn struct {
 	net.Conn
 	conns *connCount
--- a/internal/standin/narrow.go
+++ b/internal/standin/narrow.go
@@ -8,12 +8,12 @@
 
 const (
 	narrowPiece = 4 << 10
-	narrowQueue = 8 // parcels that wait; more hold up the sender
+	narrowQueue = 8 // chunks that wait in each direction; a full queue blocks the sender
 )
 
-// NarrowLink forwards connections to one address over a link that carries so many bytes
-// a second each way, however many connections there are, and delivers each a while after it
-// was sent.
+// ThrottledLink forwards connections to one address. All connections share a bandwidth of
+// rate bytes per second in each direction, and data is delivered delay after the link
+// has carried it.
 type NarrowLink struct {
 	lis    net.Listener
 	target string
@@ -25,15 +25,15 @@
 	done   chan struct{}
 }
 
-// parcel is what was read at one end and is due at the other.
+// chunk is data read from one connection that is to be written to another.
 type parcel struct {
 	to   net.Conn
-	data []byte // empty: the end
+	data []byte // empty: end of the connection
 	sent time.Time
 }
 
-// NewNarrowLink listens on a loopback port and forwards to target at rate, in bytes a
-// second, and late, until Close.
+// NewThrottledLink listens on a loopback port and forwards to target until Close. rate is in
+// bytes per second; delay is added to the delivery of all data.
 func NewNarrowLink(target string, rate float64, late time.Duration) (*NarrowLink, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,10 +49,10 @@
 	return l, nil
 }
 
-// Addr returns the address that stands for the target.
+// Addr returns the address to connect to instead of the target.
 func (l *NarrowLink) Addr() string { return l.lis.Addr().String() }
 
-// Close ends the link and what passes over it.
+// Close closes the listener and stops forwarding.
 func (l *NarrowLink) Close() {
 	l.once.Do(func() {
 		close(l.done)
@@ -76,7 +76,7 @@
 	}
 }
 
-// read hands on what comes from one end until that or the link ends.
+// readChunks queues the data read from a connection until the connection or the link ends.
 func (l *NarrowLink) read(from, to net.Conn, queue chan<- parcel) {
 	defer func() { _ = from.Close() }()
 	for {
@@ -103,7 +103,7 @@
 	}
 }
 
-// deliver hands parcels over in order, each when the link has carried it.
+// deliver writes chunks in order, each when the link has carried it and the delay has passed.
 func (l *NarrowLink) deliver(queue <-chan parcel) {
 	free := time.Now()
 	for {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -9,7 +9,7 @@
 
 const platformHistory = 1024
 
-// Platform is a VM list that tells the state of a while ago.
+// Platform is a stand-in for the platform's list of VMs, which lags behind the true state.
 type Platform struct {
 	mu      sync.Mutex
 	now     func() time.Time
@@ -22,19 +22,19 @@
 	vms   []contract.PlatformVM
 }
 
-// NewPlatform returns an empty list without lag.
+// NewPlatform returns a Platform with an empty list and no lag.
 func NewPlatform(now func() time.Time) *Platform {
 	return &Platform{now: now}
 }
 
-// SetLag makes the list tell the state of lag ago.
+// SetLag sets by how much the list lags.
 func (p *Platform) SetLag(lag time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lag = lag
 }
 
-// SetVMs replaces the list; readers see it after the lag.
+// SetVMs replaces the list. Readers see the change after the lag.
 func (p *Platform) SetVMs(vms []contract.PlatformVM) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// VMs returns the list as the platform tells it now.
+// VMs returns the list that was in force one lag ago.
 func (p *Platform) VMs() []contract.PlatformVM {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/runs.go
+++ b/internal/standin/runs.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// DefaultRunMemory is how many request and shard pairs are remembered.
+// DefaultRunMemory is the number of request and shard pairs that a leaf's Runs remembers.
 const DefaultRunMemory = 1 << 18
 
-// RunKey names one piece of work: a request at one shard.
+// RunKey identifies a request at one shard.
 type RunKey struct {
-	Request string // run_key of the body where there is one, else the request's id
+	Request string // run_key of the body, or the request's id if there is none
 	Service string
 	Shard   uint32
 }
 
-// Runs counts how often each piece of work was run, over all leaves that share
-// it. It remembers the newest pairs only, so its memory is bounded.
+// Runs counts how often each request was run at each shard, over all leaves that share it.
+// It remembers only the newest pairs, so that its memory is bounded.
 type Runs struct {
 	mu      sync.Mutex
 	counts  map[RunKey]int
@@ -21,11 +21,11 @@
 	next    int
 	total   uint64
 	extra   uint64 // runs of repeatable requests beyond the first
-	once    uint64 // runs of not-repeatable requests
-	doubled uint64 // runs of not-repeatable requests beyond the first
+	once    uint64 // runs of non-repeatable requests
+	doubled uint64 // runs of non-repeatable requests beyond the first
 }
 
-// NewRuns returns a counter that remembers size pairs.
+// NewRuns returns a Runs that remembers size pairs.
 func NewRuns(size int) *Runs {
 	return &Runs{counts: make(map[RunKey]int), order: make([]RunKey, size)}
 }
@@ -52,22 +52,22 @@
 	}
 }
 
-// Count returns how often k was run, as far as it is remembered.
+// Count returns how often k was run, or 0 if k is no longer remembered.
 func (r *Runs) Count(k RunKey) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[k]
 }
 
-// RunStats sums up all runs.
+// RunStats are totals over all runs.
 type RunStats struct {
 	Total         uint64 `json:"total"`
 	Extra         uint64 `json:"extra"` // runs of a repeatable request beyond its first at a shard
 	NotRepeatable uint64 `json:"not_repeatable"`
-	Doubled       uint64 `json:"doubled"` // runs of a not-repeatable request beyond its first at a shard
+	Doubled       uint64 `json:"doubled"` // runs of a non-repeatable request beyond its first at a shard
 }
 
-// Stats returns the sums.
+// Stats returns the totals.
 func (r *Runs) Stats() RunStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -13,16 +13,16 @@
 	errExpired   = errors.New("the deadline passed before a slot was free")
 )
 
-// slots runs a bounded number of requests at once; more wait in order up to a
-// bound. It counts everything a caller has put on the leaf at one time.
+// slots limits the requests that run at once. Further requests wait in a FIFO queue of
+// limited length. slots also tracks the peak of requests in flight.
 type slots struct {
 	mu       sync.Mutex
 	limit    int
 	queue    int
 	running  int
-	waiting  list.List // of chan struct{}, closed when the slot is handed over
-	peak     int       // most running plus waiting, ever
-	window   int       // the same since the last reading of the window
+	waiting  list.List // of chan struct{}, closed when the waiter gets a slot
+	peak     int       // maximum of running plus waiting since the last reset
+	window   int       // the same since the last takeWindowPeak
 	refusals uint64
 }
 
@@ -33,8 +33,8 @@
 	s.grant()
 }
 
-// acquire waits for a slot until ctx ends. The request counts as in flight from
-// here to its release, also when it is refused for a full queue.
+// acquire waits for a slot until ctx ends. The in-flight peak includes the request even if
+// it is refused because the queue is full.
 func (s *slots) acquire(ctx context.Context) error {
 	s.mu.Lock()
 	s.note(1)
@@ -88,7 +88,7 @@
 	}
 }
 
-// note records the peak with extra requests on top of those held; mu is held.
+// recordPeak updates the peaks for the requests in flight plus extra. s.mu must be held.
 func (s *slots) note(extra int) {
 	n := s.running + s.waiting.Len() + extra
 	s.peak = max(s.peak, n)
@@ -101,7 +101,7 @@
 	return s.running + s.waiting.Len()
 }
 
-// takeWindow returns the most in flight since the last call.
+// takeWindowPeak returns the maximum in flight since the last call.
 func (s *slots) takeWindow() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/status.go
+++ b/internal/standin/status.go
@@ -17,7 +17,8 @@
 	writeJSON(w, l.status(b))
 }
 
-// status is the leaf's own report, as old or wrong as the behavior makes it.
+// status returns the status that the leaf reports. Depending on b, it may be outdated or
+// state a wrong load.
 func (l *Leaf) status(b Behavior) contract.LeafStatus {
 	inFlight := l.slots.inFlight()
 	l.mu.Lock()
@@ -50,31 +51,31 @@
 	}
 }
 
-// LeafStats is what a leaf has counted since its start.
+// LeafStats are the counters of a leaf since its start.
 type LeafStats struct {
 	Name               string   `json:"name"`
 	Services           []string `json:"services"`
 	Addr               string   `json:"addr"`
 	Slots              int      `json:"slots"`
-	Connections        int      `json:"connections"` // the cap
+	Connections        int      `json:"connections"` // maximum of open connections
 	InFlight           int      `json:"in_flight"`
-	MostInFlight       int      `json:"most_in_flight"`   // running plus queued
-	WindowInFlight     int      `json:"window_in_flight"` // most since the window was last read
+	MostInFlight       int      `json:"most_in_flight"`   // peak of running plus queued requests
+	WindowInFlight     int      `json:"window_in_flight"` // peak since the window was last read
 	Open               int      `json:"open"`
 	MostOpen           int      `json:"most_open"`
 	Opened             uint64   `json:"opened"`
 	ConnectionsRefused uint64   `json:"connections_refused"`
 	Replies            uint64   `json:"replies"`
-	Refused            uint64   `json:"refused"`       // by RefuseShare
-	QueueRefused       uint64   `json:"queue_refused"` // for a full queue
+	Refused            uint64   `json:"refused"`       // because of RefuseShare
+	QueueRefused       uint64   `json:"queue_refused"` // because the queue was full
 	NotHeld            uint64   `json:"not_held"`
-	Expired            uint64   `json:"expired"`        // not run: no slot before the deadline
-	Cancelled          uint64   `json:"cancelled"`      // run, then stopped
-	WhileDraining      uint64   `json:"while_draining"` // arrivals that met a draining leaf
+	Expired            uint64   `json:"expired"`        // not run: refused by a full queue, or no slot before the deadline
+	Cancelled          uint64   `json:"cancelled"`      // started, then cancelled by the caller or the deadline
+	WhileDraining      uint64   `json:"while_draining"` // arrivals while the leaf was draining
 	LastArrivalMS      int64    `json:"last_arrival_unix_ms"`
 }
 
-// Stats returns the counters; takeWindow also starts a new window.
+// Stats returns the counters. If takeWindow is set, it also starts a new window.
 func (l *Leaf) Stats(takeWindow bool) LeafStats {
 	b := l.Behavior()
 	st := LeafStats{
@@ -107,7 +108,7 @@
 	return st
 }
 
-// ResetPeaks starts the peaks anew from what is in flight and open now.
+// ResetPeaks sets the peaks to the requests in flight and the connections open now.
 func (l *Leaf) ResetPeaks() {
 	l.slots.mu.Lock()
 	l.slots.peak = l.slots.running + l.slots.waiting.Len()
