--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -17,39 +17,39 @@
 )
 
 const (
-	addressesPath = "/v1/addresses"
-	queryPath     = "/v1/query"
-	answerLimit   = 64 << 20
-	failoverPause = 20 * time.Millisecond // before the addresses of a new list are tried
+	addressesPath  = "/v1/addresses"
+	queryPath      = "/v1/query"
+	maxAnswerBytes = 64 << 20
+	failoverDelay  = 20 * time.Millisecond // before the addresses of a new list are tried
 
 	// A paused daemon accepts connections but never answers. Without avoidPeriod, a
 	// caller would try it first for every request and lose all of them.
-	askLimit = 250 * time.Millisecond // for one daemon to return an address list
-	avoidFor = 5 * time.Second        // for which a daemon that did not answer is tried last
+	addressTimeout = 250 * time.Millisecond // for one daemon to return an address list
+	avoidPeriod    = 5 * time.Second        // for which a daemon that did not answer is tried last
 )
 
-var errNoEntry = errors.New("no daemon is known from which to request addresses")
+var errNoDaemon = errors.New("no daemon is known from which to request addresses")
 
 // caller implements Querier. It caches one address list per path for the list's lifetime.
 type caller struct {
-	http    *http.Client
-	entries []string
+	http      *http.Client
+	entryURLs []string
 
-	mu     sync.Mutex
-	lists  map[string]*addressList
-	silent map[string]time.Time // by base URL of a daemon that did not answer: until when it is tried last
+	mu         sync.Mutex
+	lists      map[string]*addressList
+	avoidUntil map[string]time.Time // by base URL of a daemon that did not answer: until when it is tried last
 }
 
 // addressList is the cached list of a path. mu is held while the list is fetched, so that
 // concurrent requests cause a single fetch.
 type addressList struct {
-	mu    sync.Mutex
-	reply *contract.Addresses
-	until time.Time
+	mu        sync.Mutex
+	reply     *contract.Addresses
+	expiresAt time.Time
 }
 
-func newCaller(client *http.Client, entries []string) *caller {
-	return &caller{http: client, entries: entries, lists: make(map[string]*addressList), silent: make(map[string]time.Time)}
+func newCaller(client *http.Client, entryURLs []string) *caller {
+	return &caller{http: client, entryURLs: entryURLs, lists: make(map[string]*addressList), avoidUntil: make(map[string]time.Time)}
 }
 
 // Outcome is the result of one request.
@@ -80,89 +80,89 @@
 	c.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.reply != nil && time.Now().Before(l.until) {
+	if l.reply != nil && time.Now().Before(l.expiresAt) {
 		return l.reply, nil
 	}
-	reply, err := c.ask(ctx, path, l.reply)
+	reply, err := c.fetchAddresses(ctx, path, l.reply)
 	if err != nil {
 		return nil, err
 	}
 	l.reply = reply
-	l.until = time.Now().Add(time.Duration(reply.LifetimeMS) * time.Millisecond)
+	l.expiresAt = time.Now().Add(time.Duration(reply.LifetimeMS) * time.Millisecond)
 	return reply, nil
 }
 
-func (c *caller) forget(path string, old *contract.Addresses) {
+func (c *caller) expire(path string, old *contract.Addresses) {
 	c.mu.Lock()
 	l := c.lists[path]
 	c.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reply == old {
-		l.until = time.Time{}
+		l.expiresAt = time.Time{}
 	}
 }
 
 // fetchAddresses requests an address list from the daemons of the old list and then from
 // entryURLs. A draining daemon returns a list without a session; then the daemons of that
 // list are tried next, and the list without a session is the last resort.
-func (c *caller) ask(ctx context.Context, path string, old *contract.Addresses) (*contract.Addresses, error) {
+func (c *caller) fetchAddresses(ctx context.Context, path string, old *contract.Addresses) (*contract.Addresses, error) {
 	var bases []string
 	if old != nil {
 		bases = urls(old)
 	}
-	for _, i := range rand.Perm(len(c.entries)) {
-		bases = append(bases, c.entries[i])
+	for _, i := range rand.Perm(len(c.entryURLs)) {
+		bases = append(bases, c.entryURLs[i])
 	}
-	bases = c.silentLast(bases)
-	var last error
-	var without *contract.Addresses
+	bases = c.avoidedLast(bases)
+	var lastErr error
+	var withoutSession *contract.Addresses
 	for i := 0; i < len(bases) && ctx.Err() == nil; i++ {
-		reply, err := c.askOne(ctx, bases[i], path)
+		reply, err := c.fetchFrom(ctx, bases[i], path)
 		switch {
 		case err != nil:
 			c.avoid(bases[i])
-			last = err
+			lastErr = err
 		case reply.Session != "":
 			return reply, nil
-		case without == nil:
-			without = reply
+		case withoutSession == nil:
+			withoutSession = reply
 			bases = append(urls(reply), bases[i+1:]...)
 			i = -1
 		}
 	}
 	switch {
-	case without != nil:
-		return without, nil
-	case last != nil:
-		return nil, last
+	case withoutSession != nil:
+		return withoutSession, nil
+	case lastErr != nil:
+		return nil, lastErr
 	case ctx.Err() != nil:
 		return nil, ctx.Err()
 	default:
-		return nil, errNoEntry
+		return nil, errNoDaemon
 	}
 }
 
 func (c *caller) avoid(base string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent[base] = time.Now().Add(avoidFor)
+	c.avoidUntil[base] = time.Now().Add(avoidPeriod)
 }
 
 // avoidedLast returns bases with the daemons that did not answer recently moved to the end.
-func (c *caller) silentLast(bases []string) []string {
+func (c *caller) avoidedLast(bases []string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	var heard, silent []string
+	var preferred, avoided []string
 	for _, b := range bases {
-		if now.Before(c.silent[b]) {
-			silent = append(silent, b)
+		if now.Before(c.avoidUntil[b]) {
+			avoided = append(avoided, b)
 		} else {
-			heard = append(heard, b)
+			preferred = append(preferred, b)
 		}
 	}
-	return append(heard, silent...)
+	return append(preferred, avoided...)
 }
 
 func urls(a *contract.Addresses) []string {
@@ -173,8 +173,8 @@
 	return out
 }
 
-func (c *caller) askOne(ctx context.Context, base, path string) (*contract.Addresses, error) {
-	ctx, cancel := context.WithTimeout(ctx, askLimit)
+func (c *caller) fetchFrom(ctx context.Context, base, path string) (*contract.Addresses, error) {
+	ctx, cancel := context.WithTimeout(ctx, addressTimeout)
 	defer cancel()
 	u := base + addressesPath + "?service=" + url.QueryEscape(path)
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, u, nil)
@@ -186,7 +186,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, answerLimit))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -207,7 +207,7 @@
 func (c *caller) Ask(ctx context.Context, q contract.Request, deadline time.Time) Outcome {
 	var out Outcome
 	for first := true; ; first = false {
-		if !first && !sleepUntil(ctx, time.Now().Add(failoverPause)) {
+		if !first && !sleepUntil(ctx, time.Now().Add(failoverDelay)) {
 			return out
 		}
 		list, err := c.addresses(ctx, q.Path)
@@ -219,26 +219,26 @@
 			q.Session = list.Session
 		}
 		out.Session = q.Session
-		for _, base := range c.silentLast(urls(list)) {
-			if c.try(ctx, base, q, deadline, &out) {
+		for _, base := range c.avoidedLast(urls(list)) {
+			if c.tryAddress(ctx, base, q, deadline, &out) {
 				return out
 			}
 			out.Failovers++
 		}
-		c.forget(q.Path, list)
+		c.expire(q.Path, list)
 	}
 }
 
 // tryAddress sends q to one address. It returns true if no further address may be tried.
-func (c *caller) try(ctx context.Context, base string, q contract.Request, deadline time.Time, out *Outcome) bool {
-	left := time.Until(deadline)
-	if left < time.Millisecond || ctx.Err() != nil {
+func (c *caller) tryAddress(ctx context.Context, base string, q contract.Request, deadline time.Time, out *Outcome) bool {
+	remaining := time.Until(deadline)
+	if remaining < time.Millisecond || ctx.Err() != nil {
 		if out.Err == nil {
 			out.Err = context.DeadlineExceeded
 		}
 		return true
 	}
-	q.DeadlineMS = left.Milliseconds()
+	q.DeadlineMS = remaining.Milliseconds()
 	status, body, wrote, err := c.post(ctx, base+queryPath, &q)
 	if err != nil {
 		c.avoid(base)
@@ -259,11 +259,11 @@
 		out.Err = errors.Wrapf(err, "status %d", status)
 		return true
 	}
-	return !elsewhere(out.Failure)
+	return !retryElsewhere(out.Failure)
 }
 
 // retryElsewhere reports whether another address may accept the refused request.
-func elsewhere(f *contract.Failure) bool {
+func retryElsewhere(f *contract.Failure) bool {
 	if f.Verdict != contract.NotRun {
 		return false
 	}
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -66,13 +66,13 @@
 		origins[h.Service] = o
 	}
 	for service, o := range origins {
-		c.Lost += lost(service, o, seen[service], missing[service])
+		c.Lost += countLost(service, o, seen[service], missing[service])
 	}
 	return c
 }
 
 // countLost returns the number of documents of answered shards that are not among the hits.
-func lost(service string, o standin.Origin, seen map[string]bool, missing map[uint32]bool) int {
+func countLost(service string, o standin.Origin, seen map[string]bool, missing map[uint32]bool) int {
 	n := 0
 	for doc := range o.Documents {
 		shard := standin.ShardOf(service, o.Version, o.Shards, doc)
--- a/internal/load/config.go
+++ b/internal/load/config.go
@@ -36,7 +36,7 @@
 	DefaultDeadline    = time.Second
 )
 
-func (c *Config) fill() {
+func (c *Config) setDefaults() {
 	if c.Arrivals == "" {
 		c.Arrivals = Poisson
 	}
--- a/internal/load/fake_test.go
+++ b/internal/load/fake_test.go
@@ -23,7 +23,7 @@
 	reply func(w http.ResponseWriter, q *contract.Request) bool // returns true if it has replied
 }
 
-func startEntry(t *testing.T) *fakeEntry {
+func startFakeEntry(t *testing.T) *fakeEntry {
 	e := &fakeEntry{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/addresses", func(w http.ResponseWriter, _ *http.Request) {
@@ -40,12 +40,12 @@
 		}
 	})
 	e.Server = httptest.NewServer(mux)
-	e.list = listOf(e.URL)
+	e.list = addressesOf(e.URL)
 	t.Cleanup(e.Close)
 	return e
 }
 
-func listOf(urls ...string) *contract.Addresses {
+func addressesOf(urls ...string) *contract.Addresses {
 	l := &contract.Addresses{Service: testPath, LifetimeMS: 60_000, Session: "session-1"}
 	for _, u := range urls {
 		l.Addresses = append(l.Addresses, contract.Address{URL: u})
--- a/internal/load/leaves.go
+++ b/internal/load/leaves.go
@@ -13,7 +13,7 @@
 	"pearmoor/internal/standin"
 )
 
-const statsLimit = 10 * time.Second
+const statsTimeout = 10 * time.Second
 
 // LeafSeries is the in-flight peak of one leaf in each window of a run.
 type LeafSeries struct {
@@ -42,28 +42,28 @@
 }
 
 // statsPoller polls the statistics of stand-in leaves during a run.
-type watcher struct {
+type statsPoller struct {
 	http   *http.Client
 	url    string
 	start  time.Time
 	report LeafReport
 }
 
-func newWatcher(ctx context.Context, client *http.Client, control string) (*watcher, error) {
-	w := &watcher{http: client, url: strings.TrimSuffix(strings.TrimSpace(control), "/")}
-	if err := Command(ctx, client, w.url, standin.Command{ResetPeaks: true}); err != nil {
+func newStatsPoller(ctx context.Context, client *http.Client, control string) (*statsPoller, error) {
+	p := &statsPoller{http: client, url: strings.TrimSuffix(strings.TrimSpace(control), "/")}
+	if err := Command(ctx, client, p.url, standin.Command{ResetPeaks: true}); err != nil {
 		return nil, err
 	}
-	st, err := w.read(ctx)
+	st, err := p.read(ctx)
 	if err != nil {
 		return nil, err
 	}
-	w.start = time.Now()
-	w.report.before = *st
+	p.start = time.Now()
+	p.report.before = *st
 	for _, l := range st.Leaves {
-		w.report.Series = append(w.report.Series, LeafSeries{Name: l.Name, Service: strings.Join(l.Services, ","), Slots: l.Slots})
+		p.report.Series = append(p.report.Series, LeafSeries{Name: l.Name, Service: strings.Join(l.Services, ","), Slots: l.Slots})
 	}
-	return w, nil
+	return p, nil
 }
 
 // Command sends a control command to stand-in leaves.
@@ -93,8 +93,8 @@
 	return readStats(ctx, client, strings.TrimSuffix(strings.TrimSpace(control), "/")+standin.StatsPath)
 }
 
-func (w *watcher) read(ctx context.Context) (*standin.FleetStats, error) {
-	return readStats(ctx, w.http, w.url+standin.StatsPath+"?window=1")
+func (p *statsPoller) read(ctx context.Context) (*standin.FleetStats, error) {
+	return readStats(ctx, p.http, p.url+standin.StatsPath+"?window=1")
 }
 
 func readStats(ctx context.Context, client *http.Client, url string) (*standin.FleetStats, error) {
@@ -115,44 +115,44 @@
 }
 
 // run polls until ctx ends, and once more after ctx has ended.
-func (w *watcher) run(ctx context.Context, window time.Duration) error {
+func (p *statsPoller) run(ctx context.Context, window time.Duration) error {
 	tick := time.NewTicker(window)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if st, err := w.read(ctx); err == nil {
-				w.add(st)
+			if st, err := p.read(ctx); err == nil {
+				p.add(st)
 			}
 		case <-ctx.Done():
-			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), statsLimit)
+			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), statsTimeout)
 			defer cancel()
-			st, err := w.read(last)
+			st, err := p.read(last)
 			if err != nil {
 				return err
 			}
-			w.add(st)
+			p.add(st)
 			return nil
 		}
 	}
 }
 
-func (w *watcher) add(st *standin.FleetStats) {
-	w.report.latest = *st
-	at := time.Since(w.start).Seconds()
+func (p *statsPoller) add(st *standin.FleetStats) {
+	p.report.latest = *st
+	at := time.Since(p.start).Seconds()
 	for i, l := range st.Leaves {
-		if i >= len(w.report.Series) {
+		if i >= len(p.report.Series) {
 			break
 		}
-		s := &w.report.Series[i]
+		s := &p.report.Series[i]
 		s.Most = append(s.Most, l.WindowInFlight)
 		s.At = append(s.At, at)
 	}
 }
 
 // finish returns the report, computed from the first and the last reading.
-func (w *watcher) finish() *LeafReport {
-	r := &w.report
+func (p *statsPoller) finish() *LeafReport {
+	r := &p.report
 	r.Runs.Total = r.latest.Runs.Total - r.before.Runs.Total
 	r.Runs.Extra = r.latest.Runs.Extra - r.before.Runs.Extra
 	r.Runs.NotRepeatable = r.latest.Runs.NotRepeatable - r.before.Runs.NotRepeatable
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -25,7 +25,7 @@
 // wait. The result must show that the first request waited for the whole schedule.
 func TestNoCoordinatedOmission(t *testing.T) {
 	const n, gap = 200, time.Millisecond
-	e := startEntry(t)
+	e := startFakeEntry(t)
 	var arrived sync.WaitGroup
 	arrived.Add(n)
 	e.reply = func(http.ResponseWriter, *contract.Request) bool {
@@ -52,7 +52,7 @@
 // The load generator reaches its own limit of requests in flight. Requests that it can't
 // start must be counted: otherwise the result would show a lower load than scheduled.
 func TestSkippedArrivalsAreCounted(t *testing.T) {
-	e := startEntry(t)
+	e := startFakeEntry(t)
 	release := make(chan struct{})
 	e.reply = func(http.ResponseWriter, *contract.Request) bool { <-release; return false }
 	done := make(chan *Result)
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestScheduleKeepsItsRate(t *testing.T) {
+func TestScheduleRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(10, 5000).Draw(t, "rate")
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -97,10 +97,10 @@
 	})
 }
 
-func TestCallers(t *testing.T) {
+func TestCallerFailover(t *testing.T) {
 	Convey("A caller", t, func() {
-		first, second := startEntry(t), startEntry(t)
-		first.list = listOf(first.URL, second.URL)
+		first, second := startFakeEntry(t), startFakeEntry(t)
+		first.list = addressesOf(first.URL, second.URL)
 		cfg := Config{Entries: []string{first.URL}, Paths: []string{testPath}, Callers: 1,
 			Rate: 1000, Arrivals: Constant, Duration: 20 * time.Millisecond, Deadline: 10 * time.Second}
 		Convey("fails over to the next address if one is draining", func() {
@@ -113,7 +113,7 @@
 			So(res.Failovers, ShouldEqual, res.Scheduled)
 		})
 		Convey("asks another daemon if a draining one returns a list without a session", func() {
-			first.list = listOf(second.URL)
+			first.list = addressesOf(second.URL)
 			first.list.Session = ""
 			var mu sync.Mutex
 			sessions := map[string]bool{}
@@ -167,7 +167,7 @@
 
 // The context of a caller has ended before it requests an address list, as after a stall of
 // the machine. The outcome must be an error: the caller must not use the missing list.
-func TestCallerWithoutTimeLeft(t *testing.T) {
+func TestCallerWithEndedContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	c := newCaller(http.DefaultClient, []string{"http://127.0.0.1:1"})
@@ -178,7 +178,7 @@
 }
 
 // CheckAnswer must find a single error in an answer of any size.
-func TestCheckFindsEveryFault(t *testing.T) {
+func TestCheckAnswerFindsErrors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.Uint32Range(1, 9).Draw(t, "shards")
 		version := rapid.Uint64Range(1, 99).Draw(t, "version")
@@ -190,10 +190,10 @@
 		switch rapid.IntRange(0, 4).Draw(t, "fault") {
 		case 0:
 			a.Hits = append(a.Hits[:i:i], a.Hits[i+1:]...)
-			expect(t, a, Check{Lost: 1})
+			expectCheck(t, a, Check{Lost: 1})
 		case 1:
 			a.Hits = append(a.Hits, a.Hits[i])
-			expect(t, a, Check{Doubled: 1})
+			expectCheck(t, a, Check{Doubled: 1})
 		case 2:
 			o := standin.Origin{Version: version + 1, Shards: shards, Documents: standin.DefaultDocuments, RunKey: "mine"}
 			a.Hits[i].Data, _ = json.Marshal(o)
@@ -206,12 +206,12 @@
 			}
 		case 4:
 			a.Coverage.Total++
-			expect(t, a, Check{Coverage: 1})
+			expectCheck(t, a, Check{Coverage: 1})
 		}
 	})
 }
 
-func expect(t *rapid.T, a *contract.Answer, want Check) {
+func expectCheck(t *rapid.T, a *contract.Answer, want Check) {
 	if got := CheckAnswer(a, "mine"); got != want {
 		t.Fatalf("found %+v, want %+v", got, want)
 	}
@@ -229,7 +229,7 @@
 	lis := listen(t)
 	go func() { _ = control.Serve(lis) }()
 	defer control.Close()
-	e := startEntry(t)
+	e := startFakeEntry(t)
 	res, err := Run(context.Background(), Config{Entries: []string{e.URL}, Paths: []string{testPath}, Rate: 200,
 		Duration: 300 * time.Millisecond, Window: 50 * time.Millisecond, Standin: "http://" + lis.Addr().String() + "\n"})
 	if err != nil {
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	plotWidth   = 20 * vg.Centimeter
-	plotHeight  = 12 * vg.Centimeter
-	plotLeaves  = 10  // maximum of leaves drawn
-	plotLowest  = 0.1 // ms, lower bound since a log axis has no zero
-	axisSeconds = "time since start (s)"
+	plotWidth     = 20 * vg.Centimeter
+	plotHeight    = 12 * vg.Centimeter
+	plotMaxLeaves = 10  // maximum of leaves drawn
+	plotMinMS     = 0.1 // ms, lower bound since a log axis has no zero
+	axisSeconds   = "time since start (s)"
 )
 
 // PlotLatency writes an SVG file with the latency quantiles of each window.
@@ -25,7 +25,7 @@
 	p.Y.Label.Text = "latency (ms, log)"
 	p.Y.Scale = plot.LogScale{}
 	p.Y.Tick.Marker = plot.LogTicks{Prec: -1}
-	p.Y.Min, p.Y.Max = plotLowest, 1
+	p.Y.Min, p.Y.Max = plotMinMS, 1
 	p.Legend.Top = true
 	for i, line := range []struct {
 		name string
@@ -42,7 +42,7 @@
 				continue
 			}
 			at := (time.Duration(w.StartMS) * time.Millisecond).Seconds()
-			xy = append(xy, plotter.XY{X: at, Y: max(line.at(w.Quantiles), plotLowest)})
+			xy = append(xy, plotter.XY{X: at, Y: max(line.at(w.Quantiles), plotMinMS)})
 		}
 		if err := addLine(p, i, line.name, xy); err != nil {
 			return err
@@ -60,7 +60,7 @@
 	p.Y.Label.Text = "in flight / slots"
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top = true
-	for i, s := range r.busiest(plotLeaves) {
+	for i, s := range r.busiest(plotMaxLeaves) {
 		xy := make(plotter.XYs, len(s.Most))
 		for j := range s.Most {
 			xy[j] = plotter.XY{X: s.At[j], Y: float64(s.Most[j]) / float64(s.Slots)}
--- a/internal/load/post.go
+++ b/internal/load/post.go
@@ -18,9 +18,9 @@
 	if err != nil {
 		return 0, nil, false, err
 	}
-	var left atomic.Bool
+	var mayHaveSent atomic.Bool
 	trace := &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { left.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { mayHaveSent.Store(true) },
 	}
 	r, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), http.MethodPost, u, bytes.NewReader(payload))
 	if err != nil {
@@ -29,9 +29,9 @@
 	r.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(r)
 	if err != nil {
-		return 0, nil, left.Load(), err
+		return 0, nil, mayHaveSent.Load(), err
 	}
 	defer resp.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(resp.Body, answerLimit))
+	body, err = io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	return resp.StatusCode, body, true, err
 }
--- a/internal/load/record.go
+++ b/internal/load/record.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	slowest      = 10 * time.Minute // longer latencies are recorded as maxLatency
+	maxLatency   = 10 * time.Minute // longer latencies are recorded as maxLatency
 	totalDigits  = 3
 	windowDigits = 2
 )
@@ -29,12 +29,12 @@
 }
 
 func newHistogram(digits int) *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, slowest.Microseconds(), digits)
+	return hdrhistogram.New(1, maxLatency.Microseconds(), digits)
 }
 
 // Record adds one latency to the window of the request's scheduled start.
 func (r *Recorder) Record(intended time.Time, latency time.Duration) {
-	micros := min(max(latency.Microseconds(), 1), slowest.Microseconds())
+	micros := min(max(latency.Microseconds(), 1), maxLatency.Microseconds())
 	i := max(int(intended.Sub(r.start)/r.width), 0)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -53,12 +53,12 @@
 
 // tally accumulates the results of concurrent requests.
 type tally struct {
-	mu       sync.Mutex
-	res      Result
-	coverage float64 // sum over the answered requests
-	good     int     // answers by every shard before the deadline
-	answers  *Recorder
-	refusals *Recorder
+	mu          sync.Mutex
+	res         Result
+	coverage    float64 // sum over the answered requests
+	wholeInTime int     // answers by every shard before the deadline
+	answers     *Recorder
+	refusals    *Recorder
 }
 
 func newTally(start time.Time, window time.Duration) *tally {
@@ -69,7 +69,7 @@
 	}
 }
 
-func (t *tally) skip() {
+func (t *tally) addSkipped() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.res.Scheduled++
@@ -94,13 +94,13 @@
 	case o.Answer != nil && o.Err != nil:
 		r.Errors++
 	case o.Answer != nil:
-		t.answered(o.Answer, check, latency <= deadline)
+		t.addAnswer(o.Answer, check, latency <= deadline)
 	case o.Failure != nil && o.Failure.Verdict == contract.NotRun:
 		r.Refused++
-		t.failure(o.Failure)
+		t.addFailure(o.Failure)
 	case o.Failure != nil:
 		r.InDoubt++
-		t.failure(o.Failure)
+		t.addFailure(o.Failure)
 	default:
 		r.Failed++
 		if o.Err != nil {
@@ -109,12 +109,12 @@
 	}
 }
 
-func (t *tally) failure(f *contract.Failure) {
+func (t *tally) addFailure(f *contract.Failure) {
 	t.res.Reasons[f.Reason]++
 	t.res.Messages[f.Reason] = f.Message
 }
 
-func (t *tally) answered(a *contract.Answer, check Check, inTime bool) {
+func (t *tally) addAnswer(a *contract.Answer, check Check, inTime bool) {
 	r := &t.res
 	r.Answered++
 	r.Extra += a.ExtraAttempts
@@ -131,19 +131,19 @@
 		r.Late++
 	}
 	if whole && inTime {
-		t.good++
+		t.wholeInTime++
 	}
 }
 
 // finish returns the result of a run that took the given time.
-func (t *tally) finish(c *Config, took time.Duration) *Result {
+func (t *tally) finish(c *Config, elapsed time.Duration) *Result {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := &t.res
 	r.Rate = c.Rate
-	took = min(took, c.Duration)
-	r.DurationMS = took.Milliseconds()
-	r.Goodput = float64(t.good) / took.Seconds()
+	elapsed = min(elapsed, c.Duration)
+	r.DurationMS = elapsed.Milliseconds()
+	r.Goodput = float64(t.wholeInTime) / elapsed.Seconds()
 	if r.Answered > 0 {
 		r.Coverage = t.coverage / float64(r.Answered)
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -16,15 +16,15 @@
 
 // lateReplyTimeout is how long a caller waits after the deadline, so that late answers are
 // received and counted as late.
-const grace = 2 * time.Second
+const lateReplyTimeout = 2 * time.Second
 
 // maxIdlePerHost is large enough to keep the connections open between bursts.
-const idlePerHost = 512
+const maxIdlePerHost = 512
 
 // Run generates the load described by cfg and returns after the last request has ended. No
 // further requests start after ctx has ended.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
-	cfg.fill()
+	cfg.setDefaults()
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
@@ -32,39 +32,39 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: idlePerHost, TLSClientConfig: cfg.TLS}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost, TLSClientConfig: cfg.TLS}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 
-	watchCtx, stopWatch := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopWatch()
-	var watch *watcher
-	var watching errgroup.Group
+	pollCtx, stopPolling := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopPolling()
+	var poller *statsPoller
+	var polling errgroup.Group
 	if cfg.Standin != "" {
-		if watch, err = newWatcher(ctx, client, cfg.Standin); err != nil {
+		if poller, err = newStatsPoller(ctx, client, cfg.Standin); err != nil {
 			return nil, err
 		}
-		watching.Go(func() error { return watch.run(watchCtx, cfg.Window) })
+		polling.Go(func() error { return poller.run(pollCtx, cfg.Window) })
 	}
 	r := newRunner(&cfg, client)
 	start := time.Now()
-	Drive(ctx, schedule, cfg.Outstanding, r.one, func(int, time.Time) { r.tally.skip() })
-	stopWatch()
-	if err := watching.Wait(); err != nil {
+	Drive(ctx, schedule, cfg.Outstanding, r.runRequest, func(int, time.Time) { r.tally.addSkipped() })
+	stopPolling()
+	if err := polling.Wait(); err != nil {
 		return nil, err
 	}
 	res := r.tally.finish(&cfg, time.Since(start))
-	if watch != nil {
-		res.Leaves = watch.finish()
+	if poller != nil {
+		res.Leaves = poller.finish()
 	}
 	return res, nil
 }
 
 type runner struct {
-	cfg    *Config
-	run    string // random, so that keys are unique across runs
-	askers []Asker
-	tally  *tally
+	cfg      *Config
+	runID    string // random, so that keys are unique across runs
+	queriers []Asker
+	tally    *tally
 
 	mu     sync.Mutex
 	random *rand.Rand
@@ -73,16 +73,16 @@
 func newRunner(cfg *Config, client *http.Client) *runner {
 	r := &runner{
 		cfg:    cfg,
-		run:    fmt.Sprintf("%x", rand.Uint64()),
+		runID:  fmt.Sprintf("%x", rand.Uint64()),
 		tally:  newTally(time.Now(), cfg.Window),
 		random: rand.New(rand.NewPCG(cfg.Seed, ^cfg.Seed)),
 	}
-	r.askers = cfg.Askers
-	if len(r.askers) > 0 {
+	r.queriers = cfg.Askers
+	if len(r.queriers) > 0 {
 		return r
 	}
 	for range cfg.Callers {
-		r.askers = append(r.askers, newCaller(client, cfg.Entries))
+		r.queriers = append(r.queriers, newCaller(client, cfg.Entries))
 	}
 	return r
 }
@@ -94,14 +94,14 @@
 }
 
 // runRequest runs the n-th request of the schedule.
-func (r *runner) one(n int, intended time.Time) {
+func (r *runner) runRequest(n int, intended time.Time) {
 	deadline := intended.Add(r.cfg.Deadline)
-	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(grace))
+	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(lateReplyTimeout))
 	defer cancel()
-	asker := r.askers[n%len(r.askers)]
-	q := r.request(n)
-	o := asker.Ask(ctx, q, deadline)
-	runKey := r.key(n)
+	querier := r.queriers[n%len(r.queriers)]
+	q := r.newRequest(n)
+	o := querier.Ask(ctx, q, deadline)
+	runKey := r.runKey(n)
 	r.tally.add(&o, runKey, intended, time.Since(intended), r.cfg.Deadline)
 	if q.IsRepeatable() {
 		return
@@ -109,16 +109,16 @@
 	var again *Outcome
 	if o.Session != "" && r.chance(r.cfg.Resend) {
 		q.Session = o.Session
-		resent := resend(asker, q, r.cfg.Deadline)
+		resent := resend(querier, q, r.cfg.Deadline)
 		again = &resent
 	}
-	r.tally.addOnce(&o, again)
+	r.tally.addNonRepeatable(&o, again)
 }
 
-func (r *runner) key(n int) string { return fmt.Sprintf("%s-%d", r.run, n) }
+func (r *runner) runKey(n int) string { return fmt.Sprintf("%s-%d", r.runID, n) }
 
-func (r *runner) request(n int) contract.Request {
-	key := r.key(n)
+func (r *runner) newRequest(n int) contract.Request {
+	key := r.runKey(n)
 	body, err := json.Marshal(struct {
 		RunKey string `json:"run_key"`
 	}{key})
@@ -136,11 +136,11 @@
 
 // resend sends a request whose outcome is known again under its key, as a caller does that
 // did not receive the reply.
-func resend(asker Asker, q contract.Request, limit time.Duration) Outcome {
+func resend(querier Asker, q contract.Request, limit time.Duration) Outcome {
 	deadline := time.Now().Add(limit)
-	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(grace))
+	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(lateReplyTimeout))
 	defer cancel()
-	return asker.Ask(ctx, q, deadline)
+	return querier.Ask(ctx, q, deadline)
 }
 
 // verdict returns what the caller knows about a request that has ended.
@@ -156,7 +156,7 @@
 }
 
 // addNonRepeatable counts a non-repeatable request and its resend; again is nil if there was none.
-func (t *tally) addOnce(first, again *Outcome) {
+func (t *tally) addNonRepeatable(first, again *Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := &t.res.Once
--- a/internal/load/schedule.go
+++ b/internal/load/schedule.go
@@ -64,7 +64,7 @@
 func Drive(ctx context.Context, s *Schedule, limit int, do func(n int, intended time.Time), skip func(n int, intended time.Time)) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	free := make(chan struct{}, max(limit, 1))
+	inFlight := make(chan struct{}, max(limit, 1))
 	start := time.Now()
 	for n := 0; ; n++ {
 		at, ok := s.Next()
@@ -77,7 +77,7 @@
 		}
 		if limit > 0 {
 			select {
-			case free <- struct{}{}:
+			case inFlight <- struct{}{}:
 			default:
 				skip(n, intended)
 				continue
@@ -86,7 +86,7 @@
 		wg.Go(func() {
 			do(n, intended)
 			if limit > 0 {
-				<-free
+				<-inFlight
 			}
 		})
 	}
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -77,8 +77,8 @@
 func (f *Fleet) Apply(c *Command) (int, error) {
 	var errs error
 	n := 0
-	for _, l := range f.order {
-		if !c.chooses(l) {
+	for _, l := range f.leaves {
+		if !c.selects(l) {
 			continue
 		}
 		n++
@@ -87,7 +87,7 @@
 	return n, errs
 }
 
-func (c *Command) chooses(l fleetLeaf) bool {
+func (c *Command) selects(l fleetLeaf) bool {
 	if c.Leaf != "" && c.Leaf != l.Name() {
 		return false
 	}
--- a/internal/standin/command_test.go
+++ b/internal/standin/command_test.go
@@ -38,7 +38,7 @@
 	})
 }
 
-func TestControlChoosesLeaves(t *testing.T) {
+func TestControlSelectsLeaves(t *testing.T) {
 	fleet, err := StartFleet(FleetConfig{Host: "127.0.0.1", Services: []ServiceSpec{
 		{Path: "a/x", Leaves: []string{"x1", "x2"}, Behavior: DefaultBehavior()},
 		{Path: "a/y", Leaves: []string{"y1", "y2", "y3"}, Behavior: DefaultBehavior()},
--- a/internal/standin/controlhttp.go
+++ b/internal/standin/controlhttp.go
@@ -44,23 +44,23 @@
 }
 
 func (f *Fleet) serveControl(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		fail(w, err)
+		writeFailure(w, err)
 		return
 	}
 	c, err := ParseCommand(body)
 	if err != nil {
-		fail(w, err)
+		writeFailure(w, err)
 		return
 	}
 	n, err := f.Apply(c)
 	if err != nil {
-		fail(w, err)
+		writeFailure(w, err)
 		return
 	}
 	if n == 0 {
-		fail(w, contract.Faults{{Field: "leaf", Value: c.Leaf + " " + c.Service, Why: "chooses no leaf", Fix: "use a name or path of GET " + StatsPath}})
+		writeFailure(w, contract.Faults{{Field: "leaf", Value: c.Leaf + " " + c.Service, Why: "chooses no leaf", Fix: "use a name or path of GET " + StatsPath}})
 		return
 	}
 	writeJSON(w, Applied{Leaves: n})
@@ -68,12 +68,12 @@
 
 func (f *Fleet) servePlatform(w http.ResponseWriter, r *http.Request) {
 	var u PlatformUpdate
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, bodyLimit)).Decode(&u)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&u)
 	if err == nil && u.Lag < 0 {
 		err = contract.Faults{{Field: "lag", Value: time.Duration(u.Lag).String(), Why: "is negative", Fix: "use 0s or more"}}
 	}
 	if err != nil {
-		fail(w, err)
+		writeFailure(w, err)
 		return
 	}
 	f.platform.SetLag(time.Duration(u.Lag))
@@ -83,7 +83,7 @@
 	writeJSON(w, f.platform.VMs())
 }
 
-func fail(w http.ResponseWriter, err error) {
+func writeFailure(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var fs contract.Faults
 	if !errors.As(err, &fs) {
--- a/internal/standin/documents.go
+++ b/internal/standin/documents.go
@@ -75,9 +75,9 @@
 
 // DefaultShards returns the number of shards of a service with n leaves.
 func DefaultShards(n int) uint32 {
-	const replicated = 2
-	if n <= replicated {
-		return replicated
+	const replicas = 2
+	if n <= replicas {
+		return replicas
 	}
 	return uint32(n)
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -34,7 +34,7 @@
 type Fleet struct {
 	runs     *Runs
 	platform *Platform
-	order    []fleetLeaf
+	leaves   []fleetLeaf
 }
 
 // fleetLeaf is a leaf with its position among the leaves of its service.
@@ -77,25 +77,25 @@
 		if err != nil {
 			return err
 		}
-		f.order = append(f.order, fleetLeaf{Leaf: l, service: s.Path, index: i, count: len(s.Leaves)})
+		f.leaves = append(f.leaves, fleetLeaf{Leaf: l, service: s.Path, index: i, count: len(s.Leaves)})
 	}
 	return nil
 }
 
 // Leaves returns the leaves in the order of FleetConfig.Services.
 func (f *Fleet) Leaves() []*Leaf {
-	out := make([]*Leaf, len(f.order))
-	for i := range f.order {
-		out[i] = f.order[i].Leaf
+	out := make([]*Leaf, len(f.leaves))
+	for i := range f.leaves {
+		out[i] = f.leaves[i].Leaf
 	}
 	return out
 }
 
 // Addr returns the address of a leaf of a service, or "" if there is no such leaf.
 func (f *Fleet) Addr(service, leaf string) string {
-	for i := range f.order {
-		if f.order[i].service == service && f.order[i].Name() == leaf {
-			return f.order[i].Addr()
+	for i := range f.leaves {
+		if f.leaves[i].service == service && f.leaves[i].Name() == leaf {
+			return f.leaves[i].Addr()
 		}
 	}
 	return ""
@@ -119,7 +119,7 @@
 
 func (f *Fleet) each(do func(fleetLeaf)) {
 	var wg sync.WaitGroup
-	for _, l := range f.order {
+	for _, l := range f.leaves {
 		wg.Go(func() { do(l) })
 	}
 	wg.Wait()
@@ -134,8 +134,8 @@
 // Stats returns the counters of all leaves. If takeWindow is set, it also starts a new window
 // of in-flight peaks.
 func (f *Fleet) Stats(takeWindow bool) FleetStats {
-	st := FleetStats{Runs: f.runs.Stats(), Leaves: make([]LeafStats, len(f.order))}
-	for i, l := range f.order {
+	st := FleetStats{Runs: f.runs.Stats(), Leaves: make([]LeafStats, len(f.leaves))}
+	for i, l := range f.leaves {
 		st.Leaves[i] = l.Stats(takeWindow)
 	}
 	return st
--- a/internal/standin/handle.go
+++ b/internal/standin/handle.go
@@ -14,7 +14,7 @@
 	"pearmoor/internal/vm"
 )
 
-const bodyLimit = 4 << 20
+const maxBodyBytes = 4 << 20
 
 type connKey struct{}
 
@@ -31,9 +31,9 @@
 
 func (l *Leaf) serveQuery(w http.ResponseWriter, r *http.Request) {
 	arrived := time.Now()
-	l.counts.lastNew.Store(arrived.UnixNano())
+	l.counts.lastArrival.Store(arrived.UnixNano())
 	var q contract.LeafRequest
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyLimit))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = json.Unmarshal(body, &q)
 	}
@@ -96,7 +96,7 @@
 func (l *Leaf) refuse(w http.ResponseWriter, b Behavior) bool {
 	switch {
 	case b.Draining:
-		l.counts.drained.Add(1)
+		l.counts.whileDraining.Add(1)
 		refuseWith(w, http.StatusServiceUnavailable, b, "draining")
 	case l.chance(b.RefuseShare):
 		l.counts.refused.Add(1)
@@ -107,10 +107,10 @@
 	return true
 }
 
-func refuseWith(w http.ResponseWriter, status int, b Behavior, why string) {
+func refuseWith(w http.ResponseWriter, status int, b Behavior, reason string) {
 	seconds := int(math.Ceil(time.Duration(b.RetryAfter).Seconds()))
 	w.Header().Set("Retry-After", strconv.Itoa(seconds))
-	http.Error(w, why, status)
+	http.Error(w, reason, status)
 }
 
 // task is a request with the number of shards of its index version on arrival. A request
@@ -127,8 +127,8 @@
 		<-r.Context().Done()
 		return nil, false
 	case l.chance(b.LateShare):
-		late := time.Duration(q.DeadlineMS)*time.Millisecond + time.Duration(b.LateBy)
-		if !vm.Sleep(r.Context(), late) {
+		delay := time.Duration(q.DeadlineMS)*time.Millisecond + time.Duration(b.LateBy)
+		if !vm.Sleep(r.Context(), delay) {
 			return nil, false
 		}
 	case !vm.Sleep(ctx, l.latency(b)):
@@ -159,10 +159,10 @@
 func (l *Leaf) reply(q *task, b Behavior) *contract.LeafReply {
 	answered := *q
 	l.mu.Lock()
-	if l.last != nil && b.CrossShare > 0 && l.random.Float64() < b.CrossShare {
-		answered = *l.last
+	if l.previous != nil && b.CrossShare > 0 && l.random.Float64() < b.CrossShare {
+		answered = *l.previous
 	}
-	l.last = q
+	l.previous = q
 	l.mu.Unlock()
 	if l.chance(b.WrongVersionShare) {
 		answered.IndexVersion++
--- a/internal/standin/leaf.go
+++ b/internal/standin/leaf.go
@@ -37,26 +37,26 @@
 	counts    counters
 	closed    atomic.Bool
 
-	mu      sync.Mutex
-	addr    string
-	server  *http.Server // nil while down
-	started time.Time
-	indexes []contract.LeafIndex
-	random  *rand.Rand
-	last    *task // previous request, for CrossShare
-	report  contract.LeafStatus
-	read    time.Time // time of report
-	done    sync.WaitGroup
+	mu         sync.Mutex
+	addr       string
+	server     *http.Server // nil while down
+	started    time.Time
+	indexes    []contract.LeafIndex
+	random     *rand.Rand
+	previous   *task // previous request, for CrossShare
+	report     contract.LeafStatus
+	reportedAt time.Time // time of report
+	serving    sync.WaitGroup
 }
 
 type counters struct {
-	replies   atomic.Uint64
-	refused   atomic.Uint64
-	notHeld   atomic.Uint64
-	expired   atomic.Uint64
-	cancelled atomic.Uint64
-	drained   atomic.Uint64 // arrivals while draining
-	lastNew   atomic.Int64  // Unix nanoseconds of the last arrival
+	replies       atomic.Uint64
+	refused       atomic.Uint64
+	notHeld       atomic.Uint64
+	expired       atomic.Uint64
+	cancelled     atomic.Uint64
+	whileDraining atomic.Uint64 // arrivals while draining
+	lastArrival   atomic.Int64  // Unix nanoseconds of the last arrival
 }
 
 // StartLeaf starts a leaf. Close or Shutdown stops it.
@@ -101,8 +101,8 @@
 	l.started = time.Now()
 	srv := &http.Server{Handler: l.handler(), ConnContext: withConn, ReadHeaderTimeout: time.Minute}
 	l.server = srv
-	l.done.Go(func() {
-		_ = srv.Serve(&cappedListener{Listener: lis, behavior: l.Behavior, conns: &l.conns})
+	l.serving.Go(func() {
+		_ = srv.Serve(&limitedListener{Listener: lis, behavior: l.Behavior, conns: &l.conns})
 	})
 	return nil
 }
@@ -118,23 +118,23 @@
 		return nil
 	}
 	err := srv.Close()
-	l.done.Wait()
+	l.serving.Wait()
 	return err
 }
 
 // crash takes the leaf down and brings it up again after the given time.
-func (l *Leaf) crash(down time.Duration) {
+func (l *Leaf) crash(downtime time.Duration) {
 	if l.Down() != nil {
 		return
 	}
-	time.Sleep(down)
+	time.Sleep(downtime)
 	for !l.closed.Load() && l.Up() != nil { // the port may still be in use
-		time.Sleep(crashRetry)
+		time.Sleep(crashRetryInterval)
 	}
 }
 
 // crashRetryInterval is the time between attempts to listen on the port again.
-const crashRetry = 10 * time.Millisecond
+const crashRetryInterval = 10 * time.Millisecond
 
 // Close stops the leaf without waiting for requests.
 func (l *Leaf) Close() error {
@@ -207,11 +207,11 @@
 }
 
 // draw returns a random number in [0, 1).
-func (l *Leaf) draw() float64 {
+func (l *Leaf) randomFloat() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.random.Float64()
 }
 
 // chance returns true with probability share.
-func (l *Leaf) chance(share float64) bool { return share > 0 && l.draw() < share }
+func (l *Leaf) chance(share float64) bool { return share > 0 && l.randomFloat() < share }
--- a/internal/standin/leaf_test.go
+++ b/internal/standin/leaf_test.go
@@ -20,16 +20,16 @@
 
 const (
 	testService = "hall/desk/svc"
-	waitLimit   = 10 * time.Second
+	waitTimeout = 10 * time.Second
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func startTestLeaf(t *testing.T, change func(*Behavior)) *Leaf {
+func startTestLeaf(t *testing.T, configure func(*Behavior)) *Leaf {
 	t.Helper()
 	b := DefaultBehavior()
 	b.Latency = 0
-	change(&b)
+	configure(&b)
 	l, err := StartLeaf(LeafConfig{
 		Name:     "leaf-1",
 		Indexes:  []contract.LeafIndex{{Service: testService, Version: 1, Shards: 2, Held: []uint32{0, 1}}},
@@ -72,9 +72,9 @@
 	return resp.StatusCode, &reply, err
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
@@ -94,7 +94,7 @@
 	for i := range 4 {
 		wg.Go(func() { _, _, _ = send(ctx, c, l, request(fmt.Sprint("held-", i), time.Minute)) })
 	}
-	eventually(t, "two running and two queued", func() bool { return l.Stats(false).InFlight == 4 })
+	waitFor(t, "two running and two queued", func() bool { return l.Stats(false).InFlight == 4 })
 	for i := range 2 {
 		status, _, err := send(ctx, c, l, request(fmt.Sprint("refused-", i), time.Minute))
 		if err != nil || status != http.StatusServiceUnavailable {
@@ -110,7 +110,7 @@
 	}
 	cancel()
 	wg.Wait()
-	eventually(t, "slots free after the callers left", func() bool { return l.Stats(false).InFlight == 0 })
+	waitFor(t, "slots free after the callers left", func() bool { return l.Stats(false).InFlight == 0 })
 	if st := l.Stats(true); st.WindowInFlight > 4 || st.MostInFlight != 5 {
 		t.Fatalf("stats %+v", st)
 	}
@@ -118,14 +118,14 @@
 
 // A request waits in the queue behind one that never ends until its deadline passes. It
 // must be refused and must not run.
-func TestLeafRefusesWhatExpiredInTheQueue(t *testing.T) {
+func TestLeafRefusesRequestsExpiredInQueue(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Slots, b.HangShare = 1, 1 })
 	c := newClient(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var wg sync.WaitGroup
 	wg.Go(func() { _, _, _ = send(ctx, c, l, request("holder", time.Minute)) })
-	eventually(t, "the holder running", func() bool { return l.Stats(false).InFlight == 1 })
+	waitFor(t, "the holder running", func() bool { return l.Stats(false).InFlight == 1 })
 	status, _, err := send(ctx, c, l, request("late", 20*time.Millisecond))
 	if err != nil || status != http.StatusServiceUnavailable || l.Runs(testService, "late", 1) != 0 {
 		t.Fatalf("status %d, error %v, runs %d", status, err, l.Runs(testService, "late", 1))
@@ -136,7 +136,7 @@
 
 // An index version is retired while a request for it runs. The reply must still have all
 // hits of the shard in that version: otherwise the tier would seem to lose hits.
-func TestLeafAnswersFromTheVersionItBeganWith(t *testing.T) {
+func TestLeafAnswersFromVersionOnArrival(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Latency = Duration(50 * time.Millisecond) })
 	c := newClient(t)
 	type result struct {
@@ -148,7 +148,7 @@
 		_, reply, err := send(context.Background(), c, l, request("a", time.Minute))
 		done <- result{reply, err}
 	}()
-	eventually(t, "the request running", func() bool { return l.Stats(false).InFlight == 1 })
+	waitFor(t, "the request running", func() bool { return l.Stats(false).InFlight == 1 })
 	l.Retire(testService, 1)
 	got := <-done
 	if got.err != nil {
@@ -175,9 +175,9 @@
 	}
 	dial()
 	dial()
-	eventually(t, "two open", func() bool { return l.Stats(false).Open == 2 })
+	waitFor(t, "two open", func() bool { return l.Stats(false).Open == 2 })
 	third := dial()
-	_ = third.SetReadDeadline(time.Now().Add(waitLimit))
+	_ = third.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := third.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the third connection was served")
 	}
@@ -188,7 +188,7 @@
 	for _, conn := range open {
 		_ = conn.Close()
 	}
-	eventually(t, "none open", func() bool { return l.Stats(false).Open == 0 })
+	waitFor(t, "none open", func() bool { return l.Stats(false).Open == 0 })
 }
 
 func TestLeafFaults(t *testing.T) {
@@ -265,7 +265,7 @@
 
 // For every version and number of shards, each document must be in exactly one shard:
 // otherwise lost and duplicated hits could be caused by the stand-in instead of the tier.
-func TestShardsPartitionTheDocuments(t *testing.T) {
+func TestShardsPartitionDocuments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Origin{
 			Version:   rapid.Uint64().Draw(t, "version"),
@@ -287,7 +287,7 @@
 	})
 }
 
-func TestLayoutKeepsTwoReplicas(t *testing.T) {
+func TestEveryShardHasTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "leaves")
 		shards := rapid.Uint32Range(1, 40).Draw(t, "shards")
@@ -305,7 +305,7 @@
 	})
 }
 
-func TestPlatformListLags(t *testing.T) {
+func TestPlatformListAppliesLag(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPlatform(func() time.Time { return now })
 	p.SetLag(time.Minute)
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -8,7 +8,7 @@
 
 // limitedListener accepts connections up to the limit of the behavior and closes further
 // ones at once, as a leaf without free connections does.
-type cappedListener struct {
+type limitedListener struct {
 	net.Listener
 	behavior func() Behavior
 	conns    *connCount
@@ -24,7 +24,7 @@
 	refused uint64
 }
 
-func (c *connCount) admit(limit int) bool {
+func (c *connCount) tryAcquire(limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peak = max(c.peak, c.open+1)
@@ -37,21 +37,21 @@
 	return true
 }
 
-func (c *connCount) leave() {
+func (c *connCount) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open--
 }
 
 // Accept implements net.Listener.
-func (l *cappedListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		b := l.behavior()
-		if !l.conns.admit(b.Connections) {
+		if !l.conns.tryAcquire(b.Connections) {
 			_ = c.Close()
 			continue
 		}
@@ -64,21 +64,21 @@
 // Behavior.ConnectCost.
 type countedConn struct {
 	net.Conn
-	conns *connCount
-	ready time.Time
-	once  sync.Once
-	wait  sync.Once
+	conns     *connCount
+	ready     time.Time
+	closeOnce sync.Once
+	delayOnce sync.Once
 }
 
 // Read implements net.Conn.
 func (c *countedConn) Read(p []byte) (int, error) {
-	c.wait.Do(func() { time.Sleep(time.Until(c.ready)) })
+	c.delayOnce.Do(func() { time.Sleep(time.Until(c.ready)) })
 	return c.Conn.Read(p)
 }
 
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
-	c.once.Do(c.conns.leave)
+	c.closeOnce.Do(c.conns.release)
 	return c.Conn.Close()
 }
 
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -7,7 +7,7 @@
 	"pearmoor/internal/contract"
 )
 
-const platformHistory = 1024
+const maxHistory = 1024
 
 // Platform is a stand-in for the platform's list of VMs, which lags behind the true state.
 type Platform struct {
@@ -39,7 +39,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.history = append(p.history, vmList{since: p.now(), vms: vms})
-	if len(p.history) > platformHistory {
+	if len(p.history) > maxHistory {
 		p.history = p.history[1:]
 	}
 }
@@ -49,12 +49,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	asOf := p.now().Add(-p.lag)
-	told := []contract.PlatformVM{}
+	visible := []contract.PlatformVM{}
 	for _, l := range p.history {
 		if l.since.After(asOf) {
 			break
 		}
-		told = l.vms
+		visible = l.vms
 	}
-	return told
+	return visible
 }
--- a/internal/standin/runs.go
+++ b/internal/standin/runs.go
@@ -15,19 +15,19 @@
 // Runs counts how often each request was run at each shard, over all leaves that share it.
 // It remembers only the newest pairs, so that its memory is bounded.
 type Runs struct {
-	mu      sync.Mutex
-	counts  map[RunKey]int
-	order   []RunKey
-	next    int
-	total   uint64
-	extra   uint64 // runs of repeatable requests beyond the first
-	once    uint64 // runs of non-repeatable requests
-	doubled uint64 // runs of non-repeatable requests beyond the first
+	mu            sync.Mutex
+	counts        map[RunKey]int
+	remembered    []RunKey
+	nextSlot      int
+	total         uint64
+	extra         uint64 // runs of repeatable requests beyond the first
+	nonRepeatable uint64 // runs of non-repeatable requests
+	doubled       uint64 // runs of non-repeatable requests beyond the first
 }
 
 // NewRuns returns a Runs that remembers size pairs.
 func NewRuns(size int) *Runs {
-	return &Runs{counts: make(map[RunKey]int), order: make([]RunKey, size)}
+	return &Runs{counts: make(map[RunKey]int), remembered: make([]RunKey, size)}
 }
 
 func (r *Runs) add(k RunKey, repeatable bool) {
@@ -35,19 +35,19 @@
 	defer r.mu.Unlock()
 	r.total++
 	if r.counts[k] == 0 {
-		delete(r.counts, r.order[r.next])
-		r.order[r.next] = k
-		r.next = (r.next + 1) % len(r.order)
+		delete(r.counts, r.remembered[r.nextSlot])
+		r.remembered[r.nextSlot] = k
+		r.nextSlot = (r.nextSlot + 1) % len(r.remembered)
 	}
 	r.counts[k]++
-	again := r.counts[k] > 1
+	repeated := r.counts[k] > 1
 	switch {
-	case !repeatable && again:
-		r.once++
+	case !repeatable && repeated:
+		r.nonRepeatable++
 		r.doubled++
 	case !repeatable:
-		r.once++
-	case again:
+		r.nonRepeatable++
+	case repeated:
 		r.extra++
 	}
 }
@@ -71,5 +71,5 @@
 func (r *Runs) Stats() RunStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return RunStats{Total: r.total, Extra: r.extra, NotRepeatable: r.once, Doubled: r.doubled}
+	return RunStats{Total: r.total, Extra: r.extra, NotRepeatable: r.nonRepeatable, Doubled: r.doubled}
 }
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -16,20 +16,20 @@
 // slots limits the requests that run at once. Further requests wait in a FIFO queue of
 // limited length. slots also tracks the peak of requests in flight.
 type slots struct {
-	mu       sync.Mutex
-	limit    int
-	queue    int
-	running  int
-	waiting  list.List // of chan struct{}, closed when the waiter gets a slot
-	peak     int       // maximum of running plus waiting since the last reset
-	window   int       // the same since the last takeWindowPeak
-	refusals uint64
+	mu         sync.Mutex
+	limit      int
+	queueLimit int
+	running    int
+	waiting    list.List // of chan struct{}, closed when the waiter gets a slot
+	peak       int       // maximum of running plus waiting since the last reset
+	windowPeak int       // the same since the last takeWindowPeak
+	refusals   uint64
 }
 
 func (s *slots) configure(limit, queue int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limit, s.queue = limit, queue
+	s.limit, s.queueLimit = limit, queue
 	s.grant()
 }
 
@@ -37,13 +37,13 @@
 // it is refused because the queue is full.
 func (s *slots) acquire(ctx context.Context) error {
 	s.mu.Lock()
-	s.note(1)
+	s.recordPeak(1)
 	if s.running < s.limit && s.waiting.Len() == 0 {
 		s.running++
 		s.mu.Unlock()
 		return nil
 	}
-	if s.waiting.Len() >= s.queue {
+	if s.waiting.Len() >= s.queueLimit {
 		s.refusals++
 		s.mu.Unlock()
 		return errQueueFull
@@ -56,11 +56,11 @@
 	case <-ready:
 		return nil
 	case <-ctx.Done():
-		return s.abandon(e, ready)
+		return s.cancelWait(e, ready)
 	}
 }
 
-func (s *slots) abandon(e *list.Element, ready chan struct{}) error {
+func (s *slots) cancelWait(e *list.Element, ready chan struct{}) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -89,10 +89,10 @@
 }
 
 // recordPeak updates the peaks for the requests in flight plus extra. s.mu must be held.
-func (s *slots) note(extra int) {
+func (s *slots) recordPeak(extra int) {
 	n := s.running + s.waiting.Len() + extra
 	s.peak = max(s.peak, n)
-	s.window = max(s.window, n)
+	s.windowPeak = max(s.windowPeak, n)
 }
 
 func (s *slots) inFlight() int {
@@ -102,10 +102,10 @@
 }
 
 // takeWindowPeak returns the maximum in flight since the last call.
-func (s *slots) takeWindow() int {
+func (s *slots) takeWindowPeak() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.window
-	s.window = s.running + s.waiting.Len()
+	n := s.windowPeak
+	s.windowPeak = s.running + s.waiting.Len()
 	return n
 }
--- a/internal/standin/status.go
+++ b/internal/standin/status.go
@@ -23,10 +23,10 @@
 	inFlight := l.slots.inFlight()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if time.Since(l.read) < time.Duration(b.ReportLag) {
+	if time.Since(l.reportedAt) < time.Duration(b.ReportLag) {
 		return l.report
 	}
-	l.read = time.Now()
+	l.reportedAt = time.Now()
 	l.report = contract.LeafStatus{
 		Name:     l.name,
 		State:    l.state(b),
@@ -89,17 +89,17 @@
 		NotHeld:       l.counts.notHeld.Load(),
 		Expired:       l.counts.expired.Load(),
 		Cancelled:     l.counts.cancelled.Load(),
-		WhileDraining: l.counts.drained.Load(),
-		LastArrivalMS: l.counts.lastNew.Load() / int64(time.Millisecond),
+		WhileDraining: l.counts.whileDraining.Load(),
+		LastArrivalMS: l.counts.lastArrival.Load() / int64(time.Millisecond),
 	}
 	l.slots.mu.Lock()
 	st.InFlight = l.slots.running + l.slots.waiting.Len()
 	st.MostInFlight = l.slots.peak
-	st.WindowInFlight = l.slots.window
+	st.WindowInFlight = l.slots.windowPeak
 	st.QueueRefused = l.slots.refusals
 	l.slots.mu.Unlock()
 	if takeWindow {
-		st.WindowInFlight = l.slots.takeWindow()
+		st.WindowInFlight = l.slots.takeWindowPeak()
 	}
 	l.conns.mu.Lock()
 	st.Open, st.MostOpen = l.conns.open, l.conns.peak
@@ -112,7 +112,7 @@
 func (l *Leaf) ResetPeaks() {
 	l.slots.mu.Lock()
 	l.slots.peak = l.slots.running + l.slots.waiting.Len()
-	l.slots.window = l.slots.peak
+	l.slots.windowPeak = l.slots.peak
 	l.slots.mu.Unlock()
 	l.conns.mu.Lock()
 	l.conns.peak = l.conns.open
