--- a/internal/load/leaves.go
+++ b/internal/load/leaves.go
@@ -13,20 +13,20 @@
 	"pearmoor/internal/standin"
 )
 
-const statsLimit = 10 * time.Second
+const statsTimeout = 10 * time.Second
 
-// LeafSeries is what one leaf had in flight over the run.
+// LeafSeries is the in-flight peak of one leaf in each window of a run.
 type LeafSeries struct {
 	Name    string    `json:"name"`
 	Service string    `json:"service"`
 	Slots   int       `json:"slots"`
-	Most    []int     `json:"most_in_flight"` // in each window: running plus queued
+	Most    []int     `json:"most_in_flight"` // peak of running plus queued requests in each window
 	At      []float64 `json:"at_s"`           // end of each window, from the start of the run
 }
 
-// LeafReport is the leaves' own side of a run.
+// LeafReport is a run as the stand-in leaves counted it.
 type LeafReport struct {
-	Runs           standin.RunStats   `json:"runs"` // of this run alone
+	Runs           standin.RunStats   `json:"runs"` // of this run only
 	MostInFlight   int                `json:"most_in_flight"`
 	MostOverSlots  float64            `json:"most_in_flight_over_slots"`
 	MostOpen       int                `json:"most_open"`
@@ -41,29 +41,29 @@
 	before, latest standin.FleetStats // first and last reading
 }
 
-// watcher polls the statistics of stand-in leaves during a run.
-type watcher struct {
+// statsPoller polls the statistics of stand-in leaves during a run.
+type statsPoller struct {
 	http   *http.Client
 	url    string
 	start  time.Time
 	report LeafReport
 }
 
-func newWatcher(ctx context.Context, client *http.Client, control string) (*watcher, error) {
-	w := &watcher{http: client, url: strings.TrimSuffix(strings.TrimSpace(control), "/")}
-	if err := Command(ctx, client, w.url, standin.Command{ResetPeaks: true}); err != nil {
+func newStatsPoller(ctx context.Context, client *http.Client, control string) (*statsPoller, error) {
+	p := &statsPoller{http: client, url: strings.TrimSuffix(strings.TrimSpace(control), "/")}
+	if err := Command(ctx, client, p.url, standin.Command{ResetPeaks: true}); err != nil {
 		return nil, err
 	}
-	st, err := w.read(ctx)
+	st, err := p.read(ctx)
 	if err != nil {
 		return nil, err
 	}
-	w.start = time.Now()
-	w.report.before = *st
+	p.start = time.Now()
+	p.report.before = *st
 	for _, l := range st.Leaves {
-		w.report.Series = append(w.report.Series, LeafSeries{Name: l.Name, Service: strings.Join(l.Services, ","), Slots: l.Slots})
+		p.report.Series = append(p.report.Series, LeafSeries{Name: l.Name, Service: strings.Join(l.Services, ","), Slots: l.Slots})
 	}
-	return w, nil
+	return p, nil
 }
 
 // Command sends a control command to stand-in leaves.
@@ -88,13 +88,13 @@
 	return nil
 }
 
-// Stats reads the statistics of stand-in leaves.
+// Stats returns the statistics of stand-in leaves.
 func Stats(ctx context.Context, client *http.Client, control string) (*standin.FleetStats, error) {
 	return readStats(ctx, client, strings.TrimSuffix(strings.TrimSpace(control), "/")+standin.StatsPath)
 }
 
-func (w *watcher) read(ctx context.Context) (*standin.FleetStats, error) {
-	return readStats(ctx, w.http, w.url+standin.StatsPath+"?window=1")
+func (p *statsPoller) read(ctx context.Context) (*standin.FleetStats, error) {
+	return readStats(ctx, p.http, p.url+standin.StatsPath+"?window=1")
 }
 
 func readStats(ctx context.Context, client *http.Client, url string) (*standin.FleetStats, error) {
@@ -114,45 +114,45 @@
 	return st, json.NewDecoder(resp.Body).Decode(st)
 }
 
-// run polls until ctx ends, and once more after that.
-func (w *watcher) run(ctx context.Context, window time.Duration) error {
+// run polls until ctx ends, and once more after ctx has ended.
+func (p *statsPoller) run(ctx context.Context, window time.Duration) error {
 	tick := time.NewTicker(window)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if st, err := w.read(ctx); err == nil {
-				w.add(st)
+			if st, err := p.read(ctx); err == nil {
+				p.add(st)
 			}
 		case <-ctx.Done():
-			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), statsLimit)
+			last, cancel := context.WithTimeout(context.WithoutCancel(ctx), statsTimeout)
 			defer cancel()
-			st, err := w.read(last)
+			st, err := p.read(last)
 			if err != nil {
 				return err
 			}
-			w.add(st)
+			p.add(st)
 			return nil
 		}
 	}
 }
 
-func (w *watcher) add(st *standin.FleetStats) {
-	w.report.latest = *st
-	at := time.Since(w.start).Seconds()
+func (p *statsPoller) add(st *standin.FleetStats) {
+	p.report.latest = *st
+	at := time.Since(p.start).Seconds()
 	for i, l := range st.Leaves {
-		if i >= len(w.report.Series) {
+		if i >= len(p.report.Series) {
 			break
 		}
-		s := &w.report.Series[i]
+		s := &p.report.Series[i]
 		s.Most = append(s.Most, l.WindowInFlight)
 		s.At = append(s.At, at)
 	}
 }
 
-// finish sums up the run from the first and the last reading.
-func (w *watcher) finish() *LeafReport {
-	r := &w.report
+// finish returns the report, computed from the first and the last reading.
+func (p *statsPoller) finish() *LeafReport {
+	r := &p.report
 	r.Runs.Total = r.latest.Runs.Total - r.before.Runs.Total
 	r.Runs.Extra = r.latest.Runs.Extra - r.before.Runs.Extra
 	r.Runs.NotRepeatable = r.latest.Runs.NotRepeatable - r.before.Runs.NotRepeatable
@@ -175,7 +175,7 @@
 	return r
 }
 
-// busiest returns the n series with the highest peaks, highest first.
+// busiest returns the n series with the highest peaks, in descending order.
 func (r *LeafReport) busiest(n int) []LeafSeries {
 	peak := func(s LeafSeries) int {
 		if len(s.Most) == 0 {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -20,13 +20,12 @@
 	"pearmoor/internal/standin"
 )
 
-// A tier answers nothing until the last scheduled request has come. A tool that
-// waits for answers would never send it, and one that counts latency from the
-// send would hide the wait. The caller of the first request waited for the whole
-// span of the schedule, and the result must say so.
+// A tier answers no request until the last scheduled one has arrived. A closed-loop load
+// generator would never send that one, and latency measured from the send would hide the
+// wait. The result must show that the first request waited for the whole schedule.
 func TestNoCoordinatedOmission(t *testing.T) {
 	const n, gap = 200, time.Millisecond
-	e := startEntry(t)
+	e := startFakeEntry(t)
 	var arrived sync.WaitGroup
 	arrived.Add(n)
 	e.reply = func(http.ResponseWriter, *contract.Request) bool {
@@ -45,15 +44,15 @@
 		t.Fatalf("%+v", res)
 	}
 	span := float64((n - 1) * gap.Milliseconds())
-	if res.Answers.Max < span*0.99 { // the histogram keeps three digits
-		t.Fatalf("the first request waited %.0f ms at least, told %.1f", span, res.Answers.Max)
+	if res.Answers.Max < span*0.99 { // the histogram has three significant digits
+		t.Fatalf("the first request waited at least %.0f ms, maximum latency in the result is %.1f", span, res.Answers.Max)
 	}
 }
 
-// The tool itself has too many requests under way. What it can't start is
-// counted, not dropped in silence.
+// The load generator reaches its own limit of requests in flight. Requests that it can't
+// start must be counted: otherwise the result would show a lower load than scheduled.
 func TestSkippedArrivalsAreCounted(t *testing.T) {
-	e := startEntry(t)
+	e := startFakeEntry(t)
 	release := make(chan struct{})
 	e.reply = func(http.ResponseWriter, *contract.Request) bool { <-release; return false }
 	done := make(chan *Result)
@@ -71,7 +70,7 @@
 	}
 }
 
-func TestScheduleKeepsItsRate(t *testing.T) {
+func TestScheduleRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(10, 5000).Draw(t, "rate")
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -98,13 +97,13 @@
 	})
 }
 
-func TestCallers(t *testing.T) {
+func TestCallerFailover(t *testing.T) {
 	Convey("A caller", t, func() {
-		first, second := startEntry(t), startEntry(t)
-		first.list = listOf(first.URL, second.URL)
+		first, second := startFakeEntry(t), startFakeEntry(t)
+		first.list = addressesOf(first.URL, second.URL)
 		cfg := Config{Entries: []string{first.URL}, Paths: []string{testPath}, Callers: 1,
 			Rate: 1000, Arrivals: Constant, Duration: 20 * time.Millisecond, Deadline: 10 * time.Second}
-		Convey("goes on to the next address when one is draining", func() {
+		Convey("fails over to the next address if one is draining", func() {
 			first.reply = func(w http.ResponseWriter, _ *contract.Request) bool {
 				return refuse(w, contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonDraining})
 			}
@@ -113,8 +112,8 @@
 			So(res.Answered, ShouldEqual, res.Scheduled)
 			So(res.Failovers, ShouldEqual, res.Scheduled)
 		})
-		Convey("asks on when a leaving daemon gives a list without a session", func() {
-			first.list = listOf(second.URL)
+		Convey("asks another daemon if a draining one returns a list without a session", func() {
+			first.list = addressesOf(second.URL)
 			first.list.Session = ""
 			var mu sync.Mutex
 			sessions := map[string]bool{}
@@ -130,7 +129,7 @@
 			So(res.Once.Ran, ShouldEqual, res.Scheduled)
 			So(sessions, ShouldResemble, map[string]bool{"session-1": true})
 		})
-		Convey("takes a refusal for overload as final", func() {
+		Convey("does not fail over after a refusal for overload", func() {
 			first.reply = func(w http.ResponseWriter, _ *contract.Request) bool {
 				return refuse(w, contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonOverload})
 			}
@@ -139,7 +138,7 @@
 			So(res.Refused, ShouldEqual, res.Scheduled)
 			So(res.Reasons[contract.ReasonOverload], ShouldEqual, res.Scheduled)
 		})
-		Convey("goes on after a broken connection, under the first session and key", func() {
+		Convey("fails over after a broken connection under the same session and key", func() {
 			var mu sync.Mutex
 			seen := map[string]int{}
 			note := func(q *contract.Request) {
@@ -153,7 +152,7 @@
 			}
 			second.reply = func(_ http.ResponseWriter, q *contract.Request) bool { note(q); return false }
 			cfg.NotRepeatable = 1
-			cfg.Callers = 100 // one for each request: a caller avoids what broke
+			cfg.Callers = 100 // one for each request, since a caller avoids a daemon after a failure
 			res, err := Run(context.Background(), cfg)
 			So(err, ShouldBeNil)
 			So(res.Once.Ran, ShouldEqual, res.Scheduled)
@@ -166,9 +165,9 @@
 	})
 }
 
-// A caller's time is over before it has asked anybody for addresses, as when a
-// machine stalls. It must be told so; it once took the missing list for one.
-func TestCallerWithoutTimeLeft(t *testing.T) {
+// The context of a caller has ended before it requests an address list, as after a stall of
+// the machine. The outcome must be an error: the caller must not use the missing list.
+func TestCallerWithEndedContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	c := newCaller(http.DefaultClient, []string{"http://127.0.0.1:1"})
@@ -178,23 +177,23 @@
 	}
 }
 
-// An answer with one thing wrong must be found out, whatever its size.
-func TestCheckFindsEveryFault(t *testing.T) {
+// CheckAnswer must find a single error in an answer of any size.
+func TestCheckAnswerFindsErrors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shards := rapid.Uint32Range(1, 9).Draw(t, "shards")
 		version := rapid.Uint64Range(1, 99).Draw(t, "version")
 		a := wholeAnswer(shards, version, "mine")
 		if c := CheckAnswer(a, "mine"); c.Bad() {
-			t.Fatalf("a whole answer is told as %+v", c)
+			t.Fatalf("errors found in a correct answer: %+v", c)
 		}
 		i := rapid.IntRange(0, len(a.Hits)-1).Draw(t, "hit")
 		switch rapid.IntRange(0, 4).Draw(t, "fault") {
 		case 0:
 			a.Hits = append(a.Hits[:i:i], a.Hits[i+1:]...)
-			expect(t, a, Check{Lost: 1})
+			expectCheck(t, a, Check{Lost: 1})
 		case 1:
 			a.Hits = append(a.Hits, a.Hits[i])
-			expect(t, a, Check{Doubled: 1})
+			expectCheck(t, a, Check{Doubled: 1})
 		case 2:
 			o := standin.Origin{Version: version + 1, Shards: shards, Documents: standin.DefaultDocuments, RunKey: "mine"}
 			a.Hits[i].Data, _ = json.Marshal(o)
@@ -207,14 +206,14 @@
 			}
 		case 4:
 			a.Coverage.Total++
-			expect(t, a, Check{Coverage: 1})
+			expectCheck(t, a, Check{Coverage: 1})
 		}
 	})
 }
 
-func expect(t *rapid.T, a *contract.Answer, want Check) {
+func expectCheck(t *rapid.T, a *contract.Answer, want Check) {
 	if got := CheckAnswer(a, "mine"); got != want {
-		t.Fatalf("told %+v, want %+v", got, want)
+		t.Fatalf("found %+v, want %+v", got, want)
 	}
 }
 
@@ -230,7 +229,7 @@
 	lis := listen(t)
 	go func() { _ = control.Serve(lis) }()
 	defer control.Close()
-	e := startEntry(t)
+	e := startFakeEntry(t)
 	res, err := Run(context.Background(), Config{Entries: []string{e.URL}, Paths: []string{testPath}, Rate: 200,
 		Duration: 300 * time.Millisecond, Window: 50 * time.Millisecond, Standin: "http://" + lis.Addr().String() + "\n"})
 	if err != nil {
--- a/internal/standin/command_test.go
+++ b/internal/standin/command_test.go
@@ -24,7 +24,7 @@
 		var fs contract.Faults
 		if err != nil {
 			if !errors.As(err, &fs) || len(fs) == 0 {
-				t.Fatalf("no fault told for %q: %v", body, err)
+				t.Fatalf("no faults for %q: %v", body, err)
 			}
 			return
 		}
@@ -33,12 +33,12 @@
 		}
 		b, err := DefaultBehavior().Update(c.Set)
 		if err != nil || b.Validate() != nil {
-			t.Fatalf("accepted a behavior that is refused later: %q", body)
+			t.Fatalf("accepted a behavior that is invalid: %q", body)
 		}
 	})
 }
 
-func TestControlChoosesLeaves(t *testing.T) {
+func TestControlSelectsLeaves(t *testing.T) {
 	fleet, err := StartFleet(FleetConfig{Host: "127.0.0.1", Services: []ServiceSpec{
 		{Path: "a/x", Leaves: []string{"x1", "x2"}, Behavior: DefaultBehavior()},
 		{Path: "a/y", Leaves: []string{"y1", "y2", "y3"}, Behavior: DefaultBehavior()},
--- a/internal/standin/leaf_test.go
+++ b/internal/standin/leaf_test.go
@@ -20,16 +20,16 @@
 
 const (
 	testService = "hall/desk/svc"
-	waitLimit   = 10 * time.Second
+	waitTimeout = 10 * time.Second
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func startTestLeaf(t *testing.T, change func(*Behavior)) *Leaf {
+func startTestLeaf(t *testing.T, configure func(*Behavior)) *Leaf {
 	t.Helper()
 	b := DefaultBehavior()
 	b.Latency = 0
-	change(&b)
+	configure(&b)
 	l, err := StartLeaf(LeafConfig{
 		Name:     "leaf-1",
 		Indexes:  []contract.LeafIndex{{Service: testService, Version: 1, Shards: 2, Held: []uint32{0, 1}}},
@@ -55,7 +55,8 @@
 	}
 }
 
-// send returns the status, the reply where it was 200, and the transport error.
+// send returns the status, the reply (empty unless the status is 200), and the error of the
+// transport or of decoding the reply.
 func send(ctx context.Context, c *http.Client, l *Leaf, q *contract.LeafRequest) (int, *contract.LeafReply, error) {
 	body, _ := json.Marshal(q)
 	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr()+contract.LeafQueryPath, bytes.NewReader(body))
@@ -71,19 +72,19 @@
 	return resp.StatusCode, &reply, err
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(waitLimit); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	t.Fatalf("never came: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
-// Six requests reach a leaf of two slots and a queue of two at once. The callers
-// see four runs, two at a time, and two refusals that were not run: the leaf's
-// own count of what was put on it must show all of them.
+// Six requests reach a leaf with two slots and a queue of two. Two run, two wait and two
+// are refused without running. The in-flight peak must include a refused request:
+// otherwise it would hide a sender that exceeds the limits of the leaf.
 func TestLeafCountsRunningQueuedAndRefused(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Slots, b.Queue, b.HangShare = 2, 2, 1 })
 	c := newClient(t)
@@ -93,7 +94,7 @@
 	for i := range 4 {
 		wg.Go(func() { _, _, _ = send(ctx, c, l, request(fmt.Sprint("held-", i), time.Minute)) })
 	}
-	eventually(t, "two running and two queued", func() bool { return l.Stats(false).InFlight == 4 })
+	waitFor(t, "two running and two queued", func() bool { return l.Stats(false).InFlight == 4 })
 	for i := range 2 {
 		status, _, err := send(ctx, c, l, request(fmt.Sprint("refused-", i), time.Minute))
 		if err != nil || status != http.StatusServiceUnavailable {
@@ -109,22 +110,22 @@
 	}
 	cancel()
 	wg.Wait()
-	eventually(t, "slots free after the callers left", func() bool { return l.Stats(false).InFlight == 0 })
+	waitFor(t, "slots free after the callers left", func() bool { return l.Stats(false).InFlight == 0 })
 	if st := l.Stats(true); st.WindowInFlight > 4 || st.MostInFlight != 5 {
 		t.Fatalf("stats %+v", st)
 	}
 }
 
-// A request waits behind one that never ends, and its deadline passes in the
-// queue. The caller is refused, and the work was never started.
-func TestLeafRefusesWhatExpiredInTheQueue(t *testing.T) {
+// A request waits in the queue behind one that never ends until its deadline passes. It
+// must be refused and must not run.
+func TestLeafRefusesRequestsExpiredInQueue(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Slots, b.HangShare = 1, 1 })
 	c := newClient(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var wg sync.WaitGroup
 	wg.Go(func() { _, _, _ = send(ctx, c, l, request("holder", time.Minute)) })
-	eventually(t, "the holder running", func() bool { return l.Stats(false).InFlight == 1 })
+	waitFor(t, "the holder running", func() bool { return l.Stats(false).InFlight == 1 })
 	status, _, err := send(ctx, c, l, request("late", 20*time.Millisecond))
 	if err != nil || status != http.StatusServiceUnavailable || l.Runs(testService, "late", 1) != 0 {
 		t.Fatalf("status %d, error %v, runs %d", status, err, l.Runs(testService, "late", 1))
@@ -133,10 +134,9 @@
 	wg.Wait()
 }
 
-// A request runs while its index version is dropped. Its reply must still be the
-// whole shard of that version: a leaf that answered from what it holds at the
-// end would look like a tier that loses hits.
-func TestLeafAnswersFromTheVersionItBeganWith(t *testing.T) {
+// An index version is retired while a request for it runs. The reply must still have all
+// hits of the shard in that version: otherwise the tier would seem to lose hits.
+func TestLeafAnswersFromVersionOnArrival(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Latency = Duration(50 * time.Millisecond) })
 	c := newClient(t)
 	type result struct {
@@ -148,7 +148,7 @@
 		_, reply, err := send(context.Background(), c, l, request("a", time.Minute))
 		done <- result{reply, err}
 	}()
-	eventually(t, "the request running", func() bool { return l.Stats(false).InFlight == 1 })
+	waitFor(t, "the request running", func() bool { return l.Stats(false).InFlight == 1 })
 	l.Retire(testService, 1)
 	got := <-done
 	if got.err != nil {
@@ -160,8 +160,8 @@
 	}
 }
 
-// A caller opens one connection more than the leaf accepts. The leaf closes it
-// at once and counts it, so that a tier that went over the cap is found out.
+// A sender opens one connection more than the leaf accepts. The leaf must close it and
+// count it, so that a test can detect a tier that exceeds the connection limit.
 func TestLeafCapsConnections(t *testing.T) {
 	l := startTestLeaf(t, func(b *Behavior) { b.Connections = 2 })
 	var open []net.Conn
@@ -175,9 +175,9 @@
 	}
 	dial()
 	dial()
-	eventually(t, "two open", func() bool { return l.Stats(false).Open == 2 })
+	waitFor(t, "two open", func() bool { return l.Stats(false).Open == 2 })
 	third := dial()
-	_ = third.SetReadDeadline(time.Now().Add(waitLimit))
+	_ = third.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := third.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the third connection was served")
 	}
@@ -188,11 +188,11 @@
 	for _, conn := range open {
 		_ = conn.Close()
 	}
-	eventually(t, "none open", func() bool { return l.Stats(false).Open == 0 })
+	waitFor(t, "none open", func() bool { return l.Stats(false).Open == 0 })
 }
 
 func TestLeafFaults(t *testing.T) {
-	Convey("A leaf acts as its behavior says", t, func() {
+	Convey("A leaf follows its behavior", t, func() {
 		l := startTestLeaf(t, func(*Behavior) {})
 		c := newClient(t)
 		ctx := context.Background()
@@ -239,13 +239,13 @@
 			So(err, ShouldBeNil)
 			So(reply.ID, ShouldEqual, "first")
 		})
-		Convey("a wrong version is told in the reply", func() {
+		Convey("a wrong version is stated in the reply", func() {
 			set(`{"wrong_version_share":1}`)
 			_, reply, err := ask("a")
 			So(err, ShouldBeNil)
 			So(reply.IndexVersion, ShouldEqual, 2)
 		})
-		Convey("a load report may lie", func() {
+		Convey("the reported load can differ from the actual load", func() {
 			set(`{"report_inflight":99}`)
 			So(l.status(l.Behavior()).InFlight, ShouldEqual, 99)
 		})
@@ -263,9 +263,9 @@
 	})
 }
 
-// Whatever the version and the number of shards, the shards together hold each
-// document once: a lost or doubled hit is then the reader's doing.
-func TestShardsPartitionTheDocuments(t *testing.T) {
+// For every version and number of shards, each document must be in exactly one shard:
+// otherwise lost and duplicated hits could be caused by the stand-in instead of the tier.
+func TestShardsPartitionDocuments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Origin{
 			Version:   rapid.Uint64().Draw(t, "version"),
@@ -282,12 +282,12 @@
 			}
 		}
 		if len(seen) != o.Documents {
-			t.Fatalf("%d documents of %d", len(seen), o.Documents)
+			t.Fatalf("the shards hold %d documents of %d", len(seen), o.Documents)
 		}
 	})
 }
 
-func TestLayoutKeepsTwoReplicas(t *testing.T) {
+func TestEveryShardHasTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "leaves")
 		shards := rapid.Uint32Range(1, 40).Draw(t, "shards")
@@ -305,17 +305,17 @@
 	})
 }
 
-func TestPlatformListLags(t *testing.T) {
+func TestPlatformListAppliesLag(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPlatform(func() time.Time { return now })
 	p.SetLag(time.Minute)
 	p.SetVMs([]contract.PlatformVM{{Name: "a"}})
 	now = now.Add(59 * time.Second)
 	if got := p.VMs(); len(got) != 0 {
-		t.Fatalf("seen too early: %v", got)
+		t.Fatalf("visible before the lag has passed: %v", got)
 	}
 	now = now.Add(time.Second)
 	if got := p.VMs(); len(got) != 1 {
-		t.Fatalf("not seen after the lag: %v", got)
+		t.Fatalf("not visible after the lag: %v", got)
 	}
 }
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// cappedListener accepts up to a number of connections and closes the rest at
-// once, as a target that has run out of them does.
-type cappedListener struct {
+// limitedListener accepts connections up to the limit of the behavior and closes further
+// ones at once, as a leaf without free connections does.
+type limitedListener struct {
 	net.Listener
 	behavior func() Behavior
 	conns    *connCount
 }
 
-// connCount outlives a listener, so that a leaf that was down and came back
-// goes on counting.
+// connCount counts connections. It outlives a listener, so that the counts continue after
+// the leaf was down.
 type connCount struct {
 	mu      sync.Mutex
 	open    int
-	peak    int // most open at once, with the refused one counted in
+	peak    int // maximum of open connections, including the one being refused
 	opened  uint64
 	refused uint64
 }
 
-func (c *connCount) admit(limit int) bool {
+func (c *connCount) tryAcquire(limit int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.peak = max(c.peak, c.open+1)
@@ -37,21 +37,21 @@
 	return true
 }
 
-func (c *connCount) leave() {
+func (c *connCount) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open--
 }
 
 // Accept implements net.Listener.
-func (l *cappedListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		b := l.behavior()
-		if !l.conns.admit(b.Connections) {
+		if !l.conns.tryAcquire(b.Connections) {
 			_ = c.Close()
 			continue
 		}
@@ -60,24 +60,25 @@
 	}
 }
 
-// countedConn makes its first read wait for the connect cost.
+// countedConn is a connection that is counted until it is closed. Its first read waits for
+// Behavior.ConnectCost.
 type countedConn struct {
 	net.Conn
-	conns *connCount
-	ready time.Time
-	once  sync.Once
-	wait  sync.Once
+	conns     *connCount
+	ready     time.Time
+	closeOnce sync.Once
+	delayOnce sync.Once
 }
 
 // Read implements net.Conn.
 func (c *countedConn) Read(p []byte) (int, error) {
-	c.wait.Do(func() { time.Sleep(time.Until(c.ready)) })
+	c.delayOnce.Do(func() { time.Sleep(time.Until(c.ready)) })
 	return c.Conn.Read(p)
 }
 
 // Close implements net.Conn.
 func (c *countedConn) Close() error {
-	c.once.Do(c.conns.leave)
+	c.closeOnce.Do(c.conns.release)
 	return c.Conn.Close()
 }
 
--- a/internal/standin/runs.go
+++ b/internal/standin/runs.go
@@ -2,32 +2,32 @@
 
 import "sync"
 
-// DefaultRunMemory is how many request and shard pairs are remembered.
+// DefaultRunMemory is the number of request and shard pairs that a leaf's Runs remembers.
 const DefaultRunMemory = 1 << 18
 
-// RunKey names one piece of work: a request at one shard.
+// RunKey identifies a request at one shard.
 type RunKey struct {
-	Request string // run_key of the body where there is one, else the request's id
+	Request string // run_key of the body, or the request's id if there is none
 	Service string
 	Shard   uint32
 }
 
-// Runs counts how often each piece of work was run, over all leaves that share
-// it. It remembers the newest pairs only, so its memory is bounded.
+// Runs counts how often each request was run at each shard, over all leaves that share it.
+// It remembers only the newest pairs, so that its memory is bounded.
 type Runs struct {
-	mu      sync.Mutex
-	counts  map[RunKey]int
-	order   []RunKey
-	next    int
-	total   uint64
-	extra   uint64 // runs of repeatable requests beyond the first
-	once    uint64 // runs of not-repeatable requests
-	doubled uint64 // runs of not-repeatable requests beyond the first
+	mu            sync.Mutex
+	counts        map[RunKey]int
+	remembered    []RunKey
+	nextSlot      int
+	total         uint64
+	extra         uint64 // runs of repeatable requests beyond the first
+	nonRepeatable uint64 // runs of non-repeatable requests
+	doubled       uint64 // runs of non-repeatable requests beyond the first
 }
 
-// NewRuns returns a counter that remembers size pairs.
+// NewRuns returns a Runs that remembers size pairs.
 func NewRuns(size int) *Runs {
-	return &Runs{counts: make(map[RunKey]int), order: make([]RunKey, size)}
+	return &Runs{counts: make(map[RunKey]int), remembered: make([]RunKey, size)}
 }
 
 func (r *Runs) add(k RunKey, repeatable bool) {
@@ -35,41 +35,41 @@
 	defer r.mu.Unlock()
 	r.total++
 	if r.counts[k] == 0 {
-		delete(r.counts, r.order[r.next])
-		r.order[r.next] = k
-		r.next = (r.next + 1) % len(r.order)
+		delete(r.counts, r.remembered[r.nextSlot])
+		r.remembered[r.nextSlot] = k
+		r.nextSlot = (r.nextSlot + 1) % len(r.remembered)
 	}
 	r.counts[k]++
-	again := r.counts[k] > 1
+	repeated := r.counts[k] > 1
 	switch {
-	case !repeatable && again:
-		r.once++
+	case !repeatable && repeated:
+		r.nonRepeatable++
 		r.doubled++
 	case !repeatable:
-		r.once++
-	case again:
+		r.nonRepeatable++
+	case repeated:
 		r.extra++
 	}
 }
 
-// Count returns how often k was run, as far as it is remembered.
+// Count returns how often k was run, or 0 if k is no longer remembered.
 func (r *Runs) Count(k RunKey) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts[k]
 }
 
-// RunStats sums up all runs.
+// RunStats are totals over all runs.
 type RunStats struct {
 	Total         uint64 `json:"total"`
 	Extra         uint64 `json:"extra"` // runs of a repeatable request beyond its first at a shard
 	NotRepeatable uint64 `json:"not_repeatable"`
-	Doubled       uint64 `json:"doubled"` // runs of a not-repeatable request beyond its first at a shard
+	Doubled       uint64 `json:"doubled"` // runs of a non-repeatable request beyond its first at a shard
 }
 
-// Stats returns the sums.
+// Stats returns the totals.
 func (r *Runs) Stats() RunStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return RunStats{Total: r.total, Extra: r.extra, NotRepeatable: r.once, Doubled: r.doubled}
+	return RunStats{Total: r.total, Extra: r.extra, NotRepeatable: r.nonRepeatable, Doubled: r.doubled}
 }
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -13,37 +13,37 @@
 	errExpired   = errors.New("the deadline passed before a slot was free")
 )
 
-// slots runs a bounded number of requests at once; more wait in order up to a
-// bound. It counts everything a caller has put on the leaf at one time.
+// slots limits the requests that run at once. Further requests wait in a FIFO queue of
+// limited length. slots also tracks the peak of requests in flight.
 type slots struct {
-	mu       sync.Mutex
-	limit    int
-	queue    int
-	running  int
-	waiting  list.List // of chan struct{}, closed when the slot is handed over
-	peak     int       // most running plus waiting, ever
-	window   int       // the same since the last reading of the window
-	refusals uint64
+	mu         sync.Mutex
+	limit      int
+	queueLimit int
+	running    int
+	waiting    list.List // of chan struct{}, closed when the waiter gets a slot
+	peak       int       // maximum of running plus waiting since the last reset
+	windowPeak int       // the same since the last takeWindowPeak
+	refusals   uint64
 }
 
 func (s *slots) configure(limit, queue int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limit, s.queue = limit, queue
+	s.limit, s.queueLimit = limit, queue
 	s.grant()
 }
 
-// acquire waits for a slot until ctx ends. The request counts as in flight from
-// here to its release, also when it is refused for a full queue.
+// acquire waits for a slot until ctx ends. The in-flight peak includes the request even if
+// it is refused because the queue is full.
 func (s *slots) acquire(ctx context.Context) error {
 	s.mu.Lock()
-	s.note(1)
+	s.recordPeak(1)
 	if s.running < s.limit && s.waiting.Len() == 0 {
 		s.running++
 		s.mu.Unlock()
 		return nil
 	}
-	if s.waiting.Len() >= s.queue {
+	if s.waiting.Len() >= s.queueLimit {
 		s.refusals++
 		s.mu.Unlock()
 		return errQueueFull
@@ -56,11 +56,11 @@
 	case <-ready:
 		return nil
 	case <-ctx.Done():
-		return s.abandon(e, ready)
+		return s.cancelWait(e, ready)
 	}
 }
 
-func (s *slots) abandon(e *list.Element, ready chan struct{}) error {
+func (s *slots) cancelWait(e *list.Element, ready chan struct{}) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -88,11 +88,11 @@
 	}
 }
 
-// note records the peak with extra requests on top of those held; mu is held.
-func (s *slots) note(extra int) {
+// recordPeak updates the peaks for the requests in flight plus extra. s.mu must be held.
+func (s *slots) recordPeak(extra int) {
 	n := s.running + s.waiting.Len() + extra
 	s.peak = max(s.peak, n)
-	s.window = max(s.window, n)
+	s.windowPeak = max(s.windowPeak, n)
 }
 
 func (s *slots) inFlight() int {
@@ -101,11 +101,11 @@
 	return s.running + s.waiting.Len()
 }
 
-// takeWindow returns the most in flight since the last call.
-func (s *slots) takeWindow() int {
+// takeWindowPeak returns the maximum in flight since the last call.
+func (s *slots) takeWindowPeak() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := s.window
-	s.window = s.running + s.waiting.Len()
+	n := s.windowPeak
+	s.windowPeak = s.running + s.waiting.Len()
 	return n
 }
