--- a/bench/baseline/client.go
+++ b/bench/baseline/client.go
@@ -18,18 +18,18 @@
 	"pearmoor/internal/load"
 )
 
-// Policy chooses the leaf of an attempt and may make it wait.
+// Policy chooses the leaf for an attempt and may delay the attempt.
 type Policy interface {
 	// Acquire returns a leaf of t, or an error when ctx ends first.
 	Acquire(ctx context.Context, t *Target) (*Leaf, error)
-	// Release ends the attempt. refused tells that the leaf turned it away.
+	// Release ends the attempt. refused says that the leaf rejected it without running it.
 	Release(l *Leaf, took time.Duration, refused bool)
 }
 
 const idlePerLeaf = 64
 
-// Client fans each request out to the leaves itself. It stands for one process:
-// its connections are its own.
+// Client sends each request to the leaves of all shards without a tier. It represents
+// one process of a caller and shares no connections with other clients.
 type Client struct {
 	id      int
 	next    atomic.Uint64
@@ -38,7 +38,7 @@
 	policy  Policy
 }
 
-// NewClients returns n clients; newPolicy is called for each.
+// NewClients returns n clients. It calls newPolicy for each of them.
 func NewClients(n int, targets []Target, newPolicy func(i int) Policy) []*Client {
 	out := make([]*Client, n)
 	for i := range out {
@@ -52,7 +52,7 @@
 	return out
 }
 
-// Askers returns clients as askers of the load tool.
+// Askers returns clients as load.Asker values.
 func Askers(clients []*Client) []load.Asker {
 	out := make([]load.Asker, len(clients))
 	for i, c := range clients {
@@ -61,14 +61,14 @@
 	return out
 }
 
-// Close closes idle connections.
+// Close closes the idle connections of the clients.
 func Close(clients []*Client) {
 	for _, c := range clients {
 		c.http.CloseIdleConnections()
 	}
 }
 
-// Ask implements load.Asker: one attempt at each shard, all at once.
+// Ask implements load.Asker. It makes one attempt for each shard, all in parallel.
 func (c *Client) Ask(ctx context.Context, q contract.Request, deadline time.Time) load.Outcome {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
--- a/bench/baseline/doc.go
+++ b/bench/baseline/doc.go
@@ -1,4 +1,4 @@
-// Package baseline holds the other side of the experiments: clients that send
-// straight to the leaves, each by another policy, measured by the same load
-// tool as the tier. None of it is used by a daemon.
+// Package baseline provides what the tier is compared with in experiments: clients
+// that send to the leaves directly, with different policies, driven by the same load
+// generator as the tier. Daemons do not use it.
 package baseline
--- a/bench/baseline/limiter.go
+++ b/bench/baseline/limiter.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// limiter bounds what is in flight per leaf. Attempts wait in order; a leaf
-// with room goes to the first attempt that it can serve.
+// limiter bounds the attempts in flight for each leaf. Attempts wait in the order of
+// their arrival; a free slot of a leaf goes to the first attempt that may use that leaf.
 type limiter struct {
 	mu     sync.Mutex
 	flight map[*Leaf]int
@@ -15,9 +15,9 @@
 	limit  func(*Leaf) int
 }
 
-// waiter stands in the queue of each replica of its target.
+// waiter is an attempt that waits in the queue of each leaf of its target.
 type waiter struct {
-	granted chan *Leaf // buffered: the grant never waits
+	granted chan *Leaf // buffered, so that granting never blocks
 	done    bool
 }
 
@@ -25,7 +25,7 @@
 	return &limiter{flight: map[*Leaf]int{}, queues: map[*Leaf][]*waiter{}, limit: limit}
 }
 
-// acquire takes the replica with the most room, waiting until there is some.
+// acquire takes a slot of the leaf with the most free slots. If there is none, it waits for one.
 func (l *limiter) acquire(ctx context.Context, t *Target) (*Leaf, error) {
 	l.mu.Lock()
 	if best := l.roomiest(t); best != nil {
@@ -64,7 +64,7 @@
 	return best
 }
 
-// release ends one attempt; change, where given, runs under the lock.
+// release ends an attempt and grants freed slots. update, if not nil, is called with the lock held.
 func (l *limiter) release(leaf *Leaf, change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/bench/baseline/policies.go
+++ b/bench/baseline/policies.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Naive picks any replica and never waits.
+// Naive picks a random leaf and never waits.
 type Naive struct{}
 
 // Acquire implements Policy.
@@ -18,11 +18,11 @@
 // Release implements Policy.
 func (Naive) Release(*Leaf, time.Duration, bool) {}
 
-// Oracle knows, over all clients, what every leaf has in flight. One Oracle is
-// shared by all clients, which no real set of processes can do for free.
+// Oracle knows the attempts of all clients that are in flight at each leaf. All clients
+// share one Oracle, which separate processes could not do without communication.
 type Oracle struct{ limiter *limiter }
 
-// NewOracle returns an Oracle to share.
+// NewOracle returns an Oracle that all clients can share.
 func NewOracle() *Oracle {
 	return &Oracle{limiter: newLimiter(func(l *Leaf) int { return l.Slots })}
 }
@@ -35,20 +35,20 @@
 // Release implements Policy.
 func (o *Oracle) Release(l *Leaf, _ time.Duration, _ bool) { o.limiter.release(l, nil) }
 
-// The constants of Adaptive, those customary for additive increase and
-// multiplicative decrease on latency.
+// Parameters of Adaptive, with the usual values for additive increase and
+// multiplicative decrease driven by latency.
 const (
 	adaptiveStart     = 1.0
 	adaptiveLeast     = 1.0
 	adaptiveMost      = 64.0
 	adaptiveBackoff   = 0.7
-	adaptiveTolerance = 2.0  // latency over the least seen that counts as congestion
-	adaptiveForget    = 1.01 // the least latency grows by this at each sample, so that it is learned anew
+	adaptiveTolerance = 2.0  // multiple of the minimum latency above which a reply counts as congestion
+	adaptiveForget    = 1.01 // factor on the minimum latency at each sample, so that old minima expire
 )
 
-// Adaptive learns a limit per leaf from its own latencies and refusals, each
-// client for itself: up by one for a full window of good replies, down by a
-// factor on congestion.
+// Adaptive adapts a limit for each leaf to the latencies and rejections that its
+// own client sees. The limit grows by one for a full window of good replies and
+// shrinks by a factor on congestion.
 type Adaptive struct {
 	limiter *limiter
 	limits  map[*Leaf]*learned
--- a/bench/baseline/policies_test.go
+++ b/bench/baseline/policies_test.go
@@ -7,10 +7,9 @@
 	"time"
 )
 
-// Many attempts at two leaves with two slots each come at once, and some give
-// up while they wait. The oracle must never have more than its slots out, and
-// must hand out every slot that came back, or the paired figures would mean
-// nothing.
+// Concurrent attempts share two leaves of two slots each, and some are cancelled while
+// they wait. The oracle must not exceed the slots or lose a returned one, since either
+// would make comparisons with it meaningless.
 func TestOracleKeepsToTheSlots(t *testing.T) {
 	leaves := []*Leaf{{Slots: 2}, {Slots: 2}}
 	o := NewOracle()
@@ -32,7 +31,7 @@
 			mu.Lock()
 			out[l]++
 			if out[l] > l.Slots {
-				t.Errorf("%d out of %d slots", out[l], l.Slots)
+				t.Errorf("%d attempts in flight at a leaf of %d slots", out[l], l.Slots)
 			}
 			mu.Unlock()
 			time.Sleep(100 * time.Microsecond)
@@ -45,7 +44,7 @@
 	wg.Wait()
 	for _, l := range leaves {
 		if n := o.limiter.flight[l]; n != 0 {
-			t.Errorf("%d slots were not given back", n)
+			t.Errorf("%d slots are still in use after all attempts ended", n)
 		}
 	}
 }
@@ -67,6 +66,6 @@
 	grown := a.of(l).limit
 	step(true)
 	if shrunk := a.of(l).limit; grown <= adaptiveStart || shrunk >= grown {
-		t.Fatalf("limit %v, after a refusal %v", grown, shrunk)
+		t.Fatalf("limit was %v before and %v after a rejection, want it to grow first and then shrink", grown, shrunk)
 	}
 }
--- a/bench/baseline/targets.go
+++ b/bench/baseline/targets.go
@@ -13,13 +13,13 @@
 	"pearmoor/internal/standin"
 )
 
-// Leaf is one replica host.
+// Leaf is a leaf that holds replicas of shards.
 type Leaf struct {
 	Addr  string
 	Slots int
 }
 
-// Target is one shard with the leaves that hold it.
+// Target is a shard with the leaves that hold it.
 type Target struct {
 	Service  string
 	Shard    uint32
@@ -27,8 +27,8 @@
 	Replicas []*Leaf
 }
 
-// Discover reads from stand-in leaves which shards of the services at or below
-// path lie where. The newest index version is taken.
+// Discover asks the simulated leaves which shards they hold of the services at or
+// below path. It returns the shards of the newest index version of each service.
 func Discover(ctx context.Context, client *http.Client, control, path string) ([]Target, error) {
 	var st standin.FleetStats
 	if err := getJSON(ctx, client, strings.TrimSpace(control)+standin.StatsPath, &st); err != nil {
--- a/bench/control/doc.go
+++ b/bench/control/doc.go
@@ -1,8 +1,8 @@
-// Command control measures what control costs a tier of real pearmoord processes
-// on loopback, at several sizes: the time from a change to its being in force
-// everywhere, and at rest the processor time, memory and bytes per daemon. It
-// prints a table and the slopes over the sizes.
+// Command control measures the cost of the control plane in a tier of real pearmoord
+// processes on loopback, for several numbers of daemons: the time from a change until
+// it is in force on every VM, and the processor time, memory and bytes of each daemon
+// while nothing changes. It prints a table and a linear fit over the sizes.
 //
-// No leaf is declared, so the daemons do nothing but control. Every process is
-// ended by its process id.
+// The settings declare no leaf, so the daemons do only control work. The command
+// signals only processes that it started.
 package main
--- a/bench/control/main.go
+++ b/bench/control/main.go
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// options are the command's flags.
+// options are the values of the command-line flags.
 type options struct {
 	bin      string
 	sizes    []int
@@ -78,7 +78,7 @@
 	return os.WriteFile(opt.out, body, 0o644)
 }
 
-// earlier reads the results of earlier runs.
+// readResults reads the results of earlier runs.
 func earlier(files []string) ([]result, error) {
 	var all []result
 	for _, name := range files {
--- a/bench/control/measure.go
+++ b/bench/control/measure.go
@@ -19,31 +19,31 @@
 )
 
 const (
-	// settle lets relays and leases find their steady state before the rest.
+	// settleTime lets relays and leases reach a steady state before idle usage is measured.
 	settle = 8 * time.Second
-	// gap between changes, so that each is timed alone.
+	// changeInterval separates changes, so that they do not affect each other's times.
 	gap      = 100 * time.Millisecond
 	callMax  = 20 * time.Second
-	slow     = 500.0 // ms from which a change is named
+	slow     = 500.0 // in ms; slower changes are printed
 	megabyte = 1 << 20
 )
 
-// result is what one size gave.
+// result is the result for one size of the tier.
 type result struct {
 	Daemons    int       `json:"daemons"`
 	Relays     int       `json:"relays"`
-	ChangesMS  []float64 `json:"changes_ms"` // change sent to in force everywhere, sorted
+	ChangesMS  []float64 `json:"changes_ms"` // time from sending a change until it is in force on every VM, sorted
 	P50        float64   `json:"p50_ms"`
 	P99        float64   `json:"p99_ms"`
-	Entry      cost      `json:"entry"`     // mean over entries that are no relay
-	Relay      cost      `json:"relay"`     // mean over entries that are
-	RelayMax   cost      `json:"relay_max"` // the most of each over relays
-	Leader     cost      `json:"leader"`    // the control VM that used most
-	Follower   cost      `json:"follower"`  // mean over the others
-	MachineCPU float64   `json:"all_cores"` // all daemons together, in cores
+	Entry      cost      `json:"entry"`     // mean over entries that are not relays
+	Relay      cost      `json:"relay"`     // mean over entries that are relays
+	RelayMax   cost      `json:"relay_max"` // maximum of each value over the relays
+	Leader     cost      `json:"leader"`    // the control VM with the most processor time
+	Follower   cost      `json:"follower"`  // mean over the other control VMs
+	MachineCPU float64   `json:"all_cores"` // cores used by all daemons together
 }
 
-// cost is what one daemon uses at rest.
+// cost is the resource usage of one idle daemon.
 type cost struct {
 	CPU     float64 `json:"cpu_percent"` // of one core
 	RSS     float64 `json:"rss_mb"`
@@ -71,8 +71,8 @@
 	return r, t.rest(ctx, &r)
 }
 
-// timeChanges makes changes one after another, and times each from its being sent
-// until control says that it is in force everywhere.
+// timeChanges makes n changes one after another and returns, sorted, the time of each
+// in ms, from sending it until it is in force on every VM.
 func (t *tier) timeChanges(ctx context.Context, n int) ([]float64, error) {
 	pool := peer.NewPool(nil)
 	defer pool.Close()
@@ -85,7 +85,7 @@
 			return nil, err
 		}
 		addr = next
-		if i == 0 { // shortens what a daemon that stops waits for; not timed
+		if i == 0 { // only shortens the shutdown of daemons; not timed
 			continue
 		}
 		took = append(took, float64(time.Since(start).Microseconds())/1000)
@@ -100,8 +100,8 @@
 	return took, nil
 }
 
-// change makes one change and waits until it is in force. It returns the address
-// of the leader.
+// change makes change i and waits until it is in force on every VM. It returns the
+// address of the leader.
 func change(ctx context.Context, pool *peer.Pool, addr string, i int) (string, error) {
 	ctx, cancel := context.WithTimeout(peer.WithOperator(ctx, "bench"), callMax)
 	defer cancel()
@@ -113,7 +113,7 @@
 		client := wire.NewDRPCControlClient(conn)
 		read, err := client.Read(ctx, &wire.ReadRequest{})
 		if err != nil && ctx.Err() == nil {
-			// A leader that can't be sure of its state says so; the time counts.
+			// A leader that cannot confirm that its state is current fails the read. The wait counts.
 			fmt.Fprintf(os.Stderr, "control: change %d asks again: %v\n", i, err)
 			time.Sleep(gap)
 			continue
@@ -149,7 +149,7 @@
 	}
 }
 
-// editOf returns the i-th change; the first lets daemons stop soon.
+// editOf returns the i-th edit. The first shortens the address lifetime, so that daemons stop sooner.
 func editOf(i int) *wire.Edit {
 	if i == 0 {
 		return &wire.Edit{Path: "/", Name: "address-lifetime", Value: "2s"}
@@ -157,7 +157,7 @@
 	return &wire.Edit{Path: "/desk", Name: "queue-limit", Value: fmt.Sprint(64 + i%8)}
 }
 
-// rest measures every process over the same time while nothing changes.
+// measureIdle measures every daemon over the same period while nothing changes.
 func (t *tier) rest(ctx context.Context, r *result) error {
 	all := append(slices.Clone(t.controls), t.entries...)
 	if err := pause(ctx, settle); err != nil {
@@ -185,7 +185,7 @@
 	return t.sort(ctx, costs, r)
 }
 
-// sort tells the roles apart and fills in what each costs.
+// assignRoles finds out the role of each daemon and sets the costs of the roles in r.
 func (t *tier) sort(ctx context.Context, costs []cost, r *result) error {
 	controls := costs[:len(t.controls)]
 	busiest := 0
@@ -212,7 +212,7 @@
 	return nil
 }
 
-// usage is what a process has used so far.
+// usage is the resource usage of a process since its start.
 type usage struct {
 	at    time.Time
 	cpu   float64 // seconds
@@ -250,7 +250,7 @@
 	}
 }
 
-// metric reads one value from the daemon's operator port.
+// metric returns the value of a gauge from the daemon's operator port.
 func (d *daemon) metric(ctx context.Context, name string) (float64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.operator+"/metrics", nil)
 	if err != nil {
@@ -274,7 +274,7 @@
 	return 0, errors.Newf("%s has no metric %s", d.name, name)
 }
 
-// checkMemory fails when the tier uses more memory than it may.
+// checkMemory returns an error if the daemons use more memory than allowed.
 func (t *tier) checkMemory() error {
 	total := 0.0
 	for _, d := range append(slices.Clone(t.controls), t.entries...) {
--- a/bench/control/report.go
+++ b/bench/control/report.go
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("%-9s %5.2f %7.1f %12.0f %8.1f", role, c.CPU, c.RSS, c.Payload, c.Calls)
 }
 
-// printSlopes fits a line over the sizes to each figure.
+// printSlopes prints a linear fit of each value over the number of daemons.
 func printSlopes(w io.Writer, rs []result) {
 	if len(rs) < 2 {
 		return
--- a/bench/control/tier.go
+++ b/bench/control/tier.go
@@ -22,7 +22,7 @@
 	startLimit = 2 * time.Minute
 	stopLimit  = 30 * time.Second
 	pollEvery  = 20 * time.Millisecond
-	// startGap keeps the start of many processes from starving those that run.
+	// startInterval spaces the starts of processes, so that they do not starve those that already run.
 	startGap = 15 * time.Millisecond
 )
 
@@ -35,7 +35,7 @@
 	operator string // host:port
 }
 
-// tier is a running tier; the first daemons are its control VMs.
+// tier is a running tier.
 type tier struct {
 	dir      string
 	opt      *options
@@ -43,7 +43,7 @@
 	entries  []*daemon
 }
 
-// startTier starts control VMs, then size entries, and waits until all serve.
+// startTier starts the control VMs and then size entries, and waits until all entries serve callers.
 func startTier(ctx context.Context, opt *options, size int) (*tier, error) {
 	dir, err := os.MkdirTemp("", "pearmoor-control-")
 	if err != nil {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// spawn starts one pearmoord. Without further flags it is an entry of the tier.
+// startDaemon starts one pearmoord. If flags is nil, it is an entry of the tier.
 func (t *tier) spawn(name string, index int, flags []string) (*daemon, error) {
 	args := append([]string{
 		"--name=" + name, "--region=valley", fmt.Sprintf("--domain=hall-%d", index%3), "--plaintext-peers",
@@ -119,7 +119,7 @@
 	defer log.Close()
 	d := &daemon{name: name, cmd: exec.Command(filepath.Join(t.opt.bin, "pearmoord"), args...), done: make(chan struct{})}
 	d.cmd.Stdout, d.cmd.Stderr = log, log
-	// The processes end with the experiment, however it ends.
+	// The kernel kills the process when the experiment ends for any reason.
 	d.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	d.cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	if err := d.cmd.Start(); err != nil {
@@ -142,7 +142,7 @@
 
 func (t *tier) readyFile(name string) string { return filepath.Join(t.dir, name+".json") }
 
-// awaitReady reads the addresses that the daemon has bound.
+// waitReady waits for the daemon's ready file and reads the bound addresses from it.
 func (t *tier) awaitReady(ctx context.Context, d *daemon) error {
 	return await(ctx, d, func() bool {
 		body, err := os.ReadFile(t.readyFile(d.name))
@@ -158,7 +158,7 @@
 	})
 }
 
-// awaitServing waits until every entry takes work.
+// waitServing waits until every entry is ready for callers.
 func (t *tier) awaitServing(ctx context.Context) error {
 	for _, d := range t.entries {
 		err := await(ctx, d, func() bool {
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// stop ends every process by its id, entries first, and removes the folder. One
-// that does not end in time is killed.
+// stop terminates the entries and then the control VMs, and removes the folder. It
+// kills processes that do not end within stopTimeout.
 func (t *tier) stop() {
 	for _, ds := range [][]*daemon{t.entries, t.controls} {
 		for _, d := range ds {
--- a/bench/forward/callers.go
+++ b/bench/forward/callers.go
@@ -19,16 +19,16 @@
 	"pearmoor/platform/standin"
 )
 
-// kind is one kind of request.
+// requestKind describes one kind of request.
 type kind struct {
 	name     string
 	prefix   string
-	share    float64 // of all requests
+	share    float64 // fraction of all requests
 	gathers  bool
-	work     time.Duration // mean, at a leaf
+	work     time.Duration // mean, at a leaf of average speed
 	aim      time.Duration
-	wait     time.Duration // a caller's, from its first attempt
-	least    float64       // coverage
+	wait     time.Duration // of the caller, for all attempts together
+	least    float64       // coverage that the route requires
 	priority int
 }
 
@@ -52,7 +52,7 @@
 	return 0
 }
 
-// tally is what callers saw of one kind.
+// kindStats counts the outcomes of the requests of one kind, as callers see them.
 type tally struct {
 	kind     kind
 	recorder *load.Recorder
@@ -63,12 +63,12 @@
 	late     int
 	refused  int
 	failed   int
-	again    int // had to ask a second time
+	again    int // requests that took a second attempt
 	coverage float64
-	faults   []string // answers that are wrong
+	faults   []string // one description for each wrong answer
 }
 
-// caller keeps an address list and its connections.
+// caller is a caller of the tier with its own address list and connections.
 type caller struct {
 	run    *run
 	domain string
@@ -82,7 +82,7 @@
 
 const (
 	callerCount  = 24
-	longKeepers  = 5 // one caller in so many keeps a list three times as long
+	longKeepers  = 5 // one list in five is kept for three times its lifetime
 	connectLimit = time.Second
 )
 
@@ -93,7 +93,7 @@
 	}
 }
 
-// address returns a VM to ask, other than one that has just failed.
+// pickAddr returns the address of a random VM other than exclude, at which an attempt has failed.
 func (c *caller) address(not string) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +112,7 @@
 	return fit[c.rng.IntN(len(fit))], nil
 }
 
-// lookup asks for a new list; without an answer the old one stays. The lock is held.
+// refreshAddrs fetches a new address list. If no VM answers, the old list stays. The caller must hold c.mu.
 func (c *caller) lookup() {
 	client := &http.Client{Timeout: connectLimit, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, i := range c.rng.Perm(len(c.run.tier.vms)) {
@@ -138,8 +138,8 @@
 	}
 }
 
-// ask makes a request of that kind: one attempt and, unless it was served, another one
-// when the tier says to come back.
+// sendRequest makes a request of the kind of t. If the first attempt is not served and a
+// retry is allowed, it makes a second one after the delay that the tier asks for.
 func (c *caller) ask(ctx context.Context, t *tally, intended time.Time) {
 	end := intended.Add(t.kind.wait)
 	failedAt, again := "", false
@@ -158,15 +158,15 @@
 	}
 }
 
-// outcome is what one attempt came to.
+// outcome is the result of one attempt.
 type outcome struct {
 	served   bool
-	refused  bool // told that it did not run
+	refused  bool // rejected before it ran
 	coverage float64
 	comeBack time.Duration
 }
 
-// mayAskAgain: a request that may run once is asked again only if it did not run.
+// mayRetry reports whether a second attempt is safe: a request that is not idempotent may be repeated only if it did not run.
 func (t *tally) mayAskAgain(o outcome) bool { return t.kind.gathers || o.refused }
 
 var attempts atomic.Int64
@@ -195,13 +195,13 @@
 	case http.StatusOK:
 		return outcome{served: true, coverage: t.check(id, resp.Header, string(text), c.run.tier.shards)}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // without one it may come back at once
+		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // without the header the retry is immediate
 		return outcome{refused: true, comeBack: time.Duration(s * float64(time.Second))}
 	}
 	return outcome{}
 }
 
-// check returns the coverage of an answer and notes what is wrong with it.
+// checkAnswer returns the coverage of an answer and records what is wrong with it.
 func (t *tally) check(id string, h http.Header, text string, shards []string) float64 {
 	if !t.kind.gathers {
 		if stamp := strings.Split(h.Get(dialect.Signature), "/"); len(stamp) != 3 || stamp[1] != id {
--- a/bench/forward/leaf.go
+++ b/bench/forward/leaf.go
@@ -17,36 +17,36 @@
 	"pearmoor/platform/standin"
 )
 
-// How leaves are: two slots and a short queue, pauses as of a garbage collector, and
-// speeds that differ by a third either way.
+// Properties of the simulated leaves: two slots and a short queue, periodic pauses as in
+// garbage collection, and a work time that differs by up to a third either way.
 const (
 	leafSlots   = 2
 	leafQueue   = 8
 	leafConns   = 28
-	connectCost = 6 * time.Millisecond // a new connection, on a slot
+	connectCost = 6 * time.Millisecond // a new connection occupies a slot for this time
 	pauseEvery  = 3600 * time.Millisecond
 	pauseFor    = 150 * time.Millisecond
 	speedSpread = 0.33
-	workSpread  = 0.35 // sigma of the lognormal work
+	workSpread  = 0.35 // sigma of the lognormal distribution of work time
 	coldFor     = 2 * time.Second
 	coldFactor  = 3.0
 )
 
 var dialect = platform.Dialect()
 
-// fault is how a leaf misbehaves, with what share of its requests.
+// fault is a fault that is injected into a leaf.
 type fault int32
 
 const (
 	sound   fault = iota
-	dark          // takes connections and says nothing
-	sheds         // refuses half of its requests
-	loses         // runs every tenth and loses the answer
-	repeats       // answers every tenth twice
-	slow          // takes four times as long
+	dark          // accepts connections but never replies
+	sheds         // rejects half of the requests
+	loses         // runs requests but loses a tenth of the answers
+	repeats       // sends a tenth of the answers twice
+	slow          // takes four times as long for each request
 )
 
-// leaf is one run of a stand-in leaf.
+// leaf is a simulated leaf. A leaf that is started again gets a new id.
 type leaf struct {
 	p       *platformSide
 	id      string
@@ -56,11 +56,11 @@
 	server  *http.Server
 	speed   float64
 	started time.Time
-	offset  time.Duration // of its pauses
+	offset  time.Duration // of the pauses, so that leaves do not pause together
 	slots   chan struct{}
 	waiting atomic.Int32
 	running atomic.Int32
-	most    atomic.Int32 // running and waiting since the last look
+	most    atomic.Int32 // most running and waiting requests since the last sample
 	opened  atomic.Int64
 	open    atomic.Int32
 	fault   atomic.Int32
@@ -71,8 +71,8 @@
 	rng *rand.Rand
 }
 
-// startLeaf runs a leaf; addr empty is a port of its own. A cold one takes longer at
-// first.
+// startLeaf starts a leaf at addr, or on a free port if addr is empty. A cold leaf is
+// slower during warmUpTime.
 func (p *platformSide) startLeaf(service, addr string, cold bool) (*leaf, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -102,7 +102,7 @@
 			_ = c.Close()
 			return
 		}
-		l.slots <- struct{}{} // a new connection costs a slot for a moment
+		l.slots <- struct{}{} // opening a connection occupies a slot for connSetupTime
 		time.Sleep(connectCost)
 		<-l.slots
 	case http.StateClosed, http.StateHijacked:
@@ -110,7 +110,7 @@
 	}
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP handles one request from the tier.
 func (l *leaf) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(dialect.RequestID)
 	if r.Header.Get(dialect.LeafID) != l.id {
@@ -157,7 +157,7 @@
 	return fmt.Sprintf("%d,%d,%d", l.running.Load(), l.waiting.Load(), leafSlots)
 }
 
-// note keeps the most in flight.
+// recordInFlight updates the maximum of running and waiting requests.
 func (l *leaf) note() {
 	now := l.running.Load() + l.waiting.Load()
 	for was := l.most.Load(); now > was && !l.most.CompareAndSwap(was, now); was = l.most.Load() {
@@ -170,7 +170,7 @@
 	return l.rng.Float64() < share
 }
 
-// work takes as long as the request's kind says; false when the sender has left.
+// doWork waits for the work time of the request. It returns false if the sender disconnected first.
 func (l *leaf) work(r *http.Request) bool {
 	l.mu.Lock()
 	factor := math.Exp(workSpread*l.rng.NormFloat64()) * l.speed
@@ -191,7 +191,7 @@
 	}
 }
 
-// pausedAt returns how much of a pause is left at that moment.
+// pauseLeft returns how much of a pause is left at the given time.
 func (l *leaf) pausedAt(at time.Time) time.Duration {
 	into := (at.Sub(l.p.began) + l.offset) % pauseEvery
 	return max(0, pauseFor-into)
@@ -213,7 +213,7 @@
 	}
 }
 
-// hijack writes raw answers, a moment apart, and ends the connection.
+// writeRaw writes raw HTTP responses 10 ms apart and closes the connection.
 func (l *leaf) hijack(w http.ResponseWriter, answers []string) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -226,7 +226,7 @@
 	}
 }
 
-// end takes the leaf off the machine; its address is free then.
+// stop closes the leaf's server, so that its address can be reused.
 func (l *leaf) end() { _ = l.server.Close() }
 
 func (l *leaf) row() standin.Leaf {
--- a/bench/forward/main.go
+++ b/bench/forward/main.go
@@ -16,7 +16,7 @@
 	"pearmoor/internal/load"
 )
 
-// settings are what a run is told.
+// options are the values of the command-line flags.
 type settings struct {
 	bin      string
 	vms      int
@@ -51,7 +51,7 @@
 	}
 }
 
-// run is one run under way.
+// run is the state of one load test.
 type run struct {
 	settings
 	platform *platformSide
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// open starts the leaves and the tier and waits until it serves.
+// start starts the leaves and the tier and waits until a VM has accepted the configuration.
 func (r *run) open(ctx context.Context, dir string) error {
 	bin, err := filepath.Abs(r.bin)
 	if err != nil {
@@ -131,9 +131,9 @@
 	}
 }
 
-// drive lets requests arrive for the duration and waits for their answers.
+// generateLoad sends requests for the configured duration and waits for their answers.
 func (r *run) drive(ctx context.Context) error {
-	time.Sleep(2 * time.Second) // every VM has the configuration and the list
+	time.Sleep(2 * time.Second) // so that every VM has the configuration and the leaf list
 	start := time.Now()
 	r.platform.began = start
 	done := make(chan struct{})
@@ -167,7 +167,7 @@
 	return ctx.Err()
 }
 
-// arrive starts each request when it is due, whatever became of those before.
+// sendOnSchedule starts each request at its scheduled time, even if earlier ones are unfinished.
 func arrive(ctx context.Context, wg *sync.WaitGroup, start time.Time, s *load.Schedule, t *tally, callers []*caller) {
 	for n := 0; ctx.Err() == nil; n++ {
 		at, ok := s.Next()
@@ -181,7 +181,7 @@
 	}
 }
 
-// logsOf returns where to look when a tier did not come up.
+// firstLogTail returns the end of the first VM's log, to explain why a tier did not start.
 func logsOf(dir string) string {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(names) == 0 {
--- a/bench/forward/main_test.go
+++ b/bench/forward/main_test.go
@@ -11,10 +11,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A short run without faults: every request is served whole, no answer is wrong, and
-// the report with its plots is there.
+// A short run without injected faults must end without a wrong answer and must write the
+// report and all plots.
 func TestShortRun(t *testing.T) {
-	Convey("Given the program and a folder", t, func() {
+	Convey("Given a built pearmoor-entry and an empty folder", t, func() {
 		dir := t.TempDir()
 		bin := filepath.Join(dir, "pearmoor-entry")
 		out, err := exec.Command("go", "build", "-o", bin, "../../cmd/pearmoor-entry").CombinedOutput()
--- a/bench/forward/platform.go
+++ b/bench/forward/platform.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	listLag   = time.Second // the list shows a leaf that comes, goes or leaves so late
+	listLag   = time.Second // delay until a change of the leaves shows in the list
 	listPage  = 20          // rows
 	region    = "valley"
 	host      = "forward.example"
@@ -23,7 +23,7 @@
 
 var domains = []string{"hall-1", "hall-2", "hall-3"}
 
-// platformSide is everything around the tier: the leaves and the list of them.
+// simulatedPlatform simulates the platform around the tier: the leaves and the leaf list.
 type platformSide struct {
 	seed     uint64
 	began    time.Time
@@ -34,7 +34,7 @@
 
 	mu       sync.Mutex
 	leaves   []*leaf
-	shown    [][]standin.Leaf // what the list was, newest last
+	shown    [][]standin.Leaf // recent states of the leaf list, newest last
 	shownAt  []time.Time
 	arrivals map[string]int // by service and request id
 	extra    int
@@ -65,7 +65,7 @@
 	p.series[l] = &load.LeafSeries{Name: l.id, Service: l.service, Slots: leafSlots}
 }
 
-// drop ends a leaf; the list shows it a while longer.
+// removeLeaf stops a leaf. The list still shows it for listLag.
 func (p *platformSide) drop(l *leaf) {
 	p.mu.Lock()
 	p.leaves = slices.DeleteFunc(p.leaves, func(o *leaf) bool { return o == l })
@@ -86,7 +86,7 @@
 	return out
 }
 
-// arrived counts a request at a leaf; another one for the same service is extra.
+// countSend counts a request at a leaf. A further one with the same id for the same service counts as extra.
 func (p *platformSide) arrived(service, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -99,8 +99,8 @@
 	}
 }
 
-// watch notes what the list shows later and what the leaves have in flight, until the
-// run ends.
+// update records the state of the leaf list and the leaves' requests in flight
+// periodically until done is closed.
 func (p *platformSide) watch(done <-chan struct{}) {
 	ticker := time.NewTicker(listLag / 10)
 	defer ticker.Stop()
@@ -142,7 +142,7 @@
 	}
 }
 
-// serveList is the list as it was listLag ago, in pages.
+// serveList serves a page of the leaf list as it was listLag ago.
 func (p *platformSide) serveList(w http.ResponseWriter, r *http.Request) {
 	from := 0
 	if token := standin.PageToken(r.URL.Query()); token != "" {
--- a/bench/forward/report.go
+++ b/bench/forward/report.go
@@ -11,13 +11,13 @@
 	"pearmoor/internal/load"
 )
 
-// event is what happened, and when, in seconds from the start.
+// event is a step of the fault script, or its failure. At is in seconds since the start.
 type event struct {
 	At   float64 `json:"at_s"`
 	What string  `json:"what"`
 }
 
-// row is one kind of request; shares are of its requests.
+// row is the result for one kind of request. The shares are fractions of its requests.
 type row struct {
 	Kind     string  `json:"kind"`
 	Requests int     `json:"requests"`
@@ -26,14 +26,14 @@
 	Refused  float64 `json:"refused"`
 	Failed   float64 `json:"failed"`
 	Again    float64 `json:"asked_again"`
-	Coverage float64 `json:"coverage"` // mean, of what was served
+	Coverage float64 `json:"coverage"` // mean over served requests
 	load.Quantiles
 }
 
-// report is the outcome of a run.
+// report is the result of a run.
 type report struct {
 	Rows          []row    `json:"rows"`
-	Extra         float64  `json:"extra_sends"` // share of the first ones
+	Extra         float64  `json:"extra_sends"` // retries and hedges for each first send
 	MostOverSlots float64  `json:"most_in_flight_over_slots"`
 	MeanOverSlots float64  `json:"mean_most_in_flight_over_slots"`
 	Opened        int64    `json:"connections_opened"`
@@ -92,7 +92,7 @@
 	}
 }
 
-// save writes the report and its plots.
+// save writes the report and its plots to dir.
 func (r *run) save(rep *report, dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/bench/forward/script.go
+++ b/bench/forward/script.go
@@ -8,14 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// step is something that happens at a share of the run.
+// step is a fault or change that happens at the given fraction of the run.
 type step struct {
 	at   float64
 	name string
 	do   func(ctx context.Context, r *run) error
 }
 
-// script is what a run with faults goes through.
+// script lists the steps of a run with faults.
 var script = []step{
 	{0.05, "two leaves fall silent for a tenth of the run", misbehave(dark, 2, 0.1)},
 	{0.15, "four leaves turn slow for a fifth of the run", misbehave(slow, 4, 0.2)},
@@ -28,7 +28,7 @@
 	{0.8, "five leaves answer twice for a tenth of the run", misbehave(repeats, 5, 0.1)},
 }
 
-// play goes through the script until ctx ends.
+// runScript performs the steps of the script until ctx is cancelled.
 func (r *run) play(ctx context.Context) {
 	began := time.Now()
 	for _, s := range script {
@@ -44,7 +44,7 @@
 	}
 }
 
-// misbehave makes one leaf of each of some shards misbehave for a share of the run.
+// injectFault returns a step that gives one leaf of each of some random shards a fault for a fraction of the run.
 func misbehave(f fault, leaves int, share float64) func(context.Context, *run) error {
 	return func(_ context.Context, r *run) error {
 		for _, i := range rand.Perm(len(r.tier.shards))[:min(leaves, len(r.tier.shards))] {
@@ -67,7 +67,7 @@
 	return all[rand.N(len(all))], nil
 }
 
-// reuse ends a leaf; another service's gets its address before the list shows it.
+// reuseAddr stops a leaf and starts one of another service at its address before the list shows the change.
 func reuse(_ context.Context, r *run) error {
 	l, err := r.oneOf(r.tier.shards[0])
 	if err != nil {
@@ -89,7 +89,7 @@
 	return v.start()
 }
 
-// replace lets a leaf leave as the platform does: it says so, serves on, and ends.
+// replaceLeaf removes a leaf as the platform does: it is listed as leaving, still serves for a while, and then stops.
 func replace(_ context.Context, r *run) error {
 	service := r.tier.shards[len(r.tier.shards)-1]
 	l, err := r.oneOf(service)
--- a/bench/forward/tier.go
+++ b/bench/forward/tier.go
@@ -29,16 +29,16 @@
 	callTime  = 2 * time.Second
 )
 
-// entryVM is one VM: an address of its own and the process on it.
+// entryVM simulates an entry VM: a loopback address of its own and a pearmoor-entry process.
 type entryVM struct {
 	spec standin.VM
 	dir  string
 	bin  string
 	cmd  *exec.Cmd
-	used time.Duration // processor time of the processes before this one
+	used time.Duration // processor time of the VM's earlier processes
 }
 
-// entryTier is all of them.
+// entryTier is all VMs of the tier.
 type entryTier struct {
 	vms    []*entryVM
 	client *http.Client
@@ -74,7 +74,7 @@
 
 func (v *entryVM) at(port string) string { return net.JoinHostPort(v.spec.IP, port) }
 
-// start runs the VM's process; what it writes goes to a file beside its settings.
+// start starts the VM's process. Its output goes to a log file beside its settings file.
 func (v *entryVM) start() error {
 	text, err := v.spec.Settings()
 	if err != nil {
@@ -92,16 +92,16 @@
 	v.cmd = exec.Command(v.bin, "--metrics-port=0")
 	v.cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+path, "GOMAXPROCS=1")
 	v.cmd.Stdout, v.cmd.Stderr = out, out
-	// The process ends with this one, whatever ends it.
+	// The kernel kills the process when this one ends for any reason.
 	v.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return errors.Wrap(v.cmd.Start(), v.spec.Name)
 }
 
-// kill ends the process at once.
+// kill kills the process with SIGKILL.
 func (v *entryVM) kill() {
 	v.used = v.cpu()
 	_ = v.cmd.Process.Kill()
-	_ = v.cmd.Wait() // killed, which it says
+	_ = v.cmd.Wait() // the error only reports the kill
 }
 
 // cpu returns the processor time that the VM's processes have used.
@@ -117,8 +117,8 @@
 	return v.used + time.Duration(stat.CPUTime()*float64(time.Second))
 }
 
-// release returns the configuration of the run: a wide and a quick gather over all
-// shards, and single requests to one service, that may run once.
+// release returns the configuration of the run: two routes over all shards, wide and
+// quick, and one to a single service whose requests are not idempotent.
 func (t *entryTier) release() *route.Release {
 	r := &route.Release{
 		Number: t.number,
@@ -142,7 +142,7 @@
 	return r
 }
 
-// configure sends the next configuration until a VM acknowledges it.
+// pushRelease sends the next configuration to the VMs in turn until one acknowledges it.
 func (t *entryTier) configure(ctx context.Context) error {
 	t.number++
 	text, err := platform.EncodeRelease(t.release())
--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -1,6 +1,6 @@
-// Command policy plays load on the policies of package policy in virtual time and
-// prints what callers would get, with and without each mechanism: a round of one change takes
-// seconds, and what holds in it is tried on real processes next.
+// Command policy simulates the policies of package policy in virtual time and prints
+// latency and coverage as callers would see them, with and without each mechanism. A run
+// takes seconds; confirm its results with real processes, as bench/forward does.
 //
 //	go run ./bench/policy [--seeds=5] [--scenario=NAME] [--plot=FILE.svg]
 package main
@@ -18,7 +18,7 @@
 	"pearmoor/bench/policy/sim"
 )
 
-// variants are the policies as they are, and without each mechanism.
+// variants are the complete policies, and the policies without each mechanism.
 var variants = []struct {
 	name    string
 	without sim.Without
@@ -55,7 +55,7 @@
 	}
 }
 
-// play prints the figures of a scenario and returns the seconds of the first variant.
+// runScenario prints the results of a scenario and returns the worth by second of the first variant.
 func play(w io.Writer, s sim.Scenario, seeds int) line {
 	fmt.Fprintf(w, "%s: %s\n%28s %15s %8s %8s %8s %8s %8s %8s\n", s.Name, s.What, "", "worth", "in time", "parts", "p50 ms", "p99 ms", "extra", "denied")
 	out := line{name: s.Name}
@@ -79,7 +79,7 @@
 	return out
 }
 
-// report prints one line for all routes together and one for each.
+// printResults prints one line for all routes together and one for each route.
 func report(w io.Writer, name string, results []*sim.Result) {
 	var worth, extra, denied []float64
 	for _, r := range results {
--- a/bench/policy/plot.go
+++ b/bench/policy/plot.go
@@ -7,7 +7,7 @@
 	"pearmoor/bench/policy/sim"
 )
 
-// line is the worth of each second of a scenario, the mean over its plays.
+// worthSeries is the worth of each second of a scenario, as the mean over its seeds.
 type line struct {
 	name  string
 	worth []float64
@@ -22,7 +22,7 @@
 	}
 }
 
-// The plot's size, in points.
+// Dimensions of the plot in SVG user units.
 const (
 	plotWidth  = 720
 	plotHeight = 360
@@ -32,7 +32,7 @@
 
 var colours = []string{"#1b6ca8", "#c1440e", "#3d7a3d", "#7a3d7a", "#8a6d00"}
 
-// draw returns an SVG of the lines.
+// renderSVG returns a plot of the series as SVG.
 func draw(lines []line) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`+"\n", plotWidth, plotHeight)
--- a/bench/policy/sim/daemon.go
+++ b/bench/policy/sim/daemon.go
@@ -9,16 +9,16 @@
 	"pearmoor/internal/vm"
 )
 
-// daemon is a VM of the tier.
+// daemon simulates the daemon of one VM of the tier.
 type daemon struct {
 	w       *world
 	domain  int
 	links   map[*leaf]*link
-	paces   []policy.LatencyEstimator // by route
+	paces   []policy.LatencyEstimator // by route index
 	budgets *policy.Budgets
 }
 
-// link is what a daemon has of a leaf: what it has learned and its connections.
+// leafState is a daemon's state for one leaf: its statistics and its connections.
 type link struct {
 	policy.LeafStats
 	used  int
@@ -41,7 +41,7 @@
 	return k
 }
 
-// gather is one request under way.
+// gather is one caller's request, which a daemon sends to a leaf of every shard.
 type gather struct {
 	d           *daemon
 	route       *Route
@@ -56,18 +56,18 @@
 	unsent      bool
 }
 
-// shard is one service of a gather.
+// shard is the state of one shard within a gather.
 type shard struct {
 	done  bool
 	stuck bool
 	ended bool
-	sends []*send // under way
+	sends []*send // unfinished
 	tried []*leaf
 	tries int
 	pause time.Duration
 }
 
-// send is one request on its way to a leaf.
+// leafRequest is one request that a daemon sends to a leaf.
 type send struct {
 	g     *gather
 	shard int
@@ -75,24 +75,24 @@
 	hop   time.Duration
 	began vm.Instant
 	state sendState
-	gone  bool // the daemon waits for it no more
-	left  bool // and the leaf knows
+	gone  bool // the daemon no longer waits for it
+	left  bool // the leaf has seen that its connection was closed
 }
 
 type sendState uint8
 
 const (
-	waiting sendState = iota // for a connection
-	sent                     // on the way
+	waiting sendState = iota // waits for a connection
+	sent                     // on the network, not yet at the leaf
 	queued
 	running
 	over
 )
 
-// attempts is how many sends may run for one shard.
+// hedgeSendLimit is the number of sends for a shard from which on no hedge is sent to it.
 const attempts = 2
 
-// gather takes a caller's request.
+// startGather handles a caller's request for the route at the given index.
 func (d *daemon) gather(route int) {
 	r := &d.w.cfg.Routes[route]
 	pace := &d.paces[route]
@@ -112,7 +112,7 @@
 
 func (d *daemon) service(shard int) string { return d.w.result.services[shard] }
 
-// launch sends to the best leaf of a shard.
+// sendToShard sends a request to the best leaf of shard i, within the retry and hedge budget.
 func (g *gather) launch(i int, hedge bool) {
 	s := &g.shards[i]
 	l := g.choose(i)
@@ -145,7 +145,7 @@
 	g.d.connect(x)
 }
 
-// choose returns the leaf of the shard to send to, nil for none.
+// chooseLeaf returns the leaf of shard i to send to, or nil if every leaf has been tried.
 func (g *gather) choose(i int) *leaf {
 	var from []*leaf
 	var of []policy.Candidate
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// roundOver makes a shard wait after every leaf was tried.
+// endRound schedules the next round of sends to shard i, when no leaf is left to try or the budget is spent.
 func (g *gather) roundOver(i int) {
 	s := &g.shards[i]
 	s.stuck = true
@@ -185,7 +185,7 @@
 	})
 }
 
-// connect sends on one of the daemon's connections, or waits for one.
+// acquireConn sends req on one of the daemon's connections to the leaf, or waits for one to become free.
 func (d *daemon) connect(x *send) {
 	k := d.link(x.leaf)
 	k.Begin(x.began)
@@ -218,7 +218,7 @@
 	d.w.after(x.hop, func() { x.leaf.arrive(x) })
 }
 
-// free gives a connection back, to the send that waits longest.
+// releaseConn hands a connection over to the request that has waited longest, if there is one.
 func (d *daemon) free(l *leaf) {
 	k := d.link(l)
 	if len(k.waits) == 0 {
@@ -230,7 +230,7 @@
 	d.transmit(first)
 }
 
-// replied takes a leaf's reply.
+// handleReply handles a leaf's reply.
 func (d *daemon) replied(x *send, refused bool, load *policy.Load) {
 	if x.gone {
 		return
@@ -243,7 +243,7 @@
 	d.result(x, e, !refused)
 }
 
-// result ends a send.
+// finish records the result of req. hasPart says whether the leaf returned its part of the answer.
 func (d *daemon) result(x *send, e policy.RequestResult, part bool) {
 	g := x.g
 	s := &g.shards[x.shard]
@@ -270,7 +270,7 @@
 	g.decide()
 }
 
-// abandon lets go of a send that nobody waits for: its connection is closed.
+// cancel ends a request whose reply is no longer needed and closes its connection.
 func (d *daemon) abandon(x *send) {
 	if x.gone {
 		return
@@ -290,7 +290,7 @@
 	d.link(x.leaf).End(d.w.now, x.began, e, d.w.rng)
 }
 
-// hedge sends once more to every shard that is late.
+// sendHedges sends a second request to every shard whose reply is late.
 func (g *gather) hedge() {
 	if g.over || g.d.w.cfg.Without.Hedges {
 		return
@@ -306,7 +306,7 @@
 	}
 }
 
-// decide answers the request if that is due.
+// maybeAnswer answers the caller if the policy says that it is time.
 func (g *gather) decide() {
 	if g.over {
 		return
--- a/bench/policy/sim/leaf.go
+++ b/bench/policy/sim/leaf.go
@@ -9,20 +9,19 @@
 	"pearmoor/internal/vm"
 )
 
-// leaf runs as many requests at once as it has slots.
+// leaf simulates one leaf, which runs as many requests at once as it has slots.
 type leaf struct {
 	w       *world
 	shard   int
 	domain  int
-	speed   float64 // multiple of the usual work
+	speed   float64 // multiplies the time of each request
 	pauseAt time.Duration
-	slow    []bool // by spell
+	slow    []bool // by index of Config.Slowdowns
 	running int
 	queue   []*send
 }
 
-// speedSpread is how far the leaves of a service differ, as the deviation of the
-// logarithm of their speed.
+// workFactorSigma is the standard deviation of the logarithm of the leaves' work factors.
 const speedSpread = 0.15
 
 func newLeaf(w *world, shard, domain int) *leaf {
@@ -36,7 +35,7 @@
 	return l
 }
 
-// arrive takes a request that was sent.
+// receive runs, queues or rejects a request that has reached the leaf.
 func (l *leaf) arrive(s *send) {
 	switch {
 	case s.left:
@@ -62,7 +61,7 @@
 	})
 }
 
-// leave drops a request whose daemon has closed its connection.
+// cancelRequest drops a request whose connection the daemon has closed.
 func (l *leaf) leave(s *send) {
 	s.left = true
 	switch s.state {
@@ -74,7 +73,7 @@
 	s.state = over
 }
 
-// next ends a request and takes the one that waits longest.
+// finishRequest frees the slot of a request and starts the one that has waited longest.
 func (l *leaf) next(s *send) {
 	s.state = over
 	l.running--
@@ -90,7 +89,7 @@
 	l.w.after(s.hop, func() { s.g.d.replied(s, refused, &load) })
 }
 
-// factor is how much slower the leaf is now.
+// slowdownFactor returns the product of the factors of the slowdowns that affect the leaf now.
 func (l *leaf) factor() float64 {
 	f := 1.0
 	for i, s := range l.w.cfg.Spells {
@@ -101,7 +100,7 @@
 	return f
 }
 
-// ends returns when work that begins now is done, pauses included.
+// completionTime returns when work that starts now will be done, including pauses.
 func (l *leaf) ends(work time.Duration) vm.Instant {
 	every, length := l.w.cfg.PauseEvery, l.w.cfg.PauseFor
 	if every <= 0 {
@@ -109,7 +108,7 @@
 	}
 	at := l.w.passed()
 	for {
-		since := (at - l.pauseAt + every) % every // since the last pause began
+		since := (at - l.pauseAt + every) % every // since the start of the last pause
 		if since < length {
 			at += length - since
 			since = length
--- a/bench/policy/sim/result.go
+++ b/bench/policy/sim/result.go
@@ -7,32 +7,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what callers got.
+// Result is the outcome of a simulation as callers see it.
 type Result struct {
 	Routes  []Tally
-	Seconds []Second // by the second in which requests came
-	Denied  int      // further sends that the budget did not allow
+	Seconds []Second // by the second in which requests arrived
+	Denied  int      // retries and hedges that the budget did not allow
 
 	toCaller     time.Duration
 	services     []string
-	first, extra int // sends for a shard, and those beyond
+	first, extra int // first sends for a shard of a gather, and retries and hedges
 }
 
-// Tally is what callers of one route got.
+// RouteResult is the outcome for the callers of one route.
 type Tally struct {
 	Name            string
 	Requests        int
-	InTime, Late    int // answers
+	InTime, Late    int // answers within and after the target latency
 	NotServed       int
-	worth           Second // over the whole play
+	worth           Second // of the whole simulation
 	latency         *hdrhistogram.Histogram
-	parts, allParts int // of answers, and what they could have held
+	parts, allParts int // received and expected parts of all answers
 }
 
-// Second is what one second's requests earned, and what they could have.
+// Score is the worth of the answers to some requests and the most that it could have been.
 type Second struct{ earned, most float64 }
 
-// Worth is the share that was earned of what could be.
+// Worth returns the earned share of the maximum worth, 1 if there were no requests.
 func (s Second) Worth() float64 {
 	if s.most == 0 {
 		return 1
@@ -53,7 +53,7 @@
 	return r
 }
 
-// answer counts the end of a request.
+// recordOutcome counts a finished request.
 func (r *Result) answer(g *gather, served bool) {
 	t := &r.Routes[g.routeNumber]
 	t.Requests++
@@ -67,9 +67,9 @@
 	r.Seconds[int(time.Duration(g.arrived-1)/time.Second)].add(earned, g.route.Worth)
 }
 
-// serve counts an answer that took so long, and returns what it earned.
+// recordAnswer counts an answer with the given latency and returns the worth that it earned.
 func (t *Tally) serve(g *gather, took time.Duration) float64 {
-	_ = t.latency.RecordValue(took.Microseconds()) // it lies within a minute
+	_ = t.latency.RecordValue(took.Microseconds()) // timeouts are far below the histogram's limit of one minute
 	t.parts += g.have
 	t.allParts += len(g.shards)
 	share := float64(g.have) / float64(len(g.shards))
@@ -82,18 +82,18 @@
 	return earned
 }
 
-// Worth is the share that was earned of what could be.
+// Worth returns the earned share of the maximum worth, 0 if there were no requests.
 func (t *Tally) Worth() float64 { return ratio(t.worth.earned, t.worth.most) }
 
-// Parts is the share of the parts that answers held.
+// Parts returns the share of the expected parts that answers contained.
 func (t *Tally) Parts() float64 { return ratio(float64(t.parts), float64(t.allParts)) }
 
-// At returns the time within which that many of a hundred answers came.
+// Percentile returns the given percentile of the latency of answers.
 func (t *Tally) At(percent float64) time.Duration {
 	return time.Duration(t.latency.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Worth is the share of what all routes' callers could earn.
+// Worth returns the earned share of the maximum worth of all routes, 0 if there were no requests.
 func (r *Result) Worth() float64 {
 	var all Second
 	for i := range r.Routes {
@@ -102,7 +102,7 @@
 	return ratio(all.earned, all.most)
 }
 
-// Extra is the number of further sends over that of first ones.
+// Extra returns the number of retries and hedges for each first send.
 func (r *Result) Extra() float64 { return ratio(float64(r.extra), float64(r.first)) }
 
 func ratio(a, b float64) float64 {
--- a/bench/policy/sim/scenario.go
+++ b/bench/policy/sim/scenario.go
@@ -6,7 +6,7 @@
 	"pearmoor/internal/policy"
 )
 
-// Scenarios are the loads that the policies answer, by name.
+// Scenarios are the loads and faults that can be simulated.
 var Scenarios = []Scenario{
 	{"calm", "leaves that pause for 150 ms each 3.6 s, and nothing else", func(*Config) {}},
 	{"busy", "a third more callers all the time", func(c *Config) { scale(c, 1.35) }},
@@ -15,7 +15,7 @@
 	{"many slow", "all copies of a fifth of the shards eight times slower for 4 s, more than may be missing", spell(0.2)},
 }
 
-// Scenario is one load.
+// Scenario is a change of the default configuration.
 type Scenario struct {
 	Name, What string
 	change     func(*Config)
@@ -31,9 +31,8 @@
 	return func(c *Config) { c.Spells = []Spell{{4 * time.Second, 4 * time.Second, shards, 8}} }
 }
 
-// Config returns a play of the scenario: eleven VMs before twenty shards of two leaves,
-// as on the smaller of the deployments that the figures of docs/design/load-and-faults.md
-// are of.
+// Config returns the configuration of the scenario: eleven VMs and twenty shards of two
+// leaves each, as in the smaller of the deployments of docs/design/load-and-faults.md.
 func (s Scenario) Config(seed uint64) Config {
 	c := Config{
 		Seed: seed, Length: 12 * time.Second, Daemons: 11, Domains: 3, Shards: 20, Copies: 2,
--- a/bench/policy/sim/sim_test.go
+++ b/bench/policy/sim/sim_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// scenario plays a load with three seeds.
+// runScenario simulates the named scenario with three seeds.
 func scenario(t *testing.T, name string, without Without) []*Result {
 	t.Helper()
 	for _, s := range Scenarios {
@@ -21,7 +21,7 @@
 		}
 		return out
 	}
-	t.Fatalf("there is no scenario %q", name)
+	t.Fatalf("unknown scenario %q", name)
 	return nil
 }
 
@@ -33,9 +33,9 @@
 	return sum / float64(len(results))
 }
 
-// Of each shard's two leaves one pauses for 150 ms now and then. Callers get all but one
-// in a hundred parts in time, since a second send goes to the other leaf; without it one
-// in thirty is missing, at a tenth of the worth for each of twenty.
+// While a leaf pauses for 150 ms, a hedge to the shard's other leaf must get the part in
+// time. With hedges one in a hundred parts is missing, without them one in thirty, where
+// a missing part of twenty costs a tenth of an answer's worth.
 func TestPausesAreCoveredBySecondSends(t *testing.T) {
 	with, without := scenario(t, "calm", Without{}), scenario(t, "calm", Without{Hedges: true})
 	for _, r := range with {
@@ -46,12 +46,12 @@
 		}
 	}
 	if a, b := worth(with), worth(without); a < b+0.02 {
-		t.Errorf("worth %.3f with second sends, %.3f without", a, b)
+		t.Errorf("worth %.3f with hedges, %.3f without; want a difference of at least 0.02", a, b)
 	}
 }
 
-// As many shards are slow as an answer may leave out. Callers are not kept waiting for
-// them: answers go out in time, and shards that are well are all in them.
+// If no more shards are slow than an answer may omit, answers must be in time and
+// contain the parts of all other shards.
 func TestSlowShardsThatMayBeMissingHoldNobodyUp(t *testing.T) {
 	for _, r := range scenario(t, "few slow", Without{}) {
 		for _, rt := range r.Routes {
@@ -62,9 +62,9 @@
 	}
 }
 
-// More shards are slow than an answer may leave out, with less room than callers ask of
-// them. Most answers are late meanwhile, but nearly all callers have one, and what has
-// piled up is over half a second after the shards are well again.
+// If more shards are slow than an answer may omit, and their capacity is below the load,
+// most answers are late. Nearly all callers must still get one, and the queues must have
+// drained half a second after the slowdown.
 func TestManySlowShardsLeaveNothingBehind(t *testing.T) {
 	for _, r := range scenario(t, "many slow", Without{}) {
 		for _, rt := range r.Routes {
@@ -74,14 +74,14 @@
 		}
 		for second := 9; second < 12; second++ {
 			if w := r.Seconds[second].Worth(); w < 0.93 {
-				t.Errorf("worth %.3f in second %d, the shards were well from 8 on", w, second)
+				t.Errorf("worth %.3f in second %d, but the slowdown ended at second 8", w, second)
 			}
 		}
 	}
 }
 
-// Twice as many callers come for three seconds. All are served, and further sends stay
-// within their budget: sent for all that is late, they would double the load once more.
+// While the load is doubled for three seconds, all callers must be served, and retries
+// and hedges must stay within their budget: without one they would double the load again.
 func TestBurstIsServedWithinTheBudget(t *testing.T) {
 	for _, r := range scenario(t, "burst", Without{}) {
 		for _, rt := range r.Routes {
@@ -90,16 +90,16 @@
 			}
 		}
 		if r.Extra() > 0.2 {
-			t.Errorf("%.3f further sends for each first one", r.Extra())
+			t.Errorf("%.3f retries and hedges for each first send, want at most 0.2", r.Extra())
 		}
 	}
 }
 
-// A play that shows a fault can be looked at again.
+// A seed must reproduce its result, so that a failure can be examined.
 func TestOneSeedOneResult(t *testing.T) {
 	c := Scenarios[0].Config(7)
 	c.Length = 3 * time.Second
 	if a, b := Run(c), Run(c); !reflect.DeepEqual(a.Seconds, b.Seconds) || a.Worth() != b.Worth() {
-		t.Errorf("worth %v and %v", a.Worth(), b.Worth())
+		t.Errorf("the same seed gave different results: worth %v and %v", a.Worth(), b.Worth())
 	}
 }
--- a/bench/policy/sim/world.go
+++ b/bench/policy/sim/world.go
@@ -9,40 +9,40 @@
 	"pearmoor/internal/vm"
 )
 
-// Route is one kind of request: a gather over all shards.
+// Route is one kind of request. Each goes to all shards.
 type Route struct {
 	Name      string
 	PerSecond float64
-	Work      time.Duration // mean at a leaf of usual speed, exponential
-	Aim       time.Duration // target latency, counted from the caller
+	Work      time.Duration // mean of the exponentially distributed time at a leaf of average speed
+	Aim       time.Duration // as seen by the caller
 	Timeout   time.Duration
-	Margin    time.Duration // of the aim
-	Need      float64       // least share of the shards
-	Worth     float64       // of an answer in time with all parts
-	LateWorth float64       // of one that is late, in place of 1
+	Margin    time.Duration // how long before TargetLatency the answer is sent
+	Need      float64       // of the shards that an answer must contain
+	Worth     float64       // of a complete answer in time
+	LateWorth float64       // factor on the worth of a late answer
 }
 
-// Spell is a time in which all copies of some shards work slower.
+// Slowdown is a period in which all leaves of some shards are slower.
 type Spell struct {
 	From, For time.Duration
-	Shards    float64 // share
+	Shards    float64 // fraction of the shards
 	Factor    float64
 }
 
-// Burst is a time with more callers.
+// Burst is a period of higher load.
 type Burst struct {
 	From, For time.Duration
 	Factor    float64
 }
 
-// Without names mechanisms that are switched off.
+// Disabled says which mechanisms are switched off.
 type Without struct {
-	Hedges   bool // no second send to a shard that is late
-	Waits    bool // no wait for a connection
-	Learning bool // leaves are taken in turn, whatever is known of them
+	Hedges   bool // no second request to a shard whose reply is late
+	Waits    bool // requests do not wait for a free connection
+	Learning bool // leaves are chosen without their statistics
 }
 
-// Config is one play.
+// Config describes one simulation.
 type Config struct {
 	Seed    uint64
 	Length  time.Duration
@@ -52,12 +52,12 @@
 	Copies  int
 
 	Slots       int
-	Queue       int // requests that a leaf keeps beside those it runs
-	Connections int // that a leaf accepts from all daemons together
+	Queue       int // requests that wait at a leaf for a slot
+	Connections int // that a leaf accepts, from all daemons together
 	PauseEvery  time.Duration
 	PauseFor    time.Duration
-	Near, Far   time.Duration // one way to a leaf of the own and of another domain
-	ToCaller    time.Duration // one way
+	Near, Far   time.Duration // one-way, to a leaf of the same or another failure domain
+	ToCaller    time.Duration // one-way
 
 	Routes  []Route
 	Budget  policy.BudgetLimits
@@ -66,7 +66,7 @@
 	Without Without
 }
 
-// world is one play under way.
+// simulation is the state of one running simulation.
 type world struct {
 	cfg     Config
 	rng     *rand.Rand
@@ -99,13 +99,13 @@
 	return x
 }
 
-// after does something d from now.
+// after schedules do to run in d.
 func (w *world) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now.Add(max(d, 0)), w.seq, do})
 }
 
-// Run plays to the end, and until every request that came by then has its answer.
+// Run simulates cfg.Duration and then runs on until every request has been answered.
 func Run(cfg Config) *Result {
 	w := &world{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: 1, result: newResult(cfg)}
 	for s := range cfg.Shards {
@@ -130,10 +130,10 @@
 	return w.result
 }
 
-// passed is the time since the beginning.
+// elapsed returns the virtual time since the start.
 func (w *world) passed() time.Duration { return time.Duration(w.now - 1) }
 
-// arrive has the next request of a route come.
+// scheduleArrival schedules the next request of a route.
 func (w *world) arrive(route int) {
 	rate := w.cfg.Routes[route].PerSecond
 	for _, b := range w.cfg.Bursts {
--- a/bench/query/cpu.go
+++ b/bench/query/cpu.go
@@ -22,10 +22,11 @@
 )
 
 // cpuPerRequest compares the processor time of the daemons per leaf request
-// with that of a loop which only sends leaf requests and decodes the replies,
-// at the same rate and on as many processors as one daemon has. One daemon that
-// is the home of everything has no hop and wakes as often as the loop does;
-// twelve daemons have the hop and wake twelve times as often for little work.
+// with that of a loop that only sends leaf requests and decodes the replies, at
+// the same rate and with the GOMAXPROCS of one daemon. A single daemon is the
+// home of all leaves, so no request is forwarded to another daemon and it wakes
+// up as often as the loop does. Twelve daemons forward requests to each other
+// and wake up twelve times as often, with little work each time.
 func cpuPerRequest(ctx context.Context, e *env) error {
 	for _, size := range []struct{ daemons, controls int }{{1, 1}, {daemons, controls}} {
 		cfg := e.tierConfig()
@@ -73,7 +74,7 @@
 	return t.Stop()
 }
 
-// tierCPU returns the processor time of all daemons per leaf request.
+// tierCPU runs load against the tier and returns the processor time of all daemons per leaf request.
 func (e *env) tierCPU(ctx context.Context, t *tier.Tier, p phase) (time.Duration, error) {
 	before, err := t.CPU()
 	if err != nil {
@@ -88,7 +89,7 @@
 	return (after - before) / time.Duration(max(res.Leaves.Runs.Total, 1)), err
 }
 
-// profileAll profiles every daemon at once; go tool pprof adds the files up.
+// profileAll profiles all daemons at the same time. go tool pprof can merge the files.
 func (e *env) profileAll(ctx context.Context, t *tier.Tier, span time.Duration) error {
 	var g errgroup.Group
 	for i := range t.Daemons() {
@@ -99,7 +100,7 @@
 	return g.Wait()
 }
 
-// restCPU returns the share of a core that all daemons use without load.
+// idleCPU returns the processor cores that all daemons together use without load.
 func restCPU(t *tier.Tier, span time.Duration) (float64, error) {
 	before, err := t.CPU()
 	if err != nil {
@@ -110,7 +111,7 @@
 	return (after - before).Seconds() / span.Seconds(), err
 }
 
-// bareLoop returns this process's own processor time per leaf request.
+// bareLoopCPU sends leaf requests without a tier and returns this process's processor time for each.
 func bareLoop(ctx context.Context, targets []baseline.Target, p phase) (time.Duration, error) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(tier.DaemonProcs))
 	schedule, err := load.NewSchedule(load.Poisson, p.rate, p.span, p.seed)
--- a/bench/query/drain.go
+++ b/bench/query/drain.go
@@ -17,8 +17,8 @@
 	"pearmoor/internal/standin"
 )
 
-// drainLeaf makes one leaf leave: by its own word, by the operator's and by the
-// platform's list, each while it has work.
+// drainLeaf drains a leaf under load in three ways: the leaf reports that it is
+// draining, the operator sets it as drained, or the platform lists it as leaving.
 func drainLeaf(ctx context.Context, e *env) error {
 	cfg := e.tierConfig()
 	cfg.Platform = true
@@ -84,7 +84,7 @@
 	return time.Time{}, errors.Newf("leaf %s is unknown", leaf)
 }
 
-// platformLeaving makes the platform list every leaf, one of them as leaving.
+// platformLeaving publishes a platform list of all leaves, with one of them marked as leaving.
 func (e *env) platformLeaving(ctx context.Context, l *tier.Leaves, leaving string) error {
 	st, err := load.Stats(ctx, e.http, l.URL)
 	if err != nil {
--- a/bench/query/env.go
+++ b/bench/query/env.go
@@ -16,8 +16,8 @@
 	"pearmoor/internal/standin"
 )
 
-// The desk of most experiments: 20 services of two leaves with two slots each,
-// as in the brief, so a query goes to 40 shards and there are 80 slots.
+// The desk of most experiments: 20 services of two leaves with two slots each, so
+// that a query goes to 40 shards and there are 80 slots.
 const (
 	deskPath   = "desk"
 	services   = 20
@@ -26,30 +26,30 @@
 	shardsEach = 2
 	daemons    = 12
 	controls   = 3
-	processes  = 12 // clients of the naive and adaptive sides
+	processes  = 12 // clients that send to the leaves directly, without a tier
 
 	latency     = 20 * time.Millisecond
 	connectCost = 6 * time.Millisecond
 	deadline    = time.Second
 )
 
-// capacity returns the queries a second that fill every slot, for runs of the
-// given mean time.
+// capacity returns the rate of queries, per second, that keeps every slot busy if
+// a run takes the given mean time.
 func capacity(mean time.Duration) float64 {
 	const slots, shards = services * leavesEach * slotsEach, services * shardsEach
 	return slots / (shards * mean.Seconds())
 }
 
-// env is what all experiments share.
+// env holds the options and resources that the experiments share.
 type env struct {
 	quick bool
-	turns int // 0 takes the default
+	turns int // 0: default
 	out   string
 	dir   string // binaries, logs, data
 	http  *http.Client
 }
 
-// open makes the working folder.
+// open creates the working directory and the HTTP client.
 func (e *env) open() error {
 	dir, err := os.MkdirTemp("", "pearmoor-bench-")
 	if err != nil {
@@ -60,13 +60,13 @@
 	return nil
 }
 
-// close keeps the logs and drops the binaries.
+// close removes the binaries but keeps the logs.
 func (e *env) close() {
 	e.http.CloseIdleConnections()
 	_ = os.RemoveAll(filepath.Join(e.dir, "bin"))
 }
 
-// span is long in a run to quote, and short in a quick one.
+// duration returns quick in a quick run and full otherwise.
 func (e *env) span(quick, full time.Duration) time.Duration {
 	if e.quick {
 		return quick
@@ -74,7 +74,7 @@
 	return full
 }
 
-// rounds is how often sides take turns.
+// roundCount returns how many times the sides of a comparison are run in turn.
 func (e *env) rounds() int {
 	switch {
 	case e.turns > 0:
@@ -111,13 +111,13 @@
 	}
 }
 
-// phase is one stretch of load.
+// loadSpec describes the load of one run.
 type phase struct {
 	rate     float64
 	span     time.Duration
-	deadline time.Duration // 0 takes the default
-	once     float64       // share of requests that are not repeatable
-	resend   float64
+	deadline time.Duration // 0: default
+	once     float64       // fraction of requests that are not repeatable
+	resend   float64       // fraction of those that are sent twice
 	seed     uint64
 }
 
@@ -136,7 +136,7 @@
 		c.Deadline = deadline
 	}
 	if p.once > 0 {
-		// A not-repeatable request names one query service.
+		// A request that is not repeatable goes to a single query service.
 		c.Paths = nil
 		for i := range services {
 			c.Paths = append(c.Paths, deskPath+"/"+tier.ServiceName(i))
@@ -145,14 +145,14 @@
 	return c
 }
 
-// tierSide runs a phase against the tier.
+// runTier runs load against the tier.
 func (e *env) tierSide(ctx context.Context, t *tier.Tier, p phase) (*load.Result, error) {
 	c := p.config(t.Leaves.URL)
 	c.Entries = t.Entries()
 	return load.Run(ctx, c)
 }
 
-// directSide runs a phase by clients that send to the leaves themselves.
+// runDirect runs load with clients that send to the leaves without a tier.
 func (e *env) directSide(ctx context.Context, l *tier.Leaves, p phase, newPolicy func(int) baseline.Policy) (*load.Result, error) {
 	targets, err := baseline.Discover(ctx, e.http, l.URL, deskPath)
 	if err != nil {
@@ -173,12 +173,12 @@
 	return func(int) baseline.Policy { return o }
 }
 
-// command changes the behavior of stand-in leaves.
+// command changes the behaviour of the simulated leaves.
 func (e *env) command(ctx context.Context, l *tier.Leaves, c standin.Command) error {
 	return load.Command(ctx, e.http, l.URL, c)
 }
 
-// startTier starts a tier and warms it; the caller ends it.
+// startTier starts a tier and warms it up. The caller must stop it.
 func (e *env) startTier(ctx context.Context, cfg tier.Config) (*tier.Tier, error) {
 	t, err := tier.Start(ctx, cfg)
 	if err != nil {
@@ -191,8 +191,8 @@
 	return t, nil
 }
 
-// startBoth starts a warm tier and, for the other side, leaves of its own that
-// are asked without one; the caller ends both.
+// startBoth starts a tier and warms it up, and starts separate leaves for the clients
+// that send to leaves directly. The caller must stop both.
 func (e *env) startBoth(ctx context.Context, cfg tier.Config) (*tier.Tier, *tier.Leaves, error) {
 	t, err := e.startTier(ctx, cfg)
 	if err != nil {
@@ -206,8 +206,8 @@
 	return t, direct, nil
 }
 
-// warm runs queries until the whole desk answers, so that connections are open
-// and slow starts are over.
+// warmUp runs queries until all answers are complete, so that connections are open
+// and the ramp-up after the start is over.
 func (e *env) warm(ctx context.Context, t *tier.Tier) error {
 	const tries = 10
 	var last *load.Result
@@ -224,13 +224,13 @@
 	return errNotWarm
 }
 
-// row is one line of a table.
+// row is one line of a result table.
 type row struct {
 	side string
 	res  *load.Result
 }
 
-// table prints rows of results side by side.
+// printTable prints one line for each result.
 func table(rows []row) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "side\trate/s\tp50 ms\tp99 ms\tp99.9 ms\tgoodput/s\tcoverage %\trefused\tin doubt\tno reply\textra %\tin flight/slots\tconns/cap\tbad hits")
@@ -245,7 +245,7 @@
 	_ = w.Flush()
 }
 
-// extraShare is the runs beyond the first of each piece of work, over those.
+// extraShare returns the number of repeated runs of a leaf request for each first run.
 func extraShare(r *load.Result) float64 {
 	first := r.Leaves.Runs.Total - r.Leaves.Runs.Extra
 	if first == 0 {
@@ -254,7 +254,7 @@
 	return float64(r.Leaves.Runs.Extra) / float64(first)
 }
 
-// save writes results and plots below the output folder.
+// save writes results and plots to a folder of the output folder.
 func (e *env) save(name string, rows []row) error {
 	for _, r := range rows {
 		if err := r.res.WriteFiles(filepath.Join(e.out, name, r.side)); err != nil {
@@ -264,7 +264,7 @@
 	return nil
 }
 
-// figure prints one figure as JSON beside the tables, for machines to read.
+// printFigure prints one result with its target as a line of JSON.
 func figure(experiment, name string, value float64, target string) {
 	line, err := json.Marshal(struct {
 		Experiment string  `json:"experiment"`
--- a/bench/query/experiment.go
+++ b/bench/query/experiment.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// experiment is one row of the measurements.
+// experiment is one experiment with its name on the command line.
 type experiment struct {
 	name string
 	doc  string
--- a/bench/query/homes.go
+++ b/bench/query/homes.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	pressure  = 1.2 // load over capacity, so that every slot is wanted all the time
+	pressure  = 1.2 // load as a multiple of the capacity, so that every slot is always in demand
 	victim    = daemons - 1
 	exitLimit = 90 * time.Second
 )
 
-// homes counts at the leaves while one home daemon leaves, dies or pauses. All
-// of it happens under more load than the slots can carry.
+// homes measures the requests in flight at the leaves while one home daemon restarts,
+// is killed or is paused. The load exceeds the capacity of the slots all the time.
 func homes(ctx context.Context, e *env) error {
 	t, err := e.startTier(ctx, e.tierConfig())
 	if err != nil {
@@ -53,7 +53,7 @@
 	return e.save("homes", rows)
 }
 
-// restartOne stops daemon i as planned and starts it again.
+// restartOne stops daemon i gracefully and starts it again.
 func (e *env) restartOne(ctx context.Context, t *tier.Tier, i int) error {
 	if err := t.Signal(i, syscall.SIGTERM); err != nil {
 		return err
@@ -72,7 +72,7 @@
 		return err
 	}
 	_ = t.WaitExit(i, exitLimit)
-	// Longer than a lease, so that its shares have moved on before it is back.
+	// Longer than a lease, so that its shares have been reassigned before it restarts.
 	time.Sleep(e.span(9*time.Second, 15*time.Second))
 	if err := t.Restart(i); err != nil {
 		return err
--- a/bench/query/index.go
+++ b/bench/query/index.go
@@ -11,12 +11,12 @@
 	"pearmoor/internal/standin"
 )
 
-const rollStep = 50 * time.Millisecond // from one leaf to the next
+const rollStep = 50 * time.Millisecond // between two leaves
 
-// indexChange rolls a new index version over the leaves, then a version with
-// another partition map, leaf by leaf: each leaf drops the old version at the
-// moment it gets the new one, so every query pinned just before meets a leaf
-// that no longer has its version.
+// indexChange rolls out a new index version leaf by leaf, and then versions with
+// other partition maps. Each leaf drops the old version when it gets the new one,
+// so a query that was pinned to the old version just before reaches leaves that no
+// longer have it.
 func indexChange(ctx context.Context, e *env) error {
 	t, err := e.startTier(ctx, e.tierConfig())
 	if err != nil {
@@ -59,7 +59,7 @@
 	return float64(c.Mixed + c.Lost + c.Doubled + c.Foreign + c.Coverage)
 }
 
-// roll swaps the first leaf of every service, waits, then the second.
+// rollOut publishes v on the first leaf of every service, waits, and then on the second.
 func (e *env) roll(ctx context.Context, l *tier.Leaves, v standin.Version, settle time.Duration) error {
 	for leaf := 1; leaf <= leavesEach; leaf++ {
 		for i := range services {
--- a/bench/query/limits.go
+++ b/bench/query/limits.go
@@ -10,7 +10,7 @@
 	"pearmoor/internal/load"
 )
 
-// policies runs the clients of package baseline against leaves, no daemon.
+// policies runs the clients of package baseline against leaves, without daemons.
 func policies(ctx context.Context, e *env) error {
 	direct, err := tier.StartLeaves(ctx, e.tierConfig())
 	if err != nil {
@@ -35,7 +35,7 @@
 	return e.save("policies", rows)
 }
 
-// limits adds the homes of a tier as the third side.
+// limits compares naive and adaptive clients with a tier, in which home daemons enforce the limits.
 func limits(ctx context.Context, e *env) error {
 	cfg := e.tierConfig()
 	t, direct, err := e.startBoth(ctx, cfg)
@@ -107,7 +107,7 @@
 	return e.save("overload", rows)
 }
 
-// connections compares what the naive side and the tier open at the leaves.
+// connections compares the connections that naive clients and the tier open to the leaves.
 func connections(ctx context.Context, e *env) error {
 	cfg := e.tierConfig()
 	t, direct, err := e.startBoth(ctx, cfg)
--- a/bench/query/main.go
+++ b/bench/query/main.go
@@ -1,5 +1,6 @@
-// Command query measures the query path: each experiment starts real pearmoord
-// and pearmoor-standin processes, runs both sides, and prints them as one table.
+// Command query measures the query path. Each experiment starts real pearmoord and
+// pearmoor-standin processes, runs the tier and what it is compared with, and prints
+// the results as one table.
 package main
 
 import (
@@ -33,7 +34,7 @@
 	os.Exit(runAll(ctx, *names, &env{quick: *quick, turns: *rounds, out: *out}))
 }
 
-// runAll returns the exit status: 1 when an experiment could not be run.
+// runAll runs the named experiments, or all if names is empty. It returns the exit status: 1 if an experiment failed to run, 2 if a name is unknown.
 func runAll(ctx context.Context, names []string, e *env) int {
 	for _, n := range names {
 		if !slices.ContainsFunc(experiments(), func(x experiment) bool { return x.name == n }) {
--- a/bench/query/restart.go
+++ b/bench/query/restart.go
@@ -12,11 +12,11 @@
 	"pearmoor/internal/load"
 )
 
-// keyed is a load of which half is not repeatable, and some of that sent twice.
+// mixedLoad returns a load of which half is not repeatable, and a fifth of that half is sent twice.
 func keyed() phase { return phase{rate: 100, span: time.Hour, once: 0.5, resend: 0.2, seed: 1} }
 
-// rollingRestart stops and starts every daemon in turn, control VMs too. Half
-// of the requests are not repeatable, and some of these are sent twice.
+// rollingRestart restarts every daemon in turn, including the control VMs, under
+// mixedLoad.
 func rollingRestart(ctx context.Context, e *env) error {
 	t, err := e.startTier(ctx, e.tierConfig())
 	if err != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// while runs keyed load until act has returned.
+// underLoad runs mixedLoad until act has returned.
 func (e *env) while(ctx context.Context, t *tier.Tier, act func() error) (*load.Result, error) {
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
@@ -76,8 +76,8 @@
 	return res, err
 }
 
-// crashes kills daemons one after the other without warning and starts each at
-// once at the same address, while half of the requests are not repeatable.
+// crashes kills daemons one after the other with SIGKILL and restarts each at once
+// at the same address, under mixedLoad.
 func crashes(ctx context.Context, e *env) error {
 	t, err := e.startTier(ctx, e.tierConfig())
 	if err != nil {
--- a/bench/query/stragglers.go
+++ b/bench/query/stragglers.go
@@ -16,7 +16,7 @@
 	stragglerFactor = 20.0
 )
 
-// meanRun is the mean time of a run with stragglers.
+// meanRunTime returns the mean time of a run with stragglers.
 func meanRun() time.Duration {
 	return time.Duration(float64(latency) * (1 - stragglerShare + stragglerShare*stragglerFactor))
 }
@@ -43,7 +43,7 @@
 		if err != nil {
 			return err
 		}
-		// The fast replica is always the one asked when no run straggles.
+		// The oracle runs on leaves without stragglers, as if it always knew the fast replica.
 		o, err := e.directSide(ctx, fast, p, oracle())
 		if err != nil {
 			return err
@@ -73,8 +73,8 @@
 	return s[len(s)/2]
 }
 
-// replicas loses the second leaf of every service, so that one replica of each
-// shard is left.
+// replicas powers off the second leaf of every service during the run, so that one
+// replica of each shard is left.
 func replicas(ctx context.Context, e *env) error {
 	cfg := e.tierConfig()
 	t, direct, err := e.startBoth(ctx, cfg)
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// during runs act once, the given time after the start of run.
+// runWithAction calls run, and act once the given time after its start.
 func during(after time.Duration, act func() error, run func() (*load.Result, error)) (*load.Result, error) {
 	acted := make(chan error, 1)
 	timer := time.AfterFunc(after, func() { acted <- act() })
--- a/bench/tier/change.go
+++ b/bench/tier/change.go
@@ -24,7 +24,7 @@
 	return err
 }
 
-// Change makes an edit of the tree and returns once it is in force everywhere.
+// Change commits edits of the settings tree, waits until they are in force on every VM, and returns the new version.
 func (t *Tier) Change(ctx context.Context, edits []settings.Edit, reason string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, startLimit)
 	defer cancel()
--- a/bench/tier/doc.go
+++ b/bench/tier/doc.go
@@ -1,3 +1,3 @@
-// Package tier starts a tier of real pearmoord and pearmoor-standin processes
-// on loopback for an experiment, and ends each of them by its process id.
+// Package tier runs a tier of real pearmoord and pearmoor-standin processes on
+// loopback for an experiment. It signals and kills only processes that it started.
 package tier
--- a/bench/tier/leaves.go
+++ b/bench/tier/leaves.go
@@ -10,14 +10,14 @@
 	"pearmoor/internal/settings"
 )
 
-// Leaves is a running pearmoor-standin process.
+// Leaves is a running pearmoor-standin process, which simulates all leaves.
 type Leaves struct {
-	URL  string         // control and statistics
-	Tree *settings.Tree // with the real addresses
+	URL  string         // of its control and statistics interface
+	Tree *settings.Tree // with the addresses that the leaves listen on
 	proc *process
 }
 
-// StartLeaves starts the stand-in leaves of cfg.Tree.
+// StartLeaves starts the leaves of cfg.Tree.
 func StartLeaves(ctx context.Context, cfg Config) (*Leaves, error) {
 	if err := Build(ctx, cfg.Dir, leavesProgram); err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	return err
 }
 
-// Stop ends the leaves gracefully.
+// Stop terminates the process with SIGTERM and waits for it.
 func (l *Leaves) Stop() error {
 	if !l.proc.running() {
 		return nil
--- a/bench/tier/process.go
+++ b/bench/tier/process.go
@@ -12,19 +12,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Limits of each process, so that an experiment can't fill the machine.
+// Limits of each process, so that an experiment does not exhaust the machine.
 const (
 	memoryLimit  = "GOMEMLIMIT=512MiB"
-	standinProcs = "GOMAXPROCS=8" // stands for many VMs
+	standinProcs = "GOMAXPROCS=8" // one process simulates many VMs
 	logMode      = 0o644
 	killWait     = 10 * time.Second
 	clockTicks   = 100 // per second in /proc/PID/stat on Linux
 )
 
-// DaemonProcs is how many processors a daemon uses: it runs on a small VM.
+// DaemonProcs is the GOMAXPROCS of a daemon, because deployed daemons run on small VMs.
 const DaemonProcs = 2
 
-// process is one program with its log file; it may be started again.
+// process is a program with its log file. It can be started again after it has ended.
 type process struct {
 	name string
 	path string
@@ -46,7 +46,7 @@
 	cmd := exec.Command(p.path, p.args...)
 	cmd.Env = append(os.Environ(), p.env...)
 	cmd.Stdout, cmd.Stderr = out, out
-	// The child dies with the experiment, whatever ends it.
+	// The kernel kills the child when the experiment ends for any reason.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return errors.Wrap(err, p.name)
@@ -80,7 +80,7 @@
 	return p.cmd.Process.Signal(s)
 }
 
-// wait returns the exit status, or an error after limit.
+// wait waits for the process to end and returns its exit error, or an error after limit.
 func (p *process) wait(limit time.Duration) error {
 	select {
 	case <-p.done:
@@ -98,13 +98,13 @@
 	_ = p.wait(killWait)
 }
 
-// cpu returns the processor time the process has used.
+// cpu returns the processor time that the process has used.
 func (p *process) cpu() (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
 		return 0, err
 	}
-	// The name in parentheses may hold spaces; the fields count from after it.
+	// The command name in parentheses may contain spaces, so parse the fields after it.
 	_, rest, ok := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
 	const user, system = 11, 12
--- a/bench/tier/tier.go
+++ b/bench/tier/tier.go
@@ -22,12 +22,12 @@
 type Config struct {
 	Dir      string // binaries, logs, data; must exist
 	Tree     string // YAML of the settings tree
-	Daemons  int    // all are entries
-	Controls int    // how many of them, from the first, are control VMs
+	Daemons  int    // all of them accept callers
+	Controls int    // the first of the daemons are also control VMs
 	Domains  []string
-	Standin  []string // further flags of pearmoor-standin leaves
-	Flags    []string // further flags of every pearmoord
-	Platform bool     // daemons read the stand-in's list of VMs
+	Standin  []string // additional flags of pearmoor-standin leaves
+	Flags    []string // additional flags of every pearmoord
+	Platform bool     // daemons read the VM list of pearmoor-standin
 }
 
 const (
@@ -40,7 +40,7 @@
 	leavesProgram = "pearmoor-standin"
 )
 
-// Tier is a running tier.
+// Tier is a running tier with its leaves.
 type Tier struct {
 	Leaves *Leaves
 
@@ -56,7 +56,7 @@
 	control                bool
 }
 
-// Build compiles a program of ./cmd into dir/bin, unless it is there.
+// Build compiles a program of ./cmd into dir/bin unless the file exists.
 func Build(ctx context.Context, dir, program string) error {
 	bin := filepath.Join(dir, "bin", program)
 	if fileExists(bin) {
@@ -67,8 +67,8 @@
 	return errors.Wrap(cmd.Run(), "go build")
 }
 
-// Start starts the leaves and the daemons, states the tree and waits until it
-// is in force.
+// Start starts the leaves and the daemons, commits the settings tree and waits
+// until every daemon serves callers with it.
 func Start(ctx context.Context, cfg Config) (*Tier, error) {
 	if err := Build(ctx, cfg.Dir, daemonProgram); err != nil {
 		return nil, err
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// Entries returns the base URLs for callers.
+// EntryURLs returns the base URLs for callers, one for each daemon.
 func (t *Tier) Entries() []string {
 	out := make([]string, len(t.daemons))
 	for i, d := range t.daemons {
@@ -175,13 +175,13 @@
 	return out
 }
 
-// Daemons returns how many daemons there are.
+// Daemons returns the number of daemons.
 func (t *Tier) Daemons() int { return len(t.daemons) }
 
 // Name returns the VM name of daemon i.
 func (t *Tier) Name(i int) string { return t.daemons[i].name }
 
-// WaitReady waits until daemon i says on its operator port that it serves.
+// WaitHealthy waits until daemon i reports on its operator port that it is healthy.
 func (t *Tier) WaitReady(ctx context.Context, i int) error {
 	d := t.daemons[i]
 	err := poll(ctx, startLimit, func() (bool, error) {
@@ -190,7 +190,7 @@
 	return errors.Wrapf(err, "%s is not healthy", d.name)
 }
 
-// WaitServing waits until daemon i is ready for callers: it holds a lease.
+// WaitServing waits until daemon i is ready for callers, which requires a lease.
 func (t *Tier) WaitServing(ctx context.Context, i int) error {
 	d := t.daemons[i]
 	err := poll(ctx, startLimit, func() (bool, error) {
@@ -215,13 +215,13 @@
 // Signal sends s to daemon i.
 func (t *Tier) Signal(i int, s syscall.Signal) error { return t.daemons[i].signal(s) }
 
-// WaitExit waits for daemon i to end and returns how it did.
+// WaitExit waits for daemon i to end and returns its exit error.
 func (t *Tier) WaitExit(i int, limit time.Duration) error { return t.daemons[i].wait(limit) }
 
-// Restart starts daemon i again at the same addresses. It must have ended.
+// Restart starts daemon i, which must have ended, again at the same addresses.
 func (t *Tier) Restart(i int) error { return t.daemons[i].start() }
 
-// CPU returns the processor time all daemons have used.
+// CPU returns the processor time that the running daemons have used.
 func (t *Tier) CPU() (time.Duration, error) {
 	var sum time.Duration
 	for _, d := range t.daemons {
@@ -237,7 +237,7 @@
 	return sum, nil
 }
 
-// Profile writes a processor profile of daemon i over span.
+// Profile writes a CPU profile of daemon i over the given time to a file.
 func (t *Tier) Profile(ctx context.Context, i int, span time.Duration, path string) error {
 	url := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", t.daemons[i].operator, max(int(span.Seconds()), 1))
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -259,9 +259,9 @@
 	return os.WriteFile(path, data, logMode)
 }
 
-// Stop ends the tier gracefully, and by force what has not ended then. The
-// control VMs go last, since a leaving daemon tells them. The error names a
-// process that did not end by itself with exit status 0.
+// Stop terminates the tier and kills processes that do not end in time. The
+// control VMs are stopped last, because daemons notify them when they stop. The
+// error names each process that did not end on SIGTERM with exit status 0.
 func (t *Tier) Stop() error {
 	errs := t.stopDaemons(false)
 	errs = errors.CombineErrors(errs, t.stopDaemons(true))
@@ -287,7 +287,7 @@
 	return errs
 }
 
-// Kill ends every process of the tier at once.
+// Kill kills every process of the tier.
 func (t *Tier) Kill() {
 	for _, d := range t.daemons {
 		d.kill()
@@ -304,7 +304,7 @@
 	return err == nil
 }
 
-// poll calls ok until it is true, it fails, or limit has passed.
+// poll calls ok until it returns true or an error, or until limit has passed.
 func poll(ctx context.Context, limit time.Duration, ok func() (bool, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/bench/tier/trees.go
+++ b/bench/tier/trees.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// DeskSpec describes a desk of equal query services.
+// DeskSpec describes a desk, a node of the settings tree, with identical query services below it.
 type DeskSpec struct {
-	Path     string // of one segment or more
+	Path     string // one or more segments
 	Services int
 	Leaves   int // of each service
 	Settings map[string]string
@@ -16,8 +16,8 @@
 // Domains are the failure domains of the experiments.
 var Domains = []string{"lalitpur-hall", "sundhara-hall", "bhaktapur-hall"}
 
-// Desk returns a settings tree of one desk below a region, as YAML. The leaf
-// addresses are placeholders that pearmoor-standin replaces.
+// DeskTree returns a settings tree with one desk as YAML, with the given settings
+// at the root. pearmoor-standin replaces the placeholder addresses of the leaves.
 func Desk(s DeskSpec, root map[string]string) string {
 	var b strings.Builder
 	writeSettings(&b, 0, root)
@@ -35,7 +35,7 @@
 	return b.String()
 }
 
-// ServiceName returns the last segment of service i of a desk.
+// ServiceName returns the last path segment of service i of a desk.
 func ServiceName(i int) string { return fmt.Sprintf("service-%02d", i+1) }
 
 func writeSettings(b *strings.Builder, depth int, values map[string]string) {
