--- a/bench/baseline/client.go
+++ b/bench/baseline/client.go
@@ -22,11 +22,11 @@
 type Policy interface {
 	// Acquire returns a leaf of t, or an error when ctx ends first.
 	Acquire(ctx context.Context, t *Target) (*Leaf, error)
-	// Release ends the attempt. refused says that the leaf rejected it without running it.
-	Release(l *Leaf, took time.Duration, refused bool)
+	// Release ends the attempt. rejected says that the leaf did not run it.
+	Release(l *Leaf, latency time.Duration, rejected bool)
 }
 
-const idlePerLeaf = 64
+const maxIdleConnsPerLeaf = 64
 
 // Client sends each request to the leaves of all shards without a tier. It represents
 // one process of a caller and shares no connections with other clients.
@@ -44,7 +44,7 @@
 	for i := range out {
 		out[i] = &Client{
 			id:      i,
-			http:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerLeaf}},
+			http:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerLeaf}},
 			targets: targets,
 			policy:  newPolicy(i),
 		}
--- a/bench/baseline/policies.go
+++ b/bench/baseline/policies.go
@@ -38,12 +38,12 @@
 // Parameters of Adaptive, with the usual values for additive increase and
 // multiplicative decrease driven by latency.
 const (
-	adaptiveStart     = 1.0
-	adaptiveLeast     = 1.0
-	adaptiveMost      = 64.0
-	adaptiveBackoff   = 0.7
-	adaptiveTolerance = 2.0  // multiple of the minimum latency above which a reply counts as congestion
-	adaptiveForget    = 1.01 // factor on the minimum latency at each sample, so that old minima expire
+	adaptiveInitialLimit     = 1.0
+	adaptiveMinLimit         = 1.0
+	adaptiveMaxLimit         = 64.0
+	adaptiveBackoff          = 0.7
+	adaptiveTolerance        = 2.0  // multiple of the minimum latency above which a reply counts as congestion
+	adaptiveMinLatencyGrowth = 1.01 // factor on the minimum latency at each sample, so that old minima expire
 )
 
 // Adaptive adapts a limit for each leaf to the latencies and rejections that its
@@ -51,28 +51,28 @@
 // shrinks by a factor on congestion.
 type Adaptive struct {
 	limiter *limiter
-	limits  map[*Leaf]*learned
+	limits  map[*Leaf]*leafLimit
 }
 
-type learned struct {
-	limit float64
-	least time.Duration
+type leafLimit struct {
+	limit      float64
+	minLatency time.Duration
 }
 
 // NewAdaptive returns the policy of one client.
 func NewAdaptive() *Adaptive {
-	a := &Adaptive{limits: map[*Leaf]*learned{}}
-	a.limiter = newLimiter(func(l *Leaf) int { return int(a.of(l).limit) })
+	a := &Adaptive{limits: map[*Leaf]*leafLimit{}}
+	a.limiter = newLimiter(func(l *Leaf) int { return int(a.limitOf(l).limit) })
 	return a
 }
 
-func (a *Adaptive) of(l *Leaf) *learned {
-	x := a.limits[l]
-	if x == nil {
-		x = &learned{limit: adaptiveStart, least: math.MaxInt64}
-		a.limits[l] = x
+func (a *Adaptive) limitOf(l *Leaf) *leafLimit {
+	state := a.limits[l]
+	if state == nil {
+		state = &leafLimit{limit: adaptiveInitialLimit, minLatency: math.MaxInt64}
+		a.limits[l] = state
 	}
-	return x
+	return state
 }
 
 // Acquire implements Policy.
@@ -81,17 +81,17 @@
 }
 
 // Release implements Policy.
-func (a *Adaptive) Release(l *Leaf, took time.Duration, refused bool) {
+func (a *Adaptive) Release(l *Leaf, latency time.Duration, rejected bool) {
 	a.limiter.release(l, func() {
-		x := a.of(l)
-		if x.least != math.MaxInt64 {
-			x.least = time.Duration(float64(x.least) * adaptiveForget)
+		state := a.limitOf(l)
+		if state.minLatency != math.MaxInt64 {
+			state.minLatency = time.Duration(float64(state.minLatency) * adaptiveMinLatencyGrowth)
 		}
-		x.least = min(x.least, took)
-		if refused || float64(took) > adaptiveTolerance*float64(x.least) {
-			x.limit = max(adaptiveLeast, x.limit*adaptiveBackoff)
+		state.minLatency = min(state.minLatency, latency)
+		if rejected || float64(latency) > adaptiveTolerance*float64(state.minLatency) {
+			state.limit = max(adaptiveMinLimit, state.limit*adaptiveBackoff)
 			return
 		}
-		x.limit = min(adaptiveMost, x.limit+1/x.limit)
+		state.limit = min(adaptiveMaxLimit, state.limit+1/state.limit)
 	})
 }
--- a/bench/baseline/policies_test.go
+++ b/bench/baseline/policies_test.go
@@ -10,12 +10,12 @@
 // Concurrent attempts share two leaves of two slots each, and some are cancelled while
 // they wait. The oracle must not exceed the slots or lose a returned one, since either
 // would make comparisons with it meaningless.
-func TestOracleKeepsToTheSlots(t *testing.T) {
+func TestOracleDoesNotExceedSlots(t *testing.T) {
 	leaves := []*Leaf{{Slots: 2}, {Slots: 2}}
 	o := NewOracle()
 	target := &Target{Replicas: leaves}
 	var mu sync.Mutex
-	out := map[*Leaf]int{}
+	inFlight := map[*Leaf]int{}
 	var wg sync.WaitGroup
 	for i := range 400 {
 		wg.Go(func() {
@@ -29,31 +29,31 @@
 				return
 			}
 			mu.Lock()
-			out[l]++
-			if out[l] > l.Slots {
-				t.Errorf("%d attempts in flight at a leaf of %d slots", out[l], l.Slots)
+			inFlight[l]++
+			if inFlight[l] > l.Slots {
+				t.Errorf("%d attempts in flight at a leaf of %d slots", inFlight[l], l.Slots)
 			}
 			mu.Unlock()
 			time.Sleep(100 * time.Microsecond)
 			mu.Lock()
-			out[l]--
+			inFlight[l]--
 			mu.Unlock()
 			o.Release(l, 0, false)
 		})
 	}
 	wg.Wait()
 	for _, l := range leaves {
-		if n := o.limiter.flight[l]; n != 0 {
+		if n := o.limiter.inFlight[l]; n != 0 {
 			t.Errorf("%d slots are still in use after all attempts ended", n)
 		}
 	}
 }
 
-func TestAdaptiveBacksOffOnRefusal(t *testing.T) {
+func TestAdaptiveBacksOffOnRejection(t *testing.T) {
 	a := NewAdaptive()
 	l := &Leaf{Slots: 2}
 	target := &Target{Replicas: []*Leaf{l}}
-	step := func(refused bool) {
+	attempt := func(refused bool) {
 		got, err := a.Acquire(context.Background(), target)
 		if err != nil {
 			t.Fatal(err)
@@ -61,11 +61,11 @@
 		a.Release(got, time.Millisecond, refused)
 	}
 	for range 50 {
-		step(false)
+		attempt(false)
 	}
-	grown := a.of(l).limit
-	step(true)
-	if shrunk := a.of(l).limit; grown <= adaptiveStart || shrunk >= grown {
-		t.Fatalf("limit was %v before and %v after a rejection, want it to grow first and then shrink", grown, shrunk)
+	before := a.limitOf(l).limit
+	attempt(true)
+	if after := a.limitOf(l).limit; before <= adaptiveInitialLimit || after >= before {
+		t.Fatalf("limit was %v before and %v after a rejection, want it to grow first and then shrink", before, after)
 	}
 }
--- a/bench/baseline/targets.go
+++ b/bench/baseline/targets.go
@@ -43,7 +43,7 @@
 		}
 		leaf := &Leaf{Addr: l.Addr, Slots: l.Slots}
 		for _, x := range status.Indexes {
-			if !below(x.Service, path) || x.Version < versions[x.Service] {
+			if !atOrBelow(x.Service, path) || x.Version < versions[x.Service] {
 				continue
 			}
 			if x.Version > versions[x.Service] {
@@ -55,10 +55,10 @@
 			}
 		}
 	}
-	return flatten(shards, versions), nil
+	return sortedTargets(shards, versions), nil
 }
 
-func flatten(shards map[string]map[uint32][]*Leaf, versions map[string]uint64) []Target {
+func sortedTargets(shards map[string]map[uint32][]*Leaf, versions map[string]uint64) []Target {
 	var out []Target
 	for service, held := range shards {
 		for shard, replicas := range held {
@@ -74,7 +74,7 @@
 	return out
 }
 
-func below(service, path string) bool {
+func atOrBelow(service, path string) bool {
 	path = strings.Trim(path, "/")
 	return path == "" || service == path || strings.HasPrefix(service, path+"/")
 }
--- a/bench/control/main.go
+++ b/bench/control/main.go
@@ -14,16 +14,16 @@
 
 // options are the values of the command-line flags.
 type options struct {
-	bin      string
-	sizes    []int
-	controls int
-	changes  int
-	rest     time.Duration
-	above    int
-	fanout   int
-	memory   int
-	out      string
-	with     []string
+	bin          string
+	sizes        []int
+	controlVMs   int
+	changes      int
+	idleTime     time.Duration
+	relayAbove   int
+	relayFanout  int
+	maxMemoryMB  int
+	out          string
+	earlierFiles []string
 }
 
 func main() {
@@ -41,20 +41,20 @@
 	app := kingpin.New("control", "Measures what control costs at several sizes of a tier.")
 	app.Flag("bin", "Folder with pearmoord.").Default("bin").StringVar(&opt.bin)
 	app.Flag("size", "Entry daemons of a tier; repeat for each size. None: only the slopes of --with.").IntsVar(&opt.sizes)
-	app.Flag("controls", "Control VMs of each tier.").Default("3").IntVar(&opt.controls)
+	app.Flag("controls", "Control VMs of each tier.").Default("3").IntVar(&opt.controlVMs)
 	app.Flag("changes", "Changes to time at each size.").Default("60").IntVar(&opt.changes)
-	app.Flag("rest", "How long a tier at rest is measured.").Default("20s").DurationVar(&opt.rest)
-	app.Flag("relay-above", "As pearmoord's; 0 leaves its default.").IntVar(&opt.above)
-	app.Flag("relay-fanout", "As pearmoord's; 0 leaves its default.").IntVar(&opt.fanout)
-	app.Flag("memory", "Most MB that all daemons may use together; a size that exceeds it is given up.").Default("12000").IntVar(&opt.memory)
+	app.Flag("rest", "How long a tier at rest is measured.").Default("20s").DurationVar(&opt.idleTime)
+	app.Flag("relay-above", "As pearmoord's; 0 leaves its default.").IntVar(&opt.relayAbove)
+	app.Flag("relay-fanout", "As pearmoord's; 0 leaves its default.").IntVar(&opt.relayFanout)
+	app.Flag("memory", "Most MB that all daemons may use together; a size that exceeds it is given up.").Default("12000").IntVar(&opt.maxMemoryMB)
 	app.Flag("out", "Also write the results here as JSON.").StringVar(&opt.out)
-	app.Flag("with", "Take the results of an earlier run from this JSON file into the slopes; may be repeated.").StringsVar(&opt.with)
+	app.Flag("with", "Take the results of an earlier run from this JSON file into the slopes; may be repeated.").StringsVar(&opt.earlierFiles)
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	return opt
 }
 
 func run(ctx context.Context, opt *options) error {
-	results, err := earlier(opt.with)
+	results, err := readResults(opt.earlierFiles)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 }
 
 // readResults reads the results of earlier runs.
-func earlier(files []string) ([]result, error) {
+func readResults(files []string) ([]result, error) {
 	var all []result
 	for _, name := range files {
 		body, err := os.ReadFile(name)
--- a/bench/control/measure.go
+++ b/bench/control/measure.go
@@ -20,12 +20,12 @@
 
 const (
 	// settleTime lets relays and leases reach a steady state before idle usage is measured.
-	settle = 8 * time.Second
+	settleTime = 8 * time.Second
 	// changeInterval separates changes, so that they do not affect each other's times.
-	gap      = 100 * time.Millisecond
-	callMax  = 20 * time.Second
-	slow     = 500.0 // in ms; slower changes are printed
-	megabyte = 1 << 20
+	changeInterval = 100 * time.Millisecond
+	callTimeout    = 20 * time.Second
+	slowChangeMS   = 500.0 // each slower change is printed
+	megabyte       = 1 << 20
 )
 
 // result is the result for one size of the tier.
@@ -40,15 +40,15 @@
 	RelayMax   cost      `json:"relay_max"` // maximum of each value over the relays
 	Leader     cost      `json:"leader"`    // the control VM with the most processor time
 	Follower   cost      `json:"follower"`  // mean over the other control VMs
-	MachineCPU float64   `json:"all_cores"` // cores used by all daemons together
+	TotalCores float64   `json:"all_cores"` // cores used by all daemons together
 }
 
 // cost is the resource usage of one idle daemon.
 type cost struct {
-	CPU     float64 `json:"cpu_percent"` // of one core
-	RSS     float64 `json:"rss_mb"`
-	Payload float64 `json:"payload_bytes_per_s"` // read and written, without TCP/IP headers
-	Calls   float64 `json:"syscalls_per_s"`      // reads and writes
+	CPU      float64 `json:"cpu_percent"` // of one core
+	RSS      float64 `json:"rss_mb"`
+	Payload  float64 `json:"payload_bytes_per_s"` // read and written, without TCP/IP headers
+	Syscalls float64 `json:"syscalls_per_s"`      // reads and writes
 }
 
 func measure(ctx context.Context, opt *options, size int) (result, error) {
@@ -68,7 +68,7 @@
 	}
 	r.P50 = stat.Quantile(0.5, stat.Empirical, r.ChangesMS, nil)
 	r.P99 = stat.Quantile(0.99, stat.Empirical, r.ChangesMS, nil)
-	return r, t.rest(ctx, &r)
+	return r, t.measureIdle(ctx, &r)
 }
 
 // timeChanges makes n changes one after another and returns, sorted, the time of each
@@ -76,8 +76,8 @@
 func (t *tier) timeChanges(ctx context.Context, n int) ([]float64, error) {
 	pool := peer.NewPool(nil)
 	defer pool.Close()
-	addr := t.controls[0].peer
-	var took []float64
+	addr := t.controls[0].peerAddr
+	var times []float64
 	for i := range n + 1 {
 		start := time.Now()
 		next, err := change(ctx, pool, addr, i)
@@ -88,22 +88,22 @@
 		if i == 0 { // only shortens the shutdown of daemons; not timed
 			continue
 		}
-		took = append(took, float64(time.Since(start).Microseconds())/1000)
-		time.Sleep(gap)
+		times = append(times, float64(time.Since(start).Microseconds())/1000)
+		time.Sleep(changeInterval)
 	}
-	for i, ms := range took {
-		if ms > slow {
+	for i, ms := range times {
+		if ms > slowChangeMS {
 			fmt.Fprintf(os.Stderr, "control: change %d of %d took %.0f ms\n", i+1, n, ms)
 		}
 	}
-	slices.Sort(took)
-	return took, nil
+	slices.Sort(times)
+	return times, nil
 }
 
 // change makes change i and waits until it is in force on every VM. It returns the
 // address of the leader.
 func change(ctx context.Context, pool *peer.Pool, addr string, i int) (string, error) {
-	ctx, cancel := context.WithTimeout(peer.WithOperator(ctx, "bench"), callMax)
+	ctx, cancel := context.WithTimeout(peer.WithOperator(ctx, "bench"), callTimeout)
 	defer cancel()
 	for {
 		conn, err := pool.Conn(ctx, addr)
@@ -115,7 +115,7 @@
 		if err != nil && ctx.Err() == nil {
 			// A leader that cannot confirm that its state is current fails the read. The wait counts.
 			fmt.Fprintf(os.Stderr, "control: change %d asks again: %v\n", i, err)
-			time.Sleep(gap)
+			time.Sleep(changeInterval)
 			continue
 		}
 		if err != nil {
@@ -138,12 +138,12 @@
 		if reply.GetOutcome() != wire.Outcome_ACCEPTED || reply.GetRedirect() != "" {
 			return addr, errors.Newf("change %d: %v", i, reply)
 		}
-		force, err := client.InForce(ctx, &wire.InForceRequest{Version: reply.GetVersion(), WaitMs: uint32(callMax.Milliseconds())})
+		inForce, err := client.InForce(ctx, &wire.InForceRequest{Version: reply.GetVersion(), WaitMs: uint32(callTimeout.Milliseconds())})
 		if err != nil {
 			return addr, err
 		}
-		if !force.GetInForce() {
-			return addr, errors.Newf("version %d is not in force: %v", reply.GetVersion(), force)
+		if !inForce.GetInForce() {
+			return addr, errors.Newf("version %d is not in force: %v", reply.GetVersion(), inForce)
 		}
 		return addr, nil
 	}
@@ -158,9 +158,9 @@
 }
 
 // measureIdle measures every daemon over the same period while nothing changes.
-func (t *tier) rest(ctx context.Context, r *result) error {
+func (t *tier) measureIdle(ctx context.Context, r *result) error {
 	all := append(slices.Clone(t.controls), t.entries...)
-	if err := pause(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
 	before := make([]usage, len(all))
@@ -170,7 +170,7 @@
 			return err
 		}
 	}
-	if err := pause(ctx, t.opt.rest); err != nil {
+	if err := sleep(ctx, t.opt.idleTime); err != nil {
 		return err
 	}
 	costs := make([]cost, len(all))
@@ -179,14 +179,14 @@
 		if err != nil {
 			return err
 		}
-		costs[i] = before[i].until(after)
-		r.MachineCPU += costs[i].CPU / 100
+		costs[i] = before[i].costUntil(after)
+		r.TotalCores += costs[i].CPU / 100
 	}
-	return t.sort(ctx, costs, r)
+	return t.assignRoles(ctx, costs, r)
 }
 
 // assignRoles finds out the role of each daemon and sets the costs of the roles in r.
-func (t *tier) sort(ctx context.Context, costs []cost, r *result) error {
+func (t *tier) assignRoles(ctx context.Context, costs []cost, r *result) error {
 	controls := costs[:len(t.controls)]
 	busiest := 0
 	for i := range controls {
@@ -195,7 +195,7 @@
 		}
 	}
 	r.Leader = controls[busiest]
-	r.Follower = mean(slices.Delete(slices.Clone(controls), busiest, busiest+1))
+	r.Follower = meanCost(slices.Delete(slices.Clone(controls), busiest, busiest+1))
 	var relays, entries []cost
 	for i, d := range t.entries {
 		children, err := d.metric(ctx, "relay_children")
@@ -208,17 +208,17 @@
 			entries = append(entries, costs[len(t.controls)+i])
 		}
 	}
-	r.Relays, r.Entry, r.Relay, r.RelayMax = len(relays), mean(entries), mean(relays), most(relays)
+	r.Relays, r.Entry, r.Relay, r.RelayMax = len(relays), meanCost(entries), meanCost(relays), maxCost(relays)
 	return nil
 }
 
 // usage is the resource usage of a process since its start.
 type usage struct {
-	at    time.Time
-	cpu   float64 // seconds
-	bytes float64
-	calls float64
-	rss   float64
+	at       time.Time
+	cpu      float64 // seconds
+	bytes    float64
+	syscalls float64
+	rss      float64
 }
 
 func (d *daemon) usage() (usage, error) {
@@ -236,23 +236,23 @@
 	}
 	return usage{
 		at: time.Now(), cpu: s.CPUTime(), rss: float64(s.ResidentMemory()),
-		bytes: float64(io.RChar + io.WChar), calls: float64(io.SyscR + io.SyscW),
+		bytes: float64(io.RChar + io.WChar), syscalls: float64(io.SyscR + io.SyscW),
 	}, nil
 }
 
-func (u usage) until(o usage) cost {
+func (u usage) costUntil(o usage) cost {
 	seconds := o.at.Sub(u.at).Seconds()
 	return cost{
-		CPU:     100 * (o.cpu - u.cpu) / seconds,
-		RSS:     o.rss / megabyte,
-		Payload: (o.bytes - u.bytes) / seconds,
-		Calls:   (o.calls - u.calls) / seconds,
+		CPU:      100 * (o.cpu - u.cpu) / seconds,
+		RSS:      o.rss / megabyte,
+		Payload:  (o.bytes - u.bytes) / seconds,
+		Syscalls: (o.syscalls - u.syscalls) / seconds,
 	}
 }
 
 // metric returns the value of a gauge from the daemon's operator port.
 func (d *daemon) metric(ctx context.Context, name string) (float64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.operator+"/metrics", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.operatorAddr+"/metrics", nil)
 	if err != nil {
 		return 0, err
 	}
@@ -284,13 +284,13 @@
 		}
 		total += u.rss / megabyte
 	}
-	if total > float64(t.opt.memory) {
-		return errors.Newf("the daemons use %.0f MB, %d are allowed", total, t.opt.memory)
+	if total > float64(t.opt.maxMemoryMB) {
+		return errors.Newf("the daemons use %.0f MB, %d are allowed", total, t.opt.maxMemoryMB)
 	}
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
--- a/bench/control/report.go
+++ b/bench/control/report.go
@@ -7,25 +7,25 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-func mean(cs []cost) cost {
+func meanCost(cs []cost) cost {
 	var sum cost
 	for _, c := range cs {
 		sum.CPU += c.CPU
 		sum.RSS += c.RSS
 		sum.Payload += c.Payload
-		sum.Calls += c.Calls
+		sum.Syscalls += c.Syscalls
 	}
 	n := float64(max(1, len(cs)))
-	return cost{CPU: sum.CPU / n, RSS: sum.RSS / n, Payload: sum.Payload / n, Calls: sum.Calls / n}
+	return cost{CPU: sum.CPU / n, RSS: sum.RSS / n, Payload: sum.Payload / n, Syscalls: sum.Syscalls / n}
 }
 
-func most(cs []cost) cost {
+func maxCost(cs []cost) cost {
 	var out cost
 	for _, c := range cs {
 		out.CPU = max(out.CPU, c.CPU)
 		out.RSS = max(out.RSS, c.RSS)
 		out.Payload = max(out.Payload, c.Payload)
-		out.Calls = max(out.Calls, c.Calls)
+		out.Syscalls = max(out.Syscalls, c.Syscalls)
 	}
 	return out
 }
@@ -35,19 +35,19 @@
 		fmt.Fprintln(w, "daemons relays | in force ms p50    p99    max | role      CPU %  RSS MB  payload B/s  calls/s")
 	}
 	for _, r := range rs {
-		fmt.Fprintf(w, "%7d %6d | %15.1f %6.1f %6.1f | %s\n", r.Daemons, r.Relays, r.P50, r.P99, r.ChangesMS[len(r.ChangesMS)-1], line("entry", r.Entry))
+		fmt.Fprintf(w, "%7d %6d | %15.1f %6.1f %6.1f | %s\n", r.Daemons, r.Relays, r.P50, r.P99, r.ChangesMS[len(r.ChangesMS)-1], formatCost("entry", r.Entry))
 		if r.Relays > 0 {
-			fmt.Fprintf(w, "%48s | %s\n", "", line("relay", r.Relay))
-			fmt.Fprintf(w, "%48s | %s\n", "", line("relay max", r.RelayMax))
+			fmt.Fprintf(w, "%48s | %s\n", "", formatCost("relay", r.Relay))
+			fmt.Fprintf(w, "%48s | %s\n", "", formatCost("relay max", r.RelayMax))
 		}
-		fmt.Fprintf(w, "%48s | %s\n", "", line("leader", r.Leader))
-		fmt.Fprintf(w, "%48s | %s\n", "", line("follower", r.Follower))
-		fmt.Fprintf(w, "%48s | all daemons together: %.2f cores\n", "", r.MachineCPU)
+		fmt.Fprintf(w, "%48s | %s\n", "", formatCost("leader", r.Leader))
+		fmt.Fprintf(w, "%48s | %s\n", "", formatCost("follower", r.Follower))
+		fmt.Fprintf(w, "%48s | all daemons together: %.2f cores\n", "", r.TotalCores)
 	}
 }
 
-func line(role string, c cost) string {
-	return fmt.Sprintf("%-9s %5.2f %7.1f %12.0f %8.1f", role, c.CPU, c.RSS, c.Payload, c.Calls)
+func formatCost(role string, c cost) string {
+	return fmt.Sprintf("%-9s %5.2f %7.1f %12.0f %8.1f", role, c.CPU, c.RSS, c.Payload, c.Syscalls)
 }
 
 // printSlopes prints a linear fit of each value over the number of daemons.
--- a/bench/control/tier.go
+++ b/bench/control/tier.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	startLimit = 2 * time.Minute
-	stopLimit  = 30 * time.Second
-	pollEvery  = 20 * time.Millisecond
+	startTimeout = 2 * time.Minute
+	stopTimeout  = 30 * time.Second
+	pollInterval = 20 * time.Millisecond
 	// startInterval spaces the starts of processes, so that they do not starve those that already run.
-	startGap = 15 * time.Millisecond
+	startInterval = 15 * time.Millisecond
 )
 
 // daemon is one pearmoord process.
 type daemon struct {
-	name     string
-	cmd      *exec.Cmd
-	done     chan struct{}
-	peer     string // host:port
-	operator string // host:port
+	name         string
+	cmd          *exec.Cmd
+	done         chan struct{} // closed when the process has ended
+	peerAddr     string        // host:port
+	operatorAddr string        // host:port
 }
 
 // tier is a running tier.
@@ -54,23 +54,23 @@
 		return t, err
 	}
 	for i := range size {
-		d, err := t.spawn(fmt.Sprintf("entry-%03d", i), i, nil)
+		d, err := t.startDaemon(fmt.Sprintf("entry-%03d", i), i, nil)
 		if err != nil {
 			return t, err
 		}
 		t.entries = append(t.entries, d)
-		time.Sleep(startGap)
+		time.Sleep(startInterval)
 	}
 	for _, d := range t.entries {
-		if err := t.awaitReady(ctx, d); err != nil {
+		if err := t.waitReady(ctx, d); err != nil {
 			return t, err
 		}
 	}
-	return t, t.awaitServing(ctx)
+	return t, t.waitServing(ctx)
 }
 
 func (t *tier) startControls(ctx context.Context) error {
-	addrs, err := freeport.Addrs("127.0.0.1", t.opt.controls)
+	addrs, err := freeport.Addrs("127.0.0.1", t.opt.controlVMs)
 	if err != nil {
 		return err
 	}
@@ -83,14 +83,14 @@
 			"--no-entry", "--control-id=" + strconv.Itoa(i+1), "--bootstrap", "--peer-listen=" + addr,
 			"--data-dir=" + filepath.Join(t.dir, "control-"+strconv.Itoa(i+1)),
 		}, voters...)
-		d, err := t.spawn(fmt.Sprintf("control-%d", i+1), i, flags)
+		d, err := t.startDaemon(fmt.Sprintf("control-%d", i+1), i, flags)
 		if err != nil {
 			return err
 		}
 		t.controls = append(t.controls, d)
 	}
 	for _, d := range t.controls {
-		if err := t.awaitReady(ctx, d); err != nil {
+		if err := t.waitReady(ctx, d); err != nil {
 			return err
 		}
 	}
@@ -98,7 +98,7 @@
 }
 
 // startDaemon starts one pearmoord. If flags is nil, it is an entry of the tier.
-func (t *tier) spawn(name string, index int, flags []string) (*daemon, error) {
+func (t *tier) startDaemon(name string, index int, flags []string) (*daemon, error) {
 	args := append([]string{
 		"--name=" + name, "--region=valley", fmt.Sprintf("--domain=hall-%d", index%3), "--plaintext-peers",
 		"--operator-listen=127.0.0.1:0", "--ready-file=" + t.readyFile(name),
@@ -106,11 +106,11 @@
 	if flags == nil {
 		args = append(args, "--peer-listen=127.0.0.1:0", "--caller-listen=127.0.0.1:0", "--control="+t.controlAddrs())
 	}
-	if t.opt.above > 0 {
-		args = append(args, "--relay-above="+strconv.Itoa(t.opt.above))
+	if t.opt.relayAbove > 0 {
+		args = append(args, "--relay-above="+strconv.Itoa(t.opt.relayAbove))
 	}
-	if t.opt.fanout > 0 {
-		args = append(args, "--relay-fanout="+strconv.Itoa(t.opt.fanout))
+	if t.opt.relayFanout > 0 {
+		args = append(args, "--relay-fanout="+strconv.Itoa(t.opt.relayFanout))
 	}
 	log, err := os.Create(filepath.Join(t.dir, name+".log"))
 	if err != nil {
@@ -135,7 +135,7 @@
 func (t *tier) controlAddrs() string {
 	addrs := make([]string, len(t.controls))
 	for i, d := range t.controls {
-		addrs[i] = d.peer
+		addrs[i] = d.peerAddr
 	}
 	return strings.Join(addrs, ",")
 }
@@ -143,8 +143,8 @@
 func (t *tier) readyFile(name string) string { return filepath.Join(t.dir, name+".json") }
 
 // waitReady waits for the daemon's ready file and reads the bound addresses from it.
-func (t *tier) awaitReady(ctx context.Context, d *daemon) error {
-	return await(ctx, d, func() bool {
+func (t *tier) waitReady(ctx context.Context, d *daemon) error {
+	return waitFor(ctx, d, func() bool {
 		body, err := os.ReadFile(t.readyFile(d.name))
 		if err != nil {
 			return false
@@ -153,16 +153,16 @@
 		if json.Unmarshal(body, &bound) != nil {
 			return false
 		}
-		d.peer, d.operator = bound.Peer, bound.Operator
+		d.peerAddr, d.operatorAddr = bound.Peer, bound.Operator
 		return true
 	})
 }
 
 // waitServing waits until every entry is ready for callers.
-func (t *tier) awaitServing(ctx context.Context) error {
+func (t *tier) waitServing(ctx context.Context) error {
 	for _, d := range t.entries {
-		err := await(ctx, d, func() bool {
-			resp, err := http.Get("http://" + d.operator + "/readyz")
+		err := waitFor(ctx, d, func() bool {
+			resp, err := http.Get("http://" + d.operatorAddr + "/readyz")
 			if err != nil {
 				return false
 			}
@@ -176,8 +176,8 @@
 	return nil
 }
 
-func await(ctx context.Context, d *daemon, done func() bool) error {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+func waitFor(ctx context.Context, d *daemon, done func() bool) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for !done() {
 		select {
@@ -185,7 +185,7 @@
 			return errors.Newf("%s ended early", d.name)
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "waiting for %s", d.name)
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
@@ -198,7 +198,7 @@
 		for _, d := range ds {
 			_ = d.cmd.Process.Signal(syscall.SIGTERM)
 		}
-		limit := time.After(stopLimit)
+		limit := time.After(stopTimeout)
 		for _, d := range ds {
 			select {
 			case <-d.done:
--- a/bench/forward/callers.go
+++ b/bench/forward/callers.go
@@ -20,52 +20,52 @@
 )
 
 // requestKind describes one kind of request.
-type kind struct {
-	name     string
-	prefix   string
-	share    float64 // fraction of all requests
-	gathers  bool
-	work     time.Duration // mean, at a leaf of average speed
-	aim      time.Duration
-	wait     time.Duration // of the caller, for all attempts together
-	least    float64       // coverage that the route requires
-	priority int
+type requestKind struct {
+	name          string
+	prefix        string
+	fraction      float64 // fraction of all requests
+	gathers       bool
+	meanWork      time.Duration // mean, at a leaf of average speed
+	targetLatency time.Duration
+	timeout       time.Duration // of the caller, for all attempts together
+	minCoverage   float64       // coverage that the route requires
+	priority      int
 }
 
 const (
-	singleService = "ledger"
-	topRecords    = 10
+	singleService  = "ledger"
+	topRecordCount = 10
 )
 
-var kinds = []kind{
-	{name: "wide", prefix: "/wide/", share: 0.6, gathers: true, work: 15 * time.Millisecond, aim: 120 * time.Millisecond, wait: 2 * time.Second, least: 0.89},
-	{name: "quick", prefix: "/quick/", share: 0.2, gathers: true, work: 5 * time.Millisecond, aim: 60 * time.Millisecond, wait: time.Second, least: 0.75, priority: 1},
-	{name: "single", prefix: "/single/", share: 0.2, work: 60 * time.Millisecond, aim: 400 * time.Millisecond, wait: 4 * time.Second, priority: 1},
+var requestKinds = []requestKind{
+	{name: "wide", prefix: "/wide/", fraction: 0.6, gathers: true, meanWork: 15 * time.Millisecond, targetLatency: 120 * time.Millisecond, timeout: 2 * time.Second, minCoverage: 0.89},
+	{name: "quick", prefix: "/quick/", fraction: 0.2, gathers: true, meanWork: 5 * time.Millisecond, targetLatency: 60 * time.Millisecond, timeout: time.Second, minCoverage: 0.75, priority: 1},
+	{name: "single", prefix: "/single/", fraction: 0.2, meanWork: 60 * time.Millisecond, targetLatency: 400 * time.Millisecond, timeout: 4 * time.Second, priority: 1},
 }
 
-func workOf(path string) time.Duration {
-	for _, k := range kinds {
+func meanWorkOf(path string) time.Duration {
+	for _, k := range requestKinds {
 		if strings.HasPrefix(path, k.prefix) {
-			return k.work
+			return k.meanWork
 		}
 	}
 	return 0
 }
 
 // kindStats counts the outcomes of the requests of one kind, as callers see them.
-type tally struct {
-	kind     kind
+type kindStats struct {
+	kind     requestKind
 	recorder *load.Recorder
 
-	mu       sync.Mutex
-	count    int
-	inAim    int
-	late     int
-	refused  int
-	failed   int
-	again    int // requests that took a second attempt
-	coverage float64
-	faults   []string // one description for each wrong answer
+	mu           sync.Mutex
+	count        int
+	inTime       int
+	late         int
+	rejected     int
+	failed       int
+	retried      int // requests that took a second attempt
+	coverage     float64
+	wrongAnswers []string // one description for each wrong answer
 }
 
 // caller is a caller of the tier with its own address list and connections.
@@ -75,15 +75,15 @@
 	rng    *rand.Rand
 	client *http.Client
 
-	mu    sync.Mutex
-	addrs []string
-	until time.Time
+	mu          sync.Mutex
+	addrs       []string
+	addrsExpire time.Time
 }
 
 const (
-	callerCount  = 24
-	longKeepers  = 5 // one list in five is kept for three times its lifetime
-	connectLimit = time.Second
+	callerCount   = 24
+	longTTLOneIn  = 5 // one list in five is kept for three times its lifetime
+	lookupTimeout = time.Second
 )
 
 func (r *run) newCaller(i int) *caller {
@@ -94,166 +94,166 @@
 }
 
 // pickAddr returns the address of a random VM other than exclude, at which an attempt has failed.
-func (c *caller) address(not string) (string, error) {
+func (c *caller) pickAddr(exclude string) (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if time.Now().After(c.until) {
-		c.lookup()
+	if time.Now().After(c.addrsExpire) {
+		c.refreshAddrs()
 	}
-	var fit []string
+	var usable []string
 	for _, a := range c.addrs {
-		if a != not {
-			fit = append(fit, a)
+		if a != exclude {
+			usable = append(usable, a)
 		}
 	}
-	if len(fit) == 0 {
+	if len(usable) == 0 {
 		return "", errors.New("no address is known")
 	}
-	return fit[c.rng.IntN(len(fit))], nil
+	return usable[c.rng.IntN(len(usable))], nil
 }
 
 // refreshAddrs fetches a new address list. If no VM answers, the old list stays. The caller must hold c.mu.
-func (c *caller) lookup() {
-	client := &http.Client{Timeout: connectLimit, Transport: &http.Transport{DisableKeepAlives: true}}
+func (c *caller) refreshAddrs() {
+	client := &http.Client{Timeout: lookupTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, i := range c.rng.Perm(len(c.run.tier.vms)) {
 		v := c.run.tier.vms[i]
-		resp, err := client.Get("http://" + v.at(v.spec.Ports.Directory) + standin.LookupPath(host, region, c.domain))
+		resp, err := client.Get("http://" + v.addr(v.spec.Ports.Directory) + standin.LookupPath(host, region, c.domain))
 		if err != nil {
 			continue
 		}
-		text, err := io.ReadAll(resp.Body)
+		body, err := io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 		if err != nil || resp.StatusCode != http.StatusOK {
 			continue
 		}
-		addrs, keep, err := standin.Addresses(text)
+		addrs, ttl, err := standin.Addresses(body)
 		if err != nil {
 			continue
 		}
-		if c.rng.IntN(longKeepers) == 0 {
-			keep *= 3
+		if c.rng.IntN(longTTLOneIn) == 0 {
+			ttl *= 3
 		}
-		c.addrs, c.until = addrs, time.Now().Add(time.Duration(keep*float64(time.Second)))
+		c.addrs, c.addrsExpire = addrs, time.Now().Add(time.Duration(ttl*float64(time.Second)))
 		return
 	}
 }
 
-// sendRequest makes a request of the kind of t. If the first attempt is not served and a
+// sendRequest makes a request of the kind of stats. If the first attempt is not served and a
 // retry is allowed, it makes a second one after the delay that the tier asks for.
-func (c *caller) ask(ctx context.Context, t *tally, intended time.Time) {
-	end := intended.Add(t.kind.wait)
-	failedAt, again := "", false
+func (c *caller) sendRequest(ctx context.Context, stats *kindStats, intended time.Time) {
+	deadline := intended.Add(stats.kind.timeout)
+	failedAddr, retried := "", false
 	for {
-		addr, err := c.address(failedAt)
+		addr, err := c.pickAddr(failedAddr)
 		var out outcome
 		if err == nil {
-			out = c.attempt(ctx, t, addr, end)
+			out = c.attempt(ctx, stats, addr, deadline)
 		}
-		if out.served || again || !t.mayAskAgain(out) || time.Until(end) <= 0 {
-			t.note(intended, out, again)
+		if out.served || retried || !stats.mayRetry(out) || time.Until(deadline) <= 0 {
+			stats.record(intended, out, retried)
 			return
 		}
-		failedAt, again = addr, true
-		time.Sleep(min(out.comeBack, time.Until(end)/3))
+		failedAddr, retried = addr, true
+		time.Sleep(min(out.retryAfter, time.Until(deadline)/3))
 	}
 }
 
 // outcome is the result of one attempt.
 type outcome struct {
-	served   bool
-	refused  bool // rejected before it ran
-	coverage float64
-	comeBack time.Duration
+	served     bool
+	rejected   bool // rejected before it ran
+	coverage   float64
+	retryAfter time.Duration
 }
 
 // mayRetry reports whether a second attempt is safe: a request that is not idempotent may be repeated only if it did not run.
-func (t *tally) mayAskAgain(o outcome) bool { return t.kind.gathers || o.refused }
+func (s *kindStats) mayRetry(o outcome) bool { return s.kind.gathers || o.rejected }
 
-var attempts atomic.Int64
+var attemptCount atomic.Int64
 
-func (c *caller) attempt(ctx context.Context, t *tally, addr string, end time.Time) outcome {
-	id := fmt.Sprintf("a%d", attempts.Add(1))
-	ctx, cancel := context.WithDeadline(ctx, end)
+func (c *caller) attempt(ctx context.Context, stats *kindStats, addr string, deadline time.Time) outcome {
+	id := fmt.Sprintf("a%d", attemptCount.Add(1))
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+t.kind.prefix+id, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+stats.kind.prefix+id, nil)
 	if err != nil {
 		return outcome{}
 	}
 	req.Host = host
 	req.Header.Set(dialect.RequestID, id)
-	req.Header.Set(dialect.Deadline, strconv.FormatInt(time.Until(end).Milliseconds(), 10))
+	req.Header.Set(dialect.Deadline, strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
 	resp, err := c.client.Do(req)
 	if err != nil {
 		return outcome{}
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return outcome{}
 	}
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return outcome{served: true, coverage: t.check(id, resp.Header, string(text), c.run.tier.shards)}
+		return outcome{served: true, coverage: stats.checkAnswer(id, resp.Header, string(body), c.run.tier.shards)}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64) // without the header the retry is immediate
-		return outcome{refused: true, comeBack: time.Duration(s * float64(time.Second))}
+		return outcome{rejected: true, retryAfter: time.Duration(s * float64(time.Second))}
 	}
 	return outcome{}
 }
 
 // checkAnswer returns the coverage of an answer and records what is wrong with it.
-func (t *tally) check(id string, h http.Header, text string, shards []string) float64 {
-	if !t.kind.gathers {
-		if stamp := strings.Split(h.Get(dialect.Signature), "/"); len(stamp) != 3 || stamp[1] != id {
-			t.wrong("%s got the answer %q", id, h.Get(dialect.Signature))
+func (s *kindStats) checkAnswer(id string, h http.Header, body string, shards []string) float64 {
+	if !s.kind.gathers {
+		if signature := strings.Split(h.Get(dialect.Signature), "/"); len(signature) != 3 || signature[1] != id {
+			s.addWrongAnswer("%s got the answer %q", id, h.Get(dialect.Signature))
 		}
 		return 1
 	}
 	var services []string
-	for _, stamp := range strings.Split(strings.Join(h.Values(dialect.PartSignatures), ","), ",") {
-		f := strings.Split(strings.TrimSpace(stamp), "/")
+	for _, signature := range strings.Split(strings.Join(h.Values(dialect.PartSignatures), ","), ",") {
+		f := strings.Split(strings.TrimSpace(signature), "/")
 		if len(f) != 3 || f[1] != id || slices.Contains(services, f[0]) {
-			t.wrong("%s got the part %q", id, stamp)
+			s.addWrongAnswer("%s got the part %q", id, signature)
 			continue
 		}
 		services = append(services, f[0])
 	}
 	missing, err := strconv.Atoi(h.Get(dialect.MissingParts))
 	if err != nil || missing+len(services) != len(shards) {
-		t.wrong("%s: %d parts and %q missing of %d", id, len(services), h.Get(dialect.MissingParts), len(shards))
+		s.addWrongAnswer("%s: %d parts and %q missing of %d", id, len(services), h.Get(dialect.MissingParts), len(shards))
 	}
-	if want := standin.Top(services, id, topRecords); text != want {
-		t.wrong("%s: other records than the greatest of its parts", id)
+	if want := standin.Top(services, id, topRecordCount); body != want {
+		s.addWrongAnswer("%s: other records than the greatest of its parts", id)
 	}
 	return float64(len(services)) / float64(len(shards))
 }
 
-func (t *tally) wrong(format string, args ...any) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.faults = append(t.faults, fmt.Sprintf(format, args...))
+func (s *kindStats) addWrongAnswer(format string, args ...any) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.wrongAnswers = append(s.wrongAnswers, fmt.Sprintf(format, args...))
 }
 
-func (t *tally) note(intended time.Time, o outcome, again bool) {
-	took := time.Since(intended)
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.count++
-	if again {
-		t.again++
+func (s *kindStats) record(intended time.Time, o outcome, retried bool) {
+	latency := time.Since(intended)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.count++
+	if retried {
+		s.retried++
 	}
 	switch {
 	case o.served:
-		t.recorder.Record(intended, took)
-		t.coverage += o.coverage
-		if took <= t.kind.aim {
-			t.inAim++
+		s.recorder.Record(intended, latency)
+		s.coverage += o.coverage
+		if latency <= s.kind.targetLatency {
+			s.inTime++
 		} else {
-			t.late++
+			s.late++
 		}
-	case o.refused:
-		t.refused++
+	case o.rejected:
+		s.rejected++
 	default:
-		t.failed++
+		s.failed++
 	}
 }
--- a/bench/forward/leaf.go
+++ b/bench/forward/leaf.go
@@ -20,16 +20,16 @@
 // Properties of the simulated leaves: two slots and a short queue, periodic pauses as in
 // garbage collection, and a work time that differs by up to a third either way.
 const (
-	leafSlots   = 2
-	leafQueue   = 8
-	leafConns   = 28
-	connectCost = 6 * time.Millisecond // a new connection occupies a slot for this time
-	pauseEvery  = 3600 * time.Millisecond
-	pauseFor    = 150 * time.Millisecond
-	speedSpread = 0.33
-	workSpread  = 0.35 // sigma of the lognormal distribution of work time
-	coldFor     = 2 * time.Second
-	coldFactor  = 3.0
+	leafSlots        = 2
+	leafQueue        = 8
+	leafConns        = 28
+	connSetupTime    = 6 * time.Millisecond // a new connection occupies a slot for this time
+	pauseInterval    = 3600 * time.Millisecond
+	pauseDuration    = 150 * time.Millisecond
+	workFactorSpread = 0.33
+	workSigma        = 0.35 // sigma of the lognormal distribution of work time
+	warmUpTime       = 2 * time.Second
+	warmUpFactor     = 3.0
 )
 
 var dialect = platform.Dialect()
@@ -38,34 +38,34 @@
 type fault int32
 
 const (
-	sound   fault = iota
-	dark          // accepts connections but never replies
-	sheds         // rejects half of the requests
-	loses         // runs requests but loses a tenth of the answers
-	repeats       // sends a tenth of the answers twice
-	slow          // takes four times as long for each request
+	noFault         fault = iota
+	unresponsive          // accepts connections but never replies
+	rejectsRequests       // rejects half of the requests
+	losesAnswers          // runs requests but loses a tenth of the answers
+	repeatsAnswers        // sends a tenth of the answers twice
+	slow                  // takes four times as long for each request
 )
 
 // leaf is a simulated leaf. A leaf that is started again gets a new id.
 type leaf struct {
-	p       *platformSide
-	id      string
-	service string
-	domain  string
-	lis     net.Listener
-	server  *http.Server
-	speed   float64
-	started time.Time
-	offset  time.Duration // of the pauses, so that leaves do not pause together
-	slots   chan struct{}
-	waiting atomic.Int32
-	running atomic.Int32
-	most    atomic.Int32 // most running and waiting requests since the last sample
-	opened  atomic.Int64
-	open    atomic.Int32
-	fault   atomic.Int32
-	leaving atomic.Bool
-	cold    bool
+	p           *simulatedPlatform
+	id          string
+	service     string
+	domain      string
+	lis         net.Listener
+	server      *http.Server
+	workFactor  float64
+	started     time.Time
+	pauseOffset time.Duration // of the pauses, so that leaves do not pause together
+	slots       chan struct{}
+	waiting     atomic.Int32
+	running     atomic.Int32
+	maxInFlight atomic.Int32 // most running and waiting requests since the last sample
+	connsOpened atomic.Int64
+	openConns   atomic.Int32
+	fault       atomic.Int32
+	leaving     atomic.Bool
+	cold        bool
 
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -73,7 +73,7 @@
 
 // startLeaf starts a leaf at addr, or on a free port if addr is empty. A cold leaf is
 // slower during warmUpTime.
-func (p *platformSide) startLeaf(service, addr string, cold bool) (*leaf, error) {
+func (p *simulatedPlatform) startLeaf(service, addr string, cold bool) (*leaf, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
 	}
@@ -81,32 +81,32 @@
 	if err != nil {
 		return nil, err
 	}
-	n := p.nextLeaf.Add(1)
-	rng := rand.New(rand.NewPCG(p.seed, uint64(n)))
+	number := p.nextLeaf.Add(1)
+	rng := rand.New(rand.NewPCG(p.seed, uint64(number)))
 	l := &leaf{
-		p: p, id: fmt.Sprintf("i-%d", n), service: service, domain: domains[int(n)%len(domains)], lis: lis, rng: rng,
-		speed: 1 + speedSpread*(2*rng.Float64()-1), started: time.Now(), offset: time.Duration(rng.Int64N(int64(pauseEvery))),
+		p: p, id: fmt.Sprintf("i-%d", number), service: service, domain: domains[int(number)%len(domains)], lis: lis, rng: rng,
+		workFactor: 1 + workFactorSpread*(2*rng.Float64()-1), started: time.Now(), pauseOffset: time.Duration(rng.Int64N(int64(pauseInterval))),
 		slots: make(chan struct{}, leafSlots), cold: cold,
 	}
 	l.server = &http.Server{Handler: l, ConnState: l.connState}
 	go func() { _ = l.server.Serve(lis) }()
-	p.add(l)
+	p.addLeaf(l)
 	return l, nil
 }
 
 func (l *leaf) connState(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		l.opened.Add(1)
-		if l.open.Add(1) > leafConns {
+		l.connsOpened.Add(1)
+		if l.openConns.Add(1) > leafConns {
 			_ = c.Close()
 			return
 		}
 		l.slots <- struct{}{} // opening a connection occupies a slot for connSetupTime
-		time.Sleep(connectCost)
+		time.Sleep(connSetupTime)
 		<-l.slots
 	case http.StateClosed, http.StateHijacked:
-		l.open.Add(-1)
+		l.openConns.Add(-1)
 	}
 }
 
@@ -118,18 +118,18 @@
 		return
 	}
 	w.Header().Set(dialect.RequestID, id)
-	l.p.arrived(l.service, id)
-	behave := fault(l.fault.Load())
-	if behave == dark {
+	l.p.countSend(l.service, id)
+	mode := fault(l.fault.Load())
+	if mode == unresponsive {
 		<-r.Context().Done()
 		return
 	}
-	if int(l.waiting.Add(1)) > leafQueue || behave == sheds && l.chance(0.5) {
+	if int(l.waiting.Add(1)) > leafQueue || mode == rejectsRequests && l.chance(0.5) {
 		l.waiting.Add(-1)
-		l.refuse(w)
+		l.reject(w)
 		return
 	}
-	l.note()
+	l.recordInFlight()
 	select {
 	case l.slots <- struct{}{}:
 		l.waiting.Add(-1)
@@ -138,29 +138,29 @@
 		return
 	}
 	l.running.Add(1)
-	l.note()
-	done := l.work(r)
+	l.recordInFlight()
+	done := l.doWork(r)
 	l.running.Add(-1)
 	<-l.slots
 	if done {
-		l.answer(w, id, behave)
+		l.writeAnswer(w, id, mode)
 	}
 }
 
-func (l *leaf) refuse(w http.ResponseWriter) {
+func (l *leaf) reject(w http.ResponseWriter) {
 	w.Header().Set(dialect.NotRun, "full")
-	w.Header().Set(dialect.Load, l.load())
+	w.Header().Set(dialect.Load, l.loadHeader())
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (l *leaf) load() string {
+func (l *leaf) loadHeader() string {
 	return fmt.Sprintf("%d,%d,%d", l.running.Load(), l.waiting.Load(), leafSlots)
 }
 
 // recordInFlight updates the maximum of running and waiting requests.
-func (l *leaf) note() {
+func (l *leaf) recordInFlight() {
 	now := l.running.Load() + l.waiting.Load()
-	for was := l.most.Load(); now > was && !l.most.CompareAndSwap(was, now); was = l.most.Load() {
+	for highest := l.maxInFlight.Load(); now > highest && !l.maxInFlight.CompareAndSwap(highest, now); highest = l.maxInFlight.Load() {
 	}
 }
 
@@ -171,18 +171,18 @@
 }
 
 // doWork waits for the work time of the request. It returns false if the sender disconnected first.
-func (l *leaf) work(r *http.Request) bool {
+func (l *leaf) doWork(r *http.Request) bool {
 	l.mu.Lock()
-	factor := math.Exp(workSpread*l.rng.NormFloat64()) * l.speed
+	factor := math.Exp(workSigma*l.rng.NormFloat64()) * l.workFactor
 	l.mu.Unlock()
-	if l.cold && time.Since(l.started) < coldFor {
-		factor *= coldFactor
+	if l.cold && time.Since(l.started) < warmUpTime {
+		factor *= warmUpFactor
 	}
 	if fault(l.fault.Load()) == slow {
 		factor *= 4
 	}
-	end := time.Now().Add(time.Duration(factor * float64(workOf(r.URL.Path))))
-	end = end.Add(l.pausedAt(end))
+	end := time.Now().Add(time.Duration(factor * float64(meanWorkOf(r.URL.Path))))
+	end = end.Add(l.pauseLeft(end))
 	select {
 	case <-time.After(time.Until(end)):
 		return true
@@ -192,29 +192,29 @@
 }
 
 // pauseLeft returns how much of a pause is left at the given time.
-func (l *leaf) pausedAt(at time.Time) time.Duration {
-	into := (at.Sub(l.p.began) + l.offset) % pauseEvery
-	return max(0, pauseFor-into)
+func (l *leaf) pauseLeft(at time.Time) time.Duration {
+	sinceStart := (at.Sub(l.p.startedAt) + l.pauseOffset) % pauseInterval
+	return max(0, pauseDuration-sinceStart)
 }
 
-func (l *leaf) answer(w http.ResponseWriter, id string, behave fault) {
-	stamp := strings.Join([]string{l.service, id, strconv.FormatInt(l.p.stamps.Add(1), 10)}, "/")
-	text := standin.Part(l.service, id)
+func (l *leaf) writeAnswer(w http.ResponseWriter, id string, mode fault) {
+	signature := strings.Join([]string{l.service, id, strconv.FormatInt(l.p.signatureCount.Add(1), 10)}, "/")
+	body := standin.Part(l.service, id)
 	switch {
-	case behave == loses && l.chance(0.1):
-		l.hijack(w, nil)
-	case behave == repeats && l.chance(0.1):
-		one := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", dialect.RequestID, id, dialect.Signature, stamp, len(text), text)
-		l.hijack(w, []string{one, one})
+	case mode == losesAnswers && l.chance(0.1):
+		l.writeRaw(w, nil)
+	case mode == repeatsAnswers && l.chance(0.1):
+		raw := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", dialect.RequestID, id, dialect.Signature, signature, len(body), body)
+		l.writeRaw(w, []string{raw, raw})
 	default:
-		w.Header().Set(dialect.Signature, stamp)
-		w.Header().Set(dialect.Load, l.load())
-		_, _ = io.WriteString(w, text)
+		w.Header().Set(dialect.Signature, signature)
+		w.Header().Set(dialect.Load, l.loadHeader())
+		_, _ = io.WriteString(w, body)
 	}
 }
 
 // writeRaw writes raw HTTP responses 10 ms apart and closes the connection.
-func (l *leaf) hijack(w http.ResponseWriter, answers []string) {
+func (l *leaf) writeRaw(w http.ResponseWriter, answers []string) {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -227,15 +227,15 @@
 }
 
 // stop closes the leaf's server, so that its address can be reused.
-func (l *leaf) end() { _ = l.server.Close() }
+func (l *leaf) stop() { _ = l.server.Close() }
 
-func (l *leaf) row() standin.Leaf {
-	state, warm := standin.Ready, 0
+func (l *leaf) listEntry() standin.Leaf {
+	state, warmInMS := standin.Ready, 0
 	if l.leaving.Load() {
 		state = standin.Leaving
 	}
 	if l.cold {
-		warm = int(max(0, coldFor-time.Since(l.started)).Milliseconds())
+		warmInMS = int(max(0, warmUpTime-time.Since(l.started)).Milliseconds())
 	}
-	return standin.Leaf{ID: l.id, Service: l.service, Addr: l.lis.Addr().String(), Domain: l.domain, Slots: leafSlots, State: state, WarmInMS: warm}
+	return standin.Leaf{ID: l.id, Service: l.service, Addr: l.lis.Addr().String(), Domain: l.domain, Slots: leafSlots, State: state, WarmInMS: warmInMS}
 }
--- a/bench/forward/main.go
+++ b/bench/forward/main.go
@@ -17,7 +17,7 @@
 )
 
 // options are the values of the command-line flags.
-type settings struct {
+type options struct {
 	bin      string
 	vms      int
 	shards   int
@@ -30,7 +30,7 @@
 }
 
 func main() {
-	var s settings
+	var s options
 	app := kingpin.New("forward", "A small platform on loopback around real pearmoor-entry processes, with a table and plots.")
 	app.HelpFlag.Short('h')
 	app.Flag("bin", "The pearmoor-entry program; make build makes it.").Default("bin/pearmoor-entry").StringVar(&s.bin)
@@ -45,7 +45,7 @@
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	if err := measure(ctx, s); err != nil {
+	if err := runLoadTest(ctx, s); err != nil {
 		fmt.Fprintf(os.Stderr, "forward: %v\n", err)
 		os.Exit(1)
 	}
@@ -53,30 +53,30 @@
 
 // run is the state of one load test.
 type run struct {
-	settings
-	platform *platformSide
+	options
+	platform *simulatedPlatform
 	tier     *entryTier
-	tallies  []*tally
+	stats    []*kindStats
 	events   []event
-	cpu      time.Duration // of the tier while requests arrived
+	tierCPU  time.Duration // of the tier while requests arrived
 }
 
-func measure(ctx context.Context, s settings) error {
-	if s.vms < disks || s.shards < 2 || s.copies < 1 {
-		return errors.Newf("%d VMs, %d shards, %d copies are too few: %d, 2 and 1 are the least", s.vms, s.shards, s.copies, disks)
+func runLoadTest(ctx context.Context, s options) error {
+	if s.vms < vmsWithDisk || s.shards < 2 || s.copies < 1 {
+		return errors.Newf("%d VMs, %d shards, %d copies are too few: %d, 2 and 1 are the least", s.vms, s.shards, s.copies, vmsWithDisk)
 	}
 	dir, err := os.MkdirTemp("", "forward")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{settings: s}
-	if err := r.open(ctx, dir); err != nil {
+	r := &run{options: s}
+	if err := r.start(ctx, dir); err != nil {
 		r.close()
-		return errors.Wrapf(err, "%s", logsOf(dir))
+		return errors.Wrapf(err, "%s", firstLogTail(dir))
 	}
 	defer r.close()
-	if err := r.drive(ctx); err != nil {
+	if err := r.generateLoad(ctx); err != nil {
 		return err
 	}
 	rep := r.report()
@@ -85,19 +85,19 @@
 		return err
 	}
 	fmt.Println("plots and figures:", s.out)
-	if len(rep.Faults) > 0 {
-		return errors.Newf("%d answers are wrong", len(rep.Faults))
+	if len(rep.WrongAnswers) > 0 {
+		return errors.Newf("%d answers are wrong", len(rep.WrongAnswers))
 	}
 	return nil
 }
 
 // start starts the leaves and the tier and waits until a VM has accepted the configuration.
-func (r *run) open(ctx context.Context, dir string) error {
+func (r *run) start(ctx context.Context, dir string) error {
 	bin, err := filepath.Abs(r.bin)
 	if err != nil {
 		return err
 	}
-	if r.platform, err = newPlatformSide(r.seed); err != nil {
+	if r.platform, err = newSimulatedPlatform(r.seed); err != nil {
 		return err
 	}
 	if r.tier, err = newTier(dir, bin, r.vms, r.platform.addr); err != nil {
@@ -113,13 +113,13 @@
 			}
 		}
 	}
-	r.platform.snapshot()
+	r.platform.recordList()
 	for _, v := range r.tier.vms {
 		if err := v.start(); err != nil {
 			return err
 		}
 	}
-	return r.tier.configure(ctx)
+	return r.tier.pushRelease(ctx)
 }
 
 func (r *run) close() {
@@ -132,17 +132,17 @@
 }
 
 // generateLoad sends requests for the configured duration and waits for their answers.
-func (r *run) drive(ctx context.Context) error {
+func (r *run) generateLoad(ctx context.Context) error {
 	time.Sleep(2 * time.Second) // so that every VM has the configuration and the leaf list
 	start := time.Now()
-	r.platform.began = start
+	r.platform.startedAt = start
 	done := make(chan struct{})
-	var side sync.WaitGroup
-	side.Go(func() { r.platform.watch(done) })
-	inner, cancel := context.WithCancel(ctx)
+	var background sync.WaitGroup
+	background.Go(func() { r.platform.recordUntil(done) })
+	loadCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if r.faults == "script" {
-		side.Go(func() { r.play(inner) })
+		background.Go(func() { r.runScript(loadCtx) })
 	}
 	before := r.tier.cpu()
 	var callers []*caller
@@ -150,39 +150,39 @@
 		callers = append(callers, r.newCaller(i))
 	}
 	var wg sync.WaitGroup
-	for i, k := range kinds {
-		t := &tally{kind: k, recorder: load.NewRecorder(start, plotWindow)}
-		r.tallies = append(r.tallies, t)
-		arrivals, err := load.NewSchedule(load.Poisson, r.rate*k.share, r.duration, r.seed+uint64(i))
+	for i, k := range requestKinds {
+		t := &kindStats{kind: k, recorder: load.NewRecorder(start, plotWindow)}
+		r.stats = append(r.stats, t)
+		arrivals, err := load.NewSchedule(load.Poisson, r.rate*k.fraction, r.duration, r.seed+uint64(i))
 		if err != nil {
 			return err
 		}
-		wg.Go(func() { arrive(inner, &wg, start, arrivals, t, callers) })
+		wg.Go(func() { sendOnSchedule(loadCtx, &wg, start, arrivals, t, callers) })
 	}
 	wg.Wait()
-	r.cpu = r.tier.cpu() - before
+	r.tierCPU = r.tier.cpu() - before
 	close(done)
 	cancel()
-	side.Wait()
+	background.Wait()
 	return ctx.Err()
 }
 
 // sendOnSchedule starts each request at its scheduled time, even if earlier ones are unfinished.
-func arrive(ctx context.Context, wg *sync.WaitGroup, start time.Time, s *load.Schedule, t *tally, callers []*caller) {
+func sendOnSchedule(ctx context.Context, wg *sync.WaitGroup, start time.Time, arrivals *load.Schedule, stats *kindStats, callers []*caller) {
 	for n := 0; ctx.Err() == nil; n++ {
-		at, ok := s.Next()
+		at, ok := arrivals.Next()
 		if !ok {
 			return
 		}
 		intended := start.Add(at)
 		time.Sleep(time.Until(intended))
-		c := callers[(n*7+len(t.kind.name))%len(callers)]
-		wg.Go(func() { c.ask(ctx, t, intended) })
+		c := callers[(n*7+len(stats.kind.name))%len(callers)]
+		wg.Go(func() { c.sendRequest(ctx, stats, intended) })
 	}
 }
 
 // firstLogTail returns the end of the first VM's log, to explain why a tier did not start.
-func logsOf(dir string) string {
+func firstLogTail(dir string) string {
 	names, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil || len(names) == 0 {
 		return "no process has written anything"
--- a/bench/forward/main_test.go
+++ b/bench/forward/main_test.go
@@ -22,11 +22,11 @@
 		So(err, ShouldBeNil)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		s := settings{
+		s := options{
 			bin: bin, vms: 3, shards: 4, copies: 2, rate: 20, duration: 3 * time.Second, seed: 1,
 			faults: "none", out: filepath.Join(dir, "out"),
 		}
-		So(measure(ctx, s), ShouldBeNil)
+		So(runLoadTest(ctx, s), ShouldBeNil)
 		for _, name := range []string{"forward.json", "wide.svg", "quick.svg", "single.svg", "leaves.svg"} {
 			info, err := os.Stat(filepath.Join(s.out, name))
 			So(err, ShouldBeNil)
--- a/bench/forward/platform.go
+++ b/bench/forward/platform.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	listLag   = time.Second // delay until a change of the leaves shows in the list
-	listPage  = 20          // rows
-	region    = "valley"
-	host      = "forward.example"
-	seriesGap = 500 * time.Millisecond
+	listLag        = time.Second // delay until a change of the leaves shows in the list
+	listPageSize   = 20          // rows
+	region         = "valley"
+	host           = "forward.example"
+	sampleInterval = 500 * time.Millisecond
 )
 
 var domains = []string{"hall-1", "hall-2", "hall-3"}
 
 // simulatedPlatform simulates the platform around the tier: the leaves and the leaf list.
-type platformSide struct {
-	seed     uint64
-	began    time.Time
-	nextLeaf atomic.Int64
-	stamps   atomic.Int64
-	server   *http.Server
-	addr     string
-
-	mu       sync.Mutex
-	leaves   []*leaf
-	shown    [][]standin.Leaf // recent states of the leaf list, newest last
-	shownAt  []time.Time
-	arrivals map[string]int // by service and request id
-	extra    int
-	firsts   int
-	series   map[*leaf]*load.LeafSeries
+type simulatedPlatform struct {
+	seed           uint64
+	startedAt      time.Time
+	nextLeaf       atomic.Int64
+	signatureCount atomic.Int64
+	server         *http.Server
+	addr           string
+
+	mu         sync.Mutex
+	leaves     []*leaf
+	listStates [][]standin.Leaf // recent states of the leaf list, newest last
+	listTimes  []time.Time
+	sends      map[string]int // by service and request id
+	extraSends int
+	firstSends int
+	series     map[*leaf]*load.LeafSeries
 }
 
-func newPlatformSide(seed uint64) (*platformSide, error) {
+func newSimulatedPlatform(seed uint64) (*simulatedPlatform, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &platformSide{
-		seed: seed, began: time.Now(), addr: lis.Addr().String(),
-		arrivals: make(map[string]int), series: make(map[*leaf]*load.LeafSeries),
+	p := &simulatedPlatform{
+		seed: seed, startedAt: time.Now(), addr: lis.Addr().String(),
+		sends: make(map[string]int), series: make(map[*leaf]*load.LeafSeries),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc(standin.ListPath, p.serveList)
@@ -58,7 +58,7 @@
 	return p, nil
 }
 
-func (p *platformSide) add(l *leaf) {
+func (p *simulatedPlatform) addLeaf(l *leaf) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leaves = append(p.leaves, l)
@@ -66,15 +66,15 @@
 }
 
 // removeLeaf stops a leaf. The list still shows it for listLag.
-func (p *platformSide) drop(l *leaf) {
+func (p *simulatedPlatform) removeLeaf(l *leaf) {
 	p.mu.Lock()
 	p.leaves = slices.DeleteFunc(p.leaves, func(o *leaf) bool { return o == l })
 	p.mu.Unlock()
-	l.end()
+	l.stop()
 }
 
-// of returns the leaves of a service that are well.
-func (p *platformSide) of(service string) []*leaf {
+// leavesOf returns the leaves of a service that are not leaving.
+func (p *simulatedPlatform) leavesOf(service string) []*leaf {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []*leaf
@@ -87,29 +87,29 @@
 }
 
 // countSend counts a request at a leaf. A further one with the same id for the same service counts as extra.
-func (p *platformSide) arrived(service, id string) {
+func (p *simulatedPlatform) countSend(service, id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := service + " " + id
-	p.arrivals[key]++
-	if p.arrivals[key] > 1 {
-		p.extra++
+	p.sends[key]++
+	if p.sends[key] > 1 {
+		p.extraSends++
 	} else {
-		p.firsts++
+		p.firstSends++
 	}
 }
 
-// update records the state of the leaf list and the leaves' requests in flight
+// recordUntil records the state of the leaf list and the leaves' requests in flight
 // periodically until done is closed.
-func (p *platformSide) watch(done <-chan struct{}) {
+func (p *simulatedPlatform) recordUntil(done <-chan struct{}) {
 	ticker := time.NewTicker(listLag / 10)
 	defer ticker.Stop()
 	sampled := time.Now()
 	for {
-		p.snapshot()
-		if time.Since(sampled) >= seriesGap {
+		p.recordList()
+		if time.Since(sampled) >= sampleInterval {
 			sampled = time.Now()
-			p.sample()
+			p.sampleLeaves()
 		}
 		select {
 		case <-done:
@@ -119,31 +119,31 @@
 	}
 }
 
-func (p *platformSide) snapshot() {
+func (p *simulatedPlatform) recordList() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	rows := make([]standin.Leaf, len(p.leaves))
 	for i, l := range p.leaves {
-		rows[i] = l.row()
+		rows[i] = l.listEntry()
 	}
-	p.shown, p.shownAt = append(p.shown, rows), append(p.shownAt, time.Now())
-	for len(p.shownAt) > 1 && time.Since(p.shownAt[1]) > listLag {
-		p.shown, p.shownAt = p.shown[1:], p.shownAt[1:]
+	p.listStates, p.listTimes = append(p.listStates, rows), append(p.listTimes, time.Now())
+	for len(p.listTimes) > 1 && time.Since(p.listTimes[1]) > listLag {
+		p.listStates, p.listTimes = p.listStates[1:], p.listTimes[1:]
 	}
 }
 
-func (p *platformSide) sample() {
+func (p *simulatedPlatform) sampleLeaves() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	at := time.Since(p.began).Seconds()
+	at := time.Since(p.startedAt).Seconds()
 	for _, l := range p.leaves {
 		s := p.series[l]
-		s.Most, s.At = append(s.Most, int(l.most.Swap(l.running.Load()+l.waiting.Load()))), append(s.At, at)
+		s.Most, s.At = append(s.Most, int(l.maxInFlight.Swap(l.running.Load()+l.waiting.Load()))), append(s.At, at)
 	}
 }
 
 // serveList serves a page of the leaf list as it was listLag ago.
-func (p *platformSide) serveList(w http.ResponseWriter, r *http.Request) {
+func (p *simulatedPlatform) serveList(w http.ResponseWriter, r *http.Request) {
 	from := 0
 	if token := standin.PageToken(r.URL.Query()); token != "" {
 		var err error
@@ -154,12 +154,12 @@
 	}
 	p.mu.Lock()
 	var rows []standin.Leaf
-	if len(p.shown) > 0 {
-		rows = p.shown[0]
+	if len(p.listStates) > 0 {
+		rows = p.listStates[0]
 	}
 	p.mu.Unlock()
 	from = min(from, len(rows))
-	to, next := min(from+listPage, len(rows)), ""
+	to, next := min(from+listPageSize, len(rows)), ""
 	if to < len(rows) {
 		next = strconv.Itoa(to)
 	}
@@ -171,12 +171,12 @@
 	_, _ = w.Write(text)
 }
 
-func (p *platformSide) close() {
+func (p *simulatedPlatform) close() {
 	p.mu.Lock()
 	leaves := p.leaves
 	p.mu.Unlock()
 	for _, l := range leaves {
-		l.end()
+		l.stop()
 	}
 	_ = p.server.Close()
 }
--- a/bench/forward/report.go
+++ b/bench/forward/report.go
@@ -13,65 +13,65 @@
 
 // event is a step of the fault script, or its failure. At is in seconds since the start.
 type event struct {
-	At   float64 `json:"at_s"`
-	What string  `json:"what"`
+	At          float64 `json:"at_s"`
+	Description string  `json:"what"`
 }
 
 // row is the result for one kind of request. The shares are fractions of its requests.
 type row struct {
 	Kind     string  `json:"kind"`
 	Requests int     `json:"requests"`
-	InAim    float64 `json:"in_aim"`
+	InTime   float64 `json:"in_aim"`
 	Late     float64 `json:"late"`
-	Refused  float64 `json:"refused"`
+	Rejected float64 `json:"refused"`
 	Failed   float64 `json:"failed"`
-	Again    float64 `json:"asked_again"`
+	Retried  float64 `json:"asked_again"`
 	Coverage float64 `json:"coverage"` // mean over served requests
 	load.Quantiles
 }
 
 // report is the result of a run.
 type report struct {
-	Rows          []row    `json:"rows"`
-	Extra         float64  `json:"extra_sends"` // retries and hedges for each first send
-	MostOverSlots float64  `json:"most_in_flight_over_slots"`
-	MeanOverSlots float64  `json:"mean_most_in_flight_over_slots"`
-	Opened        int64    `json:"connections_opened"`
-	PerPartMicros float64  `json:"processor_us_per_send"`
-	Events        []event  `json:"events"`
-	Faults        []string `json:"wrong_answers"`
+	Rows             []row    `json:"rows"`
+	ExtraShare       float64  `json:"extra_sends"` // retries and hedges for each first send
+	MaxOverSlots     float64  `json:"most_in_flight_over_slots"`
+	MeanMaxOverSlots float64  `json:"mean_most_in_flight_over_slots"`
+	ConnsOpened      int64    `json:"connections_opened"`
+	CPUMicrosPerSend float64  `json:"processor_us_per_send"`
+	Events           []event  `json:"events"`
+	WrongAnswers     []string `json:"wrong_answers"`
 }
 
 func (r *run) report() *report {
 	out := &report{Events: r.events}
-	for _, t := range r.tallies {
+	for _, t := range r.stats {
 		t.mu.Lock()
 		n := float64(max(t.count, 1))
 		out.Rows = append(out.Rows, row{
-			Kind: t.kind.name, Requests: t.count, InAim: float64(t.inAim) / n, Late: float64(t.late) / n,
-			Refused: float64(t.refused) / n, Failed: float64(t.failed) / n, Again: float64(t.again) / n,
-			Coverage: t.coverage / float64(max(t.inAim+t.late, 1)), Quantiles: t.recorder.Total(),
+			Kind: t.kind.name, Requests: t.count, InTime: float64(t.inTime) / n, Late: float64(t.late) / n,
+			Rejected: float64(t.rejected) / n, Failed: float64(t.failed) / n, Retried: float64(t.retried) / n,
+			Coverage: t.coverage / float64(max(t.inTime+t.late, 1)), Quantiles: t.recorder.Total(),
 		})
-		out.Faults = append(out.Faults, t.faults...)
+		out.WrongAnswers = append(out.WrongAnswers, t.wrongAnswers...)
 		t.mu.Unlock()
 	}
 	p := r.platform
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	sends := p.firsts + p.extra
-	out.Extra = float64(p.extra) / float64(max(p.firsts, 1))
-	out.PerPartMicros = float64(r.cpu.Microseconds()) / float64(max(sends, 1))
+	sends := p.firstSends + p.extraSends
+	out.ExtraShare = float64(p.extraSends) / float64(max(p.firstSends, 1))
+	out.CPUMicrosPerSend = float64(r.tierCPU.Microseconds()) / float64(max(sends, 1))
 	windows := 0
 	for l, s := range p.series {
-		out.Opened += l.opened.Load()
+		out.ConnsOpened += l.connsOpened.Load()
 		for _, m := range s.Most {
 			over := float64(m) / float64(s.Slots)
-			out.MostOverSlots = max(out.MostOverSlots, over)
-			out.MeanOverSlots += over
+			out.MaxOverSlots = max(out.MaxOverSlots, over)
+			out.MeanMaxOverSlots += over
 			windows++
 		}
 	}
-	out.MeanOverSlots /= float64(max(windows, 1))
+	out.MeanMaxOverSlots /= float64(max(windows, 1))
 	return out
 }
 
@@ -80,14 +80,14 @@
 		"kind", "requests", "in aim", "late", "refused", "failed", "again", "coverage", "p50 ms", "p90 ms", "p99 ms")
 	for _, x := range r.Rows {
 		fmt.Fprintf(w, "%-8s %8d %6.1f%% %5.1f%% %7.2f%% %6.2f%% %5.1f%% %8.2f%% %8.1f %8.1f %8.1f\n",
-			x.Kind, x.Requests, 100*x.InAim, 100*x.Late, 100*x.Refused, 100*x.Failed, 100*x.Again, 100*x.Coverage, x.P50, x.P90, x.P99)
+			x.Kind, x.Requests, 100*x.InTime, 100*x.Late, 100*x.Rejected, 100*x.Failed, 100*x.Retried, 100*x.Coverage, x.P50, x.P90, x.P99)
 	}
 	fmt.Fprintf(w, "leaves: %.1f%% extra sends; in flight over slots at most %.1f, mean of the windows %.2f; %d connections opened; %.0f us of the tier's processor a send\n",
-		100*r.Extra, r.MostOverSlots, r.MeanOverSlots, r.Opened, r.PerPartMicros)
+		100*r.ExtraShare, r.MaxOverSlots, r.MeanMaxOverSlots, r.ConnsOpened, r.CPUMicrosPerSend)
 	for _, e := range r.Events {
-		fmt.Fprintf(w, "%6.1f s  %s\n", e.At, e.What)
+		fmt.Fprintf(w, "%6.1f s  %s\n", e.At, e.Description)
 	}
-	for _, f := range r.Faults {
+	for _, f := range r.WrongAnswers {
 		fmt.Fprintln(w, "WRONG ANSWER:", f)
 	}
 }
@@ -104,7 +104,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "forward.json"), text, 0o644); err != nil {
 		return err
 	}
-	for _, t := range r.tallies {
+	for _, t := range r.stats {
 		if err := load.PlotLatency(filepath.Join(dir, t.kind.name+".svg"), t.recorder.Windows()); err != nil {
 			return err
 		}
--- a/bench/forward/tier.go
+++ b/bench/forward/tier.go
@@ -23,27 +23,27 @@
 )
 
 const (
-	network   = "127.0.20."
-	disks     = 3
-	startTime = 30 * time.Second
-	callTime  = 2 * time.Second
+	ipPrefix     = "127.0.20."
+	vmsWithDisk  = 3
+	startTimeout = 30 * time.Second
+	callTimeout  = 2 * time.Second
 )
 
 // entryVM simulates an entry VM: a loopback address of its own and a pearmoor-entry process.
 type entryVM struct {
-	spec standin.VM
-	dir  string
-	bin  string
-	cmd  *exec.Cmd
-	used time.Duration // processor time of the VM's earlier processes
+	spec       standin.VM
+	dir        string
+	bin        string
+	cmd        *exec.Cmd
+	earlierCPU time.Duration // processor time of the VM's earlier processes
 }
 
 // entryTier is all VMs of the tier.
 type entryTier struct {
-	vms    []*entryVM
-	client *http.Client
-	number uint64
-	shards []string
+	vms           []*entryVM
+	client        *http.Client
+	releaseNumber uint64
+	shards        []string
 }
 
 func newTier(dir, bin string, n int, listAddr string) (*entryTier, error) {
@@ -51,28 +51,28 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &entryTier{client: &http.Client{Timeout: callTime}}
+	t := &entryTier{client: &http.Client{Timeout: callTimeout}}
 	for i := range n {
 		v := &entryVM{dir: dir, bin: bin, spec: standin.VM{
-			Name: fmt.Sprintf("vm-%d", i+1), IP: network + strconv.Itoa(i+1), Domain: domains[i%len(domains)], Region: region,
+			Name: fmt.Sprintf("vm-%d", i+1), IP: ipPrefix + strconv.Itoa(i+1), Domain: domains[i%len(domains)], Region: region,
 			Ports:      standin.Ports{Callers: ports[0], Ready: ports[1], Operators: ports[2], Directory: ports[3], Peers: ports[4]},
 			FirstStart: true, DiskMB: 64, Cores: 1, Tolerated: 1, DrainMS: 3000, GraceS: 6,
 			BudgetRatio: 0.2, BudgetBurst: 62, BudgetWindowS: 10, ListAddr: listAddr, ListRate: 50,
 		}}
-		if i < disks {
+		if i < vmsWithDisk {
 			v.spec.DataDir = filepath.Join(dir, v.spec.Name)
 		}
 		t.vms = append(t.vms, v)
 	}
 	for _, v := range t.vms {
-		for _, s := range t.vms[:min(disks, n)] {
-			v.spec.Seeds = append(v.spec.Seeds, s.at(s.spec.Ports.Operators))
+		for _, s := range t.vms[:min(vmsWithDisk, n)] {
+			v.spec.Seeds = append(v.spec.Seeds, s.addr(s.spec.Ports.Operators))
 		}
 	}
 	return t, nil
 }
 
-func (v *entryVM) at(port string) string { return net.JoinHostPort(v.spec.IP, port) }
+func (v *entryVM) addr(port string) string { return net.JoinHostPort(v.spec.IP, port) }
 
 // start starts the VM's process. Its output goes to a log file beside its settings file.
 func (v *entryVM) start() error {
@@ -99,7 +99,7 @@
 
 // kill kills the process with SIGKILL.
 func (v *entryVM) kill() {
-	v.used = v.cpu()
+	v.earlierCPU = v.cpu()
 	_ = v.cmd.Process.Kill()
 	_ = v.cmd.Wait() // the error only reports the kill
 }
@@ -108,33 +108,33 @@
 func (v *entryVM) cpu() time.Duration {
 	proc, err := procfs.NewProc(v.cmd.Process.Pid)
 	if err != nil {
-		return v.used
+		return v.earlierCPU
 	}
 	stat, err := proc.Stat()
 	if err != nil {
-		return v.used
+		return v.earlierCPU
 	}
-	return v.used + time.Duration(stat.CPUTime()*float64(time.Second))
+	return v.earlierCPU + time.Duration(stat.CPUTime()*float64(time.Second))
 }
 
 // release returns the configuration of the run: two routes over all shards, wide and
 // quick, and one to a single service whose requests are not idempotent.
 func (t *entryTier) release() *route.Release {
 	r := &route.Release{
-		Number: t.number,
+		Number: t.releaseNumber,
 		Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 256 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 	}
-	for _, k := range kinds {
-		one := route.Route{
-			Name: k.name, Host: host, Prefix: k.prefix, Repeatable: k.gathers, Timeout: k.wait, TargetLatency: k.aim,
+	for _, k := range requestKinds {
+		rt := route.Route{
+			Name: k.name, Host: host, Prefix: k.prefix, Repeatable: k.gathers, Timeout: k.timeout, TargetLatency: k.targetLatency,
 			Priority: k.priority, Attempts: 2,
 		}
 		if k.gathers {
-			one.Shards, one.Top, one.LeastCoverage = t.shards, topRecords, k.least
+			rt.Shards, rt.Top, rt.LeastCoverage = t.shards, topRecordCount, k.minCoverage
 		} else {
-			one.Service = singleService
+			rt.Service = singleService
 		}
-		r.Routes = append(r.Routes, one)
+		r.Routes = append(r.Routes, rt)
 	}
 	for _, s := range append([]string{singleService}, t.shards...) {
 		r.Services = append(r.Services, route.Service{Name: s, HealthPath: "/health", Connections: leafConns, Protocol: "h1"})
@@ -143,18 +143,18 @@
 }
 
 // pushRelease sends the next configuration to the VMs in turn until one acknowledges it.
-func (t *entryTier) configure(ctx context.Context) error {
-	t.number++
+func (t *entryTier) pushRelease(ctx context.Context) error {
+	t.releaseNumber++
 	text, err := platform.EncodeRelease(t.release())
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	last := errors.New("no VM was asked")
 	for ctx.Err() == nil {
 		for _, v := range t.vms {
-			if last = t.put(ctx, v, string(text)); last == nil {
+			if last = t.postRelease(ctx, v, string(text)); last == nil {
 				return nil
 			}
 		}
@@ -163,8 +163,8 @@
 	return errors.Wrap(last, "the configuration is not acknowledged")
 }
 
-func (t *entryTier) put(ctx context.Context, v *entryVM, text string) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+v.at(v.spec.Ports.Operators)+standin.PutPath, strings.NewReader(text))
+func (t *entryTier) postRelease(ctx context.Context, v *entryVM, text string) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+v.addr(v.spec.Ports.Operators)+standin.PutPath, strings.NewReader(text))
 	if err != nil {
 		return err
 	}
--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -32,33 +32,33 @@
 func main() {
 	app := kingpin.New("policy", "Plays load on the policies in virtual time.")
 	seeds := app.Flag("seeds", "Plays of each scenario.").Default("5").Int()
-	only := app.Flag("scenario", "Name of the one scenario to play.").String()
+	scenario := app.Flag("scenario", "Name of the one scenario to play.").String()
 	plot := app.Flag("plot", "SVG file for the worth of each second.").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if *seeds < 1 {
 		klog.Fatalf("policy: --seeds=%d, at least 1 is needed", *seeds)
 	}
-	var lines []line
+	var series []worthSeries
 	for _, s := range sim.Scenarios {
-		if *only != "" && *only != s.Name {
+		if *scenario != "" && *scenario != s.Name {
 			continue
 		}
-		lines = append(lines, play(os.Stdout, s, *seeds))
+		series = append(series, runScenario(os.Stdout, s, *seeds))
 	}
-	if len(lines) == 0 {
-		klog.Fatalf("policy: --scenario=%q is none of those played without it", *only)
+	if len(series) == 0 {
+		klog.Fatalf("policy: --scenario=%q is none of those played without it", *scenario)
 	}
 	if *plot != "" {
-		if err := os.WriteFile(*plot, draw(lines), 0o644); err != nil {
+		if err := os.WriteFile(*plot, renderSVG(series), 0o644); err != nil {
 			klog.Fatalf("policy: %v", err)
 		}
 	}
 }
 
 // runScenario prints the results of a scenario and returns the worth by second of the first variant.
-func play(w io.Writer, s sim.Scenario, seeds int) line {
+func runScenario(w io.Writer, s sim.Scenario, seeds int) worthSeries {
 	fmt.Fprintf(w, "%s: %s\n%28s %15s %8s %8s %8s %8s %8s %8s\n", s.Name, s.What, "", "worth", "in time", "parts", "p50 ms", "p99 ms", "extra", "denied")
-	out := line{name: s.Name}
+	out := worthSeries{name: s.Name}
 	for i, v := range variants {
 		results := make([]*sim.Result, seeds)
 		var wg sync.WaitGroup
@@ -70,9 +70,9 @@
 			})
 		}
 		wg.Wait()
-		report(w, v.name, results)
+		printResults(w, v.name, results)
 		if i == 0 {
-			out.take(results)
+			out.setMeans(results)
 		}
 	}
 	fmt.Fprintln(w)
@@ -80,7 +80,7 @@
 }
 
 // printResults prints one line for all routes together and one for each route.
-func report(w io.Writer, name string, results []*sim.Result) {
+func printResults(w io.Writer, name string, results []*sim.Result) {
 	var worth, extra, denied []float64
 	for _, r := range results {
 		worth, extra, denied = append(worth, r.Worth()), append(extra, r.Extra()), append(denied, float64(r.Denied))
--- a/bench/policy/sim/daemon.go
+++ b/bench/policy/sim/daemon.go
@@ -11,330 +11,330 @@
 
 // daemon simulates the daemon of one VM of the tier.
 type daemon struct {
-	w       *world
-	domain  int
-	links   map[*leaf]*link
-	paces   []policy.LatencyEstimator // by route index
-	budgets *policy.Budgets
+	sim        *simulation
+	domain     int
+	leafStates map[*leaf]*leafState
+	latencies  []policy.LatencyEstimator // by route index
+	budgets    *policy.Budgets
 }
 
 // leafState is a daemon's state for one leaf: its statistics and its connections.
-type link struct {
+type leafState struct {
 	policy.LeafStats
-	used  int
-	waits []*send
+	connsInUse int
+	waiting    []*leafRequest // for a connection, oldest first
 }
 
-func newDaemon(w *world, domain int) *daemon {
+func newDaemon(sim *simulation, domain int) *daemon {
 	return &daemon{
-		w: w, domain: domain, links: make(map[*leaf]*link), paces: make([]policy.LatencyEstimator, len(w.cfg.Routes)),
-		budgets: policy.NewBudgets(w.cfg.Budget, func() vm.Instant { return w.now }, func() int { return w.cfg.Daemons }),
+		sim: sim, domain: domain, leafStates: make(map[*leaf]*leafState), latencies: make([]policy.LatencyEstimator, len(sim.cfg.Routes)),
+		budgets: policy.NewBudgets(sim.cfg.Budget, func() vm.Instant { return sim.now }, func() int { return sim.cfg.Daemons }),
 	}
 }
 
-func (d *daemon) link(l *leaf) *link {
-	k := d.links[l]
-	if k == nil {
-		k = &link{}
-		d.links[l] = k
+func (d *daemon) leafState(l *leaf) *leafState {
+	state := d.leafStates[l]
+	if state == nil {
+		state = &leafState{}
+		d.leafStates[l] = state
 	}
-	return k
+	return state
 }
 
 // gather is one caller's request, which a daemon sends to a leaf of every shard.
 type gather struct {
-	d           *daemon
-	route       *Route
-	pace        *policy.LatencyEstimator
-	routeNumber int
-	arrived     vm.Instant
-	times       policy.Schedule
-	shards      []shard
-	need        int
-	have        int
-	over        bool
-	unsent      bool
+	d          *daemon // handles the request
+	route      *Route
+	latency    *policy.LatencyEstimator
+	routeIndex int
+	arrived    vm.Instant
+	schedule   policy.Schedule
+	shards     []shard
+	required   int  // parts that an answer must contain
+	received   int  // parts so far
+	answered   bool // the caller has its answer or error
+	notSent    bool // no leaf request has been sent yet
 }
 
 // shard is the state of one shard within a gather.
 type shard struct {
-	done  bool
-	stuck bool
-	ended bool
-	sends []*send // unfinished
-	tried []*leaf
-	tries int
-	pause time.Duration
+	done        bool           // its part has been received
+	blocked     bool           // waits for the next round of sends, or abandoned
+	abandoned   bool           // gets no more sends
+	inFlight    []*leafRequest // unfinished
+	triedLeaves []*leaf        // not sent to again in this round
+	sendCount   int
+	roundPause  time.Duration // before the next round
 }
 
 // leafRequest is one request that a daemon sends to a leaf.
-type send struct {
-	g     *gather
-	shard int
-	leaf  *leaf
-	hop   time.Duration
-	began vm.Instant
-	state sendState
-	gone  bool // the daemon no longer waits for it
-	left  bool // the leaf has seen that its connection was closed
+type leafRequest struct {
+	g            *gather
+	shard        int
+	leaf         *leaf
+	networkDelay time.Duration
+	startedAt    vm.Instant
+	state        requestState
+	ended        bool // the daemon no longer waits for it
+	connClosed   bool // the leaf has seen that its connection was closed
 }
 
-type sendState uint8
+type requestState uint8
 
 const (
-	waiting sendState = iota // waits for a connection
-	sent                     // on the network, not yet at the leaf
+	awaitingConn requestState = iota // waits for a connection
+	inTransit                        // on the network, not yet at the leaf
 	queued
 	running
-	over
+	finished
 )
 
 // hedgeSendLimit is the number of sends for a shard from which on no hedge is sent to it.
-const attempts = 2
+const hedgeSendLimit = 2
 
 // startGather handles a caller's request for the route at the given index.
-func (d *daemon) gather(route int) {
-	r := &d.w.cfg.Routes[route]
-	pace := &d.paces[route]
-	terms := policy.TimeLimits{Timeout: r.Timeout, TargetLatency: r.Aim, AnswerMargin: r.Margin}
+func (d *daemon) startGather(route int) {
+	r := &d.sim.cfg.Routes[route]
+	latency := &d.latencies[route]
+	limits := policy.TimeLimits{Timeout: r.Timeout, TargetLatency: r.Aim, AnswerMargin: r.Margin}
 	g := &gather{
-		d: d, route: r, routeNumber: route, pace: pace, arrived: d.w.now, times: policy.NewSchedule(terms, r.Timeout, 0, pace),
-		shards: make([]shard, d.w.cfg.Shards), need: int(math.Ceil(r.Need*float64(d.w.cfg.Shards) - 1e-9)), unsent: true,
+		d: d, route: r, routeIndex: route, latency: latency, arrived: d.sim.now, schedule: policy.NewSchedule(limits, r.Timeout, 0, latency),
+		shards: make([]shard, d.sim.cfg.Shards), required: int(math.Ceil(r.Need*float64(d.sim.cfg.Shards) - 1e-9)), notSent: true,
 	}
 	for i := range g.shards {
-		d.budgets.RecordRequest(d.service(i))
-		g.launch(i, false)
+		d.budgets.RecordRequest(d.serviceName(i))
+		g.sendToShard(i, false)
 	}
-	d.w.after(g.times.HedgeAfter, g.hedge)
-	d.w.after(g.times.PartialAfter, g.decide)
-	d.w.after(g.times.AnswerDeadline, g.decide)
+	d.sim.after(g.schedule.HedgeAfter, g.sendHedges)
+	d.sim.after(g.schedule.PartialAfter, g.maybeAnswer)
+	d.sim.after(g.schedule.AnswerDeadline, g.maybeAnswer)
 }
 
-func (d *daemon) service(shard int) string { return d.w.result.services[shard] }
+func (d *daemon) serviceName(shard int) string { return d.sim.result.serviceNames[shard] }
 
 // sendToShard sends a request to the best leaf of shard i, within the retry and hedge budget.
-func (g *gather) launch(i int, hedge bool) {
+func (g *gather) sendToShard(i int, hedge bool) {
 	s := &g.shards[i]
-	l := g.choose(i)
+	l := g.chooseLeaf(i)
 	if l == nil {
 		if !hedge {
-			g.roundOver(i)
+			g.endRound(i)
 		}
 		return
 	}
-	if s.tries > 0 && !g.d.budgets.Spend(g.d.service(i), hedge) {
-		g.d.w.result.Denied++
+	if s.sendCount > 0 && !g.d.budgets.Spend(g.d.serviceName(i), hedge) {
+		g.d.sim.result.Denied++
 		if !hedge {
-			g.roundOver(i)
+			g.endRound(i)
 		}
 		return
 	}
-	if s.tries > 0 {
-		g.d.w.result.extra++
+	if s.sendCount > 0 {
+		g.d.sim.result.extraSends++
 	} else {
-		g.d.w.result.first++
+		g.d.sim.result.firstSends++
 	}
-	s.stuck = false
-	s.tries++
-	x := &send{g: g, shard: i, leaf: l, began: g.d.w.now, hop: g.d.w.cfg.Near}
+	s.blocked = false
+	s.sendCount++
+	req := &leafRequest{g: g, shard: i, leaf: l, startedAt: g.d.sim.now, networkDelay: g.d.sim.cfg.Near}
 	if l.domain != g.d.domain {
-		x.hop = g.d.w.cfg.Far
+		req.networkDelay = g.d.sim.cfg.Far
 	}
-	s.sends = append(s.sends, x)
-	s.tried = append(s.tried, l)
-	g.d.connect(x)
+	s.inFlight = append(s.inFlight, req)
+	s.triedLeaves = append(s.triedLeaves, l)
+	g.d.acquireConn(req)
 }
 
 // chooseLeaf returns the leaf of shard i to send to, or nil if every leaf has been tried.
-func (g *gather) choose(i int) *leaf {
-	var from []*leaf
-	var of []policy.Candidate
-	for _, l := range g.d.w.leaves[i] {
-		if slices.Contains(g.shards[i].tried, l) {
+func (g *gather) chooseLeaf(i int) *leaf {
+	var leaves []*leaf
+	var candidates []policy.Candidate
+	for _, l := range g.d.sim.leaves[i] {
+		if slices.Contains(g.shards[i].triedLeaves, l) {
 			continue
 		}
-		c := policy.Candidate{SameDomain: l.domain == g.d.domain, Slots: g.d.w.cfg.Slots}
-		if !g.d.w.cfg.Without.Learning {
-			c.Stats = &g.d.link(l).LeafStats
+		c := policy.Candidate{SameDomain: l.domain == g.d.domain, Slots: g.d.sim.cfg.Slots}
+		if !g.d.sim.cfg.Without.Learning {
+			c.Stats = &g.d.leafState(l).LeafStats
 		}
-		from, of = append(from, l), append(of, c)
+		leaves, candidates = append(leaves, l), append(candidates, c)
 	}
-	if k := policy.Choose(of, g.d.w.now, g.pace.Median(), g.d.w.rng); k >= 0 {
-		return from[k]
+	if k := policy.Choose(candidates, g.d.sim.now, g.latency.Median(), g.d.sim.rng); k >= 0 {
+		return leaves[k]
 	}
 	return nil
 }
 
 // endRound schedules the next round of sends to shard i, when no leaf is left to try or the budget is spent.
-func (g *gather) roundOver(i int) {
+func (g *gather) endRound(i int) {
 	s := &g.shards[i]
-	s.stuck = true
-	if s.tries >= policy.MaxSends {
-		s.ended = true
+	s.blocked = true
+	if s.sendCount >= policy.MaxSends {
+		s.abandoned = true
 		return
 	}
-	s.pause = policy.RoundPause(s.pause)
-	s.tried = nil
-	for _, x := range s.sends {
-		s.tried = append(s.tried, x.leaf)
+	s.roundPause = policy.RoundPause(s.roundPause)
+	s.triedLeaves = nil
+	for _, req := range s.inFlight {
+		s.triedLeaves = append(s.triedLeaves, req.leaf)
 	}
-	g.d.w.after(s.pause, func() {
-		if !g.over && !s.done && s.stuck {
-			g.launch(i, false)
+	g.d.sim.after(s.roundPause, func() {
+		if !g.answered && !s.done && s.blocked {
+			g.sendToShard(i, false)
 		}
 	})
 }
 
 // acquireConn sends req on one of the daemon's connections to the leaf, or waits for one to become free.
-func (d *daemon) connect(x *send) {
-	k := d.link(x.leaf)
-	k.Begin(x.began)
-	if k.used < policy.ConnectionsPerDaemon(d.w.cfg.Connections, d.w.cfg.Daemons) {
-		k.used++
-		d.transmit(x)
+func (d *daemon) acquireConn(req *leafRequest) {
+	state := d.leafState(req.leaf)
+	state.Begin(req.startedAt)
+	if state.connsInUse < policy.ConnectionsPerDaemon(d.sim.cfg.Connections, d.sim.cfg.Daemons) {
+		state.connsInUse++
+		d.transmit(req)
 		return
 	}
-	wait := policy.ConnWait(x.g.pace.Median())
-	if d.w.cfg.Without.Waits {
+	wait := policy.ConnWait(req.g.latency.Median())
+	if d.sim.cfg.Without.Waits {
 		wait = 0
 	}
-	k.waits = append(k.waits, x)
-	d.w.after(wait, func() {
-		if x.state == waiting && !x.gone {
-			d.unwait(x)
-			d.result(x, policy.RequestResult{Outcome: policy.Inconclusive}, false)
+	state.waiting = append(state.waiting, req)
+	d.sim.after(wait, func() {
+		if req.state == awaitingConn && !req.ended {
+			d.stopWaiting(req)
+			d.finish(req, policy.RequestResult{Outcome: policy.Inconclusive}, false)
 		}
 	})
 }
 
-func (d *daemon) unwait(x *send) {
-	k := d.link(x.leaf)
-	k.waits = slices.DeleteFunc(k.waits, func(y *send) bool { return y == x })
+func (d *daemon) stopWaiting(req *leafRequest) {
+	state := d.leafState(req.leaf)
+	state.waiting = slices.DeleteFunc(state.waiting, func(other *leafRequest) bool { return other == req })
 }
 
-func (d *daemon) transmit(x *send) {
-	x.state = sent
-	x.g.unsent = false
-	d.w.after(x.hop, func() { x.leaf.arrive(x) })
+func (d *daemon) transmit(req *leafRequest) {
+	req.state = inTransit
+	req.g.notSent = false
+	d.sim.after(req.networkDelay, func() { req.leaf.receive(req) })
 }
 
 // releaseConn hands a connection over to the request that has waited longest, if there is one.
-func (d *daemon) free(l *leaf) {
-	k := d.link(l)
-	if len(k.waits) == 0 {
-		k.used--
+func (d *daemon) releaseConn(l *leaf) {
+	state := d.leafState(l)
+	if len(state.waiting) == 0 {
+		state.connsInUse--
 		return
 	}
-	first := k.waits[0]
-	k.waits = k.waits[1:]
+	first := state.waiting[0]
+	state.waiting = state.waiting[1:]
 	d.transmit(first)
 }
 
 // handleReply handles a leaf's reply.
-func (d *daemon) replied(x *send, refused bool, load *policy.Load) {
-	if x.gone {
+func (d *daemon) handleReply(req *leafRequest, rejected bool, load *policy.Load) {
+	if req.ended {
 		return
 	}
-	d.free(x.leaf)
-	e := policy.RequestResult{Outcome: policy.Replied, ReplyReceived: true, Load: load}
-	if refused {
-		e.Outcome = policy.Rejected
+	d.releaseConn(req.leaf)
+	res := policy.RequestResult{Outcome: policy.Replied, ReplyReceived: true, Load: load}
+	if rejected {
+		res.Outcome = policy.Rejected
 	}
-	d.result(x, e, !refused)
+	d.finish(req, res, !rejected)
 }
 
 // finish records the result of req. hasPart says whether the leaf returned its part of the answer.
-func (d *daemon) result(x *send, e policy.RequestResult, part bool) {
-	g := x.g
-	s := &g.shards[x.shard]
-	x.gone = true
-	e.Elapsed, e.MedianLatency = d.w.now.Sub(x.began), g.pace.Median()
-	d.link(x.leaf).End(d.w.now, x.began, e, d.w.rng)
-	if e.Outcome == policy.Replied {
-		g.pace.Observe(e.Elapsed)
+func (d *daemon) finish(req *leafRequest, res policy.RequestResult, hasPart bool) {
+	g := req.g
+	s := &g.shards[req.shard]
+	req.ended = true
+	res.Elapsed, res.MedianLatency = d.sim.now.Sub(req.startedAt), g.latency.Median()
+	d.leafState(req.leaf).End(d.sim.now, req.startedAt, res, d.sim.rng)
+	if res.Outcome == policy.Replied {
+		g.latency.Observe(res.Elapsed)
 	}
-	s.sends = slices.DeleteFunc(s.sends, func(y *send) bool { return y == x })
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(other *leafRequest) bool { return other == req })
 	switch {
-	case g.over || s.done:
-	case part:
+	case g.answered || s.done:
+	case hasPart:
 		s.done = true
-		g.have++
-		for _, y := range slices.Clone(s.sends) {
-			d.abandon(y)
+		g.received++
+		for _, other := range slices.Clone(s.inFlight) {
+			d.cancel(other)
 		}
-	case len(s.sends) == 0 && s.tries < policy.MaxSends:
-		g.launch(x.shard, false)
-	case len(s.sends) == 0:
-		s.stuck, s.ended = true, true
+	case len(s.inFlight) == 0 && s.sendCount < policy.MaxSends:
+		g.sendToShard(req.shard, false)
+	case len(s.inFlight) == 0:
+		s.blocked, s.abandoned = true, true
 	}
-	g.decide()
+	g.maybeAnswer()
 }
 
 // cancel ends a request whose reply is no longer needed and closes its connection.
-func (d *daemon) abandon(x *send) {
-	if x.gone {
+func (d *daemon) cancel(req *leafRequest) {
+	if req.ended {
 		return
 	}
-	x.gone = true
-	s := &x.g.shards[x.shard]
-	s.sends = slices.DeleteFunc(s.sends, func(y *send) bool { return y == x })
-	e := policy.RequestResult{Outcome: policy.Overdue, Elapsed: d.w.now.Sub(x.began), MedianLatency: x.g.pace.Median()}
-	if x.state == waiting {
-		e.Outcome = policy.Inconclusive
-		d.unwait(x)
+	req.ended = true
+	s := &req.g.shards[req.shard]
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(other *leafRequest) bool { return other == req })
+	res := policy.RequestResult{Outcome: policy.Overdue, Elapsed: d.sim.now.Sub(req.startedAt), MedianLatency: req.g.latency.Median()}
+	if req.state == awaitingConn {
+		res.Outcome = policy.Inconclusive
+		d.stopWaiting(req)
 	} else {
-		x.g.pace.Observe(e.Elapsed)
-		d.free(x.leaf)
-		d.w.after(x.hop, func() { x.leaf.leave(x) })
+		req.g.latency.Observe(res.Elapsed)
+		d.releaseConn(req.leaf)
+		d.sim.after(req.networkDelay, func() { req.leaf.cancelRequest(req) })
 	}
-	d.link(x.leaf).End(d.w.now, x.began, e, d.w.rng)
+	d.leafState(req.leaf).End(d.sim.now, req.startedAt, res, d.sim.rng)
 }
 
 // sendHedges sends a second request to every shard whose reply is late.
-func (g *gather) hedge() {
-	if g.over || g.d.w.cfg.Without.Hedges {
+func (g *gather) sendHedges() {
+	if g.answered || g.d.sim.cfg.Without.Hedges {
 		return
 	}
-	if policy.SuppressHedges(len(g.shards)-g.have, len(g.shards)) {
-		g.d.w.after(policy.HedgeRecheckInterval, g.hedge)
+	if policy.SuppressHedges(len(g.shards)-g.received, len(g.shards)) {
+		g.d.sim.after(policy.HedgeRecheckInterval, g.sendHedges)
 		return
 	}
 	for i := range g.shards {
-		if s := &g.shards[i]; !s.done && len(s.sends) == 1 && s.tries < attempts {
-			g.launch(i, true)
+		if s := &g.shards[i]; !s.done && len(s.inFlight) == 1 && s.sendCount < hedgeSendLimit {
+			g.sendToShard(i, true)
 		}
 	}
 }
 
 // maybeAnswer answers the caller if the policy says that it is time.
-func (g *gather) decide() {
-	if g.over {
+func (g *gather) maybeAnswer() {
+	if g.answered {
 		return
 	}
-	p := policy.Progress{
-		Shards: len(g.shards), Required: g.need, Received: g.have, NotRun: g.unsent, Elapsed: g.d.w.now.Sub(g.arrived),
+	progress := policy.Progress{
+		Shards: len(g.shards), Required: g.required, Received: g.received, NotRun: g.notSent, Elapsed: g.d.sim.now.Sub(g.arrived),
 	}
 	for i := range g.shards {
 		switch s := &g.shards[i]; {
 		case s.done:
-		case s.stuck && len(s.sends) == 0:
-			p.Blocked++
-			if s.ended {
-				p.Abandoned++
+		case s.blocked && len(s.inFlight) == 0:
+			progress.Blocked++
+			if s.abandoned {
+				progress.Abandoned++
 			}
 		default:
-			p.Pending++
+			progress.Pending++
 		}
 	}
-	step := p.Decide(g.times)
+	step := progress.Decide(g.schedule)
 	if step == policy.Continue {
 		return
 	}
-	g.over = true
-	g.d.w.result.answer(g, step == policy.AnswerNow)
+	g.answered = true
+	g.d.sim.result.recordOutcome(g, step == policy.AnswerNow)
 	for i := range g.shards {
-		for _, x := range slices.Clone(g.shards[i].sends) {
-			g.d.abandon(x)
+		for _, req := range slices.Clone(g.shards[i].inFlight) {
+			g.d.cancel(req)
 		}
 	}
 }
--- a/bench/policy/sim/leaf.go
+++ b/bench/policy/sim/leaf.go
@@ -11,89 +11,89 @@
 
 // leaf simulates one leaf, which runs as many requests at once as it has slots.
 type leaf struct {
-	w       *world
-	shard   int
-	domain  int
-	speed   float64 // multiplies the time of each request
-	pauseAt time.Duration
-	slow    []bool // by index of Config.Slowdowns
-	running int
-	queue   []*send
+	sim         *simulation
+	shard       int
+	domain      int
+	workFactor  float64       // multiplies the time of each request
+	pauseOffset time.Duration // time of the first pause
+	inSlowdown  []bool        // by index of Config.Slowdowns
+	running     int
+	queue       []*leafRequest
 }
 
 // workFactorSigma is the standard deviation of the logarithm of the leaves' work factors.
-const speedSpread = 0.15
+const workFactorSigma = 0.15
 
-func newLeaf(w *world, shard, domain int) *leaf {
-	l := &leaf{w: w, shard: shard, domain: domain, speed: math.Exp(speedSpread * w.rng.NormFloat64())}
-	if w.cfg.PauseEvery > 0 {
-		l.pauseAt = time.Duration(w.rng.Int64N(int64(w.cfg.PauseEvery)))
+func newLeaf(sim *simulation, shard, domain int) *leaf {
+	l := &leaf{sim: sim, shard: shard, domain: domain, workFactor: math.Exp(workFactorSigma * sim.rng.NormFloat64())}
+	if sim.cfg.PauseEvery > 0 {
+		l.pauseOffset = time.Duration(sim.rng.Int64N(int64(sim.cfg.PauseEvery)))
 	}
-	for _, s := range w.cfg.Spells {
-		l.slow = append(l.slow, shard < int(math.Round(s.Shards*float64(w.cfg.Shards))))
+	for _, slowdown := range sim.cfg.Spells {
+		l.inSlowdown = append(l.inSlowdown, shard < int(math.Round(slowdown.Shards*float64(sim.cfg.Shards))))
 	}
 	return l
 }
 
 // receive runs, queues or rejects a request that has reached the leaf.
-func (l *leaf) arrive(s *send) {
+func (l *leaf) receive(req *leafRequest) {
 	switch {
-	case s.left:
-	case l.running < l.w.cfg.Slots:
-		l.run(s)
-	case len(l.queue) < l.w.cfg.Queue:
-		s.state = queued
-		l.queue = append(l.queue, s)
+	case req.connClosed:
+	case l.running < l.sim.cfg.Slots:
+		l.startRequest(req)
+	case len(l.queue) < l.sim.cfg.Queue:
+		req.state = queued
+		l.queue = append(l.queue, req)
 	default:
-		l.reply(s, true)
+		l.reply(req, true)
 	}
 }
 
-func (l *leaf) run(s *send) {
+func (l *leaf) startRequest(req *leafRequest) {
 	l.running++
-	s.state = running
-	work := l.w.rng.ExpFloat64() * float64(s.g.route.Work) * l.speed * l.factor()
-	l.w.after(l.ends(time.Duration(work)).Sub(l.w.now), func() {
-		if s.state == running && !s.left {
-			l.reply(s, false)
-			l.next(s)
+	req.state = running
+	work := l.sim.rng.ExpFloat64() * float64(req.g.route.Work) * l.workFactor * l.slowdownFactor()
+	l.sim.after(l.completionTime(time.Duration(work)).Sub(l.sim.now), func() {
+		if req.state == running && !req.connClosed {
+			l.reply(req, false)
+			l.finishRequest(req)
 		}
 	})
 }
 
 // cancelRequest drops a request whose connection the daemon has closed.
-func (l *leaf) leave(s *send) {
-	s.left = true
-	switch s.state {
+func (l *leaf) cancelRequest(req *leafRequest) {
+	req.connClosed = true
+	switch req.state {
 	case queued:
-		l.queue = slices.DeleteFunc(l.queue, func(x *send) bool { return x == s })
+		l.queue = slices.DeleteFunc(l.queue, func(other *leafRequest) bool { return other == req })
 	case running:
-		l.next(s)
+		l.finishRequest(req)
 	}
-	s.state = over
+	req.state = finished
 }
 
 // finishRequest frees the slot of a request and starts the one that has waited longest.
-func (l *leaf) next(s *send) {
-	s.state = over
+func (l *leaf) finishRequest(req *leafRequest) {
+	req.state = finished
 	l.running--
 	if len(l.queue) > 0 {
 		first := l.queue[0]
 		l.queue = l.queue[1:]
-		l.run(first)
+		l.startRequest(first)
 	}
 }
 
-func (l *leaf) reply(s *send, refused bool) {
-	load := policy.Load{Running: l.running, Waiting: len(l.queue), Slots: l.w.cfg.Slots}
-	l.w.after(s.hop, func() { s.g.d.replied(s, refused, &load) })
+func (l *leaf) reply(req *leafRequest, rejected bool) {
+	load := policy.Load{Running: l.running, Waiting: len(l.queue), Slots: l.sim.cfg.Slots}
+	l.sim.after(req.networkDelay, func() { req.g.d.handleReply(req, rejected, &load) })
 }
 
 // slowdownFactor returns the product of the factors of the slowdowns that affect the leaf now.
-func (l *leaf) factor() float64 {
+func (l *leaf) slowdownFactor() float64 {
 	f := 1.0
-	for i, s := range l.w.cfg.Spells {
-		if at := l.w.passed(); l.slow[i] && at >= s.From && at < s.From+s.For {
+	for i, s := range l.sim.cfg.Spells {
+		if elapsed := l.sim.elapsed(); l.inSlowdown[i] && elapsed >= s.From && elapsed < s.From+s.For {
 			f *= s.Factor
 		}
 	}
@@ -101,22 +101,22 @@
 }
 
 // completionTime returns when work that starts now will be done, including pauses.
-func (l *leaf) ends(work time.Duration) vm.Instant {
-	every, length := l.w.cfg.PauseEvery, l.w.cfg.PauseFor
-	if every <= 0 {
-		return l.w.now.Add(work)
+func (l *leaf) completionTime(work time.Duration) vm.Instant {
+	interval, length := l.sim.cfg.PauseEvery, l.sim.cfg.PauseFor
+	if interval <= 0 {
+		return l.sim.now.Add(work)
 	}
-	at := l.w.passed()
+	elapsed := l.sim.elapsed()
 	for {
-		since := (at - l.pauseAt + every) % every // since the start of the last pause
+		since := (elapsed - l.pauseOffset + interval) % interval // since the start of the last pause
 		if since < length {
-			at += length - since
+			elapsed += length - since
 			since = length
 		}
-		if left := every - since; work > left {
-			at, work = at+left, work-left
+		if left := interval - since; work > left {
+			elapsed, work = elapsed+left, work-left
 			continue
 		}
-		return vm.Instant(1).Add(at + work)
+		return vm.Instant(1).Add(elapsed + work)
 	}
 }
--- a/bench/policy/sim/scenario.go
+++ b/bench/policy/sim/scenario.go
@@ -9,26 +9,26 @@
 // Scenarios are the loads and faults that can be simulated.
 var Scenarios = []Scenario{
 	{"calm", "leaves that pause for 150 ms each 3.6 s, and nothing else", func(*Config) {}},
-	{"busy", "a third more callers all the time", func(c *Config) { scale(c, 1.35) }},
+	{"busy", "a third more callers all the time", func(c *Config) { scaleRates(c, 1.35) }},
 	{"burst", "twice the callers for 3 s", func(c *Config) { c.Bursts = []Burst{{4 * time.Second, 3 * time.Second, 2}} }},
-	{"few slow", "all copies of a tenth of the shards eight times slower for 4 s", spell(0.1)},
-	{"many slow", "all copies of a fifth of the shards eight times slower for 4 s, more than may be missing", spell(0.2)},
+	{"few slow", "all copies of a tenth of the shards eight times slower for 4 s", slowShards(0.1)},
+	{"many slow", "all copies of a fifth of the shards eight times slower for 4 s, more than may be missing", slowShards(0.2)},
 }
 
 // Scenario is a change of the default configuration.
 type Scenario struct {
 	Name, What string
-	change     func(*Config)
+	modify     func(*Config)
 }
 
-func scale(c *Config, by float64) {
+func scaleRates(c *Config, factor float64) {
 	for i := range c.Routes {
-		c.Routes[i].PerSecond *= by
+		c.Routes[i].PerSecond *= factor
 	}
 }
 
-func spell(shards float64) func(*Config) {
-	return func(c *Config) { c.Spells = []Spell{{4 * time.Second, 4 * time.Second, shards, 8}} }
+func slowShards(share float64) func(*Config) {
+	return func(c *Config) { c.Spells = []Spell{{4 * time.Second, 4 * time.Second, share, 8}} }
 }
 
 // Config returns the configuration of the scenario: eleven VMs and twenty shards of two
@@ -46,6 +46,6 @@
 				Margin: 14 * time.Millisecond, Need: 0.75, Worth: 1, LateWorth: 0.1},
 		},
 	}
-	s.change(&c)
+	s.modify(&c)
 	return c
 }
--- a/bench/policy/sim/sim_test.go
+++ b/bench/policy/sim/sim_test.go
@@ -7,7 +7,7 @@
 )
 
 // runScenario simulates the named scenario with three seeds.
-func scenario(t *testing.T, name string, without Without) []*Result {
+func runScenario(t *testing.T, name string, disabled Without) []*Result {
 	t.Helper()
 	for _, s := range Scenarios {
 		if s.Name != name {
@@ -16,7 +16,7 @@
 		var out []*Result
 		for seed := range uint64(3) {
 			c := s.Config(seed + 1)
-			c.Without = without
+			c.Without = disabled
 			out = append(out, Run(c))
 		}
 		return out
@@ -25,7 +25,7 @@
 	return nil
 }
 
-func worth(results []*Result) float64 {
+func meanWorth(results []*Result) float64 {
 	sum := 0.0
 	for _, r := range results {
 		sum += r.Worth()
@@ -36,8 +36,8 @@
 // While a leaf pauses for 150 ms, a hedge to the shard's other leaf must get the part in
 // time. With hedges one in a hundred parts is missing, without them one in thirty, where
 // a missing part of twenty costs a tenth of an answer's worth.
-func TestPausesAreCoveredBySecondSends(t *testing.T) {
-	with, without := scenario(t, "calm", Without{}), scenario(t, "calm", Without{Hedges: true})
+func TestHedgesCoverLeafPauses(t *testing.T) {
+	with, without := runScenario(t, "calm", Without{}), runScenario(t, "calm", Without{Hedges: true})
 	for _, r := range with {
 		for _, rt := range r.Routes {
 			if inTime := float64(rt.InTime) / float64(rt.Requests); inTime < 0.99 || rt.Parts() < 0.98 {
@@ -45,15 +45,15 @@
 			}
 		}
 	}
-	if a, b := worth(with), worth(without); a < b+0.02 {
+	if a, b := meanWorth(with), meanWorth(without); a < b+0.02 {
 		t.Errorf("worth %.3f with hedges, %.3f without; want a difference of at least 0.02", a, b)
 	}
 }
 
 // If no more shards are slow than an answer may omit, answers must be in time and
 // contain the parts of all other shards.
-func TestSlowShardsThatMayBeMissingHoldNobodyUp(t *testing.T) {
-	for _, r := range scenario(t, "few slow", Without{}) {
+func TestOmittableSlowShardsDoNotDelayAnswers(t *testing.T) {
+	for _, r := range runScenario(t, "few slow", Without{}) {
 		for _, rt := range r.Routes {
 			if inTime := float64(rt.InTime) / float64(rt.Requests); inTime < 0.96 || rt.Parts() < 0.93 {
 				t.Errorf("%s: %.3f in time, %.3f of the parts", rt.Name, inTime, rt.Parts())
@@ -65,8 +65,8 @@
 // If more shards are slow than an answer may omit, and their capacity is below the load,
 // most answers are late. Nearly all callers must still get one, and the queues must have
 // drained half a second after the slowdown.
-func TestManySlowShardsLeaveNothingBehind(t *testing.T) {
-	for _, r := range scenario(t, "many slow", Without{}) {
+func TestRecoversFromManySlowShards(t *testing.T) {
+	for _, r := range runScenario(t, "many slow", Without{}) {
 		for _, rt := range r.Routes {
 			if rt.NotServed > rt.Requests/20 {
 				t.Errorf("%s: %d of %d not served", rt.Name, rt.NotServed, rt.Requests)
@@ -82,8 +82,8 @@
 
 // While the load is doubled for three seconds, all callers must be served, and retries
 // and hedges must stay within their budget: without one they would double the load again.
-func TestBurstIsServedWithinTheBudget(t *testing.T) {
-	for _, r := range scenario(t, "burst", Without{}) {
+func TestBurstServedWithinBudget(t *testing.T) {
+	for _, r := range runScenario(t, "burst", Without{}) {
 		for _, rt := range r.Routes {
 			if rt.NotServed > 0 {
 				t.Errorf("%s: %d of %d not served", rt.Name, rt.NotServed, rt.Requests)
@@ -96,7 +96,7 @@
 }
 
 // A seed must reproduce its result, so that a failure can be examined.
-func TestOneSeedOneResult(t *testing.T) {
+func TestSameSeedSameResult(t *testing.T) {
 	c := Scenarios[0].Config(7)
 	c.Length = 3 * time.Second
 	if a, b := Run(c), Run(c); !reflect.DeepEqual(a.Seconds, b.Seconds) || a.Worth() != b.Worth() {
--- a/bench/policy/sim/world.go
+++ b/bench/policy/sim/world.go
@@ -67,7 +67,7 @@
 }
 
 // simulation is the state of one running simulation.
-type world struct {
+type simulation struct {
 	cfg     Config
 	rng     *rand.Rand
 	now     vm.Instant
@@ -81,7 +81,7 @@
 type event struct {
 	at  vm.Instant
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
@@ -100,52 +100,52 @@
 }
 
 // after schedules do to run in d.
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, run func()) {
 	w.seq++
-	heap.Push(&w.events, event{w.now.Add(max(d, 0)), w.seq, do})
+	heap.Push(&w.events, event{w.now.Add(max(d, 0)), w.seq, run})
 }
 
 // Run simulates cfg.Duration and then runs on until every request has been answered.
 func Run(cfg Config) *Result {
-	w := &world{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: 1, result: newResult(cfg)}
+	sim := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: 1, result: newResult(cfg)}
 	for s := range cfg.Shards {
-		var copies []*leaf
-		first := w.rng.IntN(cfg.Domains)
+		var leaves []*leaf
+		first := sim.rng.IntN(cfg.Domains)
 		for c := range cfg.Copies {
-			copies = append(copies, newLeaf(w, s, (first+c)%cfg.Domains))
+			leaves = append(leaves, newLeaf(sim, s, (first+c)%cfg.Domains))
 		}
-		w.leaves = append(w.leaves, copies)
+		sim.leaves = append(sim.leaves, leaves)
 	}
 	for i := range cfg.Daemons {
-		w.daemons = append(w.daemons, newDaemon(w, i%cfg.Domains))
+		sim.daemons = append(sim.daemons, newDaemon(sim, i%cfg.Domains))
 	}
 	for r := range cfg.Routes {
-		w.arrive(r)
+		sim.scheduleArrival(r)
 	}
-	for len(w.events) > 0 {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.do()
+	for len(sim.events) > 0 {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
+		e.run()
 	}
-	return w.result
+	return sim.result
 }
 
 // elapsed returns the virtual time since the start.
-func (w *world) passed() time.Duration { return time.Duration(w.now - 1) }
+func (w *simulation) elapsed() time.Duration { return time.Duration(w.now - 1) }
 
 // scheduleArrival schedules the next request of a route.
-func (w *world) arrive(route int) {
+func (w *simulation) scheduleArrival(route int) {
 	rate := w.cfg.Routes[route].PerSecond
 	for _, b := range w.cfg.Bursts {
-		if at := w.passed(); at >= b.From && at < b.From+b.For {
+		if at := w.elapsed(); at >= b.From && at < b.From+b.For {
 			rate *= b.Factor
 		}
 	}
 	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		if w.passed() >= w.cfg.Length {
+		if w.elapsed() >= w.cfg.Length {
 			return
 		}
-		w.daemons[w.rng.IntN(len(w.daemons))].gather(route)
-		w.arrive(route)
+		w.daemons[w.rng.IntN(len(w.daemons))].startGather(route)
+		w.scheduleArrival(route)
 	})
 }
--- a/bench/query/cpu.go
+++ b/bench/query/cpu.go
@@ -28,17 +28,17 @@
 // up as often as the loop does. Twelve daemons forward requests to each other
 // and wake up twelve times as often, with little work each time.
 func cpuPerRequest(ctx context.Context, e *env) error {
-	for _, size := range []struct{ daemons, controls int }{{1, 1}, {daemons, controls}} {
+	for _, size := range []struct{ daemons, controls int }{{1, 1}, {daemonCount, controlVMCount}} {
 		cfg := e.tierConfig()
 		cfg.Daemons, cfg.Controls = size.daemons, size.controls
-		if err := e.cpuOf(ctx, cfg); err != nil {
+		if err := e.compareCPU(ctx, cfg); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (e *env) cpuOf(ctx context.Context, cfg tier.Config) error {
+func (e *env) compareCPU(ctx context.Context, cfg tier.Config) error {
 	t, direct, err := e.startBoth(ctx, cfg)
 	if err != nil {
 		return err
@@ -49,39 +49,39 @@
 	if err != nil {
 		return err
 	}
-	span := e.span(5*time.Second, 20*time.Second)
-	p := phase{rate: 0.5 * capacity(latency), span: span}
+	duration := e.duration(5*time.Second, 20*time.Second)
+	spec := loadSpec{rate: 0.5 * capacity(latency), duration: duration}
 	var ratios []float64
-	for round := range e.rounds() {
-		p.seed = uint64(round + 1)
-		bare, err := bareLoop(ctx, targets, p)
+	for round := range e.roundCount() {
+		spec.seed = uint64(round + 1)
+		bare, err := bareLoopCPU(ctx, targets, spec)
 		if err != nil {
 			return err
 		}
-		per, err := e.tierCPU(ctx, t, p)
+		perRequest, err := e.tierCPU(ctx, t, spec)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%d daemons: bare loop %v per leaf request, daemons %v\n", cfg.Daemons, bare, per)
-		ratios = append(ratios, float64(per)/float64(bare))
+		fmt.Printf("%d daemons: bare loop %v per leaf request, daemons %v\n", cfg.Daemons, bare, perRequest)
+		ratios = append(ratios, float64(perRequest)/float64(bare))
 	}
-	rest, err := restCPU(t, span/2)
+	idle, err := idleCPU(t, duration/2)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d daemons at rest use %.2f%% of a core each\n", cfg.Daemons, rest*100/float64(cfg.Daemons))
-	figure("cpu", fmt.Sprintf("%d daemons over a bare loop, per leaf request", cfg.Daemons), median(ratios), "at most 1.5")
+	fmt.Printf("%d daemons at rest use %.2f%% of a core each\n", cfg.Daemons, idle*100/float64(cfg.Daemons))
+	printFigure("cpu", fmt.Sprintf("%d daemons over a bare loop, per leaf request", cfg.Daemons), median(ratios), "at most 1.5")
 	return t.Stop()
 }
 
 // tierCPU runs load against the tier and returns the processor time of all daemons per leaf request.
-func (e *env) tierCPU(ctx context.Context, t *tier.Tier, p phase) (time.Duration, error) {
+func (e *env) tierCPU(ctx context.Context, t *tier.Tier, spec loadSpec) (time.Duration, error) {
 	before, err := t.CPU()
 	if err != nil {
 		return 0, err
 	}
-	act := func() error { return e.profileAll(ctx, t, p.span/2) }
-	res, err := during(p.span/4, act, func() (*load.Result, error) { return e.tierSide(ctx, t, p) })
+	act := func() error { return e.profileAll(ctx, t, spec.duration/2) }
+	res, err := runWithAction(spec.duration/4, act, func() (*load.Result, error) { return e.runTier(ctx, t, spec) })
 	if err != nil {
 		return 0, err
 	}
@@ -94,14 +94,14 @@
 	var g errgroup.Group
 	for i := range t.Daemons() {
 		g.Go(func() error {
-			return t.Profile(ctx, i, span, filepath.Join(e.out, fmt.Sprintf("cpu-%d", t.Daemons()), t.Name(i)+".pprof"))
+			return t.Profile(ctx, i, span, filepath.Join(e.outDir, fmt.Sprintf("cpu-%d", t.Daemons()), t.Name(i)+".pprof"))
 		})
 	}
 	return g.Wait()
 }
 
 // idleCPU returns the processor cores that all daemons together use without load.
-func restCPU(t *tier.Tier, span time.Duration) (float64, error) {
+func idleCPU(t *tier.Tier, span time.Duration) (float64, error) {
 	before, err := t.CPU()
 	if err != nil {
 		return 0, err
@@ -112,31 +112,31 @@
 }
 
 // bareLoopCPU sends leaf requests without a tier and returns this process's processor time for each.
-func bareLoop(ctx context.Context, targets []baseline.Target, p phase) (time.Duration, error) {
+func bareLoopCPU(ctx context.Context, targets []baseline.Target, spec loadSpec) (time.Duration, error) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(tier.DaemonProcs))
-	schedule, err := load.NewSchedule(load.Poisson, p.rate, p.span, p.seed)
+	arrivals, err := load.NewSchedule(load.Poisson, spec.rate, spec.duration, spec.seed)
 	if err != nil {
 		return 0, err
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: slotsEach}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: slotsPerLeaf}}
 	defer client.CloseIdleConnections()
 	var sent atomic.Int64
-	gates := make(map[*baseline.Leaf]chan struct{})
+	slots := make(map[*baseline.Leaf]chan struct{})
 	for _, t := range targets {
 		for _, l := range t.Replicas {
-			gates[l] = make(chan struct{}, l.Slots)
+			slots[l] = make(chan struct{}, l.Slots)
 		}
 	}
 	before := selfCPU()
-	load.Drive(ctx, schedule, 0, func(n int, _ time.Time) {
+	load.Drive(ctx, arrivals, 0, func(n int, _ time.Time) {
 		done := make(chan struct{})
 		for i := range targets {
 			go func() {
 				defer func() { done <- struct{}{} }()
 				t := &targets[i]
 				l := t.Replicas[n%len(t.Replicas)]
-				gates[l] <- struct{}{}
-				defer func() { <-gates[l] }()
+				slots[l] <- struct{}{}
+				defer func() { <-slots[l] }()
 				if postLeaf(ctx, client, l, t, fmt.Sprintf("bare-%d", n)) == nil {
 					sent.Add(1)
 				}
--- a/bench/query/drain.go
+++ b/bench/query/drain.go
@@ -43,13 +43,13 @@
 	} {
 		service := deskPath + "/" + tier.ServiceName(i)
 		leaf := tier.ServiceName(i) + "-1"
-		p := phase{rate: 0.3 * capacity(latency), span: e.span(7*time.Second, 12*time.Second), seed: uint64(i + 1)}
-		var left time.Time
+		spec := loadSpec{rate: 0.3 * capacity(latency), duration: e.duration(7*time.Second, 12*time.Second), seed: uint64(i + 1)}
+		var drainedAt time.Time
 		act := func() error {
-			left = time.Now()
+			drainedAt = time.Now()
 			return c.act(leaf, service)
 		}
-		res, err := during(2*time.Second, act, func() (*load.Result, error) { return e.tierSide(ctx, t, p) })
+		res, err := runWithAction(2*time.Second, act, func() (*load.Result, error) { return e.runTier(ctx, t, spec) })
 		if err != nil {
 			return errors.Wrap(err, c.name)
 		}
@@ -58,13 +58,13 @@
 			return err
 		}
 		rows = append(rows, row{c.name, res})
-		quiet := last.Sub(left).Seconds()
+		quiet := last.Sub(drainedAt).Seconds()
 		fmt.Printf("%s: last new work %.3f s after it; refused by leaving leaves %d; stopped at all leaves, as losers of hedges are, %d\n",
 			c.name, quiet, res.Leaves.WhileDraining, res.Leaves.Cancelled)
-		figure("drain", c.name+": seconds to the last new work", quiet, "at most 3")
-		figure("drain", c.name+": mean coverage", res.Coverage, "1")
+		printFigure("drain", c.name+": seconds to the last new work", quiet, "at most 3")
+		printFigure("drain", c.name+": mean coverage", res.Coverage, "1")
 	}
-	table(rows)
+	printTable(rows)
 	if err := t.Stop(); err != nil {
 		return err
 	}
--- a/bench/query/env.go
+++ b/bench/query/env.go
@@ -19,34 +19,34 @@
 // The desk of most experiments: 20 services of two leaves with two slots each, so
 // that a query goes to 40 shards and there are 80 slots.
 const (
-	deskPath   = "desk"
-	services   = 20
-	leavesEach = 2
-	slotsEach  = 2
-	shardsEach = 2
-	daemons    = 12
-	controls   = 3
-	processes  = 12 // clients that send to the leaves directly, without a tier
+	deskPath         = "desk"
+	serviceCount     = 20
+	leavesPerService = 2
+	slotsPerLeaf     = 2
+	shardsPerService = 2
+	daemonCount      = 12
+	controlVMCount   = 3
+	clientCount      = 12 // clients that send to the leaves directly, without a tier
 
-	latency     = 20 * time.Millisecond
-	connectCost = 6 * time.Millisecond
-	deadline    = time.Second
+	latency       = 20 * time.Millisecond
+	connSetupTime = 6 * time.Millisecond
+	deadline      = time.Second
 )
 
 // capacity returns the rate of queries, per second, that keeps every slot busy if
 // a run takes the given mean time.
 func capacity(mean time.Duration) float64 {
-	const slots, shards = services * leavesEach * slotsEach, services * shardsEach
+	const slots, shards = serviceCount * leavesPerService * slotsPerLeaf, serviceCount * shardsPerService
 	return slots / (shards * mean.Seconds())
 }
 
 // env holds the options and resources that the experiments share.
 type env struct {
-	quick bool
-	turns int // 0: default
-	out   string
-	dir   string // binaries, logs, data
-	http  *http.Client
+	quick      bool
+	roundsFlag int    // 0: default
+	outDir     string // results and plots
+	workDir    string // binaries, logs, data
+	http       *http.Client
 }
 
 // open creates the working directory and the HTTP client.
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	e.dir, e.http = dir, &http.Client{Transport: &http.Transport{}}
+	e.workDir, e.http = dir, &http.Client{Transport: &http.Transport{}}
 	fmt.Printf("logs: %s\n", dir)
 	return nil
 }
@@ -63,11 +63,11 @@
 // close removes the binaries but keeps the logs.
 func (e *env) close() {
 	e.http.CloseIdleConnections()
-	_ = os.RemoveAll(filepath.Join(e.dir, "bin"))
+	_ = os.RemoveAll(filepath.Join(e.workDir, "bin"))
 }
 
 // duration returns quick in a quick run and full otherwise.
-func (e *env) span(quick, full time.Duration) time.Duration {
+func (e *env) duration(quick, full time.Duration) time.Duration {
 	if e.quick {
 		return quick
 	}
@@ -75,10 +75,10 @@
 }
 
 // roundCount returns how many times the sides of a comparison are run in turn.
-func (e *env) rounds() int {
+func (e *env) roundCount() int {
 	switch {
-	case e.turns > 0:
-		return e.turns
+	case e.roundsFlag > 0:
+		return e.roundsFlag
 	case e.quick:
 		return 1
 	default:
@@ -92,83 +92,83 @@
 
 func (e *env) deskConfig(desk map[string]string, standinFlags ...string) tier.Config {
 	values := map[string]string{
-		"leaf-slots":       fmt.Sprint(slotsEach),
+		"leaf-slots":       fmt.Sprint(slotsPerLeaf),
 		"leaf-connections": "30",
-		"connect-cost":     connectCost.String(),
+		"connect-cost":     connSetupTime.String(),
 		"ramp":             "1s",
 	}
 	for k, v := range desk {
 		values[k] = v
 	}
-	spec := tier.DeskSpec{Path: deskPath, Services: services, Leaves: leavesEach, Settings: values}
+	spec := tier.DeskSpec{Path: deskPath, Services: serviceCount, Leaves: leavesPerService, Settings: values}
 	return tier.Config{
-		Dir:      e.dir,
+		Dir:      e.workDir,
 		Tree:     tier.Desk(spec, map[string]string{"address-lifetime": "2s"}),
-		Daemons:  daemons,
-		Controls: controls,
+		Daemons:  daemonCount,
+		Controls: controlVMCount,
 		Domains:  tier.Domains,
 		Standin:  append([]string{"--latency=" + latency.String()}, standinFlags...),
 	}
 }
 
 // loadSpec describes the load of one run.
-type phase struct {
-	rate     float64
-	span     time.Duration
-	deadline time.Duration // 0: default
-	once     float64       // fraction of requests that are not repeatable
-	resend   float64       // fraction of those that are sent twice
-	seed     uint64
+type loadSpec struct {
+	rate          float64
+	duration      time.Duration
+	deadline      time.Duration // 0: default
+	notRepeatable float64       // fraction of requests that are not repeatable
+	resend        float64       // fraction of those that are sent again with the same key after their outcome
+	seed          uint64
 }
 
-func (p phase) config(standinURL string) load.Config {
+func (s loadSpec) config(standinURL string) load.Config {
 	c := load.Config{
 		Paths:         []string{deskPath},
-		Rate:          p.rate,
-		Duration:      p.span,
-		Deadline:      p.deadline,
-		NotRepeatable: p.once,
-		Resend:        p.resend,
-		Seed:          p.seed,
+		Rate:          s.rate,
+		Duration:      s.duration,
+		Deadline:      s.deadline,
+		NotRepeatable: s.notRepeatable,
+		Resend:        s.resend,
+		Seed:          s.seed,
 		Standin:       standinURL,
 	}
 	if c.Deadline == 0 {
 		c.Deadline = deadline
 	}
-	if p.once > 0 {
+	if s.notRepeatable > 0 {
 		// A request that is not repeatable goes to a single query service.
 		c.Paths = nil
-		for i := range services {
+		for i := range serviceCount {
 			c.Paths = append(c.Paths, deskPath+"/"+tier.ServiceName(i))
 		}
 	}
 	return c
 }
 
-// runTier runs load against the tier.
-func (e *env) tierSide(ctx context.Context, t *tier.Tier, p phase) (*load.Result, error) {
-	c := p.config(t.Leaves.URL)
+// runTier runs the load of spec against the tier.
+func (e *env) runTier(ctx context.Context, t *tier.Tier, spec loadSpec) (*load.Result, error) {
+	c := spec.config(t.Leaves.URL)
 	c.Entries = t.Entries()
 	return load.Run(ctx, c)
 }
 
-// runDirect runs load with clients that send to the leaves without a tier.
-func (e *env) directSide(ctx context.Context, l *tier.Leaves, p phase, newPolicy func(int) baseline.Policy) (*load.Result, error) {
+// runDirect runs the load of spec with clients that send to the leaves without a tier.
+func (e *env) runDirect(ctx context.Context, l *tier.Leaves, spec loadSpec, newPolicy func(int) baseline.Policy) (*load.Result, error) {
 	targets, err := baseline.Discover(ctx, e.http, l.URL, deskPath)
 	if err != nil {
 		return nil, err
 	}
-	clients := baseline.NewClients(processes, targets, newPolicy)
+	clients := baseline.NewClients(clientCount, targets, newPolicy)
 	defer baseline.Close(clients)
-	c := p.config(l.URL)
+	c := spec.config(l.URL)
 	c.Askers = baseline.Askers(clients)
 	return load.Run(ctx, c)
 }
 
-func naive(int) baseline.Policy    { return baseline.Naive{} }
-func adaptive(int) baseline.Policy { return baseline.NewAdaptive() }
+func newNaive(int) baseline.Policy    { return baseline.Naive{} }
+func newAdaptive(int) baseline.Policy { return baseline.NewAdaptive() }
 
-func oracle() func(int) baseline.Policy {
+func newOracle() func(int) baseline.Policy {
 	o := baseline.NewOracle()
 	return func(int) baseline.Policy { return o }
 }
@@ -184,7 +184,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := e.warm(ctx, t); err != nil {
+	if err := e.warmUp(ctx, t); err != nil {
 		t.Kill()
 		return nil, err
 	}
@@ -208,11 +208,11 @@
 
 // warmUp runs queries until all answers are complete, so that connections are open
 // and the ramp-up after the start is over.
-func (e *env) warm(ctx context.Context, t *tier.Tier) error {
-	const tries = 10
+func (e *env) warmUp(ctx context.Context, t *tier.Tier) error {
+	const maxRuns = 10
 	var last *load.Result
-	for range tries {
-		res, err := e.tierSide(ctx, t, phase{rate: 20, span: 2 * time.Second, seed: 7})
+	for range maxRuns {
+		res, err := e.runTier(ctx, t, loadSpec{rate: 20, duration: 2 * time.Second, seed: 7})
 		if err != nil {
 			return err
 		}
@@ -226,19 +226,19 @@
 
 // row is one line of a result table.
 type row struct {
-	side string
+	name string
 	res  *load.Result
 }
 
 // printTable prints one line for each result.
-func table(rows []row) {
+func printTable(rows []row) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "side\trate/s\tp50 ms\tp99 ms\tp99.9 ms\tgoodput/s\tcoverage %\trefused\tin doubt\tno reply\textra %\tin flight/slots\tconns/cap\tbad hits")
 	for _, r := range rows {
 		x, l := r.res, r.res.Leaves
 		c := x.Check
 		fmt.Fprintf(w, "%s\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%d\n",
-			r.side, x.Rate, x.Answers.P50, x.Answers.P99, x.Answers.P999, x.Goodput, x.Coverage*100,
+			r.name, x.Rate, x.Answers.P50, x.Answers.P99, x.Answers.P999, x.Goodput, x.Coverage*100,
 			x.Refused, x.InDoubt, x.Failed, extraShare(x)*100, l.MostOverSlots, l.MostOverCap,
 			c.Lost+c.Doubled+c.Mixed+c.Foreign+c.Coverage)
 	}
@@ -257,7 +257,7 @@
 // save writes results and plots to a folder of the output folder.
 func (e *env) save(name string, rows []row) error {
 	for _, r := range rows {
-		if err := r.res.WriteFiles(filepath.Join(e.out, name, r.side)); err != nil {
+		if err := r.res.WriteFiles(filepath.Join(e.outDir, name, r.name)); err != nil {
 			return err
 		}
 	}
@@ -265,7 +265,7 @@
 }
 
 // printFigure prints one result with its target as a line of JSON.
-func figure(experiment, name string, value float64, target string) {
+func printFigure(experiment, name string, value float64, target string) {
 	line, err := json.Marshal(struct {
 		Experiment string  `json:"experiment"`
 		Figure     string  `json:"figure"`
--- a/bench/query/homes.go
+++ b/bench/query/homes.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	pressure  = 1.2 // load as a multiple of the capacity, so that every slot is always in demand
-	victim    = daemons - 1
-	exitLimit = 90 * time.Second
+	loadFactor      = 1.2 // load as a multiple of the capacity, so that every slot is always in demand
+	disruptedDaemon = daemonCount - 1
+	exitTimeout     = 90 * time.Second
 )
 
 // homes measures the requests in flight at the leaves while one home daemon restarts,
@@ -25,28 +25,28 @@
 		return err
 	}
 	defer t.Kill()
-	pause := e.span(10*time.Second, 30*time.Second)
+	pause := e.duration(10*time.Second, 30*time.Second)
 	cases := []struct {
 		name string
 		span time.Duration
 		act  func() error
 	}{
-		{"steady", e.span(5*time.Second, 20*time.Second), func() error { return nil }},
-		{"hand-over", e.span(25*time.Second, 40*time.Second), func() error { return e.restartOne(ctx, t, victim) }},
-		{"kill -9", e.span(20*time.Second, 40*time.Second), func() error { return e.killOne(ctx, t, victim) }},
-		{"pause", pause + 15*time.Second, func() error { return pauseOne(t, victim, pause) }},
+		{"steady", e.duration(5*time.Second, 20*time.Second), func() error { return nil }},
+		{"hand-over", e.duration(25*time.Second, 40*time.Second), func() error { return e.restartOne(ctx, t, disruptedDaemon) }},
+		{"kill -9", e.duration(20*time.Second, 40*time.Second), func() error { return e.killOne(ctx, t, disruptedDaemon) }},
+		{"pause", pause + 15*time.Second, func() error { return pauseOne(t, disruptedDaemon, pause) }},
 	}
 	var rows []row
 	for i, c := range cases {
-		p := phase{rate: pressure * capacity(latency), span: c.span, seed: uint64(i + 1)}
-		res, err := during(2*time.Second, c.act, func() (*load.Result, error) { return e.tierSide(ctx, t, p) })
+		spec := loadSpec{rate: loadFactor * capacity(latency), duration: c.span, seed: uint64(i + 1)}
+		res, err := runWithAction(2*time.Second, c.act, func() (*load.Result, error) { return e.runTier(ctx, t, spec) })
 		if err != nil {
 			return errors.Wrap(err, c.name)
 		}
 		rows = append(rows, row{c.name, res})
-		figure("homes", c.name+": most in flight over slots", res.Leaves.MostOverSlots, "at most 1")
+		printFigure("homes", c.name+": most in flight over slots", res.Leaves.MostOverSlots, "at most 1")
 	}
-	table(rows)
+	printTable(rows)
 	if err := t.Stop(); err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 	if err := t.Signal(i, syscall.SIGTERM); err != nil {
 		return err
 	}
-	if err := t.WaitExit(i, exitLimit); err != nil {
+	if err := t.WaitExit(i, exitTimeout); err != nil {
 		return err
 	}
 	if err := t.Restart(i); err != nil {
@@ -71,9 +71,9 @@
 	if err := t.Signal(i, syscall.SIGKILL); err != nil {
 		return err
 	}
-	_ = t.WaitExit(i, exitLimit)
+	_ = t.WaitExit(i, exitTimeout)
 	// Longer than a lease, so that its shares have been reassigned before it restarts.
-	time.Sleep(e.span(9*time.Second, 15*time.Second))
+	time.Sleep(e.duration(9*time.Second, 15*time.Second))
 	if err := t.Restart(i); err != nil {
 		return err
 	}
--- a/bench/query/index.go
+++ b/bench/query/index.go
@@ -11,7 +11,7 @@
 	"pearmoor/internal/standin"
 )
 
-const rollStep = 50 * time.Millisecond // between two leaves
+const rollOutInterval = 50 * time.Millisecond // between two leaves
 
 // indexChange rolls out a new index version leaf by leaf, and then versions with
 // other partition maps. Each leaf drops the old version when it gets the new one,
@@ -23,30 +23,30 @@
 		return err
 	}
 	defer t.Kill()
-	settle := e.span(3*time.Second, 6*time.Second)
-	span := 3*settle + 2*services*rollStep
+	settle := e.duration(3*time.Second, 6*time.Second)
+	duration := 3*settle + 2*serviceCount*rollOutInterval
 	var rows []row
 	for _, c := range []struct {
 		name    string
 		version standin.Version
 	}{
-		{"rolling change", standin.Version{Version: 2, Shards: shardsEach}},
-		{"split", standin.Version{Version: 3, Shards: shardsEach + 1}},
-		{"merge", standin.Version{Version: 4, Shards: shardsEach}},
+		{"rolling change", standin.Version{Version: 2, Shards: shardsPerService}},
+		{"split", standin.Version{Version: 3, Shards: shardsPerService + 1}},
+		{"merge", standin.Version{Version: 4, Shards: shardsPerService}},
 	} {
-		p := phase{rate: 0.3 * capacity(latency), span: span, seed: c.version.Version}
-		act := func() error { return e.roll(ctx, t.Leaves, c.version, settle) }
-		res, err := during(settle/2, act, func() (*load.Result, error) { return e.tierSide(ctx, t, p) })
+		spec := loadSpec{rate: 0.3 * capacity(latency), duration: duration, seed: c.version.Version}
+		act := func() error { return e.rollOut(ctx, t.Leaves, c.version, settle) }
+		res, err := runWithAction(settle/2, act, func() (*load.Result, error) { return e.runTier(ctx, t, spec) })
 		if err != nil {
 			return err
 		}
 		rows = append(rows, row{c.name, res})
-		figure("index", c.name+": mean coverage", res.Coverage, "1")
-		figure("index", c.name+": mixed, lost, doubled or foreign hits", badHits(res), "0")
+		printFigure("index", c.name+": mean coverage", res.Coverage, "1")
+		printFigure("index", c.name+": mixed, lost, doubled or foreign hits", badHits(res), "0")
 	}
-	table(rows)
+	printTable(rows)
 	for _, r := range rows {
-		fmt.Printf("%s: missing %v, refusals %v, bad %+v\n", r.side, r.res.Missing, r.res.Reasons, r.res.Check)
+		fmt.Printf("%s: missing %v, refusals %v, bad %+v\n", r.name, r.res.Missing, r.res.Reasons, r.res.Check)
 	}
 	if err := t.Stop(); err != nil {
 		return err
@@ -60,14 +60,14 @@
 }
 
 // rollOut publishes v on the first leaf of every service, waits, and then on the second.
-func (e *env) roll(ctx context.Context, l *tier.Leaves, v standin.Version, settle time.Duration) error {
-	for leaf := 1; leaf <= leavesEach; leaf++ {
-		for i := range services {
+func (e *env) rollOut(ctx context.Context, l *tier.Leaves, v standin.Version, settle time.Duration) error {
+	for leaf := 1; leaf <= leavesPerService; leaf++ {
+		for i := range serviceCount {
 			c := standin.Command{Leaf: fmt.Sprintf("%s-%d", tier.ServiceName(i), leaf), Publish: &v, Retire: v.Version - 1}
 			if err := e.command(ctx, l, c); err != nil {
 				return err
 			}
-			time.Sleep(rollStep)
+			time.Sleep(rollOutInterval)
 		}
 		time.Sleep(settle)
 	}
--- a/bench/query/limits.go
+++ b/bench/query/limits.go
@@ -19,19 +19,19 @@
 	defer direct.Stop()
 	var rows []row
 	for _, factor := range []float64{0.6, 2} {
-		p := phase{rate: factor * capacity(latency), span: e.span(4*time.Second, 15*time.Second), seed: 1}
+		spec := loadSpec{rate: factor * capacity(latency), duration: e.duration(4*time.Second, 15*time.Second), seed: 1}
 		for _, side := range []struct {
 			name   string
 			policy func(int) baseline.Policy
-		}{{"naive", naive}, {"adaptive", adaptive}, {"oracle", oracle()}} {
-			res, err := e.directSide(ctx, direct, p, side.policy)
+		}{{"naive", newNaive}, {"adaptive", newAdaptive}, {"oracle", newOracle()}} {
+			res, err := e.runDirect(ctx, direct, spec, side.policy)
 			if err != nil {
 				return err
 			}
 			rows = append(rows, row{fmt.Sprintf("%s-%.1fx", side.name, factor), res})
 		}
 	}
-	table(rows)
+	printTable(rows)
 	return e.save("policies", rows)
 }
 
@@ -46,26 +46,26 @@
 	defer direct.Stop()
 	var rows []row
 	for _, factor := range []float64{0.6, 2} {
-		p := phase{rate: factor * capacity(latency), span: e.span(5*time.Second, 20*time.Second), seed: 1}
-		n, err := e.directSide(ctx, direct, p, naive)
+		spec := loadSpec{rate: factor * capacity(latency), duration: e.duration(5*time.Second, 20*time.Second), seed: 1}
+		naiveRes, err := e.runDirect(ctx, direct, spec, newNaive)
 		if err != nil {
 			return err
 		}
-		a, err := e.directSide(ctx, direct, p, adaptive)
+		adaptiveRes, err := e.runDirect(ctx, direct, spec, newAdaptive)
 		if err != nil {
 			return err
 		}
-		h, err := e.tierSide(ctx, t, p)
+		tierRes, err := e.runTier(ctx, t, spec)
 		if err != nil {
 			return err
 		}
-		for _, r := range []row{{"naive", n}, {"adaptive", a}, {"homes", h}} {
-			r.side = fmt.Sprintf("%s-%.1fx", r.side, factor)
+		for _, r := range []row{{"naive", naiveRes}, {"adaptive", adaptiveRes}, {"homes", tierRes}} {
+			r.name = fmt.Sprintf("%s-%.1fx", r.name, factor)
 			rows = append(rows, r)
 		}
-		figure("limits", fmt.Sprintf("most in flight over slots at %.1fx", factor), h.Leaves.MostOverSlots, "at most 1")
+		printFigure("limits", fmt.Sprintf("most in flight over slots at %.1fx", factor), tierRes.Leaves.MostOverSlots, "at most 1")
 	}
-	table(rows)
+	printTable(rows)
 	if err := t.Stop(); err != nil {
 		return err
 	}
@@ -79,28 +79,28 @@
 	}
 	defer t.Kill()
 	var rows []row
-	var kept, refusal []float64
-	for round := range e.rounds() {
-		p := phase{rate: capacity(latency), span: e.span(6*time.Second, 20*time.Second), seed: uint64(round + 1)}
-		at, err := e.tierSide(ctx, t, p)
+	var goodputRatios, refusalP99s []float64
+	for round := range e.roundCount() {
+		spec := loadSpec{rate: capacity(latency), duration: e.duration(6*time.Second, 20*time.Second), seed: uint64(round + 1)}
+		atCapacity, err := e.runTier(ctx, t, spec)
 		if err != nil {
 			return err
 		}
-		p.rate *= 2
-		over, err := e.tierSide(ctx, t, p)
+		spec.rate *= 2
+		overloaded, err := e.runTier(ctx, t, spec)
 		if err != nil {
 			return err
 		}
-		rows = append(rows, row{fmt.Sprintf("capacity-%d", round+1), at}, row{fmt.Sprintf("twice-%d", round+1), over})
-		kept = append(kept, over.Goodput/at.Goodput)
-		refusal = append(refusal, over.Refusals.P99)
+		rows = append(rows, row{fmt.Sprintf("capacity-%d", round+1), atCapacity}, row{fmt.Sprintf("twice-%d", round+1), overloaded})
+		goodputRatios = append(goodputRatios, overloaded.Goodput/atCapacity.Goodput)
+		refusalP99s = append(refusalP99s, overloaded.Refusals.P99)
 	}
-	table(rows)
+	printTable(rows)
 	last := rows[len(rows)-1].res
 	fmt.Printf("refusals at twice the capacity: %s; reasons %v\n", last.Refusals, last.Reasons)
-	figure("overload", "goodput at 2x over goodput at capacity", median(kept), "at least 0.95")
-	figure("overload", "refusal p99 ms", median(refusal), "at most 10")
-	figure("overload", "refusals that are not a true not_run", float64(last.InDoubt+last.Failed), "0")
+	printFigure("overload", "goodput at 2x over goodput at capacity", median(goodputRatios), "at least 0.95")
+	printFigure("overload", "refusal p99 ms", median(refusalP99s), "at most 10")
+	printFigure("overload", "refusals that are not a true not_run", float64(last.InDoubt+last.Failed), "0")
 	if err := t.Stop(); err != nil {
 		return err
 	}
@@ -116,29 +116,29 @@
 	}
 	defer t.Kill()
 	defer direct.Stop()
-	p := phase{rate: 0.6 * capacity(latency), span: e.span(5*time.Second, 30*time.Second), seed: 1}
-	n, err := e.directSide(ctx, direct, p, naive)
+	spec := loadSpec{rate: 0.6 * capacity(latency), duration: e.duration(5*time.Second, 30*time.Second), seed: 1}
+	naiveRes, err := e.runDirect(ctx, direct, spec, newNaive)
 	if err != nil {
 		return err
 	}
-	h, err := e.tierSide(ctx, t, p)
+	tierRes, err := e.runTier(ctx, t, spec)
 	if err != nil {
 		return err
 	}
-	idle, err := e.tierSide(ctx, t, phase{rate: 1, span: p.span, seed: 2})
+	idleRes, err := e.runTier(ctx, t, loadSpec{rate: 1, duration: spec.duration, seed: 2})
 	if err != nil {
 		return err
 	}
-	rows := []row{{"naive", n}, {"tier", h}, {"tier at rest", idle}}
-	table(rows)
+	rows := []row{{"naive", naiveRes}, {"tier", tierRes}, {"tier at rest", idleRes}}
+	printTable(rows)
 	for _, r := range rows {
 		l := r.res.Leaves
 		fmt.Printf("%s: opened %d in %v (%.4f per leaf request), refused by leaves %d, most open %d of 30\n",
-			r.side, l.Opened, p.span, float64(l.Opened)/float64(max(l.Runs.Total, 1)), l.ConnsRefused, l.MostOpen)
+			r.name, l.Opened, spec.duration, float64(l.Opened)/float64(max(l.Runs.Total, 1)), l.ConnsRefused, l.MostOpen)
 	}
-	figure("connections", "most open over cap", max(h.Leaves.MostOverCap, idle.Leaves.MostOverCap), "at most 1")
-	figure("connections", "opened per leaf and second, warm", perLeafSecond(h.Leaves, p.span), "near 0")
-	figure("connections", "opened per leaf and second, at rest", perLeafSecond(idle.Leaves, p.span), "near 0")
+	printFigure("connections", "most open over cap", max(tierRes.Leaves.MostOverCap, idleRes.Leaves.MostOverCap), "at most 1")
+	printFigure("connections", "opened per leaf and second, warm", perLeafSecond(tierRes.Leaves, spec.duration), "near 0")
+	printFigure("connections", "opened per leaf and second, at rest", perLeafSecond(idleRes.Leaves, spec.duration), "near 0")
 	if err := t.Stop(); err != nil {
 		return err
 	}
@@ -146,5 +146,5 @@
 }
 
 func perLeafSecond(l *load.LeafReport, span time.Duration) float64 {
-	return float64(l.Opened) / float64(services*leavesEach) / span.Seconds()
+	return float64(l.Opened) / float64(serviceCount*leavesPerService) / span.Seconds()
 }
--- a/bench/query/main.go
+++ b/bench/query/main.go
@@ -21,7 +21,7 @@
 	quick := app.Flag("quick", "A short run, to see that it works rather than to quote.").Bool()
 	rounds := app.Flag("rounds", "How often the sides take turns; 0 is 1 in a short run, 3 in a long one.").Default("0").Int()
 	list := app.Flag("list", "List the experiments and end.").Bool()
-	out := app.Flag("out", "Folder for results as JSON and plots.").Default("out/bench").String()
+	outDir := app.Flag("out", "Folder for results as JSON and plots.").Default("out/bench").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if *list {
 		for _, x := range experiments() {
@@ -31,7 +31,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	os.Exit(runAll(ctx, *names, &env{quick: *quick, turns: *rounds, out: *out}))
+	os.Exit(runAll(ctx, *names, &env{quick: *quick, roundsFlag: *rounds, outDir: *outDir}))
 }
 
 // runAll runs the named experiments, or all if names is empty. It returns the exit status: 1 if an experiment failed to run, 2 if a name is unknown.
--- a/bench/query/restart.go
+++ b/bench/query/restart.go
@@ -12,8 +12,10 @@
 	"pearmoor/internal/load"
 )
 
-// mixedLoad returns a load of which half is not repeatable, and a fifth of that half is sent twice.
-func keyed() phase { return phase{rate: 100, span: time.Hour, once: 0.5, resend: 0.2, seed: 1} }
+// mixedLoad returns a load of which half is not repeatable, and a fifth of that half is sent again with the same key.
+func mixedLoad() loadSpec {
+	return loadSpec{rate: 100, duration: time.Hour, notRepeatable: 0.5, resend: 0.2, seed: 1}
+}
 
 // rollingRestart restarts every daemon in turn, including the control VMs, under
 // mixedLoad.
@@ -23,22 +25,22 @@
 		return err
 	}
 	defer t.Kill()
-	count := daemons
+	count := daemonCount
 	if e.quick {
-		count = controls + 1
+		count = controlVMCount + 1
 	}
 	started := time.Now()
-	res, err := e.while(ctx, t, func() error { return e.restartAll(ctx, t, count) })
+	res, err := e.underLoad(ctx, t, func() error { return e.restartAll(ctx, t, count) })
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d of %d daemons restarted in %v\n", count, daemons, time.Since(started).Round(time.Second))
+	fmt.Printf("%d of %d daemons restarted in %v\n", count, daemonCount, time.Since(started).Round(time.Second))
 	if err := printResult(res); err != nil {
 		return err
 	}
-	figure("restart", "requests without a whole answer", float64(res.Scheduled-res.Whole), "0")
-	figure("restart", "doubled runs of not-repeatable requests", float64(res.Leaves.Runs.Doubled), "0")
-	figure("restart", "most in flight over slots", res.Leaves.MostOverSlots, "at most 1")
+	printFigure("restart", "requests without a whole answer", float64(res.Scheduled-res.Whole), "0")
+	printFigure("restart", "doubled runs of not-repeatable requests", float64(res.Leaves.Runs.Doubled), "0")
+	printFigure("restart", "most in flight over slots", res.Leaves.MostOverSlots, "at most 1")
 	if err := t.Stop(); err != nil {
 		return err
 	}
@@ -48,7 +50,7 @@
 func (e *env) restartAll(ctx context.Context, t *tier.Tier, count int) error {
 	time.Sleep(time.Second)
 	for k := range count {
-		i := (daemons - 1 - k + daemons) % daemons
+		i := (daemonCount - 1 - k + daemonCount) % daemonCount
 		if e.quick {
 			i = k // the control VMs first, then one other
 		}
@@ -61,7 +63,7 @@
 }
 
 // underLoad runs mixedLoad until act has returned.
-func (e *env) while(ctx context.Context, t *tier.Tier, act func() error) (*load.Result, error) {
+func (e *env) underLoad(ctx context.Context, t *tier.Tier, act func() error) (*load.Result, error) {
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	acted := make(chan error, 1)
@@ -69,7 +71,7 @@
 		defer stopLoad()
 		acted <- act()
 	}()
-	res, err := e.tierSide(loadCtx, t, keyed())
+	res, err := e.runTier(loadCtx, t, mixedLoad())
 	if actErr := <-acted; err == nil {
 		err = actErr
 	}
@@ -84,17 +86,17 @@
 		return err
 	}
 	defer t.Kill()
-	victims := []int{victim, victim - 1, 0, victim - 2} // one of them a control VM
+	killed := []int{disruptedDaemon, disruptedDaemon - 1, 0, disruptedDaemon - 2} // one of them a control VM
 	if e.quick {
-		victims = victims[:2]
+		killed = killed[:2]
 	}
-	res, err := e.while(ctx, t, func() error {
-		for _, i := range victims {
+	res, err := e.underLoad(ctx, t, func() error {
+		for _, i := range killed {
 			time.Sleep(2 * time.Second)
 			if err := t.Signal(i, syscall.SIGKILL); err != nil {
 				return err
 			}
-			_ = t.WaitExit(i, exitLimit)
+			_ = t.WaitExit(i, exitTimeout)
 			if err := t.Restart(i); err != nil {
 				return err
 			}
@@ -110,10 +112,10 @@
 	if err := printResult(res); err != nil {
 		return err
 	}
-	figure("crashes", "doubled runs of not-repeatable requests", float64(res.Leaves.Runs.Doubled), "0")
-	figure("crashes", "resends told another outcome than a certain first", float64(res.Once.Changed), "0")
-	figure("crashes", "most in flight over slots", res.Leaves.MostOverSlots, "at most 1")
-	figure("crashes", "mixed, lost, doubled or foreign hits", badHits(res), "0")
+	printFigure("crashes", "doubled runs of not-repeatable requests", float64(res.Leaves.Runs.Doubled), "0")
+	printFigure("crashes", "resends told another outcome than a certain first", float64(res.Once.Changed), "0")
+	printFigure("crashes", "most in flight over slots", res.Leaves.MostOverSlots, "at most 1")
+	printFigure("crashes", "mixed, lost, doubled or foreign hits", badHits(res), "0")
 	if err := t.Stop(); err != nil {
 		return err
 	}
--- a/bench/query/stragglers.go
+++ b/bench/query/stragglers.go
@@ -17,56 +17,56 @@
 )
 
 // meanRunTime returns the mean time of a run with stragglers.
-func meanRun() time.Duration {
+func meanRunTime() time.Duration {
 	return time.Duration(float64(latency) * (1 - stragglerShare + stragglerShare*stragglerFactor))
 }
 
 func stragglers(ctx context.Context, e *env) error {
-	slow := []string{fmt.Sprintf("--straggler-share=%v", stragglerShare), fmt.Sprintf("--straggler-factor=%v", stragglerFactor)}
-	cfg := e.tierConfig(slow...)
+	stragglerFlags := []string{fmt.Sprintf("--straggler-share=%v", stragglerShare), fmt.Sprintf("--straggler-factor=%v", stragglerFactor)}
+	cfg := e.tierConfig(stragglerFlags...)
 	t, direct, err := e.startBoth(ctx, cfg)
 	if err != nil {
 		return err
 	}
 	defer t.Kill()
 	defer direct.Stop()
-	fast, err := tier.StartLeaves(ctx, e.tierConfig())
+	fastLeaves, err := tier.StartLeaves(ctx, e.tierConfig())
 	if err != nil {
 		return err
 	}
-	defer fast.Stop()
+	defer fastLeaves.Stop()
 	var overNaive, overOracle []float64
 	var rows []row
-	for round := range e.rounds() {
-		p := phase{rate: 0.6 * capacity(meanRun()), span: e.span(6*time.Second, 20*time.Second), deadline: 2 * time.Second, seed: uint64(round + 1)}
-		n, err := e.directSide(ctx, direct, p, naive)
+	for round := range e.roundCount() {
+		spec := loadSpec{rate: 0.6 * capacity(meanRunTime()), duration: e.duration(6*time.Second, 20*time.Second), deadline: 2 * time.Second, seed: uint64(round + 1)}
+		naiveRes, err := e.runDirect(ctx, direct, spec, newNaive)
 		if err != nil {
 			return err
 		}
 		// The oracle runs on leaves without stragglers, as if it always knew the fast replica.
-		o, err := e.directSide(ctx, fast, p, oracle())
+		oracleRes, err := e.runDirect(ctx, fastLeaves, spec, newOracle())
 		if err != nil {
 			return err
 		}
-		h, err := e.tierSide(ctx, t, p)
+		tierRes, err := e.runTier(ctx, t, spec)
 		if err != nil {
 			return err
 		}
-		overNaive = append(overNaive, ratio(h, n))
-		overOracle = append(overOracle, ratio(h, o))
-		rows = append(rows, row{fmt.Sprintf("naive-%d", round+1), n}, row{fmt.Sprintf("oracle-%d", round+1), o}, row{fmt.Sprintf("tier-%d", round+1), h})
+		overNaive = append(overNaive, p99Ratio(tierRes, naiveRes))
+		overOracle = append(overOracle, p99Ratio(tierRes, oracleRes))
+		rows = append(rows, row{fmt.Sprintf("naive-%d", round+1), naiveRes}, row{fmt.Sprintf("oracle-%d", round+1), oracleRes}, row{fmt.Sprintf("tier-%d", round+1), tierRes})
 	}
-	table(rows)
-	figure("stragglers", "p99 over naive", median(overNaive), "at most 0.5")
-	figure("stragglers", "p99 over oracle", median(overOracle), "at most 1.3")
-	figure("stragglers", "extra attempts", extraShare(rows[len(rows)-1].res), "at most 0.03")
+	printTable(rows)
+	printFigure("stragglers", "p99 over naive", median(overNaive), "at most 0.5")
+	printFigure("stragglers", "p99 over oracle", median(overOracle), "at most 1.3")
+	printFigure("stragglers", "extra attempts", extraShare(rows[len(rows)-1].res), "at most 0.03")
 	if err := t.Stop(); err != nil {
 		return err
 	}
 	return e.save("stragglers", rows)
 }
 
-func ratio(a, b *load.Result) float64 { return a.Answers.P99 / b.Answers.P99 }
+func p99Ratio(a, b *load.Result) float64 { return a.Answers.P99 / b.Answers.P99 }
 
 func median(v []float64) float64 {
 	s := slices.Sorted(slices.Values(v))
@@ -83,35 +83,35 @@
 	}
 	defer t.Kill()
 	defer direct.Stop()
-	p := phase{rate: 0.3 * capacity(latency), span: e.span(6*time.Second, 20*time.Second), seed: 1}
-	third := p.span / 3
-	lose := func(l *tier.Leaves) func() error {
-		return func() error { return e.powerSecond(ctx, l, standin.PowerDown) }
+	spec := loadSpec{rate: 0.3 * capacity(latency), duration: e.duration(6*time.Second, 20*time.Second), seed: 1}
+	third := spec.duration / 3
+	powerOff := func(l *tier.Leaves) func() error {
+		return func() error { return e.setSecondLeafPower(ctx, l, standin.PowerDown) }
 	}
-	n, err := during(third, lose(direct), func() (*load.Result, error) { return e.directSide(ctx, direct, p, naive) })
+	naiveRes, err := runWithAction(third, powerOff(direct), func() (*load.Result, error) { return e.runDirect(ctx, direct, spec, newNaive) })
 	if err != nil {
 		return err
 	}
-	h, err := during(third, lose(t.Leaves), func() (*load.Result, error) { return e.tierSide(ctx, t, p) })
+	tierRes, err := runWithAction(third, powerOff(t.Leaves), func() (*load.Result, error) { return e.runTier(ctx, t, spec) })
 	if err != nil {
 		return err
 	}
-	after, err := e.tierSide(ctx, t, p)
+	afterRes, err := e.runTier(ctx, t, spec)
 	if err != nil {
 		return err
 	}
-	rows := []row{{"naive, lost in mid-run", n}, {"tier, lost in mid-run", h}, {"tier, after the loss", after}}
-	table(rows)
-	figure("replicas", "coverage in the run of the loss", h.Coverage, "1")
-	figure("replicas", "coverage after the loss", after.Coverage, "1")
+	rows := []row{{"naive, lost in mid-run", naiveRes}, {"tier, lost in mid-run", tierRes}, {"tier, after the loss", afterRes}}
+	printTable(rows)
+	printFigure("replicas", "coverage in the run of the loss", tierRes.Coverage, "1")
+	printFigure("replicas", "coverage after the loss", afterRes.Coverage, "1")
 	if err := t.Stop(); err != nil {
 		return err
 	}
 	return e.save("replicas", rows)
 }
 
-func (e *env) powerSecond(ctx context.Context, l *tier.Leaves, p standin.Power) error {
-	for i := range services {
+func (e *env) setSecondLeafPower(ctx context.Context, l *tier.Leaves, p standin.Power) error {
+	for i := range serviceCount {
 		if err := e.command(ctx, l, standin.Command{Leaf: tier.ServiceName(i) + "-2", Power: p}); err != nil {
 			return err
 		}
@@ -120,7 +120,7 @@
 }
 
 // runWithAction calls run, and act once the given time after its start.
-func during(after time.Duration, act func() error, run func() (*load.Result, error)) (*load.Result, error) {
+func runWithAction(after time.Duration, act func() error, run func() (*load.Result, error)) (*load.Result, error) {
 	acted := make(chan error, 1)
 	timer := time.AfterFunc(after, func() { acted <- act() })
 	res, err := run()
--- a/bench/tier/change.go
+++ b/bench/tier/change.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	callLimit   = 5 * time.Second
-	inForceWait = 2 * time.Second
-	retryPause  = 100 * time.Millisecond
+	callTimeout   = 5 * time.Second
+	inForceWait   = 2 * time.Second
+	retryInterval = 100 * time.Millisecond
 )
 
-func (t *Tier) stateTree(ctx context.Context) error {
+func (t *Tier) commitTree(ctx context.Context) error {
 	edits := settings.Diff(settings.New(), t.Leaves.Tree)
 	_, err := t.Change(ctx, edits, "experiment: initial tree")
 	return err
@@ -26,7 +26,7 @@
 
 // Change commits edits of the settings tree, waits until they are in force on every VM, and returns the new version.
 func (t *Tier) Change(ctx context.Context, edits []settings.Edit, reason string) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, startLimit)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	id := fmt.Sprintf("experiment-%x", rand.Uint64())
 	for i := 0; ; i++ {
@@ -37,7 +37,7 @@
 		if ctx.Err() != nil || errors.HasType(err, (*refusedError)(nil)) {
 			return 0, err
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 }
 
@@ -45,7 +45,7 @@
 	var addrs []string
 	for _, d := range t.daemons {
 		if d.control {
-			addrs = append(addrs, d.peer)
+			addrs = append(addrs, d.peerAddr)
 		}
 	}
 	return addrs[i%len(addrs)]
@@ -55,7 +55,7 @@
 
 func (e *refusedError) Error() string { return fmt.Sprintf("change refused: %v", e.reply) }
 
-func (t *Tier) client(ctx context.Context, addr string) (wire.DRPCControlClient, error) {
+func (t *Tier) controlClient(ctx context.Context, addr string) (wire.DRPCControlClient, error) {
 	conn, err := t.pool.Conn(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -64,9 +64,9 @@
 }
 
 func (t *Tier) tryChange(ctx context.Context, addr, id string, edits []settings.Edit, reason string) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	c, err := t.client(ctx, addr)
+	c, err := t.controlClient(ctx, addr)
 	if err != nil {
 		return 0, err
 	}
@@ -99,15 +99,15 @@
 			return nil
 		}
 		last = errors.CombineErrors(err, last)
-		time.Sleep(retryPause)
+		time.Sleep(retryInterval)
 	}
 	return last
 }
 
 func (t *Tier) inForce(ctx context.Context, addr string, version uint64) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	c, err := t.client(ctx, addr)
+	c, err := t.controlClient(ctx, addr)
 	if err != nil {
 		return false, err
 	}
--- a/bench/tier/leaves.go
+++ b/bench/tier/leaves.go
@@ -26,37 +26,37 @@
 	if err != nil {
 		return nil, err
 	}
-	in, out, ready := filepath.Join(dir, "tree.yaml"), filepath.Join(dir, "real.yaml"), filepath.Join(dir, "ready")
-	if err := os.WriteFile(in, []byte(cfg.Tree), logMode); err != nil {
+	treeFile, realTreeFile, readyFile := filepath.Join(dir, "tree.yaml"), filepath.Join(dir, "real.yaml"), filepath.Join(dir, "ready")
+	if err := os.WriteFile(treeFile, []byte(cfg.Tree), fileMode); err != nil {
 		return nil, err
 	}
 	l := &Leaves{proc: &process{
 		name: "leaves",
 		path: filepath.Join(cfg.Dir, "bin", leavesProgram),
-		args: append([]string{"leaves", "--tree=" + in, "--out=" + out, "--ready-file=" + ready}, cfg.Standin...),
-		env:  []string{memoryLimit, standinProcs},
+		args: append([]string{"leaves", "--tree=" + treeFile, "--out=" + realTreeFile, "--ready-file=" + readyFile}, cfg.Standin...),
+		env:  []string{memoryLimit, standinMaxProcs},
 		log:  filepath.Join(dir, "leaves.log"),
 	}}
 	if err := l.proc.start(); err != nil {
 		return nil, err
 	}
-	if err := l.read(ctx, out, ready); err != nil {
+	if err := l.awaitReady(ctx, realTreeFile, readyFile); err != nil {
 		l.proc.kill()
 		return nil, err
 	}
 	return l, nil
 }
 
-func (l *Leaves) read(ctx context.Context, out, ready string) error {
-	if err := poll(ctx, startLimit, func() (bool, error) { return fileExists(ready), alive(l.proc) }); err != nil {
+func (l *Leaves) awaitReady(ctx context.Context, treeFile, readyFile string) error {
+	if err := poll(ctx, startTimeout, func() (bool, error) { return fileExists(readyFile), checkRunning(l.proc) }); err != nil {
 		return err
 	}
-	control, err := os.ReadFile(ready)
+	control, err := os.ReadFile(readyFile)
 	if err != nil {
 		return err
 	}
 	l.URL = strings.TrimSpace(string(control))
-	text, err := os.ReadFile(out)
+	text, err := os.ReadFile(treeFile)
 	if err != nil {
 		return err
 	}
@@ -69,8 +69,8 @@
 	if !l.proc.running() {
 		return nil
 	}
-	if err := l.proc.signal(syscall.SIGTERM); err != nil {
+	if err := l.proc.sendSignal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	return l.proc.wait(stopLimit)
+	return l.proc.wait(stopTimeout)
 }
--- a/bench/tier/process.go
+++ b/bench/tier/process.go
@@ -14,14 +14,14 @@
 
 // Limits of each process, so that an experiment does not exhaust the machine.
 const (
-	memoryLimit  = "GOMEMLIMIT=512MiB"
-	standinProcs = "GOMAXPROCS=8" // one process simulates many VMs
-	logMode      = 0o644
-	killWait     = 10 * time.Second
-	clockTicks   = 100 // per second in /proc/PID/stat on Linux
+	memoryLimit     = "GOMEMLIMIT=512MiB"
+	standinMaxProcs = "GOMAXPROCS=8" // one process simulates many VMs
+	fileMode        = 0o644
+	killTimeout     = 10 * time.Second
+	ticksPerSecond  = 100 // per second in /proc/PID/stat on Linux
 )
 
-// DaemonProcs is the GOMAXPROCS of a daemon, because deployed daemons run on small VMs.
+// DaemonMaxProcs is the GOMAXPROCS of a daemon, because deployed daemons run on small VMs.
 const DaemonProcs = 2
 
 // process is a program with its log file. It can be started again after it has ended.
@@ -38,7 +38,7 @@
 }
 
 func (p *process) start() error {
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, logMode)
+	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-func (p *process) signal(s os.Signal) error {
+func (p *process) sendSignal(s os.Signal) error {
 	if !p.running() {
 		return errors.Newf("%s does not run", p.name)
 	}
@@ -95,7 +95,7 @@
 		return
 	}
 	_ = p.cmd.Process.Kill()
-	_ = p.wait(killWait)
+	_ = p.wait(killTimeout)
 }
 
 // cpu returns the processor time that the process has used.
@@ -119,5 +119,5 @@
 		}
 		ticks += n
 	}
-	return time.Duration(ticks) * time.Second / clockTicks, nil
+	return time.Duration(ticks) * time.Second / ticksPerSecond, nil
 }
--- a/bench/tier/tier.go
+++ b/bench/tier/tier.go
@@ -23,7 +23,7 @@
 	Dir      string // binaries, logs, data; must exist
 	Tree     string // YAML of the settings tree
 	Daemons  int    // all of them accept callers
-	Controls int    // the first of the daemons are also control VMs
+	Controls int    // number of daemons, counted from the first, that are also control VMs
 	Domains  []string
 	Standin  []string // additional flags of pearmoor-standin leaves
 	Flags    []string // additional flags of every pearmoord
@@ -31,10 +31,10 @@
 }
 
 const (
-	startLimit = 60 * time.Second
-	stopLimit  = 90 * time.Second
-	pollEvery  = 20 * time.Millisecond
-	regionName = "experiment"
+	startTimeout = 60 * time.Second
+	stopTimeout  = 90 * time.Second
+	pollInterval = 20 * time.Millisecond
+	regionName   = "experiment"
 
 	daemonProgram = "pearmoord"
 	leavesProgram = "pearmoor-standin"
@@ -52,8 +52,8 @@
 
 type daemon struct {
 	process
-	caller, peer, operator string // host:port
-	control                bool
+	callerAddr, peerAddr, operatorAddr string // host:port
+	control                            bool   // it is also a control VM
 }
 
 // Build compiles a program of ./cmd into dir/bin unless the file exists.
@@ -102,7 +102,7 @@
 			return err
 		}
 	}
-	if err := t.stateTree(ctx); err != nil {
+	if err := t.commitTree(ctx); err != nil {
 		return err
 	}
 	for i := range t.daemons {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func alive(p *process) error {
+func checkRunning(p *process) error {
 	if p.running() {
 		return nil
 	}
@@ -121,26 +121,26 @@
 }
 
 func (t *Tier) startDaemons(cfg Config) error {
-	const portsEach = 3
-	ports, err := freeport.Addrs("127.0.0.1", cfg.Daemons*portsEach)
+	const portsPerDaemon = 3
+	addrs, err := freeport.Addrs("127.0.0.1", cfg.Daemons*portsPerDaemon)
 	if err != nil {
 		return err
 	}
 	var control, voters []string
 	for i := range cfg.Controls {
-		control = append(control, ports[i*portsEach+1])
-		voters = append(voters, fmt.Sprintf("--bootstrap-voter=%d=%s", i+1, ports[i*portsEach+1]))
+		control = append(control, addrs[i*portsPerDaemon+1])
+		voters = append(voters, fmt.Sprintf("--bootstrap-voter=%d=%s", i+1, addrs[i*portsPerDaemon+1]))
 	}
 	for i := range cfg.Daemons {
 		name := fmt.Sprintf("vm-%02d", i+1)
-		d := &daemon{caller: ports[i*portsEach], peer: ports[i*portsEach+1], operator: ports[i*portsEach+2], control: i < cfg.Controls}
+		d := &daemon{callerAddr: addrs[i*portsPerDaemon], peerAddr: addrs[i*portsPerDaemon+1], operatorAddr: addrs[i*portsPerDaemon+2], control: i < cfg.Controls}
 		args := []string{
 			"--name=" + name,
 			"--domain=" + cfg.Domains[i%len(cfg.Domains)],
 			"--region=" + regionName,
-			"--caller-listen=" + d.caller,
-			"--peer-listen=" + d.peer,
-			"--operator-listen=" + d.operator,
+			"--caller-listen=" + d.callerAddr,
+			"--peer-listen=" + d.peerAddr,
+			"--operator-listen=" + d.operatorAddr,
 			"--plaintext-peers",
 			"--control=" + strings.Join(control, ","),
 		}
@@ -170,7 +170,7 @@
 func (t *Tier) Entries() []string {
 	out := make([]string, len(t.daemons))
 	for i, d := range t.daemons {
-		out[i] = "http://" + d.caller
+		out[i] = "http://" + d.callerAddr
 	}
 	return out
 }
@@ -184,8 +184,8 @@
 // WaitHealthy waits until daemon i reports on its operator port that it is healthy.
 func (t *Tier) WaitReady(ctx context.Context, i int) error {
 	d := t.daemons[i]
-	err := poll(ctx, startLimit, func() (bool, error) {
-		return t.status(ctx, "http://"+d.operator+"/healthz") == http.StatusOK, alive(&d.process)
+	err := poll(ctx, startTimeout, func() (bool, error) {
+		return t.status(ctx, "http://"+d.operatorAddr+"/healthz") == http.StatusOK, checkRunning(&d.process)
 	})
 	return errors.Wrapf(err, "%s is not healthy", d.name)
 }
@@ -193,8 +193,8 @@
 // WaitServing waits until daemon i is ready for callers, which requires a lease.
 func (t *Tier) WaitServing(ctx context.Context, i int) error {
 	d := t.daemons[i]
-	err := poll(ctx, startLimit, func() (bool, error) {
-		return t.status(ctx, "http://"+d.operator+"/readyz") == http.StatusOK, alive(&d.process)
+	err := poll(ctx, startTimeout, func() (bool, error) {
+		return t.status(ctx, "http://"+d.operatorAddr+"/readyz") == http.StatusOK, checkRunning(&d.process)
 	})
 	return errors.Wrapf(err, "%s is not ready", d.name)
 }
@@ -213,7 +213,7 @@
 }
 
 // Signal sends s to daemon i.
-func (t *Tier) Signal(i int, s syscall.Signal) error { return t.daemons[i].signal(s) }
+func (t *Tier) Signal(i int, s syscall.Signal) error { return t.daemons[i].sendSignal(s) }
 
 // WaitExit waits for daemon i to end and returns its exit error.
 func (t *Tier) WaitExit(i int, limit time.Duration) error { return t.daemons[i].wait(limit) }
@@ -239,7 +239,7 @@
 
 // Profile writes a CPU profile of daemon i over the given time to a file.
 func (t *Tier) Profile(ctx context.Context, i int, span time.Duration, path string) error {
-	url := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", t.daemons[i].operator, max(int(span.Seconds()), 1))
+	url := fmt.Sprintf("http://%s/debug/pprof/profile?seconds=%d", t.daemons[i].operatorAddr, max(int(span.Seconds()), 1))
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -256,7 +256,7 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
-	return os.WriteFile(path, data, logMode)
+	return os.WriteFile(path, data, fileMode)
 }
 
 // Stop terminates the tier and kills processes that do not end in time. The
@@ -277,12 +277,12 @@
 		if d.control != control || !d.running() {
 			continue
 		}
-		_ = d.signal(syscall.SIGCONT)
-		errs = errors.CombineErrors(errs, d.signal(syscall.SIGTERM))
+		_ = d.sendSignal(syscall.SIGCONT)
+		errs = errors.CombineErrors(errs, d.sendSignal(syscall.SIGTERM))
 		stopping = append(stopping, d)
 	}
 	for _, d := range stopping {
-		errs = errors.CombineErrors(errs, errors.Wrap(d.wait(stopLimit), d.name))
+		errs = errors.CombineErrors(errs, errors.Wrap(d.wait(stopTimeout), d.name))
 	}
 	return errs
 }
@@ -308,7 +308,7 @@
 func poll(ctx context.Context, limit time.Duration, ok func() (bool, error)) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for {
 		done, err := ok()
--- a/bench/tier/trees.go
+++ b/bench/tier/trees.go
@@ -9,7 +9,7 @@
 type DeskSpec struct {
 	Path     string // one or more segments
 	Services int
-	Leaves   int // of each service
+	Leaves   int
 	Settings map[string]string
 }
 
