--- a/bench/baseline/targets.go
+++ b/bench/baseline/targets.go
@@ -13,13 +13,13 @@
 	"pearmoor/internal/standin"
 )
 
-// Leaf is one replica host.
+// Leaf is a leaf that holds replicas of shards.
 type Leaf struct {
 	Addr  string
 	Slots int
 }
 
-// Target is one shard with the leaves that hold it.
+// Target is a shard with the leaves that hold it.
 type Target struct {
 	Service  string
 	Shard    uint32
@@ -27,8 +27,8 @@
 	Replicas []*Leaf
 }
 
-// Discover reads from stand-in leaves which shards of the services at or below
-// path lie where. The newest index version is taken.
+// Discover asks the simulated leaves which shards they hold of the services at or
+// below path. It returns the shards of the newest index version of each service.
 func Discover(ctx context.Context, client *http.Client, control, path string) ([]Target, error) {
 	var st standin.FleetStats
 	if err := getJSON(ctx, client, strings.TrimSpace(control)+standin.StatsPath, &st); err != nil {
@@ -43,7 +43,7 @@
 		}
 		leaf := &Leaf{Addr: l.Addr, Slots: l.Slots}
 		for _, x := range status.Indexes {
-			if !below(x.Service, path) || x.Version < versions[x.Service] {
+			if !atOrBelow(x.Service, path) || x.Version < versions[x.Service] {
 				continue
 			}
 			if x.Version > versions[x.Service] {
@@ -55,10 +55,10 @@
 			}
 		}
 	}
-	return flatten(shards, versions), nil
+	return sortedTargets(shards, versions), nil
 }
 
-func flatten(shards map[string]map[uint32][]*Leaf, versions map[string]uint64) []Target {
+func sortedTargets(shards map[string]map[uint32][]*Leaf, versions map[string]uint64) []Target {
 	var out []Target
 	for service, held := range shards {
 		for shard, replicas := range held {
@@ -74,7 +74,7 @@
 	return out
 }
 
-func below(service, path string) bool {
+func atOrBelow(service, path string) bool {
 	path = strings.Trim(path, "/")
 	return path == "" || service == path || strings.HasPrefix(service, path+"/")
 }
--- a/bench/control/measure.go
+++ b/bench/control/measure.go
@@ -19,36 +19,36 @@
 )
 
 const (
-	// settle lets relays and leases find their steady state before the rest.
-	settle = 8 * time.Second
-	// gap between changes, so that each is timed alone.
-	gap      = 100 * time.Millisecond
-	callMax  = 20 * time.Second
-	slow     = 500.0 // ms from which a change is named
-	megabyte = 1 << 20
+	// settleTime lets relays and leases reach a steady state before idle usage is measured.
+	settleTime = 8 * time.Second
+	// changeInterval separates changes, so that they do not affect each other's times.
+	changeInterval = 100 * time.Millisecond
+	callTimeout    = 20 * time.Second
+	slowChangeMS   = 500.0 // each slower change is printed
+	megabyte       = 1 << 20
 )
 
-// result is what one size gave.
+// result is the result for one size of the tier.
 type result struct {
 	Daemons    int       `json:"daemons"`
 	Relays     int       `json:"relays"`
-	ChangesMS  []float64 `json:"changes_ms"` // change sent to in force everywhere, sorted
+	ChangesMS  []float64 `json:"changes_ms"` // time from sending a change until it is in force on every VM, sorted
 	P50        float64   `json:"p50_ms"`
 	P99        float64   `json:"p99_ms"`
-	Entry      cost      `json:"entry"`     // mean over entries that are no relay
-	Relay      cost      `json:"relay"`     // mean over entries that are
-	RelayMax   cost      `json:"relay_max"` // the most of each over relays
-	Leader     cost      `json:"leader"`    // the control VM that used most
-	Follower   cost      `json:"follower"`  // mean over the others
-	MachineCPU float64   `json:"all_cores"` // all daemons together, in cores
+	Entry      cost      `json:"entry"`     // mean over entries that are not relays
+	Relay      cost      `json:"relay"`     // mean over entries that are relays
+	RelayMax   cost      `json:"relay_max"` // maximum of each value over the relays
+	Leader     cost      `json:"leader"`    // the control VM with the most processor time
+	Follower   cost      `json:"follower"`  // mean over the other control VMs
+	TotalCores float64   `json:"all_cores"` // cores used by all daemons together
 }
 
-// cost is what one daemon uses at rest.
+// cost is the resource usage of one idle daemon.
 type cost struct {
-	CPU     float64 `json:"cpu_percent"` // of one core
-	RSS     float64 `json:"rss_mb"`
-	Payload float64 `json:"payload_bytes_per_s"` // read and written, without TCP/IP headers
-	Calls   float64 `json:"syscalls_per_s"`      // reads and writes
+	CPU      float64 `json:"cpu_percent"` // of one core
+	RSS      float64 `json:"rss_mb"`
+	Payload  float64 `json:"payload_bytes_per_s"` // read and written, without TCP/IP headers
+	Syscalls float64 `json:"syscalls_per_s"`      // reads and writes
 }
 
 func measure(ctx context.Context, opt *options, size int) (result, error) {
@@ -68,16 +68,16 @@
 	}
 	r.P50 = stat.Quantile(0.5, stat.Empirical, r.ChangesMS, nil)
 	r.P99 = stat.Quantile(0.99, stat.Empirical, r.ChangesMS, nil)
-	return r, t.rest(ctx, &r)
+	return r, t.measureIdle(ctx, &r)
 }
 
-// timeChanges makes changes one after another, and times each from its being sent
-// until control says that it is in force everywhere.
+// timeChanges makes n changes one after another and returns, sorted, the time of each
+// in ms, from sending it until it is in force on every VM.
 func (t *tier) timeChanges(ctx context.Context, n int) ([]float64, error) {
 	pool := peer.NewPool(nil)
 	defer pool.Close()
-	addr := t.controls[0].peer
-	var took []float64
+	addr := t.controls[0].peerAddr
+	var times []float64
 	for i := range n + 1 {
 		start := time.Now()
 		next, err := change(ctx, pool, addr, i)
@@ -85,25 +85,25 @@
 			return nil, err
 		}
 		addr = next
-		if i == 0 { // shortens what a daemon that stops waits for; not timed
+		if i == 0 { // only shortens the shutdown of daemons; not timed
 			continue
 		}
-		took = append(took, float64(time.Since(start).Microseconds())/1000)
-		time.Sleep(gap)
+		times = append(times, float64(time.Since(start).Microseconds())/1000)
+		time.Sleep(changeInterval)
 	}
-	for i, ms := range took {
-		if ms > slow {
+	for i, ms := range times {
+		if ms > slowChangeMS {
 			fmt.Fprintf(os.Stderr, "control: change %d of %d took %.0f ms\n", i+1, n, ms)
 		}
 	}
-	slices.Sort(took)
-	return took, nil
+	slices.Sort(times)
+	return times, nil
 }
 
-// change makes one change and waits until it is in force. It returns the address
-// of the leader.
+// change makes change i and waits until it is in force on every VM. It returns the
+// address of the leader.
 func change(ctx context.Context, pool *peer.Pool, addr string, i int) (string, error) {
-	ctx, cancel := context.WithTimeout(peer.WithOperator(ctx, "bench"), callMax)
+	ctx, cancel := context.WithTimeout(peer.WithOperator(ctx, "bench"), callTimeout)
 	defer cancel()
 	for {
 		conn, err := pool.Conn(ctx, addr)
@@ -113,9 +113,9 @@
 		client := wire.NewDRPCControlClient(conn)
 		read, err := client.Read(ctx, &wire.ReadRequest{})
 		if err != nil && ctx.Err() == nil {
-			// A leader that can't be sure of its state says so; the time counts.
+			// A leader that cannot confirm that its state is current fails the read. The wait counts.
 			fmt.Fprintf(os.Stderr, "control: change %d asks again: %v\n", i, err)
-			time.Sleep(gap)
+			time.Sleep(changeInterval)
 			continue
 		}
 		if err != nil {
@@ -138,18 +138,18 @@
 		if reply.GetOutcome() != wire.Outcome_ACCEPTED || reply.GetRedirect() != "" {
 			return addr, errors.Newf("change %d: %v", i, reply)
 		}
-		force, err := client.InForce(ctx, &wire.InForceRequest{Version: reply.GetVersion(), WaitMs: uint32(callMax.Milliseconds())})
+		inForce, err := client.InForce(ctx, &wire.InForceRequest{Version: reply.GetVersion(), WaitMs: uint32(callTimeout.Milliseconds())})
 		if err != nil {
 			return addr, err
 		}
-		if !force.GetInForce() {
-			return addr, errors.Newf("version %d is not in force: %v", reply.GetVersion(), force)
+		if !inForce.GetInForce() {
+			return addr, errors.Newf("version %d is not in force: %v", reply.GetVersion(), inForce)
 		}
 		return addr, nil
 	}
 }
 
-// editOf returns the i-th change; the first lets daemons stop soon.
+// editOf returns the i-th edit. The first shortens the address lifetime, so that daemons stop sooner.
 func editOf(i int) *wire.Edit {
 	if i == 0 {
 		return &wire.Edit{Path: "/", Name: "address-lifetime", Value: "2s"}
@@ -157,10 +157,10 @@
 	return &wire.Edit{Path: "/desk", Name: "queue-limit", Value: fmt.Sprint(64 + i%8)}
 }
 
-// rest measures every process over the same time while nothing changes.
-func (t *tier) rest(ctx context.Context, r *result) error {
+// measureIdle measures every daemon over the same period while nothing changes.
+func (t *tier) measureIdle(ctx context.Context, r *result) error {
 	all := append(slices.Clone(t.controls), t.entries...)
-	if err := pause(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return err
 	}
 	before := make([]usage, len(all))
@@ -170,7 +170,7 @@
 			return err
 		}
 	}
-	if err := pause(ctx, t.opt.rest); err != nil {
+	if err := sleep(ctx, t.opt.idleTime); err != nil {
 		return err
 	}
 	costs := make([]cost, len(all))
@@ -179,14 +179,14 @@
 		if err != nil {
 			return err
 		}
-		costs[i] = before[i].until(after)
-		r.MachineCPU += costs[i].CPU / 100
+		costs[i] = before[i].costUntil(after)
+		r.TotalCores += costs[i].CPU / 100
 	}
-	return t.sort(ctx, costs, r)
+	return t.assignRoles(ctx, costs, r)
 }
 
-// sort tells the roles apart and fills in what each costs.
-func (t *tier) sort(ctx context.Context, costs []cost, r *result) error {
+// assignRoles finds out the role of each daemon and sets the costs of the roles in r.
+func (t *tier) assignRoles(ctx context.Context, costs []cost, r *result) error {
 	controls := costs[:len(t.controls)]
 	busiest := 0
 	for i := range controls {
@@ -195,7 +195,7 @@
 		}
 	}
 	r.Leader = controls[busiest]
-	r.Follower = mean(slices.Delete(slices.Clone(controls), busiest, busiest+1))
+	r.Follower = meanCost(slices.Delete(slices.Clone(controls), busiest, busiest+1))
 	var relays, entries []cost
 	for i, d := range t.entries {
 		children, err := d.metric(ctx, "relay_children")
@@ -208,17 +208,17 @@
 			entries = append(entries, costs[len(t.controls)+i])
 		}
 	}
-	r.Relays, r.Entry, r.Relay, r.RelayMax = len(relays), mean(entries), mean(relays), most(relays)
+	r.Relays, r.Entry, r.Relay, r.RelayMax = len(relays), meanCost(entries), meanCost(relays), maxCost(relays)
 	return nil
 }
 
-// usage is what a process has used so far.
+// usage is the resource usage of a process since its start.
 type usage struct {
-	at    time.Time
-	cpu   float64 // seconds
-	bytes float64
-	calls float64
-	rss   float64
+	at       time.Time
+	cpu      float64 // seconds
+	bytes    float64
+	syscalls float64
+	rss      float64
 }
 
 func (d *daemon) usage() (usage, error) {
@@ -236,23 +236,23 @@
 	}
 	return usage{
 		at: time.Now(), cpu: s.CPUTime(), rss: float64(s.ResidentMemory()),
-		bytes: float64(io.RChar + io.WChar), calls: float64(io.SyscR + io.SyscW),
+		bytes: float64(io.RChar + io.WChar), syscalls: float64(io.SyscR + io.SyscW),
 	}, nil
 }
 
-func (u usage) until(o usage) cost {
+func (u usage) costUntil(o usage) cost {
 	seconds := o.at.Sub(u.at).Seconds()
 	return cost{
-		CPU:     100 * (o.cpu - u.cpu) / seconds,
-		RSS:     o.rss / megabyte,
-		Payload: (o.bytes - u.bytes) / seconds,
-		Calls:   (o.calls - u.calls) / seconds,
+		CPU:      100 * (o.cpu - u.cpu) / seconds,
+		RSS:      o.rss / megabyte,
+		Payload:  (o.bytes - u.bytes) / seconds,
+		Syscalls: (o.syscalls - u.syscalls) / seconds,
 	}
 }
 
-// metric reads one value from the daemon's operator port.
+// metric returns the value of a gauge from the daemon's operator port.
 func (d *daemon) metric(ctx context.Context, name string) (float64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.operator+"/metrics", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.operatorAddr+"/metrics", nil)
 	if err != nil {
 		return 0, err
 	}
@@ -274,7 +274,7 @@
 	return 0, errors.Newf("%s has no metric %s", d.name, name)
 }
 
-// checkMemory fails when the tier uses more memory than it may.
+// checkMemory returns an error if the daemons use more memory than allowed.
 func (t *tier) checkMemory() error {
 	total := 0.0
 	for _, d := range append(slices.Clone(t.controls), t.entries...) {
@@ -284,13 +284,13 @@
 		}
 		total += u.rss / megabyte
 	}
-	if total > float64(t.opt.memory) {
-		return errors.Newf("the daemons use %.0f MB, %d are allowed", total, t.opt.memory)
+	if total > float64(t.opt.maxMemoryMB) {
+		return errors.Newf("the daemons use %.0f MB, %d are allowed", total, t.opt.maxMemoryMB)
 	}
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
--- a/bench/forward/main_test.go
+++ b/bench/forward/main_test.go
@@ -11,10 +11,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A short run without faults: every request is served whole, no answer is wrong, and
-// the report with its plots is there.
+// A short run without injected faults must end without a wrong answer and must write the
+// report and all plots.
 func TestShortRun(t *testing.T) {
-	Convey("Given the program and a folder", t, func() {
+	Convey("Given a built pearmoor-entry and an empty folder", t, func() {
 		dir := t.TempDir()
 		bin := filepath.Join(dir, "pearmoor-entry")
 		out, err := exec.Command("go", "build", "-o", bin, "../../cmd/pearmoor-entry").CombinedOutput()
@@ -22,11 +22,11 @@
 		So(err, ShouldBeNil)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
-		s := settings{
+		s := options{
 			bin: bin, vms: 3, shards: 4, copies: 2, rate: 20, duration: 3 * time.Second, seed: 1,
 			faults: "none", out: filepath.Join(dir, "out"),
 		}
-		So(measure(ctx, s), ShouldBeNil)
+		So(runLoadTest(ctx, s), ShouldBeNil)
 		for _, name := range []string{"forward.json", "wide.svg", "quick.svg", "single.svg", "leaves.svg"} {
 			info, err := os.Stat(filepath.Join(s.out, name))
 			So(err, ShouldBeNil)
--- a/bench/policy/sim/sim_test.go
+++ b/bench/policy/sim/sim_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// scenario plays a load with three seeds.
-func scenario(t *testing.T, name string, without Without) []*Result {
+// runScenario simulates the named scenario with three seeds.
+func runScenario(t *testing.T, name string, disabled Without) []*Result {
 	t.Helper()
 	for _, s := range Scenarios {
 		if s.Name != name {
@@ -16,16 +16,16 @@
 		var out []*Result
 		for seed := range uint64(3) {
 			c := s.Config(seed + 1)
-			c.Without = without
+			c.Without = disabled
 			out = append(out, Run(c))
 		}
 		return out
 	}
-	t.Fatalf("there is no scenario %q", name)
+	t.Fatalf("unknown scenario %q", name)
 	return nil
 }
 
-func worth(results []*Result) float64 {
+func meanWorth(results []*Result) float64 {
 	sum := 0.0
 	for _, r := range results {
 		sum += r.Worth()
@@ -33,11 +33,11 @@
 	return sum / float64(len(results))
 }
 
-// Of each shard's two leaves one pauses for 150 ms now and then. Callers get all but one
-// in a hundred parts in time, since a second send goes to the other leaf; without it one
-// in thirty is missing, at a tenth of the worth for each of twenty.
-func TestPausesAreCoveredBySecondSends(t *testing.T) {
-	with, without := scenario(t, "calm", Without{}), scenario(t, "calm", Without{Hedges: true})
+// While a leaf pauses for 150 ms, a hedge to the shard's other leaf must get the part in
+// time. With hedges one in a hundred parts is missing, without them one in thirty, where
+// a missing part of twenty costs a tenth of an answer's worth.
+func TestHedgesCoverLeafPauses(t *testing.T) {
+	with, without := runScenario(t, "calm", Without{}), runScenario(t, "calm", Without{Hedges: true})
 	for _, r := range with {
 		for _, rt := range r.Routes {
 			if inTime := float64(rt.InTime) / float64(rt.Requests); inTime < 0.99 || rt.Parts() < 0.98 {
@@ -45,15 +45,15 @@
 			}
 		}
 	}
-	if a, b := worth(with), worth(without); a < b+0.02 {
-		t.Errorf("worth %.3f with second sends, %.3f without", a, b)
+	if a, b := meanWorth(with), meanWorth(without); a < b+0.02 {
+		t.Errorf("worth %.3f with hedges, %.3f without; want a difference of at least 0.02", a, b)
 	}
 }
 
-// As many shards are slow as an answer may leave out. Callers are not kept waiting for
-// them: answers go out in time, and shards that are well are all in them.
-func TestSlowShardsThatMayBeMissingHoldNobodyUp(t *testing.T) {
-	for _, r := range scenario(t, "few slow", Without{}) {
+// If no more shards are slow than an answer may omit, answers must be in time and
+// contain the parts of all other shards.
+func TestOmittableSlowShardsDoNotDelayAnswers(t *testing.T) {
+	for _, r := range runScenario(t, "few slow", Without{}) {
 		for _, rt := range r.Routes {
 			if inTime := float64(rt.InTime) / float64(rt.Requests); inTime < 0.96 || rt.Parts() < 0.93 {
 				t.Errorf("%s: %.3f in time, %.3f of the parts", rt.Name, inTime, rt.Parts())
@@ -62,11 +62,11 @@
 	}
 }
 
-// More shards are slow than an answer may leave out, with less room than callers ask of
-// them. Most answers are late meanwhile, but nearly all callers have one, and what has
-// piled up is over half a second after the shards are well again.
-func TestManySlowShardsLeaveNothingBehind(t *testing.T) {
-	for _, r := range scenario(t, "many slow", Without{}) {
+// If more shards are slow than an answer may omit, and their capacity is below the load,
+// most answers are late. Nearly all callers must still get one, and the queues must have
+// drained half a second after the slowdown.
+func TestRecoversFromManySlowShards(t *testing.T) {
+	for _, r := range runScenario(t, "many slow", Without{}) {
 		for _, rt := range r.Routes {
 			if rt.NotServed > rt.Requests/20 {
 				t.Errorf("%s: %d of %d not served", rt.Name, rt.NotServed, rt.Requests)
@@ -74,32 +74,32 @@
 		}
 		for second := 9; second < 12; second++ {
 			if w := r.Seconds[second].Worth(); w < 0.93 {
-				t.Errorf("worth %.3f in second %d, the shards were well from 8 on", w, second)
+				t.Errorf("worth %.3f in second %d, but the slowdown ended at second 8", w, second)
 			}
 		}
 	}
 }
 
-// Twice as many callers come for three seconds. All are served, and further sends stay
-// within their budget: sent for all that is late, they would double the load once more.
-func TestBurstIsServedWithinTheBudget(t *testing.T) {
-	for _, r := range scenario(t, "burst", Without{}) {
+// While the load is doubled for three seconds, all callers must be served, and retries
+// and hedges must stay within their budget: without one they would double the load again.
+func TestBurstServedWithinBudget(t *testing.T) {
+	for _, r := range runScenario(t, "burst", Without{}) {
 		for _, rt := range r.Routes {
 			if rt.NotServed > 0 {
 				t.Errorf("%s: %d of %d not served", rt.Name, rt.NotServed, rt.Requests)
 			}
 		}
 		if r.Extra() > 0.2 {
-			t.Errorf("%.3f further sends for each first one", r.Extra())
+			t.Errorf("%.3f retries and hedges for each first send, want at most 0.2", r.Extra())
 		}
 	}
 }
 
-// A play that shows a fault can be looked at again.
-func TestOneSeedOneResult(t *testing.T) {
+// A seed must reproduce its result, so that a failure can be examined.
+func TestSameSeedSameResult(t *testing.T) {
 	c := Scenarios[0].Config(7)
 	c.Length = 3 * time.Second
 	if a, b := Run(c), Run(c); !reflect.DeepEqual(a.Seconds, b.Seconds) || a.Worth() != b.Worth() {
-		t.Errorf("worth %v and %v", a.Worth(), b.Worth())
+		t.Errorf("the same seed gave different results: worth %v and %v", a.Worth(), b.Worth())
 	}
 }
--- a/bench/policy/sim/world.go
+++ b/bench/policy/sim/world.go
@@ -9,40 +9,40 @@
 	"pearmoor/internal/vm"
 )
 
-// Route is one kind of request: a gather over all shards.
+// Route is one kind of request. Each goes to all shards.
 type Route struct {
 	Name      string
 	PerSecond float64
-	Work      time.Duration // mean at a leaf of usual speed, exponential
-	Aim       time.Duration // target latency, counted from the caller
+	Work      time.Duration // mean of the exponentially distributed time at a leaf of average speed
+	Aim       time.Duration // as seen by the caller
 	Timeout   time.Duration
-	Margin    time.Duration // of the aim
-	Need      float64       // least share of the shards
-	Worth     float64       // of an answer in time with all parts
-	LateWorth float64       // of one that is late, in place of 1
+	Margin    time.Duration // how long before TargetLatency the answer is sent
+	Need      float64       // of the shards that an answer must contain
+	Worth     float64       // of a complete answer in time
+	LateWorth float64       // factor on the worth of a late answer
 }
 
-// Spell is a time in which all copies of some shards work slower.
+// Slowdown is a period in which all leaves of some shards are slower.
 type Spell struct {
 	From, For time.Duration
-	Shards    float64 // share
+	Shards    float64 // fraction of the shards
 	Factor    float64
 }
 
-// Burst is a time with more callers.
+// Burst is a period of higher load.
 type Burst struct {
 	From, For time.Duration
 	Factor    float64
 }
 
-// Without names mechanisms that are switched off.
+// Disabled says which mechanisms are switched off.
 type Without struct {
-	Hedges   bool // no second send to a shard that is late
-	Waits    bool // no wait for a connection
-	Learning bool // leaves are taken in turn, whatever is known of them
+	Hedges   bool // no second request to a shard whose reply is late
+	Waits    bool // requests do not wait for a free connection
+	Learning bool // leaves are chosen without their statistics
 }
 
-// Config is one play.
+// Config describes one simulation.
 type Config struct {
 	Seed    uint64
 	Length  time.Duration
@@ -52,12 +52,12 @@
 	Copies  int
 
 	Slots       int
-	Queue       int // requests that a leaf keeps beside those it runs
-	Connections int // that a leaf accepts from all daemons together
+	Queue       int // requests that wait at a leaf for a slot
+	Connections int // that a leaf accepts, from all daemons together
 	PauseEvery  time.Duration
 	PauseFor    time.Duration
-	Near, Far   time.Duration // one way to a leaf of the own and of another domain
-	ToCaller    time.Duration // one way
+	Near, Far   time.Duration // one-way, to a leaf of the same or another failure domain
+	ToCaller    time.Duration // one-way
 
 	Routes  []Route
 	Budget  policy.BudgetLimits
@@ -66,8 +66,8 @@
 	Without Without
 }
 
-// world is one play under way.
-type world struct {
+// simulation is the state of one running simulation.
+type simulation struct {
 	cfg     Config
 	rng     *rand.Rand
 	now     vm.Instant
@@ -81,7 +81,7 @@
 type event struct {
 	at  vm.Instant
 	seq int
-	do  func()
+	run func()
 }
 
 type events []event
@@ -99,53 +99,53 @@
 	return x
 }
 
-// after does something d from now.
-func (w *world) after(d time.Duration, do func()) {
+// after schedules do to run in d.
+func (w *simulation) after(d time.Duration, run func()) {
 	w.seq++
-	heap.Push(&w.events, event{w.now.Add(max(d, 0)), w.seq, do})
+	heap.Push(&w.events, event{w.now.Add(max(d, 0)), w.seq, run})
 }
 
-// Run plays to the end, and until every request that came by then has its answer.
+// Run simulates cfg.Duration and then runs on until every request has been answered.
 func Run(cfg Config) *Result {
-	w := &world{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: 1, result: newResult(cfg)}
+	sim := &simulation{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), now: 1, result: newResult(cfg)}
 	for s := range cfg.Shards {
-		var copies []*leaf
-		first := w.rng.IntN(cfg.Domains)
+		var leaves []*leaf
+		first := sim.rng.IntN(cfg.Domains)
 		for c := range cfg.Copies {
-			copies = append(copies, newLeaf(w, s, (first+c)%cfg.Domains))
+			leaves = append(leaves, newLeaf(sim, s, (first+c)%cfg.Domains))
 		}
-		w.leaves = append(w.leaves, copies)
+		sim.leaves = append(sim.leaves, leaves)
 	}
 	for i := range cfg.Daemons {
-		w.daemons = append(w.daemons, newDaemon(w, i%cfg.Domains))
+		sim.daemons = append(sim.daemons, newDaemon(sim, i%cfg.Domains))
 	}
 	for r := range cfg.Routes {
-		w.arrive(r)
+		sim.scheduleArrival(r)
 	}
-	for len(w.events) > 0 {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		e.do()
+	for len(sim.events) > 0 {
+		e := heap.Pop(&sim.events).(event)
+		sim.now = e.at
+		e.run()
 	}
-	return w.result
+	return sim.result
 }
 
-// passed is the time since the beginning.
-func (w *world) passed() time.Duration { return time.Duration(w.now - 1) }
+// elapsed returns the virtual time since the start.
+func (w *simulation) elapsed() time.Duration { return time.Duration(w.now - 1) }
 
-// arrive has the next request of a route come.
-func (w *world) arrive(route int) {
+// scheduleArrival schedules the next request of a route.
+func (w *simulation) scheduleArrival(route int) {
 	rate := w.cfg.Routes[route].PerSecond
 	for _, b := range w.cfg.Bursts {
-		if at := w.passed(); at >= b.From && at < b.From+b.For {
+		if at := w.elapsed(); at >= b.From && at < b.From+b.For {
 			rate *= b.Factor
 		}
 	}
 	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		if w.passed() >= w.cfg.Length {
+		if w.elapsed() >= w.cfg.Length {
 			return
 		}
-		w.daemons[w.rng.IntN(len(w.daemons))].gather(route)
-		w.arrive(route)
+		w.daemons[w.rng.IntN(len(w.daemons))].startGather(route)
+		w.scheduleArrival(route)
 	})
 }
--- a/bench/query/drain.go
+++ b/bench/query/drain.go
@@ -17,8 +17,8 @@
 	"pearmoor/internal/standin"
 )
 
-// drainLeaf makes one leaf leave: by its own word, by the operator's and by the
-// platform's list, each while it has work.
+// drainLeaf drains a leaf under load in three ways: the leaf reports that it is
+// draining, the operator sets it as drained, or the platform lists it as leaving.
 func drainLeaf(ctx context.Context, e *env) error {
 	cfg := e.tierConfig()
 	cfg.Platform = true
@@ -43,13 +43,13 @@
 	} {
 		service := deskPath + "/" + tier.ServiceName(i)
 		leaf := tier.ServiceName(i) + "-1"
-		p := phase{rate: 0.3 * capacity(latency), span: e.span(7*time.Second, 12*time.Second), seed: uint64(i + 1)}
-		var left time.Time
+		spec := loadSpec{rate: 0.3 * capacity(latency), duration: e.duration(7*time.Second, 12*time.Second), seed: uint64(i + 1)}
+		var drainedAt time.Time
 		act := func() error {
-			left = time.Now()
+			drainedAt = time.Now()
 			return c.act(leaf, service)
 		}
-		res, err := during(2*time.Second, act, func() (*load.Result, error) { return e.tierSide(ctx, t, p) })
+		res, err := runWithAction(2*time.Second, act, func() (*load.Result, error) { return e.runTier(ctx, t, spec) })
 		if err != nil {
 			return errors.Wrap(err, c.name)
 		}
@@ -58,13 +58,13 @@
 			return err
 		}
 		rows = append(rows, row{c.name, res})
-		quiet := last.Sub(left).Seconds()
+		quiet := last.Sub(drainedAt).Seconds()
 		fmt.Printf("%s: last new work %.3f s after it; refused by leaving leaves %d; stopped at all leaves, as losers of hedges are, %d\n",
 			c.name, quiet, res.Leaves.WhileDraining, res.Leaves.Cancelled)
-		figure("drain", c.name+": seconds to the last new work", quiet, "at most 3")
-		figure("drain", c.name+": mean coverage", res.Coverage, "1")
+		printFigure("drain", c.name+": seconds to the last new work", quiet, "at most 3")
+		printFigure("drain", c.name+": mean coverage", res.Coverage, "1")
 	}
-	table(rows)
+	printTable(rows)
 	if err := t.Stop(); err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 	return time.Time{}, errors.Newf("leaf %s is unknown", leaf)
 }
 
-// platformLeaving makes the platform list every leaf, one of them as leaving.
+// platformLeaving publishes a platform list of all leaves, with one of them marked as leaving.
 func (e *env) platformLeaving(ctx context.Context, l *tier.Leaves, leaving string) error {
 	st, err := load.Stats(ctx, e.http, l.URL)
 	if err != nil {
--- a/bench/query/main.go
+++ b/bench/query/main.go
@@ -1,5 +1,6 @@
-// Command query measures the query path: each experiment starts real pearmoord
-// and pearmoor-standin processes, runs both sides, and prints them as one table.
+// Command query measures the query path. Each experiment starts real pearmoord and
+// pearmoor-standin processes, runs the tier and what it is compared with, and prints
+// the results as one table.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	quick := app.Flag("quick", "A short run, to see that it works rather than to quote.").Bool()
 	rounds := app.Flag("rounds", "How often the sides take turns; 0 is 1 in a short run, 3 in a long one.").Default("0").Int()
 	list := app.Flag("list", "List the experiments and end.").Bool()
-	out := app.Flag("out", "Folder for results as JSON and plots.").Default("out/bench").String()
+	outDir := app.Flag("out", "Folder for results as JSON and plots.").Default("out/bench").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if *list {
 		for _, x := range experiments() {
@@ -30,10 +31,10 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	os.Exit(runAll(ctx, *names, &env{quick: *quick, turns: *rounds, out: *out}))
+	os.Exit(runAll(ctx, *names, &env{quick: *quick, roundsFlag: *rounds, outDir: *outDir}))
 }
 
-// runAll returns the exit status: 1 when an experiment could not be run.
+// runAll runs the named experiments, or all if names is empty. It returns the exit status: 1 if an experiment failed to run, 2 if a name is unknown.
 func runAll(ctx context.Context, names []string, e *env) int {
 	for _, n := range names {
 		if !slices.ContainsFunc(experiments(), func(x experiment) bool { return x.name == n }) {
