--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -18,18 +18,19 @@
 )
 
 const (
-	shardsOfAll  = 10 // services that configurations choose their shards from
+	shardsOfAll  = 10 // services from which each configuration selects its shards
 	shardsOfOne  = 8
 	topOfAnswer  = 5
 	keepAddrs    = 2 * time.Second
 	callerWait   = 1500 * time.Millisecond
 	callersCount = 8
-	// settleTime is how long after an answer a leaf may still begin to run a request
-	// that was called not run; none may.
+	// settleTime is how long after the answer the runs of a request are counted, to detect
+	// leaves that start a request late, after it was reported as not run.
 	settleTime = 2500 * time.Millisecond
 )
 
-// caller asks for addresses, keeps them a while, and sends one request after the other.
+// caller fetches an address list, caches it for addressLifetime, and sends one request
+// after another.
 type caller struct {
 	w      *world
 	rng    *rand.Rand
@@ -51,7 +52,8 @@
 	}
 }
 
-// address returns where to connect: of the last list, or of any directory that answers.
+// entryAddr returns a random address of the cached list. It fetches a new list from the
+// first directory that answers if the cached one has expired.
 func (c *caller) address() string {
 	if time.Since(c.asked) > keepAddrs || len(c.addrs) == 0 {
 		client := &http.Client{Timeout: time.Second}
@@ -89,14 +91,14 @@
 	c.search(addr)
 }
 
-// send makes one attempt and returns the answer; nil when there was none.
+// send sends one request without retries and returns the answer.
 func (c *caller) send(addr, method, path, body, id string) (*http.Response, string, error) {
 	c.w.mu.Lock()
 	c.w.wants[id] = method + " " + path + " " + body
 	c.w.mu.Unlock()
 	var rd io.Reader
 	if body != "" {
-		rd = io.MultiReader(strings.NewReader(body)) // can't be rewound, so that nothing below sends it twice
+		rd = io.MultiReader(strings.NewReader(body)) // not rewindable, so that the HTTP client can't retry
 	}
 	req, err := http.NewRequest(method, "http://"+addr+path, rd)
 	if err != nil {
@@ -127,20 +129,21 @@
 	return resp, string(text), nil
 }
 
-// checkCut holds that a planned stop cuts off no request that was passed on to a leaf.
+// checkNotCutOff checks that a graceful stop does not cut off a request that a leaf has
+// begun to run. Errors are expected within 6 s after a kill, pause or start.
 func (c *caller) checkCut(addr, id string, err error) {
 	v := c.w.vmAt(addr)
 	if v == nil || v.harmedWithin(6*time.Second) || strings.Contains(err.Error(), "Client.Timeout") {
 		return
 	}
 	if c.w.runsOf(id) > 0 {
-		c.w.fail("%s cut off request %s, which a leaf had begun: %v", v.name, id, err)
+		c.w.fail("%s cut off request %s, which a leaf had begun to run: %v", v.name, id, err)
 	}
 }
 
 func (c *caller) newID() string { return fmt.Sprintf("r%d", c.w.nextID.Add(1)) }
 
-// charge sends a request that may run once.
+// sendCharge sends a request that must run at most once, and checks its runs.
 func (c *caller) charge(addr string) {
 	id := c.newID()
 	resp, _, err := c.send(addr, http.MethodPost, "/charge/"+id, "body of "+id, id)
@@ -151,14 +154,14 @@
 		case n > 1:
 			c.w.fail("request %s ran %d times", id, n)
 		case refused && n > 0:
-			c.w.fail("request %s was called not run and has run", id)
+			c.w.fail("request %s was reported as not run but has run", id)
 		case ok && n != 1:
-			c.w.fail("request %s was answered and ran %d times", id, n)
+			c.w.fail("request %s was answered but ran %d times", id, n)
 		}
 	})
 }
 
-// search sends a gather and checks its answer.
+// sendSearch sends a query that gathers the parts of several shards, and checks its answer.
 func (c *caller) search(addr string) {
 	id := c.newID()
 	resp, text, err := c.send(addr, http.MethodGet, "/search/"+id, "", id)
@@ -169,20 +172,20 @@
 	for _, stamp := range strings.Split(strings.Join(resp.Header.Values(dialect.PartSignatures), ","), ",") {
 		fields := strings.Split(strings.TrimSpace(stamp), "/")
 		if len(fields) != 3 || fields[1] != id {
-			c.w.fail("request %s was answered with part %q", id, stamp)
+			c.w.fail("request %s was answered with a part of another request: %q", id, stamp)
 			return
 		}
 		if slices.Contains(services, fields[0]) {
-			c.w.fail("request %s has two parts of %s", id, fields[0])
+			c.w.fail("answer to request %s has two parts of %s", id, fields[0])
 		}
 		services = append(services, fields[0])
 	}
 	missing, _ := strconv.Atoi(resp.Header.Get(dialect.MissingParts))
 	if len(services)+missing != shardsOfOne || len(services) < 5 {
-		c.w.fail("request %s: %d parts and %d missing of %d", id, len(services), missing, shardsOfOne)
+		c.w.fail("request %s: %d parts and %d missing, of %d shards", id, len(services), missing, shardsOfOne)
 	}
 	if !c.w.ops.oneConfiguration(services) {
-		c.w.fail("request %s: parts %v are of no one configuration", id, services)
+		c.w.fail("request %s: parts %v do not belong to one configuration", id, services)
 	}
 	if want := standin.Top(services, id, topOfAnswer); text != want {
 		c.w.fail("request %s: got %q, want %q", id, text, want)
--- a/soak/control_test.go
+++ b/soak/control_test.go
@@ -8,8 +8,9 @@
 	"pearmoor/internal/vm"
 )
 
-// loseControl ends the processes of all VMs with a disk together, for a while, until ctx
-// ends. It waits for moments at which no other fault is played on any of them.
+// killControlVMs repeatedly kills the processes of all VMs with a disk at the same time and
+// restarts them after up to 1.5 s, until ctx is cancelled. It skips a round if another
+// fault is in progress on any of them.
 func (w *world) loseControl(ctx context.Context, rng *rand.Rand) {
 	for vm.Sleep(ctx, time.Duration(1000+rng.IntN(4000))*time.Millisecond) {
 		claimed := w.claimControl()
@@ -28,7 +29,7 @@
 	}
 }
 
-// claimControl claims the VMs with a disk, up to the first that another fault has.
+// claimControlVMs claims the VMs with a disk, up to the first that another fault has claimed.
 func (w *world) claimControl() (claimed []*vmProcess) {
 	for _, v := range w.vms[:disks] {
 		if !v.claim() {
--- a/soak/disks_test.go
+++ b/soak/disks_test.go
@@ -9,9 +9,10 @@
 	"pearmoor/internal/vm"
 )
 
-// disturbDisks makes the disk of one VM after the other slow, stall or fill for a while,
-// until ctx ends. Faults of other kinds go on beside it, on other VMs with disks as well. It
-// draws from a source of its own: the faults of a seed stay those that it always had.
+// injectDiskFaults makes the disk of one random VM at a time slow, stalled or full for a
+// while, until ctx is cancelled. Faults of other kinds run concurrently, also on other VMs
+// with disks. It uses a separate random source, so that it does not change the order of the
+// other faults of a seed.
 func (w *world) disturbDisks(ctx context.Context, rng *rand.Rand) {
 	faults := []faultydisk.Fault{faultydisk.Slow, faultydisk.Stalls, faultydisk.Full}
 	for n := 0; vm.Sleep(ctx, time.Duration(200+rng.IntN(1500))*time.Millisecond); n++ {
@@ -32,8 +33,8 @@
 	}
 }
 
-// resetInSeries resets the connections to some VMs and leaves several times in a row, a few
-// at a time, until ctx ends: what is opened anew is reset again.
+// resetRepeatedly resets the connections to random VMs and leaves several times in quick
+// succession, until ctx is cancelled, so that reopened connections are reset again.
 func (w *world) resetInSeries(ctx context.Context, rng *rand.Rand) {
 	for vm.Sleep(ctx, time.Duration(500+rng.IntN(3000))*time.Millisecond) {
 		for range 2 + rng.IntN(4) {
--- a/soak/fatal_test.go
+++ b/soak/fatal_test.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// fatalPath is of requests that crash each leaf that runs them; these are back after
-	// fatalDown, at another address.
+	// crashingPath is the path of requests that crash each leaf that runs them. A crashed
+	// leaf is replaced after crashRestartDelay, at another address.
 	fatalPath = "/search/fatal"
 	fatalDown = time.Second
-	// fatalEvery is between two attempts of one such request.
+	// crashingInterval is the time between two attempts of such a request.
 	fatalEvery = 700 * time.Millisecond
-	// fatalRetries is how many attempts may reach leaves once all is calm.
+	// maxCrashingRuns is how many attempts may reach leaves after the faults have ended.
 	fatalRetries = 3
 )
 
-// runFatal sends a request that crashes leaves again and again, wherever callers are sent.
+// sendCrashingRequests repeatedly sends a request that crashes leaves, to the addresses
+// that callers use.
 func (w *world) runFatal(ctx context.Context, c *caller) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -29,7 +30,8 @@
 	}
 }
 
-// crash ends a leaf under a request; it stays on the list for a while.
+// crash stops the leaf while it runs a request. The leaf stays on the list for
+// crashRestartDelay.
 func (l *leaf) crash() {
 	if !l.crashed.CompareAndSwap(false, true) {
 		return
@@ -41,8 +43,9 @@
 	l.w.startLeaf(l.service)
 }
 
-// checkFatal holds that a request that went on to crash leaves reaches hardly any once all is
-// calm, at whatever VM it comes.
+// checkCrashingRequestsBlocked checks that, after the faults have ended, at most
+// maxCrashingRuns attempts of a request that has crashed leaves reach a leaf, whichever VM
+// receives them.
 func (w *world) checkFatal() {
 	c := &caller{w: w, rng: w.rng, client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}}
 	defer c.client.CloseIdleConnections()
@@ -57,6 +60,6 @@
 		}
 	}
 	if len(reached) > fatalRetries {
-		w.fail("a request that crashes leaves reaches leaves in %d attempts after all has healed, at %s", len(reached), strings.Join(reached, " "))
+		w.fail("a request that crashes leaves reached leaves in %d attempts after the faults had ended, through %s", len(reached), strings.Join(reached, " "))
 	}
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -12,29 +12,29 @@
 	"pearmoor/platform/standin"
 )
 
-// event is one fault of a run: of what kind, for how long, and where.
+// faultEvent is one fault of a run: its kind, its duration and the VM or leaf.
 type event struct {
 	kind  kind
 	pause time.Duration
 	vm    *vmProcess
 	leaf  *leaf
 	junk  []byte
-	order int64 // a random number, to sort something by
+	order int64 // seed for the fault's own random choices
 }
 
-// kind plays a fault and returns when it is over.
+// faultKind describes a kind of fault.
 type kind struct {
 	name string
-	vms  bool // happens to a VM, on which nothing else may happen meanwhile
-	disk bool // only to one with a disk that may be lost or harmed now
-	leaf bool // needs a leaf that is well
-	once bool // only to the leaves of requests that may run once
-	play func(w *world, e *event)
+	vms  bool                     // affects a VM, which is claimed for the duration
+	disk bool                     // affects only a VM with a disk, and only while the group tolerates its loss
+	leaf bool                     // affects a healthy leaf
+	once bool                     // affects only leaves that serve at-most-once requests
+	play func(w *world, e *event) // injects the fault and returns when it is over
 }
 
-// kinds returns every fault there is, some more than once. A run goes through all of
-// them in an order of its own before any comes again: drawn one by one, a run of 10 s
-// met a leaf that loses the answers of requests that may run once in one of eight.
+// faultKinds returns all kinds of faults, some more than once. A run goes through all of
+// them in random order before any is repeated. With independent draws, only one run of 10 s
+// in eight had a leaf that lost the answers of at-most-once requests.
 func kinds() []kind {
 	out := []kind{
 		{name: "kill", vms: true, play: func(w *world, e *event) { e.vm.kill(); time.Sleep(e.pause / 3); e.vm.start() }},
@@ -69,7 +69,7 @@
 	return out
 }
 
-// faults plays random faults for that long. What takes time goes on beside the next.
+// injectFaults injects random faults for the duration d. Faults overlap.
 func (w *world) faults(d time.Duration) {
 	var wg sync.WaitGroup
 	var deck []kind
@@ -94,7 +94,8 @@
 	wg.Wait()
 }
 
-// place finds where a fault can happen now; nil if nowhere.
+// prepare draws the parameters of a fault and selects its VM or leaf. It returns nil if the
+// fault is not possible now.
 func (w *world) place(k kind) *event {
 	e := &event{kind: k, pause: time.Duration(200+w.rng.IntN(2500)) * time.Millisecond, order: w.rng.Int64(), junk: make([]byte, 1+w.rng.IntN(40))}
 	for i := range e.junk {
@@ -124,7 +125,8 @@
 	return e
 }
 
-// anyLeaf returns a leaf that is well and not leaving, nil if it found none.
+// randomHealthyLeaf returns a random leaf that is healthy and not leaving, nil if there is
+// none. If once is set, only leaves that serve at-most-once requests are considered.
 func (w *world) anyLeaf(once bool) *leaf {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,8 +142,8 @@
 	return fit[w.rng.IntN(len(fit))]
 }
 
-// tornWrite ends a process in the middle of a write: behind what it had synced stands
-// the beginning of something else.
+// injectTornWrite simulates a crash in the middle of a write: it kills the process and appends
+// random bytes to its newest log file.
 func tornWrite(w *world, e *event) {
 	e.vm.kill()
 	entries, err := os.ReadDir(e.vm.folder())
@@ -151,7 +153,7 @@
 	newest := ""
 	for _, f := range entries {
 		if journal.IsLog(f.Name()) {
-			newest = f.Name() // they are sorted
+			newest = f.Name() // ReadDir sorts by name
 		}
 	}
 	if newest != "" {
@@ -167,8 +169,8 @@
 	e.vm.start()
 }
 
-// reloadSettings writes the settings again with the seeds in another order, and says
-// so by a signal or not.
+// reloadSettings writes the settings file with the seeds in another order, with or without
+// a SIGHUP.
 func reloadSettings(w *world, e *event) {
 	rng := rand.New(rand.NewPCG(uint64(e.order), 1))
 	e.vm.writeSettings(rng.Perm(disks))
@@ -192,7 +194,7 @@
 	w.drop(e.leaf)
 }
 
-// leafCrashes ends a leaf; it stays on the list for a while.
+// crashLeaf stops a leaf. The leaf stays on the list for the duration of the fault.
 func leafCrashes(w *world, e *event) {
 	w.startLeaf(e.leaf.service)
 	_ = e.leaf.server.Close()
@@ -200,7 +202,7 @@
 	w.drop(e.leaf)
 }
 
-// vmLink harms the links of other daemons to one VM.
+// disturbVMLink disturbs the link from other daemons to a VM.
 func (w *world) vmLink(e *event, s linkState) {
 	w.disturb()
 	e.vm.link.state.Store(int32(s))
@@ -210,8 +212,8 @@
 	w.disturb()
 }
 
-// leafLink harms the links to a leaf. What is held on its way arrives late, also at a
-// leaf that has begun to leave meanwhile.
+// disturbLeafLink disturbs the link to a leaf. Data that the link holds arrives late, even
+// if the leaf has started to leave in the meantime.
 func (w *world) leafLink(e *event, s linkState) {
 	w.disturb()
 	e.leaf.link.state.Store(int32(s))
@@ -228,8 +230,8 @@
 	w.disturb()
 }
 
-// stopPlanned asks the process to stop and waits for its end. Settings may change
-// while it drains.
+// stopGracefully sends SIGTERM and waits for the process to exit. With reload it also sends
+// SIGHUP while the process drains.
 func (v *vmProcess) stopPlanned(reload bool) {
 	v.signal(syscall.SIGTERM)
 	if reload {
@@ -238,7 +240,7 @@
 	select {
 	case <-v.done:
 	case <-time.After(5 * time.Second):
-		v.w.fail("%s has not stopped 5 s after it was told to, its grace is 3 s", v.name)
+		v.w.fail("%s did not exit within 5 s of SIGTERM; its grace period is 3 s", v.name)
 		v.kill()
 	}
 	v.w.disturb()
--- a/soak/leaves_test.go
+++ b/soak/leaves_test.go
@@ -18,32 +18,32 @@
 
 var dialect = platform.Dialect()
 
-// mode is how a leaf behaves.
+// leafMode is the behavior of a leaf.
 type mode int32
 
 const (
 	well mode = iota
 	slow
 	silent
-	resets  // closes without an answer, before it runs the request
-	refuses // says that it does not run the request
-	loses   // runs it and closes without an answer
-	twice   // answers, and a moment later again
+	resets  // resets the connection before running the request
+	refuses // answers that it does not run the request
+	loses   // runs the request and resets the connection without an answer
+	twice   // sends the answer twice, 10 ms apart
 	modes
 )
 
-// leafConns is the most connections that a leaf accepts from all daemons together.
+// maxLeafConns is the limit of connections to a leaf, from all daemons together.
 const leafConns = 28
 
-// drainTime is how long a leaf goes on serving once the list shows that it leaves.
+// leafDrainTime is how long a leaf continues to serve after the list shows it as leaving.
 const drainTime = 3 * time.Second
 
-// leaf is one run of a leaf, on a port of its own.
+// leaf is a stand-in leaf. A restarted leaf is a new leaf on another port.
 type leaf struct {
 	w       *world
 	id      string
 	service string
-	addr    string // of the link, which is what the list shows
+	addr    string // address of the link, as shown in the list
 	link    *proxy
 	server  *http.Server
 	mode    atomic.Int32
@@ -51,7 +51,7 @@
 	crashed atomic.Bool
 
 	mu      sync.Mutex
-	leaving time.Time // since when the list shows it; zero: it does not
+	leaving time.Time // when the leaf was marked as leaving; zero if it was not
 }
 
 func (w *world) startLeaf(service string) *leaf {
@@ -74,19 +74,19 @@
 	return l
 }
 
-// count follows how many connections are open.
+// countConnections tracks the open connections and checks their limit.
 func (l *leaf) count(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
 		if n := l.conns.Add(1); n > leafConns {
-			l.w.fail("leaf %s has %d connections, %d are its limit", l.id, n, leafConns)
+			l.w.fail("leaf %s has %d connections, its limit is %d", l.id, n, leafConns)
 		}
 	case http.StateClosed, http.StateHijacked:
 		l.conns.Add(-1)
 	}
 }
 
-// ServeHTTP answers one request as the leaf's mode says.
+// ServeHTTP answers a request according to the mode of the leaf.
 func (l *leaf) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(dialect.RequestID)
 	if to := r.Header.Get(dialect.LeafID); to != l.id {
@@ -112,7 +112,7 @@
 	l.w.ran(id, l.service, r.Method+" "+r.RequestURI+" "+body)
 	if r.RequestURI == fatalPath {
 		go l.crash()
-		<-r.Context().Done() // the connections end with the leaf
+		<-r.Context().Done() // crash closes the connections
 		return
 	}
 	wait := 3 * time.Millisecond
@@ -164,9 +164,9 @@
 	}
 }
 
-// checkLeaving holds that a leaf which leaves gets nothing new. It says nothing while
-// some process may not have heard of it: one that was paused or has just started, or
-// while the list could not be read.
+// checkNoRequestsAfterDrain checks that a leaf receives no requests after its drain time.
+// It does not fail shortly after a disturbance, since a process that was paused, has just
+// started or could not read the list may not know yet that the leaf is leaving.
 func (l *leaf) checkLeaving() {
 	l.mu.Lock()
 	since := l.leaving
@@ -176,11 +176,11 @@
 	}
 	late := time.Since(since) - drainTime
 	if late > 500*time.Millisecond && l.w.calmFor() > drainTime+2*time.Second {
-		l.w.fail("leaf %s gets a request %v after it should have been left alone", l.id, late)
+		l.w.fail("leaf %s received a request %v after its drain time had ended", l.id, late)
 	}
 }
 
-// drain shows the leaf as leaving.
+// startLeaving marks the leaf as leaving in the list.
 func (l *leaf) drain() {
 	l.mu.Lock()
 	if l.leaving.IsZero() {
@@ -198,7 +198,7 @@
 	return standin.Leaving
 }
 
-// drop ends the leaf and takes it off the list.
+// removeLeaf stops the leaf and removes it from the list.
 func (w *world) drop(l *leaf) {
 	w.mu.Lock()
 	w.leaves = slices.DeleteFunc(w.leaves, func(o *leaf) bool { return o == l })
@@ -207,7 +207,7 @@
 	_ = l.server.Close()
 }
 
-// ServeList is the platform's list of leaves.
+// serveList serves the platform's list of leaves.
 func (w *world) serveList(rw http.ResponseWriter, _ *http.Request) {
 	if w.listFails.Load() {
 		rw.WriteHeader(http.StatusTooManyRequests)
--- a/soak/operator_test.go
+++ b/soak/operator_test.go
@@ -16,18 +16,18 @@
 	"pearmoor/platform/standin"
 )
 
-// applyTime is how long after its acknowledgement a configuration is in force
-// everywhere.
+// applyDelay is the time within which an acknowledged configuration must be in force on all
+// VMs.
 const applyTime = 3 * time.Second
 
-// operatorState is what the operators have sent.
+// operatorState records what the operators have sent.
 type operatorState struct {
 	mu     sync.Mutex
-	sets   [][]string // of shards, of every configuration sent
+	sets   [][]string // the shards of each configuration sent
 	number int
 	acks   []ack
-	texts  map[int]string // of what was sent, by number
-	more   atomic.Int64   // routes that each new configuration holds besides
+	texts  map[int]string // encoded configurations sent, by number
+	more   atomic.Int64   // additional routes in each new configuration
 }
 
 type ack struct {
@@ -35,7 +35,7 @@
 	at     time.Time
 }
 
-// oneConfiguration reports whether the services may all be shards of one configuration.
+// inOneConfiguration reports whether some configuration has all these services as shards.
 func (o *operatorState) oneConfiguration(services []string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,10 +52,11 @@
 	return append(out, ledger)
 }
 
-// ledger is the service whose requests may run once.
+// ledger is the service whose requests must run at most once.
 const ledger = "ledger"
 
-// next returns a new configuration; another part of the services are its shards.
+// newConfiguration returns the number and text of a new configuration with a random
+// selection of the services as shards.
 func (o *operatorState) next(rng *rand.Rand) (int, string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -69,13 +70,13 @@
 	}
 	text, err := platform.EncodeRelease(release(o.number, set, int(o.more.Load())))
 	if err != nil {
-		panic(err) // it is made of constants
+		panic(err) // can't fail: release sets valid values only
 	}
 	o.texts[o.number] = string(text)
 	return o.number, o.texts[o.number]
 }
 
-// release returns a configuration with these shards, and as many more routes.
+// release returns a configuration with the given shards and number of additional routes.
 func release(number int, shards []string, more int) *route.Release {
 	r := &route.Release{
 		Number: uint64(number),
@@ -97,7 +98,7 @@
 	return r
 }
 
-// earlier returns a configuration that was sent before.
+// pastConfiguration returns the number and text of a random configuration sent before.
 func (o *operatorState) earlier(rng *rand.Rand) (int, string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -116,7 +117,7 @@
 	o.acks = append(o.acks, ack{n, time.Now()})
 }
 
-// newestAcked returns the highest number acknowledged before that moment.
+// newestAcked returns the highest number acknowledged before the given time.
 func (o *operatorState) newestAcked(before time.Time) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -129,7 +130,8 @@
 	return n
 }
 
-// put sends a configuration to the VMs in turn until one acknowledges it, or ctx ends.
+// putConfiguration sends a configuration to random VMs until one acknowledges it or ctx is
+// cancelled.
 func (w *world) put(ctx context.Context, rng *rand.Rand, number int, text string) bool {
 	client := &http.Client{Timeout: 1500*time.Millisecond + time.Duration(len(text))*10*time.Microsecond}
 	defer client.CloseIdleConnections()
@@ -141,7 +143,7 @@
 			w.ops.acked(number)
 			return true
 		case status >= 400 && status < 500:
-			w.fail("configuration %d is refused: %s", number, body)
+			w.fail("configuration %d was rejected: %s", number, body)
 			return false
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -149,7 +151,7 @@
 	return false
 }
 
-// runOperators sends configurations, invalid ones between them, and reads them back.
+// runOperators sends valid and invalid configurations and reads them back.
 func (w *world) runOperators(ctx context.Context, wg *sync.WaitGroup) {
 	for i := range 2 {
 		rng := rand.New(rand.NewPCG(uint64(i), 9))
@@ -174,17 +176,18 @@
 	}
 }
 
-// putInvalid sends half of a configuration: it must be refused.
+// putInvalid sends a truncated configuration and checks that it is rejected.
 func (w *world) putInvalid(rng *rand.Rand, text string) {
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	v := w.vms[rng.IntN(daemons)]
 	if status, _ := get(client, http.MethodPost, "http://"+v.addr(w.ports.operators)+standin.PutPath, text[:len(text)/2]); status == http.StatusOK {
-		w.fail("%s acknowledged half a configuration", v.name)
+		w.fail("%s acknowledged a truncated configuration", v.name)
 	}
 }
 
-// readBack holds that a read is never older than what was acknowledged long before.
+// checkReadBack reads the configuration at a random VM and checks that it is not older than
+// one acknowledged more than applyDelay before.
 func (w *world) readBack(rng *rand.Rand) (int, bool) {
 	want := w.ops.newestAcked(time.Now().Add(-applyTime))
 	client := &http.Client{Timeout: 1500 * time.Millisecond}
@@ -192,7 +195,8 @@
 	return w.readBackAt(client, w.vms[rng.IntN(daemons)], want)
 }
 
-// readBackAt reads the configuration at one VM, or where that sends on to.
+// checkReadBackAt reads the configuration at one VM, following redirects, and checks that
+// its number is at least want.
 func (w *world) readBackAt(client *http.Client, v *vmProcess, want int) (int, bool) {
 	status, body := get(client, http.MethodGet, "http://"+v.addr(w.ports.operators)+standin.GetPath, "")
 	if status != http.StatusOK {
@@ -200,22 +204,23 @@
 	}
 	number, err := standin.Number(body)
 	if err != nil {
-		w.fail("%s gives back %q", v.name, body)
+		w.fail("%s returned an unreadable configuration: %q", v.name, body)
 		return 0, false
 	}
 	got := int(number)
 	if got < want {
-		w.fail("%s gives back configuration %d, %d was acknowledged more than %v before", v.name, got, want, applyTime)
+		w.fail("%s returned configuration %d although %d was acknowledged more than %v before", v.name, got, want, applyTime)
 	}
 	return got, true
 }
 
-// moreRoutes make a configuration of some 0.4 MB, which a narrow link carries in 1.3 s.
+// longConfigurationRoutes is the number of additional routes of a long configuration: about
+// 0.4 MB, which a narrow link transfers in 1.3 s.
 const moreRoutes = 2000
 
-// growAndShrink has operators send long configurations for a while, short ones again after
-// that, and so on until ctx ends. It draws from a source of its own: the faults of a seed
-// stay those that it always had.
+// alternateConfigurationSize makes the operators alternate between long and short
+// configurations until ctx is cancelled. It uses a separate random source, so that it does
+// not change the order of the other faults of a seed.
 func (w *world) growAndShrink(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		w.ops.more.Store(moreRoutes)
@@ -225,9 +230,9 @@
 	}
 }
 
-// longOverNarrowLinks sends one long configuration while the links to all control VMs are
-// narrow. It must be acknowledged, come into force, and be read back at each VM in the time
-// that an operator waits.
+// checkLongConfiguration sends a long configuration while the links to all control VMs are
+// narrow. It must be acknowledged, come into force, and be readable at each VM within the
+// operator's time-out of 2 s.
 func (w *world) longOverNarrowLinks() {
 	for _, v := range w.vms[:disks] {
 		v.link.state.Store(int32(narrows))
@@ -243,15 +248,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
 	if !w.put(ctx, w.rng, number, text) {
-		w.fail("long configuration %d is not acknowledged over narrow links", number)
+		w.fail("long configuration %d was not acknowledged over narrow links", number)
 		return
 	}
-	time.Sleep(applyTime + 2*time.Second) // the links carry it to each of them
+	time.Sleep(applyTime + 2*time.Second) // time for the transfer over the narrow links
 	client := &http.Client{Timeout: 2 * time.Second}
 	defer client.CloseIdleConnections()
 	for _, v := range w.vms {
 		if got, ok := w.readBackAt(client, v, number); !ok || got < number {
-			w.fail("%s gives back configuration %d (%v) after long %d was acknowledged", v.name, got, ok, number)
+			w.fail("%s returned configuration %d (%v) after long configuration %d was acknowledged", v.name, got, ok, number)
 		}
 	}
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// linkState is what a proxy does with what passes through it.
+// linkState is what a proxy does with the data that passes through it.
 type linkState int32
 
 const (
 	passes linkState = iota
-	delays           // each piece by proxyDelay
-	holds            // both ways, as on a link that is cut: nothing arrives and nothing is refused
-	deaf             // one way: what is sent arrives, answers don't
+	delays           // delays each read by proxyDelay
+	holds            // holds data in both directions and keeps connections open, as a network partition does
+	deaf             // forwards requests and holds answers
 	linkStates
-	// narrows is not among the faults that are drawn, whose order is the seed's.
-	narrows = linkStates + 1 // each connection carries proxyRate and no more
+	// linkNarrow is not below linkStateCount, so that it is not drawn as a random fault, which
+	// would change the faults of existing seeds.
+	narrows = linkStates + 1 // limits each connection to proxyRate in each direction
 )
 
 const (
 	proxyDelay = 30 * time.Millisecond
 	proxyPoll  = 5 * time.Millisecond
 	proxyPiece = 16 << 10
-	proxyRate  = 300_000 // bytes a second
+	proxyRate  = 300_000 // bytes per second
 )
 
-// proxy forwards connections to one address; what it holds arrives when the link is
-// well again, as over a network that repeats what was lost.
+// proxy forwards connections to one address. Data that it holds is delivered when the link
+// is open again, as TCP retransmits after a network failure.
 type proxy struct {
 	lis    net.Listener
 	target string
@@ -83,7 +84,8 @@
 	<-done
 }
 
-// pump copies until either side ends.
+// forwardData copies from src to dst until either connection is closed. answers is set for the
+// direction from the target back.
 func (p *proxy) pump(dst, src net.Conn, answers bool) {
 	piece := make([]byte, proxyPiece)
 	for {
@@ -103,7 +105,7 @@
 	}
 }
 
-// wait returns when the link lets a piece pass.
+// awaitOpen waits until the link may forward the data that was read.
 func (p *proxy) wait(answers bool) {
 	for !p.closed.Load() {
 		switch linkState(p.state.Load()) {
@@ -135,7 +137,7 @@
 	delete(p.conns, c)
 }
 
-// reset ends every connection at once, without a word.
+// reset closes all connections with a TCP reset.
 func (p *proxy) reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -17,26 +17,26 @@
 )
 
 var (
-	seeds    = flag.String("seeds", "1", "seeds of the runs, separated by spaces; empty: 1")
-	duration = flag.Duration("faults-for", 10*time.Second, "how long faults last in each run")
-	keepLogs = flag.String("logs", "", "folder for the logs of runs that failed")
+	seeds    = flag.String("seeds", "1", "seeds of the runs, separated by spaces; 1 if empty")
+	duration = flag.Duration("faults-for", 10*time.Second, "how long faults are injected in each run")
+	keepLogs = flag.String("logs", "", "directory for the logs of failed runs")
 )
 
-// regressions are seeds that once failed, each with what was found. They run with the
-// short run.
+// regressions are seeds of runs that failed in the past, each with the fault found. They run
+// in addition to the seeds of TestSoak.
 var regressions = []uint64{
-	60, // requests that a leaf never answered were cut off at the end of a planned stop
-	// For an instant a leaf behind a link that had held everything for 1.9 s had 36
-	// connections, 28 are its limit. A daemon that gave up a request on a silent link gave
-	// its place back at once, and what it closed and what it opened since came to the leaf
-	// together when the link was well again.
+	60, // A graceful stop cut off requests that a leaf had not answered.
+	// A leaf briefly had 36 connections, with a limit of 28, after its link had held all data
+	// for 1.9 s. A daemon that timed out a request on a silent link freed the connection slot
+	// immediately, so the close and the new connection reached the leaf at the same time when
+	// the link recovered.
 	203,
 }
 
-// findings are seeds that failed and are not mended yet, each with what was found.
+// openFindings are seeds whose failures are not fixed yet, each with the fault found.
 var findings = []uint64{}
 
-// TestOpenFindings plays the seeds of open findings as they were.
+// TestOpenFindings runs the seeds of openFindings.
 func TestOpenFindings(t *testing.T) {
 	for _, seed := range findings {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { soak(t, seed) })
@@ -56,7 +56,7 @@
 	for _, field := range strings.Fields(list) {
 		seed, err := strconv.ParseUint(field, 10, 64)
 		if err != nil {
-			t.Fatalf("seed %q is no number", field)
+			t.Fatalf("seed %q is not a number", field)
 		}
 		t.Run(field, func(t *testing.T) { soak(t, seed) })
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-// soak is one run: a tier starts, faults come, all heals, and everything must be well.
+// runSoak starts a tier, injects faults, ends them and checks that the tier has recovered.
 func soak(t *testing.T, seed uint64) {
 	w := newWorld(t, seed)
 	defer w.close()
@@ -85,7 +85,7 @@
 	defer cancelFirst()
 	if !w.put(first, w.rng, number, text) {
 		w.report(t, seed)
-		t.Fatal("the first configuration is not acknowledged")
+		t.Fatal("the first configuration was not acknowledged within 30 s")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -113,7 +113,7 @@
 	w.report(t, seed)
 }
 
-// heal ends what still goes on and lets the tier settle.
+// endFaults ends the remaining faults and gives the tier 5 s to recover.
 func (w *world) heal() {
 	w.listFails.Store(false)
 	w.mu.Lock()
@@ -125,8 +125,9 @@
 	w.leaveInCalm()
 }
 
-// leaveInCalm lets a leaf of each service leave while nothing else happens. Among the
-// faults there is hardly a moment in which every daemon must have heard of it.
+// drainWithoutFaults makes one leaf of each service leave while there are no other faults.
+// During the faults there is rarely a time when every daemon must know of a leaving leaf, so
+// checkNoRequestsAfterDrain would rarely apply.
 func (w *world) leaveInCalm() {
 	var leaving []*leaf
 	for _, s := range allServices() {
@@ -153,8 +154,8 @@
 	return nil
 }
 
-// checkWell holds that everything is served again, and that what was acknowledged is
-// there.
+// checkRecovered checks that every VM serves queries again and that the newest acknowledged
+// configuration can be read.
 func (w *world) checkWell() {
 	c := &caller{w: w, rng: w.rng, client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}}
 	defer c.client.CloseIdleConnections()
@@ -163,7 +164,7 @@
 			id := c.newID()
 			resp, text, err := c.send(v.addr(w.ports.callers), http.MethodGet, "/search/"+id, "", id)
 			if err != nil || resp.StatusCode != http.StatusOK {
-				w.fail("%s does not serve after all has healed: %v %v %q", v.name, err, resp, text)
+				w.fail("%s does not serve after the faults have ended: %v %v %q", v.name, err, resp, text)
 			}
 		}
 	}
@@ -171,16 +172,17 @@
 	for range 20 {
 		if got, ok := w.readBack(w.rng); ok {
 			if got < want {
-				w.fail("configuration %d is read at the end, %d was acknowledged", got, want)
+				w.fail("read configuration %d at the end although %d was acknowledged", got, want)
 			}
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	w.fail("no VM gives the configuration back")
+	w.fail("no VM returned the configuration")
 }
 
-// report prints the run and fails the test with what was found.
+// report logs a summary of the run, fails the test with the recorded failures, and keeps
+// the logs of a failed run if -logs is set.
 func (w *world) report(t *testing.T, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -197,7 +199,7 @@
 			err = os.WriteFile(fmt.Sprintf("%s/seed-%d-%s.log", *keepLogs, seed, v.name), text, 0o600)
 		}
 		if err != nil {
-			t.Logf("log of %s is not kept: %v", v.name, err)
+			t.Logf("saving the log of %s: %v", v.name, err)
 		}
 	}
 }
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -28,19 +28,19 @@
 	domain   = "hall-1"
 	region   = "valley"
 	host     = "soak.example"
-	firstNet = "127.0.10." // where VMs are told to be, and take callers
-	innerNet = "127.0.11." // where they take other daemons, behind a proxy
+	firstNet = "127.0.10." // the addresses of the VMs; callers connect to them directly, peers through a proxy
+	innerNet = "127.0.11." // where the daemons listen for peers, behind the proxy
 )
 
-// ports are the same on all VMs.
+// ports are the ports that every VM listens on.
 type ports struct{ callers, ready, operators, directory, peers string }
 
-// world is one run: the VMs, their leaves, callers and operators.
+// harness is the state of one soak run: the VMs, leaves, callers, operators and failures.
 type world struct {
 	t     *testing.T
 	dir   string
 	bin   string
-	rng   *rand.Rand // of the faults
+	rng   *rand.Rand // for faults
 	ports ports
 	vms   []*vmProcess
 	list  *http.Server
@@ -51,11 +51,11 @@
 
 	mu       sync.Mutex
 	leaves   []*leaf
-	runs     map[string][]string // by request id: the services that ran it
-	wants    map[string]string   // by request id: the request as it was sent
-	restless time.Time           // last moment at which a process may have missed something
+	runs     map[string][]string // services that ran a request, by request ID
+	wants    map[string]string   // requests as sent, by request ID
+	restless time.Time           // last time at which a process may have missed a change
 	failures []string
-	served   map[string]int // by status
+	served   map[string]int // number of answers by HTTP status
 	ops      operatorState
 }
 
@@ -65,7 +65,7 @@
 	w.failures = append(w.failures, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// disturb notes that some process may miss what happens now.
+// markDisturbed records that some process may miss changes made now.
 func (w *world) disturb() {
 	w.mu.Lock()
 	w.restless = time.Now()
@@ -78,13 +78,14 @@
 	return time.Since(w.restless)
 }
 
-// ran notes that a leaf runs a request.
+// recordRun records that a leaf runs a request, and checks that it is the request sent under
+// that ID.
 func (w *world) ran(id, service, request string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.runs[id] = append(w.runs[id], service)
 	if want, sent := w.wants[id]; !sent || want != request {
-		w.failures = append(w.failures, fmt.Sprintf("%s runs %q for id %s, sent was %q", service, request, id, want))
+		w.failures = append(w.failures, fmt.Sprintf("%s runs %q for request %s, but the request sent was %q", service, request, id, want))
 	}
 }
 
@@ -94,24 +95,24 @@
 	return len(w.runs[id])
 }
 
-// vmProcess is one VM: an address of its own and the process on it.
+// vmProcess is a VM: its own IP address and the daemon process on it.
 type vmProcess struct {
 	w    *world
 	ip   string
 	name string
 	disk bool
-	link *proxy // what other daemons connect to
+	link *proxy // proxy through which other daemons connect
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	done    chan struct{}
 	first   bool
-	harmed  time.Time // last kill, pause or start
-	stopped bool      // paused now
-	claimed bool      // a fault is being played on it
+	harmed  time.Time // last kill, pause, link fault or start
+	stopped bool      // paused by SIGSTOP
+	claimed bool      // a fault is in progress on it
 }
 
-// claim takes the VM for one fault; false when another is under way there.
+// claim reserves the VM for one fault. It returns false if another is in progress.
 func (v *vmProcess) claim() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -128,8 +129,8 @@
 	v.mu.Unlock()
 }
 
-// mayLoseDisk reports whether the loss of one disk now is one that the group bears:
-// no other VM with a disk was harmed while that one would be catching up.
+// canLoseDisk reports whether the control group tolerates the loss of one disk now: no other
+// VM with a disk has been disrupted within 6 s or is claimed by another fault.
 func (w *world) mayLoseDisk() bool {
 	harmed := 0
 	for _, v := range w.vms[:disks] {
@@ -137,7 +138,7 @@
 			harmed++
 		}
 	}
-	return harmed <= 1 // itself is claimed
+	return harmed <= 1 // the VM that is about to lose its disk is claimed
 }
 
 func (v *vmProcess) isClaimed() bool {
@@ -189,7 +190,7 @@
 
 func (v *vmProcess) settingsFile() string { return filepath.Join(v.w.dir, v.name+".json") }
 
-// writeSettings writes the settings file whole, with the seeds in that order.
+// writeSettings replaces the settings file atomically, with the seeds in the given order.
 func (v *vmProcess) writeSettings(order []int) {
 	w := v.w
 	vm := standin.VM{
@@ -220,7 +221,7 @@
 	}
 }
 
-// start runs the process; what it writes goes to a file of its own.
+// start starts the process and appends its output to the log file of the VM.
 func (v *vmProcess) start() {
 	w := v.w
 	v.writeSettings([]int{0, 1, 2})
@@ -261,7 +262,7 @@
 	}
 }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL and waits for the process to exit.
 func (v *vmProcess) kill() {
 	v.w.disturb()
 	v.signal(syscall.SIGCONT)
@@ -270,14 +271,14 @@
 	v.w.disturb()
 }
 
-// harm notes that the VM may have missed what happened until now.
+// markDisrupted records that the VM may have missed what happened until now.
 func (v *vmProcess) harm() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.harmed = time.Now()
 }
 
-// harmedWithin reports whether the process was killed, paused or started so lately.
+// disruptedWithin reports whether the process is paused, or was disrupted within the last d.
 func (v *vmProcess) harmedWithin(d time.Duration) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -293,7 +294,7 @@
 	return nil
 }
 
-// close ends everything that the run has started.
+// close stops everything that the run has started.
 func (w *world) close() {
 	for _, v := range w.vms {
 		if v.cmd != nil {
@@ -311,7 +312,7 @@
 	_ = w.list.Close()
 }
 
-// get makes a bounded call and returns status and body; 0 when there was no answer.
+// doHTTP sends a request and returns the status and body, or 0 if there was no answer.
 func get(client *http.Client, method, url string, body string) (int, []byte) {
 	req, err := http.NewRequest(method, url, bytes.NewReader([]byte(body)))
 	if err != nil {
--- a/spec/agreement.pml
+++ b/spec/agreement.pml
@@ -1,32 +1,33 @@
 /*
- * Elections, commit, single-step membership change and replaced disks.
+ * Model of the consensus log: elections, commit, single-server membership changes and
+ * replaced disks.
  *
- * One process picks an enabled action at a time; whatever isn't picked stands
- * for a message that was lost or is late. What a server has stored survives.
+ * A single process executes one enabled action at a time. Lost and delayed messages are
+ * modelled by actions that are not executed. Stored state survives crashes.
  *
- * An election is one step: a candidate takes a term above its own and exactly a
- * quorum of votes. Votes given one by one reach the same states, because neither
- * the candidate's nor the voter's log changes between a vote and the election.
- * An election that fails only raises terms, which disables actions and enables
- * none. Any server may stand, also one that its own log has removed.
+ * An election is one step: a candidate moves to a term above its own and receives exactly a
+ * quorum of votes. Granting the votes one by one reaches the same states, because neither
+ * the candidate's nor a voter's log changes between a vote and the election. A failed
+ * election only raises terms, which disables actions and enables none. Any server may become
+ * a candidate, including one that its own log has removed from the group.
  *
- * Servers are alike at the start, so the first leader is server 0 with the votes
- * of the lowest numbers, without loss of generality.
+ * All servers are identical in the initial state. Without loss of generality, the first
+ * leader is therefore server 0 with the votes of the servers with the lowest numbers.
  */
 #ifndef N
 #define N 5          /* servers */
 #endif
 #ifndef GROUP
-#define GROUP 15     /* bit set of the first voters; the others may join */
+#define GROUP 15     /* bit set of the initial voters; the others may join */
 #endif
 #ifndef TERMS
 #define TERMS 3
 #endif
 #ifndef LEN
-#define LEN 3        /* longest log */
+#define LEN 3        /* maximum number of log entries */
 #endif
 #ifndef DISKS
-#define DISKS 0      /* disks that may be replaced */
+#define DISKS 0      /* maximum number of replaced disks */
 #endif
 
 #define BITS(x) (((x)&1)+(((x)>>1)&1)+(((x)>>2)&1)+(((x)>>3)&1)+(((x)>>4)&1))
@@ -41,24 +42,24 @@
 typedef Server {
 	byte term;
 	bool leads;
-	bool out;        /* its disk was replaced: refused under its old id */
+	bool out;        /* its disk was replaced, so it is excluded under its old ID */
 	byte size;
-	byte at[LEN];    /* entry: term */
-	byte conf[LEN];  /* entry: the group from here on */
-	byte match[N];   /* leader: entries acknowledged by each */
-	byte commit;     /* leader: committed in its own term */
+	byte at[LEN];    /* term of each entry */
+	byte conf[LEN];  /* group in force from each entry on, as a bit set */
+	byte match[N];   /* leader: number of entries acknowledged by each server */
+	byte commit;     /* leader: number of entries that it has committed in its own term */
 }
 Server s[N];
 
-/* What only an observer of all servers knows. */
-byte ledby[TERMS+1]; /* 1 + leader of the term */
-byte clen;           /* committed entries */
+/* Observer state: used by assertions and to bound the search, unknown to the servers. */
+byte ledby[TERMS+1]; /* 1 + leader of each term, 0 if none */
+byte clen;           /* number of committed entries; cat and cconf hold their terms and groups */
 byte cat[LEN];
 byte cconf[LEN];
 byte replaced;
 
-bool first = 1; /* nobody was elected yet */
-byte i, j, k, n, votes, need, t; /* scratch, 0 between steps */
+bool first = 1; /* no leader has been elected yet */
+byte i, j, k, n, votes, need, t; /* temporaries, 0 between steps to keep the state space small */
 
 inline stepDown(x) {
 	s[x].leads = 0;
@@ -71,7 +72,8 @@
 	k = 0
 }
 
-/* Only an entry of the leader's own term is counted. */
+/* advance advances the commit index. Only entries of the leader's own term are committed by
+ * counting acknowledgements; earlier entries are committed with them. */
 inline advance(x) {
 	n = s[x].size;
 	do
@@ -102,7 +104,7 @@
 	:: else -> break
 	od;
 	n = 0; votes = 0; need = 0;
-	/* State machine safety: a committed entry is the same for ever. */
+	/* State machine safety: a committed entry never changes. */
 	do
 	:: k < s[x].commit ->
 		if
@@ -171,10 +173,10 @@
 		stepDown(i);
 		s[i].leads = 1;
 		first = 0;
-		/* Election safety. */
+		/* Election safety: at most one leader per term. */
 		assert(ledby[t] == 0 || ledby[t] == i + 1);
 		ledby[t] = i + 1;
-		/* Leader completeness. */
+		/* Leader completeness: a new leader has all committed entries. */
 		assert(s[i].size >= clen);
 		k = 0;
 		do
@@ -192,21 +194,21 @@
 	}
 }
 
-/* The follower takes the leader's first n entries; what it held beyond them goes
- * only if it differs. */
+/* The follower accepts the leader's first n entries. It truncates entries beyond them only if
+ * an entry conflicts. */
 inline replicate() {
 	skip; d_step {
 	if
 	:: s[j].term < s[i].term -> s[j].term = s[i].term; stepDown(j)
 	:: else
 	fi;
-	t = 0; /* whether a held entry differs */
+	t = 0; /* whether an entry of the follower conflicts */
 	k = 0;
 	do
 	:: k < n ->
 		if
 		:: k < s[j].size && (s[j].at[k] != s[i].at[k] || s[j].conf[k] != s[i].conf[k]) ->
-			/* Log matching: index and term name one entry. */
+			/* Log matching: entries with the same index and term are identical. */
 			assert(s[j].at[k] != s[i].at[k]);
 			t = 1
 		:: else
@@ -236,7 +238,8 @@
 	}
 }
 
-/* The newest group is committed, and an entry of the leader's own term too. */
+/* A leader may change the group only if the latest group and an entry of its own term are
+ * committed. */
 #ifdef MUTATE_NO_OWN_COMMIT
 #define MAYCHANGE(i) (CONF(i) == (clen == 0 -> GROUP : cconf[clen-1]))
 #else
@@ -290,7 +293,7 @@
 		fi;
 		i = 0; j = 0
 	   }
-	:: atomic { /* a command, or a change of the group by one voter */
+	:: atomic { /* a command is appended, or a group change that adds or removes one voter */
 		pickServer(i);
 		if
 		:: s[i].leads && s[i].size < LEN -> d_step { appendOwn(i, CONF(i)) }
@@ -306,7 +309,7 @@
 		i = 0; j = 0; votes = 0
 	   }
 #if DISKS > 0
-	:: atomic { /* a disk is replaced by a blank one */
+	:: atomic { /* a disk is replaced by an empty one */
 		replaced < DISKS ->
 		pickServer(i);
 		skip; d_step {
@@ -322,7 +325,7 @@
 #ifndef MUTATE_DISK
 		s[i].out = 1;
 #endif
-		/* The leaders' knowledge of what the old disk acknowledged stands. */
+		/* Leaders keep the acknowledgements that they received from the old disk. */
 		i = 0; j = 0
 		}
 	   }
--- a/spec/daemons.pml
+++ b/spec/daemons.pml
@@ -1,16 +1,16 @@
 /*
- * Configuration at the daemons: a daemon takes configuration from any source and
- * never goes to a lower version; it works only while a lease confirms that its
- * configuration is in force; a change is reported as in force everywhere only
- * when no daemon can work under an older one. Forwarded requests need no lease: there
- * a daemon works under whatever was agreed on, also as told by a control VM that knows
- * no leader, and never goes back in one run.
+ * Model of configuration distribution and leases. A daemon accepts configuration from any
+ * source and never moves to a lower version. It processes requests only while it holds a lease
+ * that confirms its configuration. A change is reported as in force everywhere only when no
+ * daemon can process requests under an older version. Forwarded requests need no lease: for
+ * them a daemon uses any version that was agreed on, including one received from a control VM
+ * without a leader, and never moves to a lower version within one run.
  *
- * Agreement is taken as proved (agreement.pml): versions are accepted in one
- * order, and an old leader has no quorum from the moment another is elected.
- * One daemon is enough: others only delay the report that a change is in force,
- * and as sources of configuration they are covered by "any source".
- * Time is counted in ticks at equal rates; a paused daemon is one that isn't picked.
+ * The model assumes the properties that agreement.pml checks: versions are accepted in one
+ * order, and a former leader has no quorum once another is elected. One daemon is sufficient:
+ * further daemons only delay the report that a change is in force, and as sources of
+ * configuration they are covered by "any source". All clocks tick at the same rate. A paused
+ * daemon is modelled by not executing its actions.
  */
 #ifndef DAEMONS
 #define DAEMONS 1
@@ -25,29 +25,29 @@
 #define FAILOVERS 2
 #endif
 
-/* An exchange between a daemon and control, through any number of relays. */
+/* State of the exchange between a daemon and the control group, through any number of relays. */
 #define IDLE 0
-#define ASKED 1   /* the daemon's heartbeat is under way */
-#define GRANTED 2 /* a reply that confirms is under way */
-#define REFUSED 3 /* a reply that only brings configuration */
-#define ORPHAN 4  /* the heartbeat of a run of the daemon that has ended */
+#define ASKED 1   /* a heartbeat is in flight */
+#define GRANTED 2 /* a reply that grants a lease is in flight */
+#define REFUSED 3 /* a reply with configuration but without a lease is in flight */
+#define ORPHAN 4  /* a heartbeat from before the daemon's restart is in flight */
 
 typedef Daemon {
 	byte version;
-	byte lease;    /* ticks of work left, by the daemon's count */
+	byte lease;    /* ticks until the lease expires on the daemon's clock */
 	byte exchange;
 	byte age;      /* ticks since the heartbeat was sent */
-	byte told;     /* version named by the heartbeat, or brought by the reply */
-	byte heard;    /* ticks until the leader takes the daemon for gone */
-	byte acked;    /* version that the leader knows the daemon to have */
-	byte worked;   /* observer: the highest version that callers saw at work */
-	byte loose;    /* observer: the same for work without a lease, in this run */
+	byte told;     /* version in the heartbeat or the reply */
+	byte heard;    /* ticks until the lease expires on the leader's clock */
+	byte acked;    /* version that the daemon has acknowledged to the leader */
+	byte worked;   /* observer: version of the last request processed under a lease */
+	byte loose;    /* observer: version of the last request processed without a lease in this run */
 }
 Daemon d[DAEMONS];
 
-byte newest;   /* accepted */
-byte stale;    /* what a cut off old leader knows */
-byte inforce;  /* reported as in force everywhere */
+byte newest;   /* newest accepted version */
+byte stale;    /* version known to a partitioned former leader */
+byte inforce;  /* version reported as in force everywhere */
 byte failovers;
 byte i, v;
 
@@ -82,7 +82,7 @@
 	do
 	:: atomic { newest < VERSIONS -> newest++ }
 
-	:: atomic { /* everybody has it or has lost its lease */
+	:: atomic { /* every daemon has acknowledged the newest version or its lease has expired */
 		inforce < newest;
 		i = 0;
 		do
@@ -93,7 +93,7 @@
 		i = 0
 	   }
 
-	:: atomic { /* another leader is elected; it heard nobody yet */
+	:: atomic { /* a new leader is elected, which has received no heartbeats yet */
 		failovers < FAILOVERS;
 		failovers++;
 		stale = newest;
@@ -135,7 +135,7 @@
 		i = 0
 	   }
 
-	:: atomic { pick(); /* a cut off old leader answers */
+	:: atomic { pick(); /* a partitioned former leader answers */
 		if
 		:: d[i].exchange == ASKED && failovers > 0 ->
 #ifdef MUTATE_STALE_GRANT
@@ -149,7 +149,7 @@
 		i = 0
 	   }
 
-	:: atomic { pick(); /* a reply comes */
+	:: atomic { pick(); /* a reply arrives */
 		if
 		:: d[i].exchange == GRANTED || d[i].exchange == REFUSED ->
 #ifdef MUTATE_GRANT_ALONE
@@ -175,7 +175,7 @@
 		i = 0
 	   }
 
-	:: atomic { pick(); /* some source offers any version ever accepted */
+	:: atomic { pick(); /* a source offers any accepted version */
 		do
 #ifdef MUTATE_OFFER_UNAGREED
 		:: v <= newest -> v++
@@ -188,7 +188,7 @@
 		v = 0; i = 0
 	   }
 
-	:: atomic { pick(); /* restart without a disk */
+	:: atomic { pick(); /* a daemon restarts and has no disk to restore its state from */
 		d[i].version = 0;
 		d[i].loose = 0;
 		d[i].lease = 0;
@@ -200,16 +200,16 @@
 		i = 0
 	   }
 
-	:: atomic { pick(); /* new work */
+	:: atomic { pick(); /* a request that needs a lease is processed */
 		if
 #ifdef MUTATE_UNCONFIRMED
 		:: true ->
 #else
 		:: d[i].lease > 0 ->
 #endif
-			/* Callers never see an older configuration at work than before, */
+			/* The daemon never processes a request under an older version than before, */
 			assert(d[i].version >= d[i].worked);
-			/* nor one older than the one reported in force. */
+			/* nor under one older than the version reported as in force. */
 			assert(d[i].version >= inforce);
 			d[i].worked = d[i].version
 		:: else
@@ -217,14 +217,14 @@
 		i = 0
 	   }
 
-	:: atomic { pick(); /* a request that needs no lease */
+	:: atomic { pick(); /* a forwarded request, which needs no lease, is processed */
 		assert(d[i].version >= d[i].loose);
 		assert(d[i].version <= newest);
 		d[i].loose = d[i].version;
 		i = 0
 	   }
 
-	:: atomic { /* time passes */
+	:: atomic { /* a clock tick */
 		do
 		:: i < DAEMONS ->
 			d[i].lease = (d[i].lease > 0 -> d[i].lease - 1 : 0);
--- a/spec/shares.pml
+++ b/spec/shares.pml
@@ -1,17 +1,17 @@
 /*
- * Hand-over of the shares of one target's slots over membership epochs: whatever
- * the daemons know and whenever they learn it, their requests in flight together
- * never exceed the slots.
+ * Model of the hand-over of shares of a target's slots between membership epochs. The total
+ * number of requests in flight never exceeds the slots, whatever the daemons know and
+ * whenever they learn it.
  *
- * The agreed log goes through the stages 0, 1, 2 ...: an even stage is a settled
- * epoch, an odd one is the settled epoch before it with the next one pending. A
- * daemon's share is the smaller one of both while one is pending. Stage moves from
- * odd to even when each daemon has acknowledged the pending epoch, its requests
- * already within the smaller share, or its lease has run out.
+ * The replicated log passes through the stages 0, 1, 2 and so on. An even stage is a settled
+ * epoch. An odd stage is the settled epoch before it with the next epoch pending, and a
+ * daemon's share is then the smaller one of the two epochs. The pending epoch settles when
+ * each daemon either has acknowledged it, which it does only when its requests in flight are
+ * within the smaller share, or its lease has expired.
  *
- * A crashed or paused daemon is one that isn't picked any more; its requests may be
- * in flight until their deadlines, which its lease bounds. A restarted daemon is
- * another member.
+ * A crashed or paused daemon is modelled by not executing its actions. Its requests may be in
+ * flight until their deadlines, which are not later than the end of its lease. A restarted
+ * daemon is a new member.
  */
 #ifndef DAEMONS
 #define DAEMONS 3
@@ -20,7 +20,7 @@
 #define SLOTS 2
 #endif
 #ifndef EPOCHS
-#define EPOCHS 2   /* after the first */
+#define EPOCHS 2   /* number of epochs after the first */
 #endif
 #ifndef LEASE
 #define LEASE 2
@@ -34,13 +34,13 @@
 #define GRANTED 2
 
 typedef Daemon {
-	byte stage;    /* newest known */
-	byte flight;   /* requests at the target */
+	byte stage;    /* newest stage known to the daemon */
+	byte flight;   /* requests in flight at the target */
 	byte lease;
 	byte exchange;
 	byte age;
-	byte told;     /* stage acknowledged by the heartbeat, or brought by the reply */
-	byte heard;    /* by the leader's count */
+	byte told;     /* stage acknowledged by the heartbeat, or contained in the reply */
+	byte heard;    /* ticks until the lease expires on the leader's clock */
 	byte acked;
 }
 typedef Epoch { byte share[DAEMONS] }
@@ -84,7 +84,7 @@
 #endif
 
 init {
-	atomic { /* the first epoch: all slots, dealt in any way */
+	atomic { /* the first epoch: any distribution of all slots */
 		v = SLOTS;
 		do
 		:: i < DAEMONS - 1 && e[0].share[i] < v -> e[0].share[i] = e[0].share[i] + 1; v--
@@ -117,7 +117,7 @@
 		i = 0
 	   }
 
-	:: atomic { /* another leader is elected; it heard nobody yet */
+	:: atomic { /* a new leader is elected, which has received no heartbeats yet */
 		failovers < FAILOVERS;
 		failovers++;
 		do
@@ -156,7 +156,7 @@
 		i = 0
 	   }
 
-	:: atomic { pick(); /* the reply comes, with the stage it was written in */
+	:: atomic { pick(); /* a reply arrives, with the stage at the time it was sent */
 		if
 		:: d[i].exchange == GRANTED ->
 #ifndef MUTATE_GRANT_ALONE
@@ -180,7 +180,7 @@
 		i = 0
 	   }
 
-	:: atomic { pick(); /* some source tells of a newer stage */
+	:: atomic { pick(); /* the daemon learns of a newer stage from another source */
 		if
 		:: d[i].stage < stage -> d[i].stage++
 		:: else
@@ -205,7 +205,7 @@
 		i = 0
 	   }
 
-	:: atomic { pick(); /* a request ends */
+	:: atomic { pick(); /* a request completes */
 		if
 		:: d[i].flight > 0 -> d[i].flight--
 		:: else
@@ -213,7 +213,7 @@
 		i = 0
 	   }
 
-	:: atomic { /* time passes; requests end with the lease at the latest */
+	:: atomic { /* a clock tick; requests end no later than the lease */
 		do
 		:: i < DAEMONS ->
 			d[i].lease = (d[i].lease > 0 -> d[i].lease - 1 : 0);
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -16,18 +16,19 @@
 	"pearmoor/internal/standin"
 )
 
-// callerLimit is how long a test waits for a reply that must come far sooner.
+// callerTimeout bounds the wait for a reply. Replies are due within the request deadline,
+// which is far shorter.
 const callerLimit = 20 * time.Second
 
 var runKeys atomic.Uint64
 
-// query returns a repeatable request with a run key of its own.
+// newQuery returns a repeatable request with a unique run key.
 func (tr *tier) query(path string) *contract.Request {
 	key := fmt.Sprintf("key-%d", runKeys.Add(1))
 	return &contract.Request{Path: path, Body: json.RawMessage(`{"run_key":"` + key + `"}`)}
 }
 
-// charge returns a request that must run at most once, with a session of p.
+// newCharge returns a request that must run at most once, in a session issued by p.
 func (tr *tier) charge(p *process) *contract.Request {
 	tr.t.Helper()
 	r := tr.query(ledger)
@@ -36,29 +37,29 @@
 	return r
 }
 
-// keyOf returns the run key in the body of r.
+// runKeyOf returns the run key in the body of r.
 func keyOf(r *contract.Request) string {
 	var body struct {
 		RunKey string `json:"run_key"`
 	}
 	if err := json.Unmarshal(r.Body, &body); err != nil {
-		panic(err) // the tests' own bodies are objects
+		panic(err) // newQuery always sets an object as the body
 	}
 	return body.RunKey
 }
 
-// session asks p for addresses until they come with a session.
+// newSession requests the address list of p until it includes a session.
 func (tr *tier) session(p *process) string {
 	tr.t.Helper()
 	var list contract.Addresses
-	await(tr.t, "a session of "+p.name, func() bool {
+	await(tr.t, "a session from "+p.name, func() bool {
 		status, body, err := post(p.caller+"/v1/addresses?service="+ledger, nil)
 		return err == nil && status == http.StatusOK && json.Unmarshal(body, &list) == nil && list.Session != ""
 	})
 	return list.Session
 }
 
-// reply is what a caller got: an answer, a failure, or nothing but an error.
+// reply is the outcome of a request at the caller: an answer, a failure, or an error.
 type reply struct {
 	status  int
 	answer  *contract.Answer
@@ -67,7 +68,7 @@
 	took    time.Duration
 }
 
-// verdict is what the caller may believe.
+// verdict returns the verdict of the reply, or MayHaveRun if there was none.
 func (r *reply) verdict() contract.Verdict {
 	switch {
 	case r.answer != nil:
@@ -88,7 +89,7 @@
 	return fmt.Sprintf("no reply: %v", r.err)
 }
 
-// send sends r to one entry.
+// send sends r to the entry VM p and waits for the reply.
 func (tr *tier) send(p *process, r *contract.Request) *reply {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -110,15 +111,15 @@
 	return out
 }
 
-// sendAsync sends r in the background.
+// sendAsync sends r in the background and returns a channel for the reply.
 func (tr *tier) sendAsync(p *process, r *contract.Request) <-chan *reply {
 	done := make(chan *reply, 1)
 	go func() { done <- tr.send(p, r) }()
 	return done
 }
 
-// post sends a body, or gets when it is nil, on a connection of its own, so that
-// no test depends on a connection that another left behind.
+// doHTTP sends a POST request with body, or a GET request if body is nil. Each request
+// uses a new connection, so that no test depends on one left over from another.
 func post(url string, body []byte) (status int, reply []byte, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callerLimit)
 	defer cancel()
@@ -130,7 +131,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	req.GetBody = nil // the client must not resend by itself
+	req.GetBody = nil // prevents automatic retries
 	req.Close = true
 	transport := &http.Transport{DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
@@ -147,16 +148,16 @@
 	return a != nil && a.Coverage.Total > 0 && a.Coverage.Answered == a.Coverage.Total
 }
 
-// checkAnswer fails the test when an answer is mixed, lost or doubled a hit, has
-// hits of another request, or says something untrue of its coverage.
+// checkAnswer fails the test if an answer mixes index versions, has lost or duplicate
+// hits or hits of another request, or reports wrong coverage.
 func checkAnswer(t *testing.T, r *contract.Request, a *contract.Answer) {
 	t.Helper()
 	if c := load.CheckAnswer(a, keyOf(r)); c.Bad() {
-		t.Errorf("the answer is wrong: %+v; coverage %+v", c, a.Coverage)
+		t.Errorf("wrong answer: %+v; coverage %+v", c, a.Coverage)
 	}
 }
 
-// runsOf returns how often each shard of the ledger ran r.
+// runsPerShard returns how often each shard of the ledger ran r.
 func (tr *tier) runsOf(r *contract.Request) []int {
 	shards := standin.DefaultShards(3)
 	runs := make([]int, shards)
@@ -166,7 +167,7 @@
 	return runs
 }
 
-// traffic is load that goes on until its end is asked for.
+// loadRun is generated load that continues until stop is called.
 type traffic struct {
 	cancel context.CancelFunc
 	done   chan struct{}
@@ -174,7 +175,7 @@
 	err    error
 }
 
-// startTraffic sends load to entries, as callers that follow the address lists do.
+// startLoad starts load on the entry VMs, from callers that follow the address lists.
 func (tr *tier) startTraffic(cfg load.Config) *traffic {
 	tr.t.Helper()
 	for _, p := range tr.entries {
@@ -195,7 +196,7 @@
 	return tf
 }
 
-// stop ends the load and returns what it measured.
+// stop ends the load and returns its result.
 func (tf *traffic) stop(t *testing.T) *load.Result {
 	t.Helper()
 	tf.cancel()
@@ -209,7 +210,7 @@
 	return r
 }
 
-// listed reports whether the address list that p gives names a daemon.
+// listsVM reports whether the address list served by p contains the VM called name.
 func (tr *tier) listed(p *process, name string) bool {
 	status, body, err := post(p.caller+"/v1/addresses?service="+region, nil)
 	var list contract.Addresses
--- a/test/control_loss_test.go
+++ b/test/control_loss_test.go
@@ -11,10 +11,11 @@
 	"pearmoor/internal/contract"
 )
 
-// TestAllControlLost: all control VMs are lost at once. Entries serve on until their
-// leases have run out, since until then nothing newer can have been in force without
-// them; then they refuse at once with not_run, unconfirmed, and when to come back.
-// When the control VMs are back, the entries serve again by themselves.
+// TestAllControlVMsLost guards against entry VMs that serve without a valid lease after
+// all control VMs are lost at once. Until the lease expires, no newer configuration can
+// be in force without the entry VM, so it must keep serving. After that it must refuse
+// immediately with not_run, reason unconfirmed and a retry time, and serve again without
+// intervention once the control VMs are back.
 func TestAllControlLost(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 3, entries: 2})
@@ -24,12 +25,12 @@
 	}
 	for _, p := range tr.entries {
 		if r := tr.send(p, tr.query(desk)); !whole(r.answer) {
-			t.Errorf("%s refuses though its lease holds: %v", p.name, r)
+			t.Errorf("%s did not answer in full although its lease is valid: %v", p.name, r)
 		}
 	}
 	for _, p := range tr.entries {
-		// A request under way when the lease ends may have run, and says so.
-		await(t, "the lease of "+p.name+" has run out", func() bool {
+		// Wait for expiry: a request in flight when the lease expires may return may_have_run.
+		await(t, "the lease of "+p.name+" to expire", func() bool {
 			s, ok := p.status()
 			return ok && s.LeaseLeftMS == 0
 		})
@@ -38,15 +39,15 @@
 			got := tr.send(p, r)
 			f := got.failure
 			if f == nil || f.Verdict != contract.NotRun || f.Reason != contract.ReasonUnconfirmed || f.RetryAfterMS <= 0 || got.status != http.StatusServiceUnavailable {
-				t.Errorf("%s: want not_run, unconfirmed, and when to come back; got %v", p.name, got)
+				t.Errorf("%s: want not_run, unconfirmed and a retry time; got %v", p.name, got)
 			}
 		}
 		if ok, why := p.ready(); ok || !strings.Contains(why, "unconfirmed") {
-			t.Errorf("%s tells the operator %q", p.name, why)
+			t.Errorf("%s: want not ready with reason unconfirmed; got %q", p.name, why)
 		}
 		charge := tr.query(ledger)
 		if got := tr.send(p, charge); got.verdict() != contract.NotRun || checkOnce(t, tr, charge) != 0 {
-			t.Errorf("%s without a lease: %v, %d runs", p.name, got, checkOnce(t, tr, charge))
+			t.Errorf("%s: charge without a lease: %v, %d runs", p.name, got, checkOnce(t, tr, charge))
 		}
 	}
 	for _, p := range tr.controls {
@@ -58,16 +59,15 @@
 	tr.awaitReady(tr.entries...)
 	tr.awaitWhole()
 	if after := tr.version(); after < before {
-		t.Errorf("the configuration went from version %d to %d", before, after)
+		t.Errorf("configuration version went back from %d to %d", before, after)
 	}
 	tr.must("set", desk, "--hedge-after=30ms", "--reason=after the loss", "--wait=20s")
 }
 
-// TestControlDiskReplaced: a control VM comes back under its old id with an empty
-// disk. It may have voted and confirmed entries that it forgot, so it counts for
-// nothing: with another VM down there is no majority, and no change is accepted.
-// It is replaced under a new id; when a second VM is lost right after that repair,
-// the group goes on with nothing lost.
+// TestControlDiskReplaced guards against lost changes after a control VM restarts under
+// its old id with an empty disk. It has lost its votes and acknowledged log entries, so
+// it must not count towards a majority: with another VM down, no change may be accepted.
+// After it is replaced under a new id, the group must tolerate the loss of a second VM.
 func TestControlDiskReplaced(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 3, entries: 2})
@@ -96,10 +96,10 @@
 	before := o.count()
 	code, _, _ := tr.operate("set", desk, "--hedge-after=700ms", "--change-id=without-majority", "--reason=must not be accepted", "--wait=0s", "--timeout=6s")
 	if code != cli.ExitUnreachable && code != cli.ExitUnknown {
-		t.Errorf("a change without a majority of true voters: exit %d", code)
+		t.Errorf("change without a majority of voters with their disks: exit %d", code)
 	}
 	if n := o.count(); n != before {
-		t.Errorf("%d changes were accepted by one voter and a blank disk", n-before)
+		t.Errorf("%d changes were accepted by one voter and a VM with an empty disk", n-before)
 	}
 	leader.start()
 	o.awaitChanges(3)
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -10,7 +10,7 @@
 	"pearmoor/internal/link/wire"
 )
 
-// leader returns the control VM that leads.
+// leader waits for a leader of the control group and returns it.
 func (tr *tier) leader() *process {
 	tr.t.Helper()
 	var found *process
@@ -38,7 +38,8 @@
 	return found
 }
 
-// syncWith asks one control VM for a lease as a daemon does, past the network.
+// requestLease requests a lease from one control VM as a daemon does, directly rather
+// than through the test's network.
 func syncWith(t *testing.T, p *process, name string) (*wire.SyncReply, error) {
 	t.Helper()
 	pool := peer.NewPool(nil)
@@ -55,8 +56,8 @@
 	}}})
 }
 
-// checkDeposed fails the test when a control VM that others have replaced gives a
-// lease, or says something of a version newer than it can know.
+// checkNoStaleLease fails the test if former, a control VM that is no longer the leader,
+// grants a lease at a version older than accepted.
 func checkDeposed(t *testing.T, old *process, accepted uint64) {
 	t.Helper()
 	reply, err := syncWith(t, old, "probe")
@@ -64,14 +65,14 @@
 		return
 	}
 	if reply.Granted && reply.ConfigVersion < accepted {
-		t.Errorf("%s, replaced as the leader, grants a lease at version %d; %d was accepted", old.name, reply.ConfigVersion, accepted)
+		t.Errorf("former leader %s granted a lease at version %d after version %d was accepted", old.name, reply.ConfigVersion, accepted)
 	}
 }
 
-// TestLeaderKilled: the leading control VM is lost while an operator makes changes.
-// The operator waits a moment and resends; no accepted change is lost, none is there
-// twice. Entries serve on and never answer at an older configuration, also when the
-// lost VM comes back with its disk and when the entries are restarted.
+// TestLeaderKilled guards against lost or duplicate configuration changes, and against
+// answers under an older configuration, when the leader is killed while an operator
+// sends changes and resends those without a reply. This must also hold when the killed
+// VM restarts with its disk and when the entry VMs are restarted.
 func TestLeaderKilled(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 3, entries: 2})
@@ -95,10 +96,11 @@
 	o.check()
 }
 
-// TestLeaderPausedPastItsLease: the leader stops for longer than its own lease and
-// goes on. The others have elected another and accepted changes meanwhile. The old
-// one believes to lead for an instant; it must grant no lease and accept no change
-// on what it knows, and no entry may answer at its older configuration.
+// TestLeaderPausedBeyondLease guards against a former leader that acts on stale state.
+// The leader is paused for longer than its lease, and the others elect a new leader and
+// accept changes. When it resumes, the former leader still assumes for a moment that it
+// leads. It must grant no lease at its old version and accept no change, and no entry VM
+// may answer under its older configuration.
 func TestLeaderPausedPastItsLease(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 3, entries: 2})
@@ -111,7 +113,7 @@
 		o.awaitChanges(4)
 		accepted := tr.versionOf(tr.leader())
 		held := make(chan struct{})
-		go func() { // waits in the paused VM's socket and is read the moment it goes on
+		go func() { // the request waits in the socket of the paused VM, which reads it when it resumes
 			defer close(held)
 			checkDeposed(t, old, accepted)
 		}()
@@ -127,11 +129,11 @@
 	o.check()
 }
 
-// versionOf returns the newest version that a control VM grants leases at.
+// configVersionAt returns the configuration version at which p grants leases.
 func (tr *tier) versionOf(p *process) uint64 {
 	tr.t.Helper()
 	var version uint64
-	await(tr.t, p.name+" tells its version", func() bool {
+	await(tr.t, p.name+" to report its configuration version", func() bool {
 		reply, err := syncWith(tr.t, p, "probe")
 		if err != nil || reply.Redirect != "" {
 			return false
@@ -142,11 +144,12 @@
 	return version
 }
 
-// TestLeaderCutOffSilently: nothing that the leader sends arrives, or nothing
-// reaches it, or both; connections stay open. It still believes to lead and still
-// can be asked. Within seconds the others elect another, which accepts the next
-// change; from then on the old one grants no lease at its older version. Entries
-// serve on. Healed, it follows.
+// TestLeaderCutOffSilently guards against a partitioned leader that blocks the group or
+// grants leases at an old version. Its inbound traffic, its outbound traffic or both are
+// held back while connections stay open, and it can still be asked directly. The others
+// must elect a new leader that accepts changes, and the former leader must grant no lease
+// at its older version. Entry VMs must stay ready, and after the partition is healed
+// changes must be accepted again.
 func TestLeaderCutOffSilently(t *testing.T) {
 	for _, c := range []struct {
 		name       string
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -7,48 +7,49 @@
 	"pearmoor/internal/load"
 )
 
-// steady is a load of about a third of what the desk's leaves take.
+// steadyLoad returns a load of about a third of the capacity of the desk's leaves.
 func steady() load.Config {
 	return load.Config{Paths: []string{desk, ledger}, Rate: 60, Deadline: 900 * time.Millisecond}
 }
 
-// checkTrue fails the test for each wrong answer, and for each request that may
-// run at most once and ran twice.
+// checkLoadResult fails the test if there were wrong answers, or at-most-once requests
+// that ran more than once.
 func checkTrue(t *testing.T, tr *tier, r *load.Result) {
 	t.Helper()
 	if r.Check.Bad() || r.Errors > 0 {
-		t.Errorf("wrong answers: %+v, %d that can't be read", r.Check, r.Errors)
+		t.Errorf("wrong answers: %+v; %d unreadable", r.Check, r.Errors)
 	}
 	if n := tr.fleet.Runs().Stats().Doubled; n > 0 {
-		t.Errorf("%d doubled runs of requests that run at most once", n)
+		t.Errorf("%d at-most-once requests ran more than once", n)
 	}
 	if r.Once.Changed > 0 {
-		t.Errorf("%d requests were first said to have run, then not to", r.Once.Changed)
+		t.Errorf("%d requests were reported first as run and later as not run", r.Once.Changed)
 	}
 	if r.Answered == 0 {
 		t.Error("no request was answered")
 	}
 }
 
-// awaitLeft waits until the tier no longer lists a daemon, its shares handed on.
+// awaitRemoved waits until no other entry VM lists the daemon and its shares have been
+// handed over.
 func (tr *tier) awaitLeft(gone *process) {
 	tr.t.Helper()
 	for _, p := range tr.entries {
 		if p == gone || p.cmd == nil {
 			continue
 		}
-		await(tr.t, p.name+" learns that "+gone.name+" has left", func() bool {
+		await(tr.t, p.name+" to learn that "+gone.name+" was removed", func() bool {
 			s, ok := p.status()
 			return ok && s.PendingEpoch == 0 && !tr.listed(p, gone.name)
 		})
 	}
 }
 
-// TestHomeKilledUnderLoad: a home is lost without a word under steady load. Callers
-// see some requests without a reply, and missing shards said truly; the other home
-// serves on with its own share. The lost home's share moves on only when its lease
-// has run out, so no leaf ever has more in flight than its slots, also while the
-// leaves still run what the lost home had sent; then coverage is full again.
+// TestHomeKilledUnderLoad guards against overloaded leaves and wrong answers when a home
+// is killed under load. Its share may be handed over only after its lease has expired, so
+// that no leaf ever has more requests in flight than slots, even while leaves still run
+// requests of the lost home. Some requests get no reply, and missing shards must be
+// reported. Coverage must be full again after the handover.
 func TestHomeKilledUnderLoad(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 4})
@@ -65,11 +66,11 @@
 	tr.checkSlots()
 }
 
-// TestHomePausedPastItsLease: a home stops for longer than its lease and goes on,
-// with requests in its queues and timers that all fire at once. Its share was
-// handed on meanwhile. The lease is checked on a clock that counts the pause, right
-// before each write, so it sends nothing on the share that it lost: no leaf ever has
-// more in flight than its slots. It joins again by itself.
+// TestHomePausedBeyondLease guards against a home that sends on a share it has lost. The
+// home is paused for longer than its lease and its share is handed over; when it resumes,
+// its queues hold requests and its timers all fire at once. It must check the lease right
+// before each write, on a clock that includes the pause, so that no leaf ever has more
+// requests in flight than slots. It must rejoin without intervention.
 func TestHomePausedPastItsLease(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 4})
@@ -87,10 +88,10 @@
 	tr.checkSlots()
 }
 
-// TestRollingRestart: all daemons are restarted one after the other, as an upgrade
-// does, with callers that keep their address lists. No caller sees a failed request,
-// none is run twice: a leaving daemon is out of the lists first, hands on its shares,
-// serves until the last list that names it has run out, and ends with nothing cut off.
+// TestRollingRestart guards against failed or duplicate requests during an upgrade. All
+// entry VMs are restarted one after the other while callers cache their address lists. A
+// draining daemon must be removed from the lists first, hand over its shares, serve until
+// the last list that contains it has expired, and exit without cutting off requests.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 4})
@@ -109,11 +110,11 @@
 		r := tf.stop(t)
 		checkTrue(t, tr, r)
 		if bad := r.Refused + r.InDoubt + r.Failed; bad > 0 {
-			t.Errorf("%d requests were not answered: %d refused, %d in doubt, %d without a reply; reasons %v, last error %q",
+			t.Errorf("%d requests not answered: %d refused, %d with unknown outcome, %d without a reply; reasons %v, last error %q",
 				bad, r.Refused, r.InDoubt, r.Failed, r.Reasons, r.LastError)
 		}
 		if r.Whole != r.Answered {
-			t.Errorf("%d of %d answers were not whole: %v", r.Answered-r.Whole, r.Answered, r.Missing)
+			t.Errorf("%d of %d answers without full coverage: %v", r.Answered-r.Whole, r.Answered, r.Missing)
 		}
 	}
 	tr.checkSlots()
--- a/test/drain_test.go
+++ b/test/drain_test.go
@@ -11,46 +11,47 @@
 	"pearmoor/internal/standin"
 )
 
-// quietAfter is how long a leaf that is leaving may still get new work.
+// drainDelay is how long a draining leaf may still receive new requests.
 const quietAfter = 3 * time.Second
 
-// leaving is a tier without hedges: the loser of a hedge is cut off on purpose, and
-// a leaf could not tell that from one cut off by its leaving.
+// tierWithoutHedges disables hedging. A home cancels the slower request of a hedged pair,
+// and the leaf's counters could not tell that from a request cut off by the drain.
 var leaving = shape{controls: 1, entries: 3, region: map[string]string{"hedge-budget": "0"}}
 
-// checkLeaves has a leaf leave while it runs requests, and checks that it gets no
-// new work from 3 s on, that what it had was answered, and that coverage is full.
+// checkLeafDrain drains a leaf under load by calling startDrain. It checks that the leaf
+// receives no new requests after 3 s, that no request on it is cut off, and that callers
+// see full coverage throughout.
 func checkLeaves(t *testing.T, tr *tier, leave func(l *standin.Leaf)) {
 	t.Helper()
 	tr.slow("", 20*time.Millisecond)
 	cfg := steady()
-	cfg.Rate = 20 // a third of what the other replica takes: a slow machine must not make it an overload
+	cfg.Rate = 20 // a third of what the remaining leaf takes, so that a slow machine is not overloaded
 	tf := tr.startTraffic(cfg)
 	l := tr.leaf("search-1-a")
-	await(t, "the leaf gets work", func() bool { return l.Stats(false).Replies > 20 })
+	await(t, "the leaf to receive requests", func() bool { return l.Stats(false).Replies > 20 })
 	before := l.Stats(false)
 	leave(l)
 	time.Sleep(quietAfter)
 	quiet := l.Stats(false)
-	time.Sleep(1500 * time.Millisecond) // seven probe intervals and some 15 queries of the desk
+	time.Sleep(1500 * time.Millisecond) // 15 probe intervals of 100 ms and about 15 queries of the desk
 	later := l.Stats(false)
 	if later.LastArrivalMS != quiet.LastArrivalMS {
-		t.Errorf("the leaf got new work more than %v after it began to leave", quietAfter)
+		t.Errorf("the leaf received new requests more than %v after its drain started", quietAfter)
 	}
 	if later.InFlight != 0 || later.Cancelled != before.Cancelled {
-		t.Errorf("the leaf still has %d in flight, %d were cut off", later.InFlight, later.Cancelled-before.Cancelled)
+		t.Errorf("the draining leaf has %d requests in flight, and %d were cut off", later.InFlight, later.Cancelled-before.Cancelled)
 	}
 	r := tf.stop(t)
 	checkTrue(t, tr, r)
 	if bad := r.Refused + r.InDoubt + r.Failed; bad > 0 || r.Whole != r.Answered {
-		t.Errorf("%d not answered, %d of %d answers not whole: %v %v", bad, r.Answered-r.Whole, r.Answered, r.Reasons, r.Missing)
+		t.Errorf("%d requests not answered, %d of %d answers without full coverage: %v %v", bad, r.Answered-r.Whole, r.Answered, r.Reasons, r.Missing)
 	}
 	tr.checkSlots()
 }
 
-// TestLeafLeavesByItsOwnWord: a leaf says that it drains and refuses new work. Callers
-// see full answers throughout; what the leaf runs is finished; the homes see its
-// word at their next probe and send nothing more.
+// TestLeafReportsDraining guards against lost coverage and cut-off requests when a leaf
+// reports that it is draining and refuses new requests. The homes must learn it from their
+// next probe and stop sending to the leaf.
 func TestLeafLeavesByItsOwnWord(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, leaving)
@@ -59,8 +60,8 @@
 	})
 }
 
-// TestLeafLeavesByTheOperatorsWord: an operator drains a leaf that knows nothing of
-// it and would take more. Once the change is in force, no home sends to it.
+// TestOperatorDrainsLeaf guards against requests to a leaf that an operator has drained and
+// that itself would still accept them. Once the change is in force, no home may send to it.
 func TestLeafLeavesByTheOperatorsWord(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, leaving)
@@ -69,8 +70,8 @@
 	})
 }
 
-// TestLeafLeavesByThePlatformsWord: the platform's list says that the leaf's VM is
-// leaving, and neither the leaf nor an operator does. No home sends to it.
+// TestPlatformReportsLeafLeaving guards against requests to a leaf whose VM is marked as
+// leaving only in the platform's VM list. No home may send to it.
 func TestLeafLeavesByThePlatformsWord(t *testing.T) {
 	t.Parallel()
 	platform := startPlatform(t)
@@ -80,7 +81,7 @@
 	})
 }
 
-// platform serves the platform's VM list.
+// platformServer serves the VM list of the platform.
 type platform struct {
 	list *standin.Platform
 	addr string
--- a/test/index_test.go
+++ b/test/index_test.go
@@ -9,8 +9,8 @@
 	"pearmoor/internal/standin"
 )
 
-// roll publishes an index version on the leaves one after the other and retires the
-// old one on each shortly after, so that at no moment a shard is without a holder.
+// rollIndexVersion publishes an index version on one leaf after another and then retires
+// the old version on each, so that every shard is always held by some leaf.
 func (tr *tier) roll(version uint64, shards uint32) {
 	tr.t.Helper()
 	first, second := "-a", "-b"
@@ -26,7 +26,7 @@
 			}
 			l.Publish(contract.LeafIndex{Service: service, Version: version, Shards: shards, Held: standin.Layout(i, n, shards)})
 		}
-		// Longer than a probe interval: the homes see the new version everywhere it is.
+		// Longer than a probe interval, so that the homes learn of the new version.
 		time.Sleep(400 * time.Millisecond)
 	}
 	for _, l := range tr.fleet.Leaves() {
@@ -35,11 +35,11 @@
 	}
 }
 
-// TestIndexChangeAndRepartition: while callers query a desk of three services, its
-// index changes leaf by leaf, each time with another number of shards, and the old
-// version goes away under the queries that read it. Every answer is of one version
-// in all its hits; no document of a shard said to have answered is lost, none is
-// there twice. Every shard has a holder at all times, so coverage stays full.
+// TestIndexChangeAndRepartition guards against answers that mix index versions, or lose
+// or duplicate documents, during an index change. While callers query three services, the
+// index changes leaf by leaf, each time to another number of shards, and the old version
+// is retired while queries read it. Every shard is always held by some leaf, so coverage
+// must stay full.
 func TestIndexChangeAndRepartition(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 3})
@@ -48,7 +48,7 @@
 	for i, shards := range []uint32{5, 2, 4} {
 		tr.roll(uint64(i+2), shards)
 	}
-	await(t, "answers of the last version", func() bool {
+	await(t, "answers at the last index version", func() bool {
 		r := tr.query(desk)
 		got := tr.send(tr.entries[0], r)
 		if got.answer == nil {
@@ -65,14 +65,15 @@
 	r := tf.stop(t)
 	checkTrue(t, tr, r)
 	if r.Whole != r.Answered {
-		t.Errorf("%d of %d answers were not whole: %v", r.Answered-r.Whole, r.Answered, r.Missing)
+		t.Errorf("%d of %d answers without full coverage: %v", r.Answered-r.Whole, r.Answered, r.Missing)
 	}
 	tr.checkSlots()
 }
 
-// TestReplicaLost: one leaf of each service is lost at once under load, and comes
-// back cold at the same address. Answers during the moment until it is noticed may
-// miss shards, said truly; then the other replicas answer for all shards.
+// TestOneLeafOfEachServiceLost guards against wrong answers and lasting loss of coverage
+// when one leaf of each service is lost at once under load and later restarts at the same
+// address. Until the loss is detected answers may miss shards and must report them; after
+// that the other leaves must answer for all shards.
 func TestReplicaLost(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 3})
@@ -106,7 +107,7 @@
 	tr.checkSlots()
 }
 
-// awaitReplies waits until leaves have sent n more replies together.
+// awaitReplies waits until the leaves have sent n more replies in total.
 func awaitReplies(t *testing.T, leaves []*standin.Leaf, n uint64) {
 	t.Helper()
 	sum := func() (replies uint64) {
@@ -116,12 +117,13 @@
 		return replies
 	}
 	from := sum()
-	await(t, "replies of leaves", func() bool { return sum() >= from+n })
+	await(t, "replies from leaves", func() bool { return sum() >= from+n })
 }
 
-// TestAllReplicasLost: both leaves of one service are gone. The answer names the
-// service's shards as missing and gives the others' hits; it comes before the
-// deadline. A charge to a ledger whose leaves are all gone is not_run, truly.
+// TestAllLeavesOfServiceLost guards against a query that fails altogether when all leaves
+// of one of its services are lost. The answer must report the shards of that service as
+// missing and contain the hits of the others. A charge to a service without leaves must
+// not be reported as run.
 func TestAllReplicasLost(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 2})
@@ -136,21 +138,21 @@
 		r := tr.query(desk)
 		got := tr.send(p, r)
 		if got.answer == nil {
-			t.Fatalf("the other services' hits are not given: %v", got)
+			t.Fatalf("no answer with the hits of the other services: %v", got)
 		}
 		checkAnswer(t, r, got.answer)
 		c := got.answer.Coverage
 		if c.Answered != 6 || len(c.Missing) != 3 {
-			t.Errorf("%d answered, missing %v; want two services whole and all 3 shards of the lost one missing", c.Answered, c.Missing)
+			t.Errorf("%d answered, missing %v; want full coverage of two services and all 3 shards of the lost one missing", c.Answered, c.Missing)
 		}
 		for _, m := range c.Missing {
 			if m.Service != desk+"/search-1" {
-				t.Errorf("missing %v", m)
+				t.Errorf("unexpected missing shard: %v", m)
 			}
 		}
 		charge := tr.charge(p)
 		if got := tr.send(p, charge); got.verdict() == contract.Ran {
-			t.Errorf("a charge to leaves that are gone: %v", got)
+			t.Errorf("charge to a service without leaves: %v", got)
 		}
 	}
 }
--- a/test/leaf_test.go
+++ b/test/leaf_test.go
@@ -12,20 +12,20 @@
 	"pearmoor/internal/standin"
 )
 
-// ranAt returns how often a shard of a service ran r, over all its leaves.
+// runCount returns how often a shard of a service ran r, summed over all leaves.
 func (tr *tier) ranAt(r *contract.Request, service string, shard uint32) int {
 	return tr.fleet.Runs().Count(standin.RunKey{Request: keyOf(r), Service: service, Shard: shard})
 }
 
-// checkMissing fails the test when not_run is said of something that a leaf ran:
-// of one missing shard, or of the whole request.
+// checkNotRunVerdicts fails the test if the reply says not_run of a missing shard, or
+// of the whole request, that a leaf has run.
 func checkMissing(t *testing.T, tr *tier, r *contract.Request, got *reply) {
 	t.Helper()
 	if got.answer != nil {
 		checkAnswer(t, r, got.answer)
 		for _, m := range got.answer.Coverage.Missing {
 			if n := tr.ranAt(r, m.Service, m.Shard); n > 0 && m.Verdict == contract.NotRun {
-				t.Errorf("%s: %+v, and it ran %d times", keyOf(r), m, n)
+				t.Errorf("%s: reported %+v, but the shard ran it %d times", keyOf(r), m, n)
 			}
 		}
 	}
@@ -36,17 +36,17 @@
 		service := l.Stats(false).Services[0]
 		for shard := range uint32(8) {
 			if n := tr.ranAt(r, service, shard); n > 0 {
-				t.Fatalf("%s: told not_run, %s ran shard %d: %v", keyOf(r), service, shard, got)
+				t.Fatalf("%s: reported not_run, but %s ran it on shard %d: %v", keyOf(r), service, shard, got)
 			}
 		}
 	}
 }
 
-// TestLeafFaults: first one replica of each service and then all leaves misbehave, in
-// each way that leaves do. Callers see no hit of another request or version, none
-// lost silently, and coverage and verdicts that agree with what the leaves counted.
-// One bad replica of two that runs nothing of its own accord costs no coverage for
-// long; when the fault ends, coverage is full again.
+// TestLeafFaults guards against wrong answers while leaves are faulty. For each fault,
+// first one leaf of each service and finally all leaves misbehave. Answers must contain
+// no hits of another request or index version and lose none silently, and coverage and
+// verdicts must agree with the runs that the leaves counted. Coverage must be full
+// again after the fault ends.
 func TestLeafFaults(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 2})
@@ -57,14 +57,14 @@
 	}{
 		{"slow", func(b *standin.Behavior) { b.Latency = standin.Duration(600 * time.Millisecond) }},
 		{"hung", func(b *standin.Behavior) { b.HangShare = 1 }},
-		{"resetting before it runs", func(b *standin.Behavior) { b.EarlyResetShare = 1 }},
-		{"resetting after it ran", func(b *standin.Behavior) { b.ResetShare = 1 }},
-		{"refusing with 503", func(b *standin.Behavior) { b.RefuseShare = 1 }},
-		{"refusing with 429", func(b *standin.Behavior) { b.RefuseShare, b.RefuseStatus = 1, http.StatusTooManyRequests }},
-		{"answering late", func(b *standin.Behavior) { b.LateShare, b.LateBy = 1, standin.Duration(100*time.Millisecond) }},
-		{"answering for another request", func(b *standin.Behavior) { b.CrossShare = 1 }},
-		{"answering another version", func(b *standin.Behavior) { b.WrongVersionShare = 1 }},
-		{"lying about its load", func(b *standin.Behavior) { b.ReportInFlight, b.StatusHang = &zero, true }},
+		{"reset before running", func(b *standin.Behavior) { b.EarlyResetShare = 1 }},
+		{"reset after running", func(b *standin.Behavior) { b.ResetShare = 1 }},
+		{"refusal with 503", func(b *standin.Behavior) { b.RefuseShare = 1 }},
+		{"refusal with 429", func(b *standin.Behavior) { b.RefuseShare, b.RefuseStatus = 1, http.StatusTooManyRequests }},
+		{"late answers", func(b *standin.Behavior) { b.LateShare, b.LateBy = 1, standin.Duration(100*time.Millisecond) }},
+		{"answers of another request", func(b *standin.Behavior) { b.CrossShare = 1 }},
+		{"answers of another version", func(b *standin.Behavior) { b.WrongVersionShare = 1 }},
+		{"wrong load reports", func(b *standin.Behavior) { b.ReportInFlight, b.StatusHang = &zero, true }},
 	}
 	for _, f := range faults {
 		healthy := make(map[*standin.Leaf]standin.Behavior)
@@ -87,7 +87,7 @@
 	tr.checkSlots()
 }
 
-// probeFault sends some requests of each kind at once through every entry.
+// sendDuringFault sends requests of each kind concurrently through every entry VM.
 func (tr *tier) probeFault(what string) {
 	tr.t.Helper()
 	const each = 2
@@ -108,13 +108,14 @@
 	}
 	all.Wait()
 	if n := tr.fleet.Runs().Stats().Doubled; n > 0 {
-		tr.t.Errorf("%s: %d charges ran twice", what, n)
+		tr.t.Errorf("%s: %d charges ran more than once", what, n)
 	}
 }
 
-// TestOverload: callers send about twice what the leaves take. Each refusal says
-// not_run and when to come back, and no leaf has run anything of a refused request;
-// leaves never have more in flight than their slots; answers stay true.
+// TestOverload guards against work done for refused requests, and against overloaded
+// leaves, while callers send about twice the capacity of the leaves. Each refusal must
+// carry not_run and a retry time, no leaf may have run a refused request or have more
+// requests in flight than slots, and answers must stay correct.
 func TestOverload(t *testing.T) {
 	t.Parallel()
 	const run, requests, gap = 20 * time.Millisecond, 400, 8 * time.Millisecond
@@ -142,18 +143,18 @@
 		case s.reply.verdict() == contract.NotRun:
 			refusals = append(refusals, s.reply.took)
 			if s.reply.failure.RetryAfterMS <= 0 {
-				t.Errorf("a refusal without a time to come back: %v", s.reply)
+				t.Errorf("refusal without a retry time: %v", s.reply)
 			}
 		default:
-			t.Logf("in doubt: %v", s.reply)
+			t.Logf("outcome unknown: %v", s.reply)
 		}
 	}
 	if answered == 0 || len(refusals) == 0 {
-		t.Errorf("%d answered, %d refused: this was no overload", answered, len(refusals))
+		t.Errorf("%d answered, %d refused: the load did not overload the leaves", answered, len(refusals))
 	}
 	slices.Sort(refusals)
 	if n := len(refusals); n > 0 {
-		t.Logf("%d answered, %d refused, after %v at the median and %v at most", answered, n, refusals[n/2], refusals[n-1])
+		t.Logf("%d answered, %d refused; time to refusal: median %v, maximum %v", answered, n, refusals[n/2], refusals[n-1])
 	}
 	tr.checkSlots()
 }
--- a/test/link_test.go
+++ b/test/link_test.go
@@ -10,13 +10,13 @@
 	"testing"
 )
 
-// network forwards the connections between daemons, and can hold back silently
-// what one daemon sends or is sent: connections stay open, nothing arrives.
+// network forwards the connections between daemons. It can hold back the inbound or
+// outbound data of a daemon while its connections stay open.
 type network struct {
 	mu      sync.Mutex
 	changed *sync.Cond
-	deaf    map[*process]bool // nothing reaches it
-	mute    map[*process]bool // nothing that it sends arrives
+	deaf    map[*process]bool // data sent to the daemon is held back
+	mute    map[*process]bool // data sent by the daemon is held back
 	members []*process
 	conns   map[net.Conn]bool
 	lis     []net.Listener
@@ -31,7 +31,7 @@
 	return n
 }
 
-// join puts a forwarding address before p, which listens on p.bound.
+// join gives p a peer address that forwards to p.peerListenAddr.
 func (n *network) join(t *testing.T, p *process) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,8 @@
 	n.done.Go(func() { n.accept(lis, p) })
 }
 
-// cut holds back what p is sent and sends, as chosen; heal lets it through.
+// hold sets whether the inbound and the outbound data of p is held back. release
+// delivers held data.
 func (n *network) cut(p *process, deaf, mute bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,7 +87,7 @@
 	both.Wait()
 }
 
-// copy moves bytes that source sends to sink until either end closes.
+// copy forwards bytes from source to sink until either connection is closed.
 func (n *network) copy(dst, src net.Conn, source, sink *process) {
 	defer dst.Close()
 	buf := make([]byte, 32<<10)
@@ -107,7 +108,8 @@
 	}
 }
 
-// pass waits until bytes go from source to sink; false when the network closes.
+// awaitReleased waits until data may pass from source to sink. It returns false if the
+// network was closed.
 func (n *network) pass(source, sink *process) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -149,8 +151,8 @@
 	n.done.Wait()
 }
 
-// owner returns the daemon that holds the local end addr of a connection, nil
-// for a caller or operator.
+// processAt returns the daemon that owns the socket with local address addr, or nil for
+// a caller or operator.
 func (n *network) owner(addr string) *process {
 	inode := socketInode(addr)
 	if inode == "" {
@@ -167,7 +169,8 @@
 	return nil
 }
 
-// socketInode looks up the inode of the IPv4 TCP socket with a local address.
+// socketInode returns the inode of the IPv4 TCP socket with the given local address, or
+// "" if there is none.
 func socketInode(addr string) string {
 	tcp, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -1,6 +1,6 @@
-// Package test causes the failures that the tier is meant to bear, with the real
-// daemons as processes and stand-in leaves in this process, which count what was
-// truly run.
+// Package test injects the failures that the tier must tolerate. It runs the real
+// daemons as processes, and stand-in leaves in the test process that count the
+// requests they have run.
 package test
 
 import (
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 )
 
-// pearmoord is the daemon's program, built once for all tests.
+// daemonPath is the path of the pearmoord binary, built once for all tests.
 var pearmoord string
 
 func TestMain(m *testing.M) {
@@ -23,11 +23,11 @@
 		err = build(pearmoord)
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "test: pearmoord was not built:", err)
+		fmt.Fprintln(os.Stderr, "test: building pearmoord failed:", err)
 		os.Exit(1)
 	}
 	goleak.VerifyTestMain(m,
-		// The library's one ticker for all meters runs as long as the process.
+		// go-metrics runs one ticker goroutine for all meters until the process exits.
 		goleak.IgnoreTopFunction("github.com/rcrowley/go-metrics.(*meterArbiter).tick"),
 		goleak.Cleanup(func(code int) {
 			os.RemoveAll(dir)
@@ -35,7 +35,7 @@
 		}))
 }
 
-// build makes the program as it is shipped.
+// buildDaemon builds pearmoord with the default build options, as for a release.
 func build(out string) error {
 	cmd := exec.Command("go", "build", "-o", out, "pearmoor/cmd/pearmoord")
 	cmd.Stdout, cmd.Stderr = os.Stderr, os.Stderr
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -8,7 +8,8 @@
 	"pearmoor/internal/standin"
 )
 
-// checkOnce returns the sum of runs and fails the test for each shard run twice.
+// checkRunsAtMostOnce returns the total number of runs of r, and fails the test for each
+// shard that ran it more than once.
 func checkOnce(t *testing.T, tr *tier, r *contract.Request) (ran int) {
 	t.Helper()
 	for shard, n := range tr.runsOf(r) {
@@ -20,21 +21,21 @@
 	return ran
 }
 
-// checkVerdict fails the test when a caller was told not_run of a request that
-// some leaf ran.
+// checkNotRunVerdict fails the test if the reply says not_run although a leaf ran the
+// request.
 func checkVerdict(t *testing.T, r *contract.Request, got *reply, ran int) {
 	t.Helper()
 	if ran > 0 && got.verdict() == contract.NotRun {
-		t.Errorf("the caller of %s was told not_run, the leaves ran it %d times: %v", r.Key, ran, got)
+		t.Errorf("%s: reported not_run, but leaves ran it %d times: %v", r.Key, ran, got)
 	}
 }
 
-// TestOwnerKilledWhileItRuns: a fee is charged through the daemon that issued the
-// session; the daemon is killed while the leaves run it. The caller sees its
-// connection break and sends the same key and session to another daemon, at once,
-// after the lease of the lost one, and after it was restarted at the same address.
-// It is told key_in_doubt each time, never not_run, and nothing runs again: only
-// the run of the daemon that issued the session may say that a key is new.
+// TestSessionOwnerKilledDuringRequest guards against a second run of an at-most-once
+// request. The daemon that issued the session is killed while leaves run the request, and
+// the caller resends the same key and session to another daemon: immediately, after the
+// lease of the killed daemon, and after its restart at the same address. Each resend must
+// return key_in_doubt and run nothing, since only the process that issued the session can
+// know that a key is new.
 func TestOwnerKilledWhileItRuns(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 3})
@@ -42,7 +43,7 @@
 	owner, other := tr.entries[0], tr.entries[1]
 	r := tr.charge(owner)
 	first := tr.sendAsync(owner, r)
-	await(t, "the leaves run the charge", func() bool { return checkOnce(t, tr, r) > 0 })
+	await(t, "the leaves to run the charge", func() bool { return checkOnce(t, tr, r) > 0 })
 	owner.kill()
 	lost := <-first
 	checkVerdict(t, r, lost, 1)
@@ -55,22 +56,22 @@
 			t.Errorf("resent %s: want key_in_doubt, got %v", when, got)
 		}
 	}
-	resend(other, "at once")
-	await(t, "the lost daemon leaves the membership", func() bool {
+	resend(other, "immediately")
+	await(t, "the killed daemon to be removed from the membership", func() bool {
 		s, ok := other.status()
 		return ok && s.PendingEpoch == 0 && s.SettledEpoch > 0 && !tr.listed(other, owner.name)
 	})
-	resend(other, "after the lease")
+	resend(other, "after lease expiry")
 	owner.start()
 	tr.awaitReady(owner)
 	resend(owner, "to the restarted owner")
-	resend(other, "past the restarted owner")
+	resend(other, "to another daemon after the owner's restart")
 }
 
-// TestReplyLost: a fee is charged and runs, and the reply never reaches the
-// caller, who sends the same key and session again, to the same daemon and to
-// others. Each resend gets the first outcome, in progress while it runs, and no
-// leaf runs anything again: the owner remembers the key, the others pass it on.
+// TestReplyLost guards against a second run of an at-most-once request when its reply is
+// lost and the caller resends the key and session to the same and to other daemons. The
+// session owner remembers the key and the others forward to it, so each resend must
+// return the first outcome, and no leaf may run the request again.
 func TestReplyLost(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 3})
@@ -78,7 +79,7 @@
 	owner := tr.entries[0]
 	r := tr.charge(owner)
 	first := tr.sendAsync(owner, r)
-	await(t, "the leaves run the charge", func() bool { return checkOnce(t, tr, r) > 0 })
+	await(t, "the leaves to run the charge", func() bool { return checkOnce(t, tr, r) > 0 })
 	for _, p := range tr.entries {
 		early := tr.send(p, r)
 		checkVerdict(t, r, early, 1)
@@ -98,9 +99,9 @@
 	}
 }
 
-// TestLeafResetsAfterRunning: every leaf runs the charge and resets the connection
-// before its reply. The caller is told may_have_run, never not_run, a resend is
-// not run either, and nothing in between sends the request again by itself.
+// TestLeafResetsAfterRunning guards against retries and not_run verdicts for a charge
+// whose leaves run it and reset the connection before replying. Neither a daemon nor the
+// caller's resend may run the charge again.
 func TestLeafResetsAfterRunning(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 2})
@@ -111,19 +112,20 @@
 			got := tr.send(to, r)
 			ran := checkOnce(t, tr, r)
 			if ran == 0 {
-				t.Fatalf("no leaf ran the charge: %v", got)
+				t.Fatalf("want a run of the charge by some leaf; got none: %v", got)
 			}
 			checkVerdict(t, r, got, ran)
 			if whole(got.answer) {
-				t.Errorf("answered in full by leaves that sent no reply: %v", got)
+				t.Errorf("full answer although the leaves sent no reply: %v", got)
 			}
 		}
 	}
 }
 
-// TestHomeKilledWhileItRuns: the owner of the session is no home of the ledger, so
-// the charge runs through another daemon, which is killed meanwhile. The caller is
-// told may_have_run; neither the owner nor a resend tries the other home.
+// TestHomeKilledDuringRequest guards against a retry at the other home. The session owner
+// is not a home of the ledger, so it forwards the charge to a home, which is killed while
+// leaves run it. The verdict must not be not_run, and neither the owner nor a resend may
+// run the charge again.
 func TestHomeKilledWhileItRuns(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 4})
@@ -135,7 +137,7 @@
 	owner := others[0]
 	r := tr.charge(owner)
 	first := tr.sendAsync(owner, r)
-	await(t, "the leaves run the charge", func() bool { return checkOnce(t, tr, r) > 0 })
+	await(t, "the leaves to run the charge", func() bool { return checkOnce(t, tr, r) > 0 })
 	serving := homes[0]
 	for _, h := range homes {
 		if s, ok := h.status(); ok && s.InFlight > 0 {
--- a/test/operator_test.go
+++ b/test/operator_test.go
@@ -8,14 +8,14 @@
 	"pearmoor/internal/cli"
 )
 
-// operatorLog is what one operator was told of the changes it made.
+// operatorLog records the accepted changes of one operator.
 type operatorLog struct {
-	accepted map[string]uint64 // version by change id
+	accepted map[string]uint64 // version by change ID
 	order    []string
 }
 
-// operator makes changes one after the other and resends each under its change id
-// until its outcome is known, as after a lost reply.
+// operator makes one change after another and resends each under its change ID until its
+// outcome is known.
 type operator struct {
 	tr   *tier
 	stop chan struct{}
@@ -38,7 +38,7 @@
 		id := fmt.Sprintf("change-%d", n)
 		for !o.try(id, n) {
 			if o.stopped() {
-				return // its outcome stays unknown
+				return // the outcome of the last change remains unknown
 			}
 		}
 		if o.stopped() {
@@ -47,7 +47,7 @@
 	}
 }
 
-// try makes one change and reports whether its outcome is known.
+// attemptChange sends a change once and reports whether its outcome is known.
 func (o *operator) try(id string, n int) bool {
 	code, out, errOut := o.tr.operate("set", desk, fmt.Sprintf("--hedge-after=%dms", 20+n%500), "--change-id="+id,
 		"--reason="+id, "--wait=0s", "--output=json", "--timeout=5s")
@@ -84,13 +84,13 @@
 	return len(o.log.order)
 }
 
-// awaitChanges waits until n further changes are accepted.
+// awaitChanges waits until n more changes have been accepted.
 func (o *operator) awaitChanges(n int) {
 	o.tr.t.Helper()
 	from, began := o.count(), time.Now()
-	await(o.tr.t, "a change is accepted", func() bool { return o.count() >= from+1 })
+	await(o.tr.t, "a change to be accepted", func() bool { return o.count() >= from+1 })
 	o.tr.t.Logf("next change accepted after %v", time.Since(began).Round(time.Millisecond))
-	await(o.tr.t, "further changes are accepted", func() bool { return o.count() >= from+n })
+	await(o.tr.t, "further changes to be accepted", func() bool { return o.count() >= from+n })
 }
 
 func (o *operator) end() {
@@ -104,8 +104,8 @@
 	o.done.Wait()
 }
 
-// check compares what the operator was told with the audit trail: no accepted
-// change lost, none there twice, each at the version that was told.
+// check compares the accepted changes with the audit trail: each must be in it exactly
+// once, at the version that the operator was told.
 func (o *operator) check() {
 	t := o.tr.t
 	t.Helper()
@@ -123,21 +123,21 @@
 	seen := map[string]uint64{}
 	for _, r := range trail.Records {
 		if seen[r.ChangeID] != 0 {
-			t.Errorf("change %s is in the trail at versions %d and %d", r.ChangeID, seen[r.ChangeID], r.Version)
+			t.Errorf("change %s is in the audit trail at versions %d and %d", r.ChangeID, seen[r.ChangeID], r.Version)
 		}
 		seen[r.ChangeID] = r.Version
 	}
 	for id, version := range o.log.accepted {
 		if seen[id] != version {
-			t.Errorf("change %s was accepted as version %d; the trail has it at %d", id, version, seen[id])
+			t.Errorf("change %s was accepted at version %d; the audit trail has it at %d", id, version, seen[id])
 		}
 	}
 	t.Logf("operator: %d changes accepted", len(o.log.order))
 }
 
-// versionWatch asks the entries all the time, and fails the test when one answers
-// at a configuration that is older than one that was in force everywhere before
-// the question, or older than one that the entry itself answered at before.
+// versionChecker queries the entry VMs continuously. It fails the test if one answers at a
+// configuration version older than one that was in force everywhere before the query, or
+// older than one that it has answered at before.
 type versionWatch struct {
 	tr   *tier
 	stop chan struct{}
@@ -172,10 +172,10 @@
 		}
 		got := r.answer.ConfigVersion
 		if got < inForce {
-			w.tr.t.Errorf("%s answered at configuration %d, version %d was in force before", p.name, got, inForce)
+			w.tr.t.Errorf("%s answered at configuration version %d after version %d was in force", p.name, got, inForce)
 		}
 		if got < newest {
-			w.tr.t.Errorf("%s went from configuration %d to %d", p.name, newest, got)
+			w.tr.t.Errorf("%s went back from configuration version %d to %d", p.name, newest, got)
 		}
 		newest = got
 	}
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -10,7 +10,9 @@
 	"time"
 )
 
-// Guards against refusals of requests that a daemon could still serve after it was without processor for a moment.
+// TestRollingRestartWithStalls guards against refusals of requests that a daemon could
+// still serve after it got no CPU time for 20 to 500 ms. Random daemons are paused and
+// resumed during a rolling restart.
 func TestRollingRestartWithStalls(t *testing.T) {
 	seeds := 4
 	if v, err := strconv.Atoi(os.Getenv("STALL_SEEDS")); err == nil {
@@ -56,7 +58,7 @@
 	r := load.stop(t)
 	checkTrue(t, tr, r)
 	if bad := r.Refused + r.InDoubt + r.Failed; bad > 0 {
-		t.Errorf("%d of %d requests were not answered: %d refused, %d in doubt, %d without a reply; reasons %v, last error %q",
+		t.Errorf("%d of %d requests not answered: %d refused, %d with unknown outcome, %d without a reply; reasons %v, last error %q",
 			bad, r.Answered+bad, r.Refused, r.InDoubt, r.Failed, r.Reasons, r.LastError)
 	}
 	tr.checkSlots()
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -19,12 +19,13 @@
 )
 
 const (
-	// patience bounds every wait for an event; it is only used up by a failure.
+	// waitTimeout bounds every wait for an event. A passing test waits far less.
 	patience = 40 * time.Second
 	poll     = 20 * time.Millisecond
 )
 
-// await polls done until it holds; what says what was waited for.
+// await polls condition until it is true, and fails the test after waitTimeout. what
+// names the awaited event in the error.
 func await(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(poll) {
@@ -32,12 +33,13 @@
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("timed out after %v waiting for: %s", patience, what)
 }
 
-// hosts hands out loopback hosts. Each daemon has one of its own, so that its
-// ports, picked by the kernel, are still free when it is started again: nothing
-// else binds to that host, and outgoing connections come from 127.0.0.1.
+// hostCount counts the loopback hosts that newHost has returned. Each daemon has its
+// own host, so that its ports, picked by the kernel, are still free when it is
+// restarted: nothing else binds to that host, and outgoing connections come from
+// 127.0.0.1.
 var hosts atomic.Uint32
 
 func newHost() string {
@@ -46,27 +48,27 @@
 	return fmt.Sprintf("127.%d.%d.%d", pid>>8&0xff, pid&0xff, first+hosts.Add(1)%250)
 }
 
-// process is one daemon, which may be started several times.
+// process is a daemon, which may be started several times.
 type process struct {
 	t      *testing.T
 	name   string
 	args   []string
 	dir    string
-	caller string // base URL; empty on a control VM
-	peer   string // as told to others
-	bound  string // peer address it listens on
+	caller string // base URL for callers; empty on a control VM
+	peer   string // peer address that other daemons connect to
+	bound  string // peer address that it listens on; differs from peerAddr behind a network
 	oper   string
-	entry  string // host:port for callers, if it is an entry
+	entry  string // host:port for callers; used by entry VMs only
 
 	log  *logBuffer
-	cmd  *exec.Cmd // nil while it is down
+	cmd  *exec.Cmd // nil while the process is not running
 	exit chan error
-	pid  atomic.Int64 // 0 while it is down
+	pid  atomic.Int64 // 0 while the process is not running
 	proc atomic.Pointer[os.Process]
 	runs int
 }
 
-// start starts the daemon and waits until its ports serve.
+// start starts the daemon and waits until it serves on its ports.
 func (p *process) start() {
 	p.t.Helper()
 	p.launch()
@@ -95,7 +97,7 @@
 
 func (p *process) serves() {
 	p.t.Helper()
-	await(p.t, p.name+" serves", func() bool {
+	await(p.t, p.name+" to serve", func() bool {
 		_, err := os.Stat(p.readyFile())
 		return err == nil
 	})
@@ -108,7 +110,7 @@
 	}
 }
 
-// kill ends the daemon as a lost VM does.
+// kill ends the daemon with SIGKILL, as if its VM were lost.
 func (p *process) kill() {
 	p.t.Helper()
 	p.signal(os.Kill)
@@ -124,7 +126,7 @@
 func (p *process) pause()  { p.t.Helper(); p.signal(syscall.SIGSTOP) }
 func (p *process) resume() { p.t.Helper(); p.signal(syscall.SIGCONT) }
 
-// stop asks the daemon to end and waits for its graceful shutdown.
+// stop sends SIGTERM and waits for the graceful shutdown.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
@@ -132,14 +134,15 @@
 	case err := <-p.exit:
 		p.down()
 		if err != nil {
-			p.t.Errorf("%s did not stop cleanly: %v", p.name, err)
+			p.t.Errorf("%s: graceful shutdown failed: %v", p.name, err)
 		}
 	case <-time.After(patience):
-		p.t.Errorf("%s did not stop", p.name)
+		p.t.Errorf("%s: no exit after SIGTERM", p.name)
 	}
 }
 
-// close ends the daemon if it still runs. A failed test shows its log.
+// close kills the daemon if it is still running, and prints the end of its log if the
+// test has failed.
 func (p *process) close() {
 	if p.cmd != nil {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
@@ -152,19 +155,19 @@
 	}
 }
 
-// status reads what the operator sees; ok is false when the daemon is down.
+// status reads the operator's status page; ok is false if the daemon does not answer.
 func (p *process) status() (s daemon.Status, ok bool) {
 	body, code := p.get("/status")
 	return s, code == http.StatusOK && json.Unmarshal(body, &s) == nil
 }
 
-// ready reports whether the daemon takes new work, and the reason.
+// ready reports whether the daemon accepts new work, and the reason.
 func (p *process) ready() (bool, string) {
 	body, code := p.get("/readyz")
 	return code == http.StatusOK, string(body)
 }
 
-// operators must not wait for a daemon that is paused.
+// operatorClient has a short timeout, since a paused daemon does not answer.
 var operators = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (p *process) get(path string) ([]byte, int) {
@@ -180,7 +183,7 @@
 	return body, resp.StatusCode
 }
 
-// logBuffer keeps what a daemon wrote.
+// logBuffer collects the log output of a daemon.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -201,6 +204,6 @@
 	return string(all[max(0, len(all)-most):])
 }
 
-// tryPause and tryResume do nothing to a process that has ended.
+// tryPause and tryResume have no effect on a process that has exited.
 func (p *process) tryPause()  { _ = p.proc.Load().Signal(syscall.SIGSTOP) }
 func (p *process) tryResume() { _ = p.proc.Load().Signal(syscall.SIGCONT) }
--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// knownWithin is by when every daemon must know of a request that crashes leaves, and
-	// mostRetries how many attempts may reach leaves after that.
+	// quarantineDelay is the time within which every daemon must learn that a request
+	// crashes leaves. maxLateAttempts is how many attempts may reach leaves after that.
 	knownWithin = 2 * time.Second
 	mostRetries = 3
 	crashDown   = 300 * time.Millisecond
 )
 
-// crashesOf returns how often leaves began to run what bears the key.
+// runsOfKey returns how often leaves of the desk began to run requests with a run key.
 func (tr *tier) crashesOf(key string) int {
 	n := 0
 	for i := range deskServices {
@@ -27,8 +27,9 @@
 	return n
 }
 
-// TestQueryThatCrashesLeavesStopsReachingThem: a query ends each leaf that begins to run it
-// and comes again and again, at every daemon and at one that has just started.
+// TestCrashingQueryIsQuarantined guards against a query that crashes every leaf that runs
+// it and is sent repeatedly, to all daemons and to one that has just restarted. After three
+// runs, it must stop reaching leaves.
 func TestQueryThatCrashesLeavesStopsReachingThem(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 1, entries: 3})
@@ -56,9 +57,9 @@
 	tr.entries[0].start()
 	tr.awaitReady(tr.entries[0])
 	series(6)
-	t.Logf("%d runs, %d attempts reached leaves later than %v after the third", tr.crashesOf(key), late, knownWithin)
+	t.Logf("%d runs; %d attempts reached leaves more than %v after the third run", tr.crashesOf(key), late, knownWithin)
 	if late > mostRetries {
-		t.Errorf("%d attempts reached leaves later than %v after three had ended under it, at most %d may", late, knownWithin, mostRetries)
+		t.Errorf("%d attempts reached leaves more than %v after the third run, want at most %d", late, knownWithin, mostRetries)
 	}
 	tr.awaitWhole()
 }
--- a/test/race_test.go
+++ b/test/race_test.go
@@ -13,10 +13,10 @@
 	"pearmoor/internal/link/wire"
 )
 
-// TestOperatorsRace: six operators change the same setting at the same time, each
-// for the version that all of them saw. Exactly one change is accepted; each of the
-// others is told that it lost, to which change and whose, and nothing of it is in
-// the tree.
+// TestConcurrentChangesOfOneSetting guards against lost updates. Six operators change one
+// setting at the same time, based on the same version. Exactly one change must be accepted.
+// The others must get a conflict that names the winning operator, and must leave nothing
+// in the tree.
 func TestOperatorsRace(t *testing.T) {
 	t.Parallel()
 	const racers = 6
@@ -36,32 +36,32 @@
 		for i, code := range codes {
 			if code == cli.ExitOK {
 				if winner >= 0 {
-					t.Errorf("round %d: both operator %d and %d won", round, winner, i)
+					t.Errorf("round %d: operators %d and %d were both accepted", round, winner, i)
 				}
 				winner = i
 			}
 		}
 		if winner < 0 {
-			t.Fatalf("round %d: nobody won: %v %v", round, codes, says)
+			t.Fatalf("round %d: no change accepted: %v %v", round, codes, says)
 		}
 		for i, code := range codes {
 			if i != winner && (code != cli.ExitConflict || !strings.Contains(says[i], fmt.Sprintf("operator-%d ", winner))) {
-				t.Errorf("round %d: operator %d lost to %d: exit %d, told %q", round, i, winner, code, says[i])
+				t.Errorf("round %d: operator %d conflicts with operator %d: exit %d, message %q", round, i, winner, code, says[i])
 			}
 		}
 		if v := tr.version(); v != base+1 {
-			t.Errorf("round %d: version %d follows %d", round, v, base)
+			t.Errorf("round %d: version is %d after one change to version %d", round, v, base)
 		}
 		if got := tr.must("get", desk, "--output=json"); !strings.Contains(got, fmt.Sprintf(`"%dms"`, 100*(round+1)+winner)) {
-			t.Errorf("round %d: the tree does not hold the winner's value: %s", round, got)
+			t.Errorf("round %d: the tree does not contain the accepted value: %s", round, got)
 		}
 	}
 }
 
-// TestResendOfAChange: an operator's tool loses the reply to an accepted change. By
-// then another change has been accepted and the leader lost. The same change id,
-// sent again to the new leader, gets the first outcome, also from the restarted old
-// one; it is neither made twice nor said to conflict.
+// TestChangeResentAfterLostReply guards against a resent change that is applied twice or
+// rejected as a conflict. The operator's tool loses the reply to an accepted change; then
+// another change is accepted and the leader is killed. Resending the change ID must return
+// the first outcome, from the new leader and after the former one has restarted.
 func TestResendOfAChange(t *testing.T) {
 	t.Parallel()
 	tr := startTier(t, shape{controls: 3, entries: 1})
@@ -82,21 +82,21 @@
 	}
 }
 
-// checkResend sends the change of TestResendOfAChange again to each control VM, as
-// a tool does that has no memory of the tree.
+// checkResend sends the change of TestChangeResentAfterLostReply again to each running
+// control VM.
 func checkResend(t *testing.T, tr *tier, base uint64) {
 	t.Helper()
 	for _, p := range tr.controls {
 		if p.cmd == nil {
 			continue
 		}
-		await(t, "the first outcome by way of "+p.name, func() bool {
+		await(t, "the first outcome through "+p.name, func() bool {
 			reply, err := changeAt(p.peer, &wire.ChangeRequest{
 				ChangeId: "lost-reply", BaseVersion: base, Reason: "its reply is lost", Operator: "asha",
 				Edits: []*wire.Edit{{Path: desk, Name: "hedge-after", Value: "111ms"}},
 			})
 			if err != nil || reply.Redirect != "" {
-				return err == nil && reply.Redirect != p.peer // it names the leader, which is asked as well
+				return err == nil && reply.Redirect != p.peer // the leader that it names is asked by the loop too
 			}
 			if reply.Outcome != wire.Outcome_ACCEPTED || reply.Version != base+1 || !reply.Resend {
 				t.Errorf("%s: outcome %v, version %d, resend %v; want the first outcome, version %d", p.name, reply.Outcome, reply.Version, reply.Resend, base+1)
--- a/test/tier_test.go
+++ b/test/tier_test.go
@@ -17,11 +17,11 @@
 	"pearmoor/internal/standin"
 )
 
-// The paths of every test's tree.
+// Paths in the configuration tree of every test.
 const (
 	region = "valley"
-	desk   = "valley/desk"   // three query services of two leaves with two slots
-	ledger = "valley/ledger" // one query service of three leaves with three slots
+	desk   = "valley/desk"   // three query services with two leaves of two slots each
+	ledger = "valley/ledger" // one query service with three leaves of three slots each
 )
 
 const (
@@ -34,17 +34,17 @@
 
 var failureDomains = []string{"hall-a", "hall-b", "hall-c"}
 
-// shape is what a test wants of its tier.
+// tierConfig describes the tier that a test starts.
 type shape struct {
 	controls int
 	entries  int
-	network  bool              // put the test's network before every daemon
-	tree     map[string]string // settings of the root beside the short ones of all tests
-	region   map[string]string // settings of the region
-	entry    []string          // more flags of each entry
+	network  bool              // route peer connections through the test's network
+	tree     map[string]string // root settings in addition to the defaults of writeTree
+	region   map[string]string // region settings in addition to the defaults of writeTree
+	entry    []string          // additional flags of each entry VM
 }
 
-// tier is a running tier of daemons with leaves in this process.
+// tier is a running tier: daemons as processes, and stand-in leaves in the test process.
 type tier struct {
 	t        *testing.T
 	dir      string
@@ -54,8 +54,8 @@
 	entries  []*process
 }
 
-// startTier starts control VMs, applies the tree, starts the entries and waits
-// until all of them take work.
+// startTier starts the control VMs, applies the tree, starts the entry VMs and waits
+// until all of them are ready and answer with full coverage.
 func startTier(t *testing.T, s shape) *tier {
 	t.Helper()
 	tr := &tier{t: t, dir: t.TempDir()}
@@ -107,7 +107,8 @@
 	return names
 }
 
-// writeTree writes the tree with the addresses that the kernel gave the leaves.
+// writeTree writes the configuration tree with the addresses of the leaves, whose
+// ports were picked by the kernel, and returns its path.
 func (tr *tier) writeTree(s shape) string {
 	tr.t.Helper()
 	var b strings.Builder
@@ -136,7 +137,7 @@
 	return path
 }
 
-// writeSettings writes the settings of base as changed by own.
+// writeSettings writes the settings in defaults, as changed by overrides.
 func writeSettings(b *strings.Builder, indent string, base, own map[string]string) {
 	for name, value := range own {
 		base[name] = value
@@ -153,7 +154,7 @@
 	}
 }
 
-// newProcess gives a daemon its addresses; it is started by its caller.
+// newProcess returns a daemon with its addresses and flags. It does not start it.
 func (tr *tier) newProcess(name string, place int, flags ...string) *process {
 	tr.t.Helper()
 	host := newHost()
@@ -184,7 +185,8 @@
 	return p
 }
 
-// newControl gives a control VM its addresses; founders get bootstrap flags later.
+// newControl returns a control VM that is not started. startControlVMs adds the
+// bootstrap flags for the first members.
 func (tr *tier) newControl(id, place int) *process {
 	tr.t.Helper()
 	return tr.newProcess(fmt.Sprintf("control-%d", id), place,
@@ -206,7 +208,7 @@
 		own := p.args
 		p.args = append(slices.Clone(own), found...)
 		p.launch()
-		p.args = own // a later start must not found anything
+		p.args = own // a restart must not bootstrap the group again
 	}
 	for _, p := range tr.controls {
 		p.serves()
@@ -221,7 +223,7 @@
 	return strings.Join(addrs, ",")
 }
 
-// operate runs the operator's tool against all control VMs.
+// runCLI runs the operator's command-line tool against all control VMs.
 func (tr *tier) operate(args ...string) (code int, out, errOut string) {
 	return operate("asha", tr.controlAddrs(), args...)
 }
@@ -233,7 +235,7 @@
 	return code, o.String(), e.String()
 }
 
-// must runs the operator's tool and fails the test unless it succeeds.
+// mustRun runs the operator's command-line tool and fails the test unless it succeeds.
 func (tr *tier) must(args ...string) string {
 	tr.t.Helper()
 	code, out, errOut := tr.operate(args...)
@@ -271,13 +273,14 @@
 			}
 			if time.Now().After(end) {
 				st, _ := p.status()
-				tr.t.Fatalf("%s takes no work: %s; status %+v", p.name, why, st)
+				tr.t.Fatalf("%s is not ready: %s; status %+v", p.name, why, st)
 			}
 		}
 	}
 }
 
-// awaitWhole waits until every entry answers the whole region with full coverage.
+// awaitFullCoverage waits until every running entry VM answers queries of the desk
+// and of the ledger with full coverage.
 func (tr *tier) awaitWhole() {
 	tr.t.Helper()
 	for _, p := range tr.entries {
@@ -292,7 +295,7 @@
 	}
 }
 
-// leaf returns the leaf of that name.
+// leaf returns the leaf with the given name.
 func (tr *tier) leaf(name string) *standin.Leaf {
 	tr.t.Helper()
 	for _, l := range tr.fleet.Leaves() {
@@ -304,7 +307,8 @@
 	return nil
 }
 
-// behave changes how leaves act. service may be any node; "" is all.
+// updateBehavior changes the behavior of the leaves whose service path starts with
+// service; "" selects all leaves.
 func (tr *tier) behave(service string, change func(*standin.Behavior)) {
 	tr.t.Helper()
 	for _, l := range tr.fleet.Leaves() {
@@ -315,7 +319,7 @@
 	}
 }
 
-// slow sets how long the leaves of a service run a request.
+// setLatency sets how long the leaves of a service take to run a request.
 func (tr *tier) slow(service string, run time.Duration) {
 	tr.t.Helper()
 	tr.behave(service, func(b *standin.Behavior) { b.Latency = standin.Duration(run) })
@@ -330,21 +334,22 @@
 	}
 }
 
-// checkSlots fails the test for each leaf that ever had more in flight than its
-// slots, or more connections than its cap. The cap counts with the one refused.
+// checkLeafLimits fails the test for each leaf that ever had more requests in flight
+// than it has slots, or more open connections than its limit. A connection that the
+// leaf refuses counts as open.
 func (tr *tier) checkSlots() {
 	tr.t.Helper()
 	for _, l := range tr.fleet.Stats(false).Leaves {
 		if l.MostInFlight > l.Slots {
-			tr.t.Errorf("leaf %s had %d in flight, its slots are %d", l.Name, l.MostInFlight, l.Slots)
+			tr.t.Errorf("leaf %s had %d requests in flight, more than its %d slots", l.Name, l.MostInFlight, l.Slots)
 		}
 		if l.MostOpen > l.Connections {
-			tr.t.Errorf("leaf %s had %d connections open, its cap is %d", l.Name, l.MostOpen, l.Connections)
+			tr.t.Errorf("leaf %s had %d open connections, more than its limit of %d", l.Name, l.MostOpen, l.Connections)
 		}
 	}
 }
 
-// homesOf returns the entries that are homes of a service.
+// homesOf returns the entry VMs that are homes of a service, and the other entry VMs.
 func (tr *tier) homesOf(service string) (homes, others []*process) {
 	tr.t.Helper()
 	for _, p := range tr.entries {
