--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	shardsOfAll  = 10 // services from which each configuration selects its shards
-	shardsOfOne  = 8
-	topOfAnswer  = 5
-	keepAddrs    = 2 * time.Second
-	callerWait   = 1500 * time.Millisecond
-	callersCount = 8
+	shardServices          = 10 // services from which each configuration selects its shards
+	shardsPerConfiguration = 8
+	topRecords             = 5
+	addressLifetime        = 2 * time.Second
+	callerDeadline         = 1500 * time.Millisecond
+	callerCount            = 8
 	// settleTime is how long after the answer the runs of a request are counted, to detect
 	// leaves that start a request late, after it was reported as not run.
 	settleTime = 2500 * time.Millisecond
@@ -32,19 +32,19 @@
 // caller fetches an address list, caches it for addressLifetime, and sends one request
 // after another.
 type caller struct {
-	w      *world
-	rng    *rand.Rand
-	client *http.Client
-	addrs  []string
-	asked  time.Time
+	h       *harness
+	rng     *rand.Rand
+	client  *http.Client
+	addrs   []string
+	fetched time.Time
 }
 
-func (w *world) runCallers(ctx context.Context, wg *sync.WaitGroup) {
-	for i := range callersCount {
-		c := &caller{w: w, rng: rand.New(rand.NewPCG(uint64(i), 7)), client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}}
+func (h *harness) runCallers(ctx context.Context, wg *sync.WaitGroup) {
+	for i := range callerCount {
+		c := &caller{h: h, rng: rand.New(rand.NewPCG(uint64(i), 7)), client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}}
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				c.one()
+				c.sendRandom()
 				time.Sleep(time.Duration(5+c.rng.IntN(30)) * time.Millisecond)
 			}
 			c.client.CloseIdleConnections()
@@ -54,21 +54,21 @@
 
 // entryAddr returns a random address of the cached list. It fetches a new list from the
 // first directory that answers if the cached one has expired.
-func (c *caller) address() string {
-	if time.Since(c.asked) > keepAddrs || len(c.addrs) == 0 {
+func (c *caller) entryAddr() string {
+	if time.Since(c.fetched) > addressLifetime || len(c.addrs) == 0 {
 		client := &http.Client{Timeout: time.Second}
-		for _, i := range c.rng.Perm(daemons) {
-			v := c.w.vms[i]
-			status, body := get(client, http.MethodGet, "http://"+v.addr(c.w.ports.directory)+standin.LookupPath(host, region, domain), "")
+		for _, i := range c.rng.Perm(vmCount) {
+			v := c.h.vms[i]
+			status, body := doHTTP(client, http.MethodGet, "http://"+v.addr(c.h.ports.directory)+standin.LookupPath(hostname, region, domain), "")
 			if status != http.StatusOK {
 				continue
 			}
 			addrs, _, err := standin.Addresses(body)
 			if err != nil {
-				c.w.fail("%s: %v", v.name, err)
+				c.h.fail("%s: %v", v.name, err)
 				continue
 			}
-			c.addrs, c.asked = addrs, time.Now()
+			c.addrs, c.fetched = addrs, time.Now()
 			break
 		}
 		client.CloseIdleConnections()
@@ -79,23 +79,23 @@
 	return c.addrs[c.rng.IntN(len(c.addrs))]
 }
 
-func (c *caller) one() {
-	addr := c.address()
+func (c *caller) sendRandom() {
+	addr := c.entryAddr()
 	if addr == "" {
 		return
 	}
 	if c.rng.IntN(3) == 0 {
-		c.charge(addr)
+		c.sendCharge(addr)
 		return
 	}
-	c.search(addr)
+	c.sendSearch(addr)
 }
 
-// send sends one request without retries and returns the answer.
+// send sends one request and returns the answer and its body.
 func (c *caller) send(addr, method, path, body, id string) (*http.Response, string, error) {
-	c.w.mu.Lock()
-	c.w.wants[id] = method + " " + path + " " + body
-	c.w.mu.Unlock()
+	c.h.mu.Lock()
+	c.h.sentRequests[id] = method + " " + path + " " + body
+	c.h.mu.Unlock()
 	var rd io.Reader
 	if body != "" {
 		rd = io.MultiReader(strings.NewReader(body)) // not rewindable, so that the HTTP client can't retry
@@ -107,87 +107,88 @@
 	if body != "" {
 		req.ContentLength = int64(len(body))
 	}
-	req.Host = host
+	req.Host = hostname
 	req.Header.Set(dialect.RequestID, id)
-	req.Header.Set(dialect.Deadline, strconv.FormatInt(callerWait.Milliseconds(), 10))
+	req.Header.Set(dialect.Deadline, strconv.FormatInt(callerDeadline.Milliseconds(), 10))
 	var reused atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) { reused.Store(i.Reused) }}
 	resp, err := c.client.Do(req.WithContext(httptrace.WithClientTrace(req.Context(), trace)))
 	if err != nil {
-		c.checkCut(addr, id, err)
+		c.checkNotCutOff(addr, id, err)
 		return nil, "", err
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.checkCut(addr, id, err)
+		c.checkNotCutOff(addr, id, err)
 		return nil, "", err
 	}
-	c.w.mu.Lock()
-	c.w.served[fmt.Sprint(resp.StatusCode)]++
-	c.w.mu.Unlock()
+	c.h.mu.Lock()
+	c.h.answersByStatus[fmt.Sprint(resp.StatusCode)]++
+	c.h.mu.Unlock()
 	return resp, string(text), nil
 }
 
 // checkNotCutOff checks that a graceful stop does not cut off a request that a leaf has
-// begun to run. Errors are expected within 6 s after a kill, pause or start.
-func (c *caller) checkCut(addr, id string, err error) {
-	v := c.w.vmAt(addr)
-	if v == nil || v.harmedWithin(6*time.Second) || strings.Contains(err.Error(), "Client.Timeout") {
+// begun to run. It ignores client time-outs, and errors of a VM that was killed, paused,
+// started or had a link fault in the last 6 s.
+func (c *caller) checkNotCutOff(addr, id string, err error) {
+	v := c.h.vmAtAddr(addr)
+	if v == nil || v.disruptedWithin(6*time.Second) || strings.Contains(err.Error(), "Client.Timeout") {
 		return
 	}
-	if c.w.runsOf(id) > 0 {
-		c.w.fail("%s cut off request %s, which a leaf had begun to run: %v", v.name, id, err)
+	if c.h.runCount(id) > 0 {
+		c.h.fail("%s cut off request %s, which a leaf had begun to run: %v", v.name, id, err)
 	}
 }
 
-func (c *caller) newID() string { return fmt.Sprintf("r%d", c.w.nextID.Add(1)) }
+func (c *caller) newID() string { return fmt.Sprintf("r%d", c.h.nextID.Add(1)) }
 
 // sendCharge sends a request that must run at most once, and checks its runs.
-func (c *caller) charge(addr string) {
+func (c *caller) sendCharge(addr string) {
 	id := c.newID()
 	resp, _, err := c.send(addr, http.MethodPost, "/charge/"+id, "body of "+id, id)
 	refused := err == nil && slices.Contains([]int{408, 421, 429, 503}, resp.StatusCode)
 	ok := err == nil && resp.StatusCode == http.StatusOK
 	time.AfterFunc(settleTime, func() {
-		switch n := c.w.runsOf(id); {
+		switch n := c.h.runCount(id); {
 		case n > 1:
-			c.w.fail("request %s ran %d times", id, n)
+			c.h.fail("request %s ran %d times", id, n)
 		case refused && n > 0:
-			c.w.fail("request %s was reported as not run but has run", id)
+			c.h.fail("request %s was reported as not run but has run", id)
 		case ok && n != 1:
-			c.w.fail("request %s was answered but ran %d times", id, n)
+			c.h.fail("request %s was answered but ran %d times", id, n)
 		}
 	})
 }
 
 // sendSearch sends a query that gathers the parts of several shards, and checks its answer.
-func (c *caller) search(addr string) {
+func (c *caller) sendSearch(addr string) {
 	id := c.newID()
 	resp, text, err := c.send(addr, http.MethodGet, "/search/"+id, "", id)
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return
 	}
 	var services []string
-	for _, stamp := range strings.Split(strings.Join(resp.Header.Values(dialect.PartSignatures), ","), ",") {
-		fields := strings.Split(strings.TrimSpace(stamp), "/")
-		if len(fields) != 3 || fields[1] != id {
-			c.w.fail("request %s was answered with a part of another request: %q", id, stamp)
+	for _, signature := range strings.Split(strings.Join(resp.Header.Values(dialect.PartSignatures), ","), ",") {
+		parts := strings.Split(strings.TrimSpace(signature), "/")
+		if len(parts) != 3 || parts[1] != id {
+			c.h.fail("request %s was answered with a part of another request: %q", id, signature)
 			return
 		}
-		if slices.Contains(services, fields[0]) {
-			c.w.fail("answer to request %s has two parts of %s", id, fields[0])
+		if slices.Contains(services, parts[0]) {
+			c.h.fail("answer to request %s has two parts of %s", id, parts[0])
 		}
-		services = append(services, fields[0])
+		services = append(services, parts[0])
 	}
 	missing, _ := strconv.Atoi(resp.Header.Get(dialect.MissingParts))
-	if len(services)+missing != shardsOfOne || len(services) < 5 {
-		c.w.fail("request %s: %d parts and %d missing, of %d shards", id, len(services), missing, shardsOfOne)
+	if len(services)+missing != shardsPerConfiguration || len(services) < 5 {
+		c.h.fail("request %s: %d parts and %d missing, of %d shards", id, len(services), missing, shardsPerConfiguration)
 	}
-	if !c.w.ops.oneConfiguration(services) {
-		c.w.fail("request %s: parts %v do not belong to one configuration", id, services)
+	if !c.h.operators.inOneConfiguration(services) {
+		c.h.fail("request %s: parts %v do not belong to one configuration", id, services)
 	}
-	if want := standin.Top(services, id, topOfAnswer); text != want {
-		c.w.fail("request %s: got %q, want %q", id, text, want)
+	if want := standin.Top(services, id, topRecords); text != want {
+		c.h.fail("request %s: got %q, want %q", id, text, want)
 	}
 }
--- a/soak/control_test.go
+++ b/soak/control_test.go
@@ -11,10 +11,10 @@
 // killControlVMs repeatedly kills the processes of all VMs with a disk at the same time and
 // restarts them after up to 1.5 s, until ctx is cancelled. It skips a round if another
 // fault is in progress on any of them.
-func (w *world) loseControl(ctx context.Context, rng *rand.Rand) {
+func (h *harness) killControlVMs(ctx context.Context, rng *rand.Rand) {
 	for vm.Sleep(ctx, time.Duration(1000+rng.IntN(4000))*time.Millisecond) {
-		claimed := w.claimControl()
-		if len(claimed) == disks {
+		claimed := h.claimControlVMs()
+		if len(claimed) == diskVMs {
 			for _, v := range claimed {
 				v.kill()
 			}
@@ -30,8 +30,8 @@
 }
 
 // claimControlVMs claims the VMs with a disk, up to the first that another fault has claimed.
-func (w *world) claimControl() (claimed []*vmProcess) {
-	for _, v := range w.vms[:disks] {
+func (h *harness) claimControlVMs() (claimed []*vmProcess) {
+	for _, v := range h.vms[:diskVMs] {
 		if !v.claim() {
 			break
 		}
--- a/soak/disks_test.go
+++ b/soak/disks_test.go
@@ -13,34 +13,34 @@
 // while, until ctx is cancelled. Faults of other kinds run concurrently, also on other VMs
 // with disks. It uses a separate random source, so that it does not change the order of the
 // other faults of a seed.
-func (w *world) disturbDisks(ctx context.Context, rng *rand.Rand) {
+func (h *harness) injectDiskFaults(ctx context.Context, rng *rand.Rand) {
 	faults := []faultydisk.Fault{faultydisk.Slow, faultydisk.Stalls, faultydisk.Full}
 	for n := 0; vm.Sleep(ctx, time.Duration(200+rng.IntN(1500))*time.Millisecond); n++ {
 		if n%len(faults) == 0 {
 			rng.Shuffle(len(faults), func(i, k int) { faults[i], faults[k] = faults[k], faults[i] })
 		}
-		v := w.vms[rng.IntN(disks)]
-		w.setDisk(v, faults[n%len(faults)])
+		v := h.vms[rng.IntN(diskVMs)]
+		h.setDiskFault(v, faults[n%len(faults)])
 		vm.Sleep(ctx, time.Duration(300+rng.IntN(2500))*time.Millisecond)
-		w.setDisk(v, faultydisk.Well)
+		h.setDiskFault(v, faultydisk.Well)
 	}
 }
 
-func (w *world) setDisk(v *vmProcess, f faultydisk.Fault) {
-	w.disturb()
-	if err := faultydisk.Set(v.folder(), f); err != nil {
-		w.fail("disk of %s: %v", v.name, err)
+func (h *harness) setDiskFault(v *vmProcess, f faultydisk.Fault) {
+	h.markDisturbed()
+	if err := faultydisk.Set(v.dataDir(), f); err != nil {
+		h.fail("disk of %s: %v", v.name, err)
 	}
 }
 
 // resetRepeatedly resets the connections to random VMs and leaves several times in quick
 // succession, until ctx is cancelled, so that reopened connections are reset again.
-func (w *world) resetInSeries(ctx context.Context, rng *rand.Rand) {
+func (h *harness) resetRepeatedly(ctx context.Context, rng *rand.Rand) {
 	for vm.Sleep(ctx, time.Duration(500+rng.IntN(3000))*time.Millisecond) {
 		for range 2 + rng.IntN(4) {
-			w.disturb()
-			w.vms[rng.IntN(daemons)].link.reset()
-			if l := w.anyLeafOf(rng); l != nil {
+			h.markDisturbed()
+			h.vms[rng.IntN(vmCount)].link.reset()
+			if l := h.randomLeaf(rng); l != nil {
 				l.link.reset()
 			}
 			vm.Sleep(ctx, time.Duration(20+rng.IntN(200))*time.Millisecond)
@@ -48,11 +48,11 @@
 	}
 }
 
-func (w *world) anyLeafOf(rng *rand.Rand) *leaf {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.leaves) == 0 {
+func (h *harness) randomLeaf(rng *rand.Rand) *leaf {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.leaves) == 0 {
 		return nil
 	}
-	return w.leaves[rng.IntN(len(w.leaves))]
+	return h.leaves[rng.IntN(len(h.leaves))]
 }
--- a/soak/fatal_test.go
+++ b/soak/fatal_test.go
@@ -10,23 +10,23 @@
 const (
 	// crashingPath is the path of requests that crash each leaf that runs them. A crashed
 	// leaf is replaced after crashRestartDelay, at another address.
-	fatalPath = "/search/fatal"
-	fatalDown = time.Second
+	crashingPath      = "/search/fatal"
+	crashRestartDelay = time.Second
 	// crashingInterval is the time between two attempts of such a request.
-	fatalEvery = 700 * time.Millisecond
+	crashingInterval = 700 * time.Millisecond
 	// maxCrashingRuns is how many attempts may reach leaves after the faults have ended.
-	fatalRetries = 3
+	maxCrashingRuns = 3
 )
 
 // sendCrashingRequests repeatedly sends a request that crashes leaves, to the addresses
 // that callers use.
-func (w *world) runFatal(ctx context.Context, c *caller) {
+func (h *harness) sendCrashingRequests(ctx context.Context, c *caller) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		if addr := c.address(); addr != "" {
-			_, _, _ = c.send(addr, http.MethodGet, fatalPath, "", c.newID())
+		if addr := c.entryAddr(); addr != "" {
+			_, _, _ = c.send(addr, http.MethodGet, crashingPath, "", c.newID())
 		}
-		time.Sleep(fatalEvery)
+		time.Sleep(crashingInterval)
 	}
 }
 
@@ -38,28 +38,28 @@
 	}
 	l.link.close()
 	_ = l.server.Close()
-	time.Sleep(fatalDown)
-	l.w.drop(l)
-	l.w.startLeaf(l.service)
+	time.Sleep(crashRestartDelay)
+	l.h.removeLeaf(l)
+	l.h.startLeaf(l.service)
 }
 
 // checkCrashingRequestsBlocked checks that, after the faults have ended, at most
 // maxCrashingRuns attempts of a request that has crashed leaves reach a leaf, whichever VM
 // receives them.
-func (w *world) checkFatal() {
-	c := &caller{w: w, rng: w.rng, client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}}
+func (h *harness) checkCrashingRequestsBlocked() {
+	c := &caller{h: h, rng: h.rng, client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}}
 	defer c.client.CloseIdleConnections()
 	var reached []string
 	for range 2 {
-		for _, v := range w.vms {
+		for _, v := range h.vms {
 			id := c.newID()
-			_, _, _ = c.send(v.addr(w.ports.callers), http.MethodGet, fatalPath, "", id)
-			if w.runsOf(id) > 0 {
+			_, _, _ = c.send(v.addr(h.ports.callers), http.MethodGet, crashingPath, "", id)
+			if h.runCount(id) > 0 {
 				reached = append(reached, v.name)
 			}
 		}
 	}
-	if len(reached) > fatalRetries {
-		w.fail("a request that crashes leaves reached leaves in %d attempts after the faults had ended, through %s", len(reached), strings.Join(reached, " "))
+	if len(reached) > maxCrashingRuns {
+		h.fail("a request that crashes leaves reached leaves in %d attempts after the faults had ended, through %s", len(reached), strings.Join(reached, " "))
 	}
 }
--- a/soak/leaves_test.go
+++ b/soak/leaves_test.go
@@ -19,28 +19,28 @@
 var dialect = platform.Dialect()
 
 // leafMode is the behavior of a leaf.
-type mode int32
+type leafMode int32
 
 const (
-	well mode = iota
+	healthy leafMode = iota
 	slow
-	silent
-	resets  // resets the connection before running the request
-	refuses // answers that it does not run the request
-	loses   // runs the request and resets the connection without an answer
-	twice   // sends the answer twice, 10 ms apart
-	modes
+	hangs
+	resetsBeforeRun // resets the connection before running the request
+	refuses         // answers that it does not run the request
+	resetsAfterRun  // runs the request and resets the connection without an answer
+	answersTwice    // sends the answer twice, 10 ms apart
+	leafModeCount
 )
 
-// maxLeafConns is the limit of connections to a leaf, from all daemons together.
-const leafConns = 28
+// maxLeafConns is the limit on open connections to a leaf, from all daemons together.
+const maxLeafConns = 28
 
 // leafDrainTime is how long a leaf continues to serve after the list shows it as leaving.
-const drainTime = 3 * time.Second
+const leafDrainTime = 3 * time.Second
 
 // leaf is a stand-in leaf. A restarted leaf is a new leaf on another port.
 type leaf struct {
-	w       *world
+	h       *harness
 	id      string
 	service string
 	addr    string // address of the link, as shown in the list
@@ -54,32 +54,32 @@
 	leaving time.Time // when the leaf was marked as leaving; zero if it was not
 }
 
-func (w *world) startLeaf(service string) *leaf {
+func (h *harness) startLeaf(service string) *leaf {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.fail("leaf: %v", err)
+		h.fail("leaf: %v", err)
 		return nil
 	}
 	link, err := newProxy("127.0.0.1:0", lis.Addr().String())
 	if err != nil {
-		w.fail("link to a leaf: %v", err)
+		h.fail("link to a leaf: %v", err)
 		return nil
 	}
-	l := &leaf{w: w, id: fmt.Sprintf("i-%d", w.nextLeaf.Add(1)), service: service, addr: link.addr(), link: link}
-	l.server = &http.Server{Handler: l, ConnState: l.count}
+	l := &leaf{h: h, id: fmt.Sprintf("i-%d", h.nextLeaf.Add(1)), service: service, addr: link.addr(), link: link}
+	l.server = &http.Server{Handler: l, ConnState: l.countConnections}
 	go func() { _ = l.server.Serve(lis) }()
-	w.mu.Lock()
-	w.leaves = append(w.leaves, l)
-	w.mu.Unlock()
+	h.mu.Lock()
+	h.leaves = append(h.leaves, l)
+	h.mu.Unlock()
 	return l
 }
 
 // countConnections tracks the open connections and checks their limit.
-func (l *leaf) count(_ net.Conn, state http.ConnState) {
+func (l *leaf) countConnections(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		if n := l.conns.Add(1); n > leafConns {
-			l.w.fail("leaf %s has %d connections, its limit is %d", l.id, n, leafConns)
+		if n := l.conns.Add(1); n > maxLeafConns {
+			l.h.fail("leaf %s has %d connections, its limit is %d", l.id, n, maxLeafConns)
 		}
 	case http.StateClosed, http.StateHijacked:
 		l.conns.Add(-1)
@@ -89,16 +89,16 @@
 // ServeHTTP answers a request according to the mode of the leaf.
 func (l *leaf) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(dialect.RequestID)
-	if to := r.Header.Get(dialect.LeafID); to != l.id {
+	if leafID := r.Header.Get(dialect.LeafID); leafID != l.id {
 		rw.Header().Set(dialect.RequestID, id)
 		rw.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	l.checkLeaving()
+	l.checkNoRequestsAfterDrain()
 	body, _ := io.ReadAll(r.Body)
-	switch m := mode(l.mode.Load()); m {
-	case resets:
-		l.cut(rw)
+	switch m := leafMode(l.mode.Load()); m {
+	case resetsBeforeRun:
+		l.resetConnection(rw)
 	case refuses:
 		rw.Header().Set(dialect.RequestID, id)
 		rw.Header().Set(dialect.NotRun, "full")
@@ -108,9 +108,9 @@
 	}
 }
 
-func (l *leaf) run(rw http.ResponseWriter, r *http.Request, id, body string, m mode) {
-	l.w.ran(id, l.service, r.Method+" "+r.RequestURI+" "+body)
-	if r.RequestURI == fatalPath {
+func (l *leaf) run(rw http.ResponseWriter, r *http.Request, id, body string, m leafMode) {
+	l.h.recordRun(id, l.service, r.Method+" "+r.RequestURI+" "+body)
+	if r.RequestURI == crashingPath {
 		go l.crash()
 		<-r.Context().Done() // crash closes the connections
 		return
@@ -119,7 +119,7 @@
 	switch m {
 	case slow:
 		wait = 150 * time.Millisecond
-	case silent:
+	case hangs:
 		wait = 4 * time.Second
 	}
 	select {
@@ -127,23 +127,23 @@
 	case <-r.Context().Done():
 		return
 	}
-	if m == loses {
-		l.cut(rw)
+	if m == resetsAfterRun {
+		l.resetConnection(rw)
 		return
 	}
-	stamp := strings.Join([]string{l.service, id, strconv.FormatInt(l.w.stamps.Add(1), 10)}, "/")
+	signature := strings.Join([]string{l.service, id, strconv.FormatInt(l.h.lastSignature.Add(1), 10)}, "/")
 	text := standin.Part(l.service, id)
-	if m == twice {
-		l.answerTwice(rw, id, stamp, text)
+	if m == answersTwice {
+		l.answerTwice(rw, id, signature, text)
 		return
 	}
 	rw.Header().Set(dialect.RequestID, id)
-	rw.Header().Set(dialect.Signature, stamp)
+	rw.Header().Set(dialect.Signature, signature)
 	rw.Header().Set(dialect.Load, "1,0,8")
 	_, _ = io.WriteString(rw, text)
 }
 
-func (l *leaf) cut(rw http.ResponseWriter) {
+func (l *leaf) resetConnection(rw http.ResponseWriter) {
 	if c, _, err := rw.(http.Hijacker).Hijack(); err == nil {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
@@ -152,14 +152,14 @@
 	}
 }
 
-func (l *leaf) answerTwice(rw http.ResponseWriter, id, stamp, text string) {
+func (l *leaf) answerTwice(rw http.ResponseWriter, id, signature, text string) {
 	c, _, err := rw.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
 	defer c.Close()
 	for range 2 {
-		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", dialect.RequestID, id, dialect.Signature, stamp, len(text), text)
+		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", dialect.RequestID, id, dialect.Signature, signature, len(text), text)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -167,21 +167,21 @@
 // checkNoRequestsAfterDrain checks that a leaf receives no requests after its drain time.
 // It does not fail shortly after a disturbance, since a process that was paused, has just
 // started or could not read the list may not know yet that the leaf is leaving.
-func (l *leaf) checkLeaving() {
+func (l *leaf) checkNoRequestsAfterDrain() {
 	l.mu.Lock()
 	since := l.leaving
 	l.mu.Unlock()
 	if since.IsZero() {
 		return
 	}
-	late := time.Since(since) - drainTime
-	if late > 500*time.Millisecond && l.w.calmFor() > drainTime+2*time.Second {
-		l.w.fail("leaf %s received a request %v after its drain time had ended", l.id, late)
+	late := time.Since(since) - leafDrainTime
+	if late > 500*time.Millisecond && l.h.undisturbedFor() > leafDrainTime+2*time.Second {
+		l.h.fail("leaf %s received a request %v after its drain time had ended", l.id, late)
 	}
 }
 
 // startLeaving marks the leaf as leaving in the list.
-func (l *leaf) drain() {
+func (l *leaf) startLeaving() {
 	l.mu.Lock()
 	if l.leaving.IsZero() {
 		l.leaving = time.Now()
@@ -189,7 +189,7 @@
 	l.mu.Unlock()
 }
 
-func (l *leaf) state() string {
+func (l *leaf) listState() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.leaving.IsZero() {
@@ -199,30 +199,30 @@
 }
 
 // removeLeaf stops the leaf and removes it from the list.
-func (w *world) drop(l *leaf) {
-	w.mu.Lock()
-	w.leaves = slices.DeleteFunc(w.leaves, func(o *leaf) bool { return o == l })
-	w.mu.Unlock()
+func (h *harness) removeLeaf(l *leaf) {
+	h.mu.Lock()
+	h.leaves = slices.DeleteFunc(h.leaves, func(o *leaf) bool { return o == l })
+	h.mu.Unlock()
 	l.link.close()
 	_ = l.server.Close()
 }
 
 // serveList serves the platform's list of leaves.
-func (w *world) serveList(rw http.ResponseWriter, _ *http.Request) {
-	if w.listFails.Load() {
+func (h *harness) serveList(rw http.ResponseWriter, _ *http.Request) {
+	if h.listFailing.Load() {
 		rw.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
-	w.mu.Lock()
-	leaves := slices.Clone(w.leaves)
-	w.mu.Unlock()
+	h.mu.Lock()
+	leaves := slices.Clone(h.leaves)
+	h.mu.Unlock()
 	rows := make([]standin.Leaf, len(leaves))
 	for i, l := range leaves {
-		rows[i] = standin.Leaf{ID: l.id, Service: l.service, Addr: l.addr, Domain: domain, Slots: 8, State: l.state()}
+		rows[i] = standin.Leaf{ID: l.id, Service: l.service, Addr: l.addr, Domain: domain, Slots: 8, State: l.listState()}
 	}
 	text, err := standin.Page(rows, "")
 	if err != nil {
-		w.fail("list: %v", err)
+		h.fail("list: %v", err)
 	}
 	_, _ = rw.Write(text)
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -11,21 +11,21 @@
 type linkState int32
 
 const (
-	passes linkState = iota
-	delays           // delays each read by proxyDelay
-	holds            // holds data in both directions and keeps connections open, as a network partition does
-	deaf             // forwards requests and holds answers
-	linkStates
+	linkOpen        linkState = iota
+	linkDelayed               // delays each read by proxyDelay
+	linkHeld                  // holds data in both directions and keeps connections open, as a network partition does
+	linkAnswersHeld           // forwards requests and holds answers
+	linkStateCount
 	// linkNarrow is not below linkStateCount, so that it is not drawn as a random fault, which
 	// would change the faults of existing seeds.
-	narrows = linkStates + 1 // limits each connection to proxyRate in each direction
+	linkNarrow = linkStateCount + 1 // limits each connection to proxyRate in each direction
 )
 
 const (
-	proxyDelay = 30 * time.Millisecond
-	proxyPoll  = 5 * time.Millisecond
-	proxyPiece = 16 << 10
-	proxyRate  = 300_000 // bytes per second
+	proxyDelay      = 30 * time.Millisecond
+	proxyPoll       = 5 * time.Millisecond
+	proxyBufferSize = 16 << 10
+	proxyRate       = 300_000 // bytes per second
 )
 
 // proxy forwards connections to one address. Data that it holds is delivered when the link
@@ -64,38 +64,38 @@
 }
 
 func (p *proxy) forward(in net.Conn) {
-	defer p.drop(in)
-	p.keep(in)
-	p.wait(false)
+	defer p.closeConn(in)
+	p.track(in)
+	p.awaitOpen(false)
 	out, err := net.DialTimeout("tcp", p.target, time.Second)
 	if err != nil {
 		return
 	}
-	defer p.drop(out)
-	p.keep(out)
+	defer p.closeConn(out)
+	p.track(out)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.pump(in, out, true)
+		p.forwardData(in, out, true)
 		_ = in.Close()
 	}()
-	p.pump(out, in, false)
+	p.forwardData(out, in, false)
 	_ = out.Close()
 	<-done
 }
 
 // forwardData copies from src to dst until either connection is closed. answers is set for the
 // direction from the target back.
-func (p *proxy) pump(dst, src net.Conn, answers bool) {
-	piece := make([]byte, proxyPiece)
+func (p *proxy) forwardData(dst, src net.Conn, answers bool) {
+	buf := make([]byte, proxyBufferSize)
 	for {
-		n, err := src.Read(piece)
+		n, err := src.Read(buf)
 		if n > 0 {
-			p.wait(answers)
-			if linkState(p.state.Load()) == narrows {
+			p.awaitOpen(answers)
+			if linkState(p.state.Load()) == linkNarrow {
 				time.Sleep(time.Duration(n) * time.Second / proxyRate)
 			}
-			if _, err := dst.Write(piece[:n]); err != nil {
+			if _, err := dst.Write(buf[:n]); err != nil {
 				return
 			}
 		}
@@ -106,14 +106,14 @@
 }
 
 // awaitOpen waits until the link may forward the data that was read.
-func (p *proxy) wait(answers bool) {
+func (p *proxy) awaitOpen(answers bool) {
 	for !p.closed.Load() {
 		switch linkState(p.state.Load()) {
-		case delays:
+		case linkDelayed:
 			time.Sleep(proxyDelay)
 			return
-		case holds:
-		case deaf:
+		case linkHeld:
+		case linkAnswersHeld:
 			if !answers {
 				return
 			}
@@ -124,13 +124,13 @@
 	}
 }
 
-func (p *proxy) keep(c net.Conn) {
+func (p *proxy) track(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[c] = true
 }
 
-func (p *proxy) drop(c net.Conn) {
+func (p *proxy) closeConn(c net.Conn) {
 	_ = c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -18,27 +18,27 @@
 
 // callerTimeout bounds the wait for a reply. Replies are due within the request deadline,
 // which is far shorter.
-const callerLimit = 20 * time.Second
+const callerTimeout = 20 * time.Second
 
-var runKeys atomic.Uint64
+var lastRunKey atomic.Uint64
 
 // newQuery returns a repeatable request with a unique run key.
-func (tr *tier) query(path string) *contract.Request {
-	key := fmt.Sprintf("key-%d", runKeys.Add(1))
+func (tr *tier) newQuery(path string) *contract.Request {
+	key := fmt.Sprintf("key-%d", lastRunKey.Add(1))
 	return &contract.Request{Path: path, Body: json.RawMessage(`{"run_key":"` + key + `"}`)}
 }
 
 // newCharge returns a request that must run at most once, in a session issued by p.
-func (tr *tier) charge(p *process) *contract.Request {
+func (tr *tier) newCharge(p *process) *contract.Request {
 	tr.t.Helper()
-	r := tr.query(ledger)
+	r := tr.newQuery(ledgerPath)
 	no := false
-	r.Repeatable, r.Key, r.Session = &no, keyOf(r), tr.session(p)
+	r.Repeatable, r.Key, r.Session = &no, runKeyOf(r), tr.newSession(p)
 	return r
 }
 
 // runKeyOf returns the run key in the body of r.
-func keyOf(r *contract.Request) string {
+func runKeyOf(r *contract.Request) string {
 	var body struct {
 		RunKey string `json:"run_key"`
 	}
@@ -49,11 +49,11 @@
 }
 
 // newSession requests the address list of p until it includes a session.
-func (tr *tier) session(p *process) string {
+func (tr *tier) newSession(p *process) string {
 	tr.t.Helper()
 	var list contract.Addresses
 	await(tr.t, "a session from "+p.name, func() bool {
-		status, body, err := post(p.caller+"/v1/addresses?service="+ledger, nil)
+		status, body, err := doHTTP(p.callerURL+"/v1/addresses?service="+ledgerPath, nil)
 		return err == nil && status == http.StatusOK && json.Unmarshal(body, &list) == nil && list.Session != ""
 	})
 	return list.Session
@@ -96,7 +96,7 @@
 		return &reply{err: err}
 	}
 	began := time.Now()
-	status, body, err := post(p.caller+"/v1/query", raw)
+	status, body, err := doHTTP(p.callerURL+"/v1/query", raw)
 	out := &reply{status: status, err: err, took: time.Since(began)}
 	if err != nil {
 		return out
@@ -120,8 +120,8 @@
 
 // doHTTP sends a POST request with body, or a GET request if body is nil. Each request
 // uses a new connection, so that no test depends on one left over from another.
-func post(url string, body []byte) (status int, reply []byte, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), callerLimit)
+func doHTTP(url string, body []byte) (status int, reply []byte, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	method := http.MethodGet
 	if body != nil {
@@ -144,7 +144,7 @@
 	return resp.StatusCode, reply, err
 }
 
-func whole(a *contract.Answer) bool {
+func fullCoverage(a *contract.Answer) bool {
 	return a != nil && a.Coverage.Total > 0 && a.Coverage.Answered == a.Coverage.Total
 }
 
@@ -152,23 +152,23 @@
 // hits or hits of another request, or reports wrong coverage.
 func checkAnswer(t *testing.T, r *contract.Request, a *contract.Answer) {
 	t.Helper()
-	if c := load.CheckAnswer(a, keyOf(r)); c.Bad() {
+	if c := load.CheckAnswer(a, runKeyOf(r)); c.Bad() {
 		t.Errorf("wrong answer: %+v; coverage %+v", c, a.Coverage)
 	}
 }
 
 // runsPerShard returns how often each shard of the ledger ran r.
-func (tr *tier) runsOf(r *contract.Request) []int {
+func (tr *tier) runsPerShard(r *contract.Request) []int {
 	shards := standin.DefaultShards(3)
 	runs := make([]int, shards)
 	for s := range shards {
-		runs[s] = tr.fleet.Runs().Count(standin.RunKey{Request: keyOf(r), Service: ledger, Shard: s})
+		runs[s] = tr.fleet.Runs().Count(standin.RunKey{Request: runKeyOf(r), Service: ledgerPath, Shard: s})
 	}
 	return runs
 }
 
 // loadRun is generated load that continues until stop is called.
-type traffic struct {
+type loadRun struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 	result *load.Result
@@ -176,10 +176,10 @@
 }
 
 // startLoad starts load on the entry VMs, from callers that follow the address lists.
-func (tr *tier) startTraffic(cfg load.Config) *traffic {
+func (tr *tier) startLoad(cfg load.Config) *loadRun {
 	tr.t.Helper()
 	for _, p := range tr.entries {
-		cfg.Entries = append(cfg.Entries, p.caller)
+		cfg.Entries = append(cfg.Entries, p.callerURL)
 	}
 	cfg.Duration = 10 * time.Minute // ended by stop
 	cfg.Seed = 1
@@ -187,32 +187,32 @@
 		cfg.Deadline = time.Second
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	tf := &traffic{cancel: cancel, done: make(chan struct{})}
+	run := &loadRun{cancel: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(tf.done)
-		tf.result, tf.err = load.Run(ctx, cfg)
+		defer close(run.done)
+		run.result, run.err = load.Run(ctx, cfg)
 	}()
-	tr.t.Cleanup(func() { cancel(); <-tf.done })
-	return tf
+	tr.t.Cleanup(func() { cancel(); <-run.done })
+	return run
 }
 
 // stop ends the load and returns its result.
-func (tf *traffic) stop(t *testing.T) *load.Result {
+func (l *loadRun) stop(t *testing.T) *load.Result {
 	t.Helper()
-	tf.cancel()
-	<-tf.done
-	if tf.err != nil {
-		t.Fatal(tf.err)
+	l.cancel()
+	<-l.done
+	if l.err != nil {
+		t.Fatal(l.err)
 	}
-	r := tf.result
+	r := l.result
 	t.Logf("load: scheduled %d answered %d whole %d refused %d in doubt %d failed %d broken %d failovers %d late %d; reasons %v missing %v check %+v once %+v; last error %q",
 		r.Answered+r.Refused+r.InDoubt+r.Failed, r.Answered, r.Whole, r.Refused, r.InDoubt, r.Failed, r.Errors, r.Failovers, r.Late, r.Reasons, r.Missing, r.Check, r.Once, r.LastError)
 	return r
 }
 
 // listsVM reports whether the address list served by p contains the VM called name.
-func (tr *tier) listed(p *process, name string) bool {
-	status, body, err := post(p.caller+"/v1/addresses?service="+region, nil)
+func (tr *tier) listsVM(p *process, name string) bool {
+	status, body, err := doHTTP(p.callerURL+"/v1/addresses?service="+region, nil)
 	var list contract.Addresses
 	if err != nil || status != http.StatusOK || json.Unmarshal(body, &list) != nil {
 		return false
--- a/test/control_loss_test.go
+++ b/test/control_loss_test.go
@@ -16,15 +16,15 @@
 // be in force without the entry VM, so it must keep serving. After that it must refuse
 // immediately with not_run, reason unconfirmed and a retry time, and serve again without
 // intervention once the control VMs are back.
-func TestAllControlLost(t *testing.T) {
+func TestAllControlVMsLost(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 3, entries: 2})
+	tr := startTier(t, tierConfig{controls: 3, entries: 2})
 	before := tr.version()
 	for _, p := range tr.controls {
 		p.kill()
 	}
 	for _, p := range tr.entries {
-		if r := tr.send(p, tr.query(desk)); !whole(r.answer) {
+		if r := tr.send(p, tr.newQuery(deskPath)); !fullCoverage(r.answer) {
 			t.Errorf("%s did not answer in full although its lease is valid: %v", p.name, r)
 		}
 	}
@@ -35,7 +35,7 @@
 			return ok && s.LeaseLeftMS == 0
 		})
 		for range 10 {
-			r := tr.query(desk)
+			r := tr.newQuery(deskPath)
 			got := tr.send(p, r)
 			f := got.failure
 			if f == nil || f.Verdict != contract.NotRun || f.Reason != contract.ReasonUnconfirmed || f.RetryAfterMS <= 0 || got.status != http.StatusServiceUnavailable {
@@ -45,23 +45,23 @@
 		if ok, why := p.ready(); ok || !strings.Contains(why, "unconfirmed") {
 			t.Errorf("%s: want not ready with reason unconfirmed; got %q", p.name, why)
 		}
-		charge := tr.query(ledger)
-		if got := tr.send(p, charge); got.verdict() != contract.NotRun || checkOnce(t, tr, charge) != 0 {
-			t.Errorf("%s: charge without a lease: %v, %d runs", p.name, got, checkOnce(t, tr, charge))
+		charge := tr.newQuery(ledgerPath)
+		if got := tr.send(p, charge); got.verdict() != contract.NotRun || checkRunsAtMostOnce(t, tr, charge) != 0 {
+			t.Errorf("%s: charge without a lease: %v, %d runs", p.name, got, checkRunsAtMostOnce(t, tr, charge))
 		}
 	}
 	for _, p := range tr.controls {
 		p.launch()
 	}
 	for _, p := range tr.controls {
-		p.serves()
+		p.awaitServing()
 	}
 	tr.awaitReady(tr.entries...)
-	tr.awaitWhole()
+	tr.awaitFullCoverage()
 	if after := tr.version(); after < before {
 		t.Errorf("configuration version went back from %d to %d", before, after)
 	}
-	tr.must("set", desk, "--hedge-after=30ms", "--reason=after the loss", "--wait=20s")
+	tr.mustRun("set", deskPath, "--hedge-after=30ms", "--reason=after the loss", "--wait=20s")
 }
 
 // TestControlDiskReplaced guards against lost changes after a control VM restarts under
@@ -70,50 +70,50 @@
 // After it is replaced under a new id, the group must tolerate the loss of a second VM.
 func TestControlDiskReplaced(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 3, entries: 2})
-	o := tr.startOperator()
-	o.awaitChanges(3)
+	tr := startTier(t, tierConfig{controls: 3, entries: 2})
+	op := tr.startOperator()
+	op.awaitChanges(3)
 	leader := tr.leader()
-	var blank, other *process
-	blankID := 0
+	var emptyDisk, other *process
+	emptyDiskID := 0
 	for i, p := range tr.controls {
 		switch {
 		case p == leader:
-		case blank == nil:
-			blank, blankID = p, i+1
+		case emptyDisk == nil:
+			emptyDisk, emptyDiskID = p, i+1
 		default:
 			other = p
 		}
 	}
-	blank.kill()
-	if err := os.RemoveAll(tr.dataDir(blankID)); err != nil {
+	emptyDisk.kill()
+	if err := os.RemoveAll(tr.dataDir(emptyDiskID)); err != nil {
 		t.Fatal(err)
 	}
-	blank.start()
-	o.awaitChanges(3)
+	emptyDisk.start()
+	op.awaitChanges(3)
 
 	leader.kill()
-	before := o.count()
-	code, _, _ := tr.operate("set", desk, "--hedge-after=700ms", "--change-id=without-majority", "--reason=must not be accepted", "--wait=0s", "--timeout=6s")
+	before := op.count()
+	code, _, _ := tr.runCLI("set", deskPath, "--hedge-after=700ms", "--change-id=without-majority", "--reason=must not be accepted", "--wait=0s", "--timeout=6s")
 	if code != cli.ExitUnreachable && code != cli.ExitUnknown {
 		t.Errorf("change without a majority of voters with their disks: exit %d", code)
 	}
-	if n := o.count(); n != before {
+	if n := op.count(); n != before {
 		t.Errorf("%d changes were accepted by one voter and a VM with an empty disk", n-before)
 	}
 	leader.start()
-	o.awaitChanges(3)
+	op.awaitChanges(3)
 
-	blank.kill()
-	if err := os.RemoveAll(tr.dataDir(blankID)); err != nil {
+	emptyDisk.kill()
+	if err := os.RemoveAll(tr.dataDir(emptyDiskID)); err != nil {
 		t.Fatal(err)
 	}
-	fresh := tr.newControl(4, 0)
-	fresh.start()
-	tr.controls = append(tr.controls, fresh)
-	tr.must("control", "replace", fmt.Sprint(blankID), "4", fresh.name, fresh.peer, "--wait=30s")
+	replacement := tr.newControl(4, 0)
+	replacement.start()
+	tr.controls = append(tr.controls, replacement)
+	tr.mustRun("control", "replace", fmt.Sprint(emptyDiskID), "4", replacement.name, replacement.peerAddr, "--wait=30s")
 	other.kill()
-	o.awaitChanges(3)
+	op.awaitChanges(3)
 	tr.awaitReady(tr.entries...)
-	o.check()
+	op.check()
 }
--- a/test/control_test.go
+++ b/test/control_test.go
@@ -15,7 +15,7 @@
 	tr.t.Helper()
 	var found *process
 	await(tr.t, "a leader", func() bool {
-		code, out, _ := tr.operate("status", "--output=json")
+		code, out, _ := tr.runCLI("status", "--output=json")
 		if code != cli.ExitOK {
 			return false
 		}
@@ -25,10 +25,10 @@
 				Leader   bool   `json:"leader"`
 			} `json:"control"`
 		}
-		tr.decode(out, &st)
+		tr.decodeJSON(out, &st)
 		for _, m := range st.Group {
 			for _, p := range tr.controls {
-				if m.Leader && m.PeerAddr == p.peer {
+				if m.Leader && m.PeerAddr == p.peerAddr {
 					found = p
 				}
 			}
@@ -40,13 +40,13 @@
 
 // requestLease requests a lease from one control VM as a daemon does, directly rather
 // than through the test's network.
-func syncWith(t *testing.T, p *process, name string) (*wire.SyncReply, error) {
+func requestLease(t *testing.T, p *process, name string) (*wire.SyncReply, error) {
 	t.Helper()
 	pool := peer.NewPool(nil)
 	defer pool.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	conn, err := pool.Conn(ctx, p.bound)
+	conn, err := pool.Conn(ctx, p.peerListenAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -58,14 +58,14 @@
 
 // checkNoStaleLease fails the test if former, a control VM that is no longer the leader,
 // grants a lease at a version older than accepted.
-func checkDeposed(t *testing.T, old *process, accepted uint64) {
+func checkNoStaleLease(t *testing.T, former *process, accepted uint64) {
 	t.Helper()
-	reply, err := syncWith(t, old, "probe")
+	reply, err := requestLease(t, former, "probe")
 	if err != nil {
 		return
 	}
 	if reply.Granted && reply.ConfigVersion < accepted {
-		t.Errorf("former leader %s granted a lease at version %d after version %d was accepted", old.name, reply.ConfigVersion, accepted)
+		t.Errorf("former leader %s granted a lease at version %d after version %d was accepted", former.name, reply.ConfigVersion, accepted)
 	}
 }
 
@@ -75,25 +75,25 @@
 // VM restarts with its disk and when the entry VMs are restarted.
 func TestLeaderKilled(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 3, entries: 2})
-	watch := tr.watchVersions()
-	o := tr.startOperator()
-	o.awaitChanges(3)
+	tr := startTier(t, tierConfig{controls: 3, entries: 2})
+	checker := tr.startVersionChecker()
+	op := tr.startOperator()
+	op.awaitChanges(3)
 	for range 2 {
-		old := tr.leader()
-		old.kill()
-		o.awaitChanges(3)
-		old.start()
-		o.awaitChanges(3)
+		former := tr.leader()
+		former.kill()
+		op.awaitChanges(3)
+		former.start()
+		op.awaitChanges(3)
 	}
 	for _, p := range tr.entries {
 		p.kill()
 		p.start()
 		tr.awaitReady(p)
-		o.awaitChanges(2)
+		op.awaitChanges(2)
 	}
-	watch.end()
-	o.check()
+	checker.shutdown()
+	op.check()
 }
 
 // TestLeaderPausedBeyondLease guards against a former leader that acts on stale state.
@@ -101,40 +101,40 @@
 // accept changes. When it resumes, the former leader still assumes for a moment that it
 // leads. It must grant no lease at its old version and accept no change, and no entry VM
 // may answer under its older configuration.
-func TestLeaderPausedPastItsLease(t *testing.T) {
+func TestLeaderPausedBeyondLease(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 3, entries: 2})
-	watch := tr.watchVersions()
-	o := tr.startOperator()
-	o.awaitChanges(3)
+	tr := startTier(t, tierConfig{controls: 3, entries: 2})
+	checker := tr.startVersionChecker()
+	op := tr.startOperator()
+	op.awaitChanges(3)
 	for range 2 {
-		old := tr.leader()
-		old.pause()
-		o.awaitChanges(4)
-		accepted := tr.versionOf(tr.leader())
-		held := make(chan struct{})
+		former := tr.leader()
+		former.pause()
+		op.awaitChanges(4)
+		accepted := tr.configVersionAt(tr.leader())
+		checked := make(chan struct{})
 		go func() { // the request waits in the socket of the paused VM, which reads it when it resumes
-			defer close(held)
-			checkDeposed(t, old, accepted)
+			defer close(checked)
+			checkNoStaleLease(t, former, accepted)
 		}()
 		time.Sleep(100 * time.Millisecond)
-		old.resume()
-		<-held
+		former.resume()
+		<-checked
 		for range 8 {
-			checkDeposed(t, old, accepted)
+			checkNoStaleLease(t, former, accepted)
 		}
-		o.awaitChanges(3)
+		op.awaitChanges(3)
 	}
-	watch.end()
-	o.check()
+	checker.shutdown()
+	op.check()
 }
 
 // configVersionAt returns the configuration version at which p grants leases.
-func (tr *tier) versionOf(p *process) uint64 {
+func (tr *tier) configVersionAt(p *process) uint64 {
 	tr.t.Helper()
 	var version uint64
 	await(tr.t, p.name+" to report its configuration version", func() bool {
-		reply, err := syncWith(tr.t, p, "probe")
+		reply, err := requestLease(tr.t, p, "probe")
 		if err != nil || reply.Redirect != "" {
 			return false
 		}
@@ -152,28 +152,28 @@
 // changes must be accepted again.
 func TestLeaderCutOffSilently(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		deaf, mute bool
+		name              string
+		inbound, outbound bool
 	}{{"both ways", true, true}, {"deaf", true, false}, {"mute", false, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			tr := startTier(t, shape{controls: 3, entries: 2, network: true})
-			watch := tr.watchVersions()
-			o := tr.startOperator()
-			o.awaitChanges(3)
-			old := tr.leader()
-			tr.network.cut(old, c.deaf, c.mute)
-			o.awaitChanges(4)
-			accepted := tr.versionOf(tr.leader())
+			tr := startTier(t, tierConfig{controls: 3, entries: 2, useNetwork: true})
+			checker := tr.startVersionChecker()
+			op := tr.startOperator()
+			op.awaitChanges(3)
+			former := tr.leader()
+			tr.network.hold(former, c.inbound, c.outbound)
+			op.awaitChanges(4)
+			accepted := tr.configVersionAt(tr.leader())
 			for range 8 {
-				checkDeposed(t, old, accepted)
+				checkNoStaleLease(t, former, accepted)
 			}
-			o.awaitChanges(3)
+			op.awaitChanges(3)
 			tr.awaitReady(tr.entries...)
-			tr.network.heal(old)
-			o.awaitChanges(3)
-			watch.end()
-			o.check()
+			tr.network.release(former)
+			op.awaitChanges(3)
+			checker.shutdown()
+			op.check()
 		})
 	}
 }
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -8,13 +8,13 @@
 )
 
 // steadyLoad returns a load of about a third of the capacity of the desk's leaves.
-func steady() load.Config {
-	return load.Config{Paths: []string{desk, ledger}, Rate: 60, Deadline: 900 * time.Millisecond}
+func steadyLoad() load.Config {
+	return load.Config{Paths: []string{deskPath, ledgerPath}, Rate: 60, Deadline: 900 * time.Millisecond}
 }
 
 // checkLoadResult fails the test if there were wrong answers, or at-most-once requests
 // that ran more than once.
-func checkTrue(t *testing.T, tr *tier, r *load.Result) {
+func checkLoadResult(t *testing.T, tr *tier, r *load.Result) {
 	t.Helper()
 	if r.Check.Bad() || r.Errors > 0 {
 		t.Errorf("wrong answers: %+v; %d unreadable", r.Check, r.Errors)
@@ -32,15 +32,15 @@
 
 // awaitRemoved waits until no other entry VM lists the daemon and its shares have been
 // handed over.
-func (tr *tier) awaitLeft(gone *process) {
+func (tr *tier) awaitRemoved(removed *process) {
 	tr.t.Helper()
 	for _, p := range tr.entries {
-		if p == gone || p.cmd == nil {
+		if p == removed || p.cmd == nil {
 			continue
 		}
-		await(tr.t, p.name+" to learn that "+gone.name+" was removed", func() bool {
+		await(tr.t, p.name+" to learn that "+removed.name+" was removed", func() bool {
 			s, ok := p.status()
-			return ok && s.PendingEpoch == 0 && !tr.listed(p, gone.name)
+			return ok && s.PendingEpoch == 0 && !tr.listsVM(p, removed.name)
 		})
 	}
 }
@@ -52,18 +52,18 @@
 // reported. Coverage must be full again after the handover.
 func TestHomeKilledUnderLoad(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 4})
-	tr.slow("", 20*time.Millisecond)
-	load := tr.startTraffic(steady())
-	homes, _ := tr.homesOf(desk + "/search-1")
+	tr := startTier(t, tierConfig{controls: 1, entries: 4})
+	tr.setLatency("", 20*time.Millisecond)
+	running := tr.startLoad(steadyLoad())
+	homes, _ := tr.homesOf(deskPath + "/search-1")
 	homes[0].kill()
-	tr.awaitLeft(homes[0])
-	tr.awaitWhole()
+	tr.awaitRemoved(homes[0])
+	tr.awaitFullCoverage()
 	homes[0].start()
 	tr.awaitReady(homes[0])
-	tr.awaitWhole()
-	checkTrue(t, tr, load.stop(t))
-	tr.checkSlots()
+	tr.awaitFullCoverage()
+	checkLoadResult(t, tr, running.stop(t))
+	tr.checkLeafLimits()
 }
 
 // TestHomePausedBeyondLease guards against a home that sends on a share it has lost. The
@@ -71,21 +71,21 @@
 // its queues hold requests and its timers all fire at once. It must check the lease right
 // before each write, on a clock that includes the pause, so that no leaf ever has more
 // requests in flight than slots. It must rejoin without intervention.
-func TestHomePausedPastItsLease(t *testing.T) {
+func TestHomePausedBeyondLease(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 4})
-	tr.slow("", 20*time.Millisecond)
-	load := tr.startTraffic(steady())
-	homes, _ := tr.homesOf(desk + "/search-1")
+	tr := startTier(t, tierConfig{controls: 1, entries: 4})
+	tr.setLatency("", 20*time.Millisecond)
+	running := tr.startLoad(steadyLoad())
+	homes, _ := tr.homesOf(deskPath + "/search-1")
 	for range 2 {
 		homes[0].pause()
-		tr.awaitLeft(homes[0])
+		tr.awaitRemoved(homes[0])
 		homes[0].resume()
 		tr.awaitReady(homes[0])
-		tr.awaitWhole()
+		tr.awaitFullCoverage()
 	}
-	checkTrue(t, tr, load.stop(t))
-	tr.checkSlots()
+	checkLoadResult(t, tr, running.stop(t))
+	tr.checkLeafLimits()
 }
 
 // TestRollingRestart guards against failed or duplicate requests during an upgrade. All
@@ -94,21 +94,21 @@
 // the last list that contains it has expired, and exit without cutting off requests.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 4})
-	cfg := steady()
+	tr := startTier(t, tierConfig{controls: 1, entries: 4})
+	cfg := steadyLoad()
 	cfg.NotRepeatable, cfg.Resend = 0, 0
-	load := tr.startTraffic(cfg)
-	once := cfg
-	once.Paths, once.Rate, once.NotRepeatable, once.Resend = []string{ledger}, 20, 1, 0.5
-	charges := tr.startTraffic(once)
+	queries := tr.startLoad(cfg)
+	chargeConfig := cfg
+	chargeConfig.Paths, chargeConfig.Rate, chargeConfig.NotRepeatable, chargeConfig.Resend = []string{ledgerPath}, 20, 1, 0.5
+	charges := tr.startLoad(chargeConfig)
 	for _, p := range tr.entries {
 		p.stop()
 		p.start()
 		tr.awaitReady(p)
 	}
-	for _, tf := range []*traffic{load, charges} {
-		r := tf.stop(t)
-		checkTrue(t, tr, r)
+	for _, run := range []*loadRun{queries, charges} {
+		r := run.stop(t)
+		checkLoadResult(t, tr, r)
 		if bad := r.Refused + r.InDoubt + r.Failed; bad > 0 {
 			t.Errorf("%d requests not answered: %d refused, %d with unknown outcome, %d without a reply; reasons %v, last error %q",
 				bad, r.Refused, r.InDoubt, r.Failed, r.Reasons, r.LastError)
@@ -117,5 +117,5 @@
 			t.Errorf("%d of %d answers without full coverage: %v", r.Answered-r.Whole, r.Answered, r.Missing)
 		}
 	}
-	tr.checkSlots()
+	tr.checkLeafLimits()
 }
--- a/test/index_test.go
+++ b/test/index_test.go
@@ -11,17 +11,17 @@
 
 // rollIndexVersion publishes an index version on one leaf after another and then retires
 // the old version on each, so that every shard is always held by some leaf.
-func (tr *tier) roll(version uint64, shards uint32) {
+func (tr *tier) rollIndexVersion(version uint64, shards uint32) {
 	tr.t.Helper()
-	first, second := "-a", "-b"
-	for _, suffix := range []string{first, second, "-c"} {
+	firstSuffix, secondSuffix := "-a", "-b"
+	for _, suffix := range []string{firstSuffix, secondSuffix, "-c"} {
 		for _, l := range tr.fleet.Leaves() {
 			service := l.Stats(false).Services[0]
 			if !strings.HasSuffix(l.Name(), suffix) {
 				continue
 			}
 			i, n := int(suffix[1]-'a'), 2
-			if service == ledger {
+			if service == ledgerPath {
 				n = 3
 			}
 			l.Publish(contract.LeafIndex{Service: service, Version: version, Shards: shards, Held: standin.Layout(i, n, shards)})
@@ -42,14 +42,14 @@
 // must stay full.
 func TestIndexChangeAndRepartition(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 3})
-	tr.slow("", 10*time.Millisecond)
-	tf := tr.startTraffic(steady())
+	tr := startTier(t, tierConfig{controls: 1, entries: 3})
+	tr.setLatency("", 10*time.Millisecond)
+	running := tr.startLoad(steadyLoad())
 	for i, shards := range []uint32{5, 2, 4} {
-		tr.roll(uint64(i+2), shards)
+		tr.rollIndexVersion(uint64(i+2), shards)
 	}
 	await(t, "answers at the last index version", func() bool {
-		r := tr.query(desk)
+		r := tr.newQuery(deskPath)
 		got := tr.send(tr.entries[0], r)
 		if got.answer == nil {
 			return false
@@ -60,51 +60,51 @@
 				return false
 			}
 		}
-		return whole(got.answer)
+		return fullCoverage(got.answer)
 	})
-	r := tf.stop(t)
-	checkTrue(t, tr, r)
+	r := running.stop(t)
+	checkLoadResult(t, tr, r)
 	if r.Whole != r.Answered {
 		t.Errorf("%d of %d answers without full coverage: %v", r.Answered-r.Whole, r.Answered, r.Missing)
 	}
-	tr.checkSlots()
+	tr.checkLeafLimits()
 }
 
 // TestOneLeafOfEachServiceLost guards against wrong answers and lasting loss of coverage
 // when one leaf of each service is lost at once under load and later restarts at the same
 // address. Until the loss is detected answers may miss shards and must report them; after
 // that the other leaves must answer for all shards.
-func TestReplicaLost(t *testing.T) {
+func TestOneLeafOfEachServiceLost(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 3})
-	tr.slow("", 10*time.Millisecond)
-	cfg := steady()
+	tr := startTier(t, tierConfig{controls: 1, entries: 3})
+	tr.setLatency("", 10*time.Millisecond)
+	cfg := steadyLoad()
 	cfg.Rate = 30
-	tf := tr.startTraffic(cfg)
-	var lost, left []*standin.Leaf
+	running := tr.startLoad(cfg)
+	var stopped, remaining []*standin.Leaf
 	for _, l := range tr.fleet.Leaves() {
 		if strings.HasSuffix(l.Name(), "-a") {
-			lost = append(lost, l)
+			stopped = append(stopped, l)
 		} else {
-			left = append(left, l)
+			remaining = append(remaining, l)
 		}
 	}
-	awaitReplies(t, lost, 20)
-	for _, l := range lost {
+	awaitReplies(t, stopped, 20)
+	for _, l := range stopped {
 		if err := l.Down(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	awaitReplies(t, left, 200)
-	tr.awaitWhole()
-	for _, l := range lost {
+	awaitReplies(t, remaining, 200)
+	tr.awaitFullCoverage()
+	for _, l := range stopped {
 		if err := l.Up(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	awaitReplies(t, lost, 20)
-	checkTrue(t, tr, tf.stop(t))
-	tr.checkSlots()
+	awaitReplies(t, stopped, 20)
+	checkLoadResult(t, tr, running.stop(t))
+	tr.checkLeafLimits()
 }
 
 // awaitReplies waits until the leaves have sent n more replies in total.
@@ -124,18 +124,18 @@
 // of one of its services are lost. The answer must report the shards of that service as
 // missing and contain the hits of the others. A charge to a service without leaves must
 // not be reported as run.
-func TestAllReplicasLost(t *testing.T) {
+func TestAllLeavesOfServiceLost(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 2})
+	tr := startTier(t, tierConfig{controls: 1, entries: 2})
 	for _, l := range tr.fleet.Leaves() {
-		if service := l.Stats(false).Services[0]; service == desk+"/search-1" || service == ledger {
+		if service := l.Stats(false).Services[0]; service == deskPath+"/search-1" || service == ledgerPath {
 			if err := l.Down(); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	for _, p := range tr.entries {
-		r := tr.query(desk)
+		r := tr.newQuery(deskPath)
 		got := tr.send(p, r)
 		if got.answer == nil {
 			t.Fatalf("no answer with the hits of the other services: %v", got)
@@ -146,11 +146,11 @@
 			t.Errorf("%d answered, missing %v; want full coverage of two services and all 3 shards of the lost one missing", c.Answered, c.Missing)
 		}
 		for _, m := range c.Missing {
-			if m.Service != desk+"/search-1" {
+			if m.Service != deskPath+"/search-1" {
 				t.Errorf("unexpected missing shard: %v", m)
 			}
 		}
-		charge := tr.charge(p)
+		charge := tr.newCharge(p)
 		if got := tr.send(p, charge); got.verdict() == contract.Ran {
 			t.Errorf("charge to a service without leaves: %v", got)
 		}
--- a/test/leaf_test.go
+++ b/test/leaf_test.go
@@ -13,19 +13,19 @@
 )
 
 // runCount returns how often a shard of a service ran r, summed over all leaves.
-func (tr *tier) ranAt(r *contract.Request, service string, shard uint32) int {
-	return tr.fleet.Runs().Count(standin.RunKey{Request: keyOf(r), Service: service, Shard: shard})
+func (tr *tier) runCount(r *contract.Request, service string, shard uint32) int {
+	return tr.fleet.Runs().Count(standin.RunKey{Request: runKeyOf(r), Service: service, Shard: shard})
 }
 
 // checkNotRunVerdicts fails the test if the reply says not_run of a missing shard, or
 // of the whole request, that a leaf has run.
-func checkMissing(t *testing.T, tr *tier, r *contract.Request, got *reply) {
+func checkNotRunVerdicts(t *testing.T, tr *tier, r *contract.Request, got *reply) {
 	t.Helper()
 	if got.answer != nil {
 		checkAnswer(t, r, got.answer)
 		for _, m := range got.answer.Coverage.Missing {
-			if n := tr.ranAt(r, m.Service, m.Shard); n > 0 && m.Verdict == contract.NotRun {
-				t.Errorf("%s: reported %+v, but the shard ran it %d times", keyOf(r), m, n)
+			if n := tr.runCount(r, m.Service, m.Shard); n > 0 && m.Verdict == contract.NotRun {
+				t.Errorf("%s: reported %+v, but the shard ran it %d times", runKeyOf(r), m, n)
 			}
 		}
 	}
@@ -35,8 +35,8 @@
 	for _, l := range tr.fleet.Leaves() {
 		service := l.Stats(false).Services[0]
 		for shard := range uint32(8) {
-			if n := tr.ranAt(r, service, shard); n > 0 {
-				t.Fatalf("%s: reported not_run, but %s ran it on shard %d: %v", keyOf(r), service, shard, got)
+			if n := tr.runCount(r, service, shard); n > 0 {
+				t.Fatalf("%s: reported not_run, but %s ran it on shard %d: %v", runKeyOf(r), service, shard, got)
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 // again after the fault ends.
 func TestLeafFaults(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 2})
+	tr := startTier(t, tierConfig{controls: 1, entries: 2})
 	zero := 0
 	faults := []struct {
 		name string
@@ -72,43 +72,43 @@
 			for _, l := range tr.fleet.Leaves() {
 				if strings.HasSuffix(l.Name(), suffix) {
 					healthy[l] = l.Behavior()
-					tr.behaveLeaf(l, f.set)
+					tr.updateLeafBehavior(l, f.set)
 				}
 			}
-			tr.probeFault(f.name + " on " + suffix)
+			tr.sendDuringFault(f.name + " on " + suffix)
 		}
 		for l, b := range healthy {
 			if err := l.SetBehavior(b); err != nil {
 				t.Fatal(err)
 			}
 		}
-		tr.awaitWhole()
+		tr.awaitFullCoverage()
 	}
-	tr.checkSlots()
+	tr.checkLeafLimits()
 }
 
 // sendDuringFault sends requests of each kind concurrently through every entry VM.
-func (tr *tier) probeFault(what string) {
+func (tr *tier) sendDuringFault(fault string) {
 	tr.t.Helper()
 	const each = 2
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	for _, p := range tr.entries {
 		for range each {
-			charge := tr.charge(p)
-			for _, r := range []*contract.Request{tr.query(desk), tr.query(ledger), charge} {
-				all.Go(func() {
+			charge := tr.newCharge(p)
+			for _, r := range []*contract.Request{tr.newQuery(deskPath), tr.newQuery(ledgerPath), charge} {
+				requests.Go(func() {
 					got := tr.send(p, r)
 					if got.err != nil {
-						tr.t.Errorf("%s: %v", what, got)
+						tr.t.Errorf("%s: %v", fault, got)
 					}
-					checkMissing(tr.t, tr, r, got)
+					checkNotRunVerdicts(tr.t, tr, r, got)
 				})
 			}
 		}
 	}
-	all.Wait()
+	requests.Wait()
 	if n := tr.fleet.Runs().Stats().Doubled; n > 0 {
-		tr.t.Errorf("%s: %d charges ran more than once", what, n)
+		tr.t.Errorf("%s: %d charges ran more than once", fault, n)
 	}
 }
 
@@ -119,24 +119,24 @@
 func TestOverload(t *testing.T) {
 	t.Parallel()
 	const run, requests, gap = 20 * time.Millisecond, 400, 8 * time.Millisecond
-	tr := startTier(t, shape{controls: 1, entries: 3})
-	tr.slow("", run)
+	tr := startTier(t, tierConfig{controls: 1, entries: 3})
+	tr.setLatency("", run)
 	type sent struct {
 		request *contract.Request
 		reply   *reply
 	}
 	results := make([]sent, requests)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range requests {
-		r := tr.query(desk)
-		all.Go(func() { results[i] = sent{r, tr.send(tr.entries[i%len(tr.entries)], r)} })
+		r := tr.newQuery(deskPath)
+		wg.Go(func() { results[i] = sent{r, tr.send(tr.entries[i%len(tr.entries)], r)} })
 		time.Sleep(gap)
 	}
-	all.Wait()
+	wg.Wait()
 	var refusals []time.Duration
 	answered := 0
 	for _, s := range results {
-		checkMissing(t, tr, s.request, s.reply)
+		checkNotRunVerdicts(t, tr, s.request, s.reply)
 		switch {
 		case s.reply.answer != nil:
 			answered++
@@ -156,5 +156,5 @@
 	if n := len(refusals); n > 0 {
 		t.Logf("%d answered, %d refused; time to refusal: median %v, maximum %v", answered, n, refusals[n/2], refusals[n-1])
 	}
-	tr.checkSlots()
+	tr.checkLeafLimits()
 }
--- a/test/link_test.go
+++ b/test/link_test.go
@@ -13,19 +13,19 @@
 // network forwards the connections between daemons. It can hold back the inbound or
 // outbound data of a daemon while its connections stay open.
 type network struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	deaf    map[*process]bool // data sent to the daemon is held back
-	mute    map[*process]bool // data sent by the daemon is held back
-	members []*process
-	conns   map[net.Conn]bool
-	lis     []net.Listener
-	closed  bool
-	done    sync.WaitGroup
+	mu           sync.Mutex
+	changed      *sync.Cond
+	inboundHeld  map[*process]bool // data sent to the daemon is held back
+	outboundHeld map[*process]bool // data sent by the daemon is held back
+	members      []*process
+	conns        map[net.Conn]bool
+	lis          []net.Listener
+	closed       bool
+	done         sync.WaitGroup
 }
 
 func newNetwork(t *testing.T) *network {
-	n := &network{deaf: map[*process]bool{}, mute: map[*process]bool{}, conns: map[net.Conn]bool{}}
+	n := &network{inboundHeld: map[*process]bool{}, outboundHeld: map[*process]bool{}, conns: map[net.Conn]bool{}}
 	n.changed = sync.NewCond(&n.mu)
 	t.Cleanup(n.close)
 	return n
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.peer = lis.Addr().String()
+	p.peerAddr = lis.Addr().String()
 	n.mu.Lock()
 	n.members = append(n.members, p)
 	n.lis = append(n.lis, lis)
@@ -48,14 +48,14 @@
 
 // hold sets whether the inbound and the outbound data of p is held back. release
 // delivers held data.
-func (n *network) cut(p *process, deaf, mute bool) {
+func (n *network) hold(p *process, inbound, outbound bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.deaf[p], n.mute[p] = deaf, mute
+	n.inboundHeld[p], n.outboundHeld[p] = inbound, outbound
 	n.changed.Broadcast()
 }
 
-func (n *network) heal(p *process) { n.cut(p, false, false) }
+func (n *network) release(p *process) { n.hold(p, false, false) }
 
 func (n *network) accept(lis net.Listener, to *process) {
 	for {
@@ -71,16 +71,16 @@
 	if !n.track(in) {
 		return
 	}
-	defer n.drop(in)
-	from := n.owner(in.RemoteAddr().String())
-	if !n.pass(from, to) {
+	defer n.closeConn(in)
+	from := n.processAt(in.RemoteAddr().String())
+	if !n.awaitReleased(from, to) {
 		return
 	}
-	out, err := net.Dial("tcp", to.bound)
+	out, err := net.Dial("tcp", to.peerListenAddr)
 	if err != nil || !n.track(out) {
 		return
 	}
-	defer n.drop(out)
+	defer n.closeConn(out)
 	var both sync.WaitGroup
 	both.Go(func() { n.copy(out, in, from, to) })
 	both.Go(func() { n.copy(in, out, to, from) })
@@ -94,7 +94,7 @@
 	for {
 		k, err := src.Read(buf)
 		if k > 0 {
-			if !n.pass(source, sink) {
+			if !n.awaitReleased(source, sink) {
 				return
 			}
 			if _, err := dst.Write(buf[:k]); err != nil {
@@ -110,10 +110,10 @@
 
 // awaitReleased waits until data may pass from source to sink. It returns false if the
 // network was closed.
-func (n *network) pass(source, sink *process) bool {
+func (n *network) awaitReleased(source, sink *process) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for !n.closed && (n.mute[source] || n.deaf[sink]) {
+	for !n.closed && (n.outboundHeld[source] || n.inboundHeld[sink]) {
 		n.changed.Wait()
 	}
 	return !n.closed
@@ -130,7 +130,7 @@
 	return true
 }
 
-func (n *network) drop(c net.Conn) {
+func (n *network) closeConn(c net.Conn) {
 	c.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -153,7 +153,7 @@
 
 // processAt returns the daemon that owns the socket with local address addr, or nil for
 // a caller or operator.
-func (n *network) owner(addr string) *process {
+func (n *network) processAt(addr string) *process {
 	inode := socketInode(addr)
 	if inode == "" {
 		return nil
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -14,13 +14,13 @@
 )
 
 // daemonPath is the path of the pearmoord binary, built once for all tests.
-var pearmoord string
+var daemonPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "pearmoor-test-")
 	if err == nil {
-		pearmoord = filepath.Join(dir, "pearmoord")
-		err = build(pearmoord)
+		daemonPath = filepath.Join(dir, "pearmoord")
+		err = buildDaemon(daemonPath)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "test: building pearmoord failed:", err)
@@ -36,7 +36,7 @@
 }
 
 // buildDaemon builds pearmoord with the default build options, as for a release.
-func build(out string) error {
+func buildDaemon(out string) error {
 	cmd := exec.Command("go", "build", "-o", out, "pearmoor/cmd/pearmoord")
 	cmd.Stdout, cmd.Stderr = os.Stderr, os.Stderr
 	return cmd.Run()
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -10,9 +10,9 @@
 
 // checkRunsAtMostOnce returns the total number of runs of r, and fails the test for each
 // shard that ran it more than once.
-func checkOnce(t *testing.T, tr *tier, r *contract.Request) (ran int) {
+func checkRunsAtMostOnce(t *testing.T, tr *tier, r *contract.Request) (ran int) {
 	t.Helper()
-	for shard, n := range tr.runsOf(r) {
+	for shard, n := range tr.runsPerShard(r) {
 		ran += n
 		if n > 1 {
 			t.Errorf("shard %d ran %s %d times", shard, r.Key, n)
@@ -23,7 +23,7 @@
 
 // checkNotRunVerdict fails the test if the reply says not_run although a leaf ran the
 // request.
-func checkVerdict(t *testing.T, r *contract.Request, got *reply, ran int) {
+func checkNotRunVerdict(t *testing.T, r *contract.Request, got *reply, ran int) {
 	t.Helper()
 	if ran > 0 && got.verdict() == contract.NotRun {
 		t.Errorf("%s: reported not_run, but leaves ran it %d times: %v", r.Key, ran, got)
@@ -36,22 +36,22 @@
 // lease of the killed daemon, and after its restart at the same address. Each resend must
 // return key_in_doubt and run nothing, since only the process that issued the session can
 // know that a key is new.
-func TestOwnerKilledWhileItRuns(t *testing.T) {
+func TestSessionOwnerKilledDuringRequest(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 3})
-	tr.slow(ledger, 400*time.Millisecond)
+	tr := startTier(t, tierConfig{controls: 1, entries: 3})
+	tr.setLatency(ledgerPath, 400*time.Millisecond)
 	owner, other := tr.entries[0], tr.entries[1]
-	r := tr.charge(owner)
+	r := tr.newCharge(owner)
 	first := tr.sendAsync(owner, r)
-	await(t, "the leaves to run the charge", func() bool { return checkOnce(t, tr, r) > 0 })
+	await(t, "the leaves to run the charge", func() bool { return checkRunsAtMostOnce(t, tr, r) > 0 })
 	owner.kill()
 	lost := <-first
-	checkVerdict(t, r, lost, 1)
+	checkNotRunVerdict(t, r, lost, 1)
 
 	resend := func(to *process, when string) {
 		got := tr.send(to, r)
-		ran := checkOnce(t, tr, r)
-		checkVerdict(t, r, got, ran)
+		ran := checkRunsAtMostOnce(t, tr, r)
+		checkNotRunVerdict(t, r, got, ran)
 		if got.failure == nil || got.failure.Reason != contract.ReasonKeyInDoubt {
 			t.Errorf("resent %s: want key_in_doubt, got %v", when, got)
 		}
@@ -59,7 +59,7 @@
 	resend(other, "immediately")
 	await(t, "the killed daemon to be removed from the membership", func() bool {
 		s, ok := other.status()
-		return ok && s.PendingEpoch == 0 && s.SettledEpoch > 0 && !tr.listed(other, owner.name)
+		return ok && s.PendingEpoch == 0 && s.SettledEpoch > 0 && !tr.listsVM(other, owner.name)
 	})
 	resend(other, "after lease expiry")
 	owner.start()
@@ -74,18 +74,18 @@
 // return the first outcome, and no leaf may run the request again.
 func TestReplyLost(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 3})
-	tr.slow(ledger, 300*time.Millisecond)
+	tr := startTier(t, tierConfig{controls: 1, entries: 3})
+	tr.setLatency(ledgerPath, 300*time.Millisecond)
 	owner := tr.entries[0]
-	r := tr.charge(owner)
+	r := tr.newCharge(owner)
 	first := tr.sendAsync(owner, r)
-	await(t, "the leaves to run the charge", func() bool { return checkOnce(t, tr, r) > 0 })
+	await(t, "the leaves to run the charge", func() bool { return checkRunsAtMostOnce(t, tr, r) > 0 })
 	for _, p := range tr.entries {
 		early := tr.send(p, r)
-		checkVerdict(t, r, early, 1)
+		checkNotRunVerdict(t, r, early, 1)
 	}
 	got := <-first
-	if !whole(got.answer) {
+	if !fullCoverage(got.answer) {
 		t.Fatalf("the charge was not answered: %v", got)
 	}
 	for _, p := range tr.entries {
@@ -94,8 +94,8 @@
 			t.Errorf("resent through %s: want the first outcome, got %v", p.name, again)
 		}
 	}
-	if ran := checkOnce(t, tr, r); ran != len(tr.runsOf(r)) {
-		t.Errorf("the charge ran %d times over %d shards", ran, len(tr.runsOf(r)))
+	if ran := checkRunsAtMostOnce(t, tr, r); ran != len(tr.runsPerShard(r)) {
+		t.Errorf("the charge ran %d times over %d shards", ran, len(tr.runsPerShard(r)))
 	}
 }
 
@@ -104,18 +104,18 @@
 // caller's resend may run the charge again.
 func TestLeafResetsAfterRunning(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 2})
-	tr.behave(ledger, func(b *standin.Behavior) { b.ResetShare = 1 })
+	tr := startTier(t, tierConfig{controls: 1, entries: 2})
+	tr.updateBehavior(ledgerPath, func(b *standin.Behavior) { b.ResetShare = 1 })
 	for _, p := range tr.entries {
-		r := tr.charge(p)
+		r := tr.newCharge(p)
 		for _, to := range []*process{p, tr.entries[0], tr.entries[1]} {
 			got := tr.send(to, r)
-			ran := checkOnce(t, tr, r)
+			ran := checkRunsAtMostOnce(t, tr, r)
 			if ran == 0 {
 				t.Fatalf("want a run of the charge by some leaf; got none: %v", got)
 			}
-			checkVerdict(t, r, got, ran)
-			if whole(got.answer) {
+			checkNotRunVerdict(t, r, got, ran)
+			if fullCoverage(got.answer) {
 				t.Errorf("full answer although the leaves sent no reply: %v", got)
 			}
 		}
@@ -126,18 +126,18 @@
 // is not a home of the ledger, so it forwards the charge to a home, which is killed while
 // leaves run it. The verdict must not be not_run, and neither the owner nor a resend may
 // run the charge again.
-func TestHomeKilledWhileItRuns(t *testing.T) {
+func TestHomeKilledDuringRequest(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 4})
-	tr.slow(ledger, 400*time.Millisecond)
-	homes, others := tr.homesOf(ledger)
+	tr := startTier(t, tierConfig{controls: 1, entries: 4})
+	tr.setLatency(ledgerPath, 400*time.Millisecond)
+	homes, others := tr.homesOf(ledgerPath)
 	if len(others) == 0 || len(homes) == 0 {
 		t.Fatalf("%d homes and %d others", len(homes), len(others))
 	}
 	owner := others[0]
-	r := tr.charge(owner)
+	r := tr.newCharge(owner)
 	first := tr.sendAsync(owner, r)
-	await(t, "the leaves to run the charge", func() bool { return checkOnce(t, tr, r) > 0 })
+	await(t, "the leaves to run the charge", func() bool { return checkRunsAtMostOnce(t, tr, r) > 0 })
 	serving := homes[0]
 	for _, h := range homes {
 		if s, ok := h.status(); ok && s.InFlight > 0 {
@@ -146,9 +146,9 @@
 	}
 	serving.kill()
 	got := <-first
-	checkVerdict(t, r, got, checkOnce(t, tr, r))
+	checkNotRunVerdict(t, r, got, checkRunsAtMostOnce(t, tr, r))
 	for range 2 {
 		again := tr.send(owner, r)
-		checkVerdict(t, r, again, checkOnce(t, tr, r))
+		checkNotRunVerdict(t, r, again, checkRunsAtMostOnce(t, tr, r))
 	}
 }
--- a/test/operator_test.go
+++ b/test/operator_test.go
@@ -29,27 +29,27 @@
 func (tr *tier) startOperator() *operator {
 	o := &operator{tr: tr, stop: make(chan struct{}), log: operatorLog{accepted: map[string]uint64{}}}
 	o.done.Go(o.run)
-	tr.t.Cleanup(o.end)
+	tr.t.Cleanup(o.shutdown)
 	return o
 }
 
 func (o *operator) run() {
 	for n := 1; ; n++ {
 		id := fmt.Sprintf("change-%d", n)
-		for !o.try(id, n) {
-			if o.stopped() {
+		for !o.attemptChange(id, n) {
+			if o.stopRequested() {
 				return // the outcome of the last change remains unknown
 			}
 		}
-		if o.stopped() {
+		if o.stopRequested() {
 			return
 		}
 	}
 }
 
 // attemptChange sends a change once and reports whether its outcome is known.
-func (o *operator) try(id string, n int) bool {
-	code, out, errOut := o.tr.operate("set", desk, fmt.Sprintf("--hedge-after=%dms", 20+n%500), "--change-id="+id,
+func (o *operator) attemptChange(id string, n int) bool {
+	code, out, errOut := o.tr.runCLI("set", deskPath, fmt.Sprintf("--hedge-after=%dms", 20+n%500), "--change-id="+id,
 		"--reason="+id, "--wait=0s", "--output=json", "--timeout=5s")
 	if code == cli.ExitUnknown || code == cli.ExitUnreachable {
 		return false
@@ -60,16 +60,16 @@
 		o.err = fmt.Errorf("change %s: exit %d: %s", id, code, errOut)
 		return true
 	}
-	var made struct {
+	var change struct {
 		Version uint64 `json:"version"`
 	}
-	o.tr.decode(out, &made)
-	o.log.accepted[id] = made.Version
+	o.tr.decodeJSON(out, &change)
+	o.log.accepted[id] = change.Version
 	o.log.order = append(o.log.order, id)
 	return true
 }
 
-func (o *operator) stopped() bool {
+func (o *operator) stopRequested() bool {
 	select {
 	case <-o.stop:
 		return true
@@ -93,7 +93,7 @@
 	await(o.tr.t, "further changes to be accepted", func() bool { return o.count() >= from+n })
 }
 
-func (o *operator) end() {
+func (o *operator) shutdown() {
 	o.mu.Lock()
 	select {
 	case <-o.stop:
@@ -109,27 +109,27 @@
 func (o *operator) check() {
 	t := o.tr.t
 	t.Helper()
-	o.end()
+	o.shutdown()
 	if o.err != nil {
 		t.Error(o.err)
 	}
-	var trail struct {
+	var audit struct {
 		Records []struct {
 			Version  uint64 `json:"version"`
 			ChangeID string `json:"change_id"`
 		} `json:"records"`
 	}
-	o.tr.decode(o.tr.must("audit", "--limit=100000", "--output=json"), &trail)
-	seen := map[string]uint64{}
-	for _, r := range trail.Records {
-		if seen[r.ChangeID] != 0 {
-			t.Errorf("change %s is in the audit trail at versions %d and %d", r.ChangeID, seen[r.ChangeID], r.Version)
+	o.tr.decodeJSON(o.tr.mustRun("audit", "--limit=100000", "--output=json"), &audit)
+	versions := map[string]uint64{}
+	for _, r := range audit.Records {
+		if versions[r.ChangeID] != 0 {
+			t.Errorf("change %s is in the audit trail at versions %d and %d", r.ChangeID, versions[r.ChangeID], r.Version)
 		}
-		seen[r.ChangeID] = r.Version
+		versions[r.ChangeID] = r.Version
 	}
 	for id, version := range o.log.accepted {
-		if seen[id] != version {
-			t.Errorf("change %s was accepted at version %d; the audit trail has it at %d", id, version, seen[id])
+		if versions[id] != version {
+			t.Errorf("change %s was accepted at version %d; the audit trail has it at %d", id, version, versions[id])
 		}
 	}
 	t.Logf("operator: %d changes accepted", len(o.log.order))
@@ -138,22 +138,22 @@
 // versionChecker queries the entry VMs continuously. It fails the test if one answers at a
 // configuration version older than one that was in force everywhere before the query, or
 // older than one that it has answered at before.
-type versionWatch struct {
+type versionChecker struct {
 	tr   *tier
 	stop chan struct{}
 	done sync.WaitGroup
 }
 
-func (tr *tier) watchVersions() *versionWatch {
-	w := &versionWatch{tr: tr, stop: make(chan struct{})}
+func (tr *tier) startVersionChecker() *versionChecker {
+	w := &versionChecker{tr: tr, stop: make(chan struct{})}
 	for _, p := range tr.entries {
 		w.done.Go(func() { w.run(p) })
 	}
-	tr.t.Cleanup(w.end)
+	tr.t.Cleanup(w.shutdown)
 	return w
 }
 
-func (w *versionWatch) run(p *process) {
+func (w *versionChecker) run(p *process) {
 	var newest, inForce uint64
 	for {
 		select {
@@ -166,22 +166,22 @@
 				inForce = max(inForce, s.InForce)
 			}
 		}
-		r := w.tr.send(p, w.tr.query(ledger))
+		r := w.tr.send(p, w.tr.newQuery(ledgerPath))
 		if r.answer == nil {
 			continue
 		}
-		got := r.answer.ConfigVersion
-		if got < inForce {
-			w.tr.t.Errorf("%s answered at configuration version %d after version %d was in force", p.name, got, inForce)
+		version := r.answer.ConfigVersion
+		if version < inForce {
+			w.tr.t.Errorf("%s answered at configuration version %d after version %d was in force", p.name, version, inForce)
 		}
-		if got < newest {
-			w.tr.t.Errorf("%s went back from configuration version %d to %d", p.name, newest, got)
+		if version < newest {
+			w.tr.t.Errorf("%s went back from configuration version %d to %d", p.name, newest, version)
 		}
-		newest = got
+		newest = version
 	}
 }
 
-func (w *versionWatch) end() {
+func (w *versionChecker) shutdown() {
 	select {
 	case <-w.stop:
 	default:
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -27,13 +27,13 @@
 }
 
 func rollingRestartWithStalls(t *testing.T, seed uint64) {
-	tr := startTier(t, shape{controls: 1, entries: 4})
-	cfg := steady()
+	tr := startTier(t, tierConfig{controls: 1, entries: 4})
+	cfg := steadyLoad()
 	cfg.NotRepeatable, cfg.Resend = 0, 0
-	load := tr.startTraffic(cfg)
+	running := tr.startLoad(cfg)
 	stop := make(chan struct{})
-	var stalls sync.WaitGroup
-	stalls.Go(func() {
+	var stallLoop sync.WaitGroup
+	stallLoop.Go(func() {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		for {
 			p := tr.entries[rng.IntN(len(tr.entries))]
@@ -54,12 +54,12 @@
 		tr.awaitReady(p)
 	}
 	close(stop)
-	stalls.Wait()
-	r := load.stop(t)
-	checkTrue(t, tr, r)
+	stallLoop.Wait()
+	r := running.stop(t)
+	checkLoadResult(t, tr, r)
 	if bad := r.Refused + r.InDoubt + r.Failed; bad > 0 {
 		t.Errorf("%d of %d requests not answered: %d refused, %d with unknown outcome, %d without a reply; reasons %v, last error %q",
 			bad, r.Answered+bad, r.Refused, r.InDoubt, r.Failed, r.Reasons, r.LastError)
 	}
-	tr.checkSlots()
+	tr.checkLeafLimits()
 }
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -20,66 +20,66 @@
 
 const (
 	// waitTimeout bounds every wait for an event. A passing test waits far less.
-	patience = 40 * time.Second
-	poll     = 20 * time.Millisecond
+	waitTimeout  = 40 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
 // await polls condition until it is true, and fails the test after waitTimeout. what
 // names the awaited event in the error.
-func await(t *testing.T, what string, done func() bool) {
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(poll) {
-		if done() {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("timed out after %v waiting for: %s", patience, what)
+	t.Fatalf("timed out after %v waiting for: %s", waitTimeout, what)
 }
 
 // hostCount counts the loopback hosts that newHost has returned. Each daemon has its
 // own host, so that its ports, picked by the kernel, are still free when it is
 // restarted: nothing else binds to that host, and outgoing connections come from
 // 127.0.0.1.
-var hosts atomic.Uint32
+var hostCount atomic.Uint32
 
 func newHost() string {
 	const first = 2
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", pid>>8&0xff, pid&0xff, first+hosts.Add(1)%250)
+	return fmt.Sprintf("127.%d.%d.%d", pid>>8&0xff, pid&0xff, first+hostCount.Add(1)%250)
 }
 
 // process is a daemon, which may be started several times.
 type process struct {
-	t      *testing.T
-	name   string
-	args   []string
-	dir    string
-	caller string // base URL for callers; empty on a control VM
-	peer   string // peer address that other daemons connect to
-	bound  string // peer address that it listens on; differs from peerAddr behind a network
-	oper   string
-	entry  string // host:port for callers; used by entry VMs only
-
-	log  *logBuffer
-	cmd  *exec.Cmd // nil while the process is not running
-	exit chan error
-	pid  atomic.Int64 // 0 while the process is not running
-	proc atomic.Pointer[os.Process]
-	runs int
+	t              *testing.T
+	name           string
+	args           []string
+	dir            string
+	callerURL      string // base URL for callers; empty on a control VM
+	peerAddr       string // peer address that other daemons connect to
+	peerListenAddr string // peer address that it listens on; differs from peerAddr behind a network
+	operatorAddr   string
+	callerAddr     string // host:port for callers; used by entry VMs only
+
+	log    *logBuffer
+	cmd    *exec.Cmd // nil while the process is not running
+	exited chan error
+	pid    atomic.Int64 // 0 while the process is not running
+	proc   atomic.Pointer[os.Process]
+	starts int
 }
 
 // start starts the daemon and waits until it serves on its ports.
 func (p *process) start() {
 	p.t.Helper()
 	p.launch()
-	p.serves()
+	p.awaitServing()
 }
 
 // launch starts the daemon without waiting for it.
 func (p *process) launch() {
 	p.t.Helper()
-	p.runs++
-	p.cmd = exec.Command(pearmoord, append([]string{"--ready-file=" + p.readyFile()}, p.args...)...)
+	p.starts++
+	p.cmd = exec.Command(daemonPath, append([]string{"--ready-file=" + p.readyFile()}, p.args...)...)
 	p.cmd.Env = append(os.Environ(), "PEARMOOR_PLAINTEXT_PEERS=true")
 	p.cmd.Stderr = p.log
 	if err := p.cmd.Start(); err != nil {
@@ -87,15 +87,15 @@
 	}
 	p.pid.Store(int64(p.cmd.Process.Pid))
 	p.proc.Store(p.cmd.Process)
-	p.exit = make(chan error, 1)
-	go func(cmd *exec.Cmd, exit chan<- error) { exit <- cmd.Wait() }(p.cmd, p.exit)
+	p.exited = make(chan error, 1)
+	go func(cmd *exec.Cmd, exit chan<- error) { exit <- cmd.Wait() }(p.cmd, p.exited)
 }
 
 func (p *process) readyFile() string {
-	return filepath.Join(p.dir, fmt.Sprintf("%s-%d.json", p.name, p.runs))
+	return filepath.Join(p.dir, fmt.Sprintf("%s-%d.json", p.name, p.starts))
 }
 
-func (p *process) serves() {
+func (p *process) awaitServing() {
 	p.t.Helper()
 	await(p.t, p.name+" to serve", func() bool {
 		_, err := os.Stat(p.readyFile())
@@ -114,11 +114,11 @@
 func (p *process) kill() {
 	p.t.Helper()
 	p.signal(os.Kill)
-	<-p.exit
-	p.down()
+	<-p.exited
+	p.markStopped()
 }
 
-func (p *process) down() {
+func (p *process) markStopped() {
 	p.cmd = nil
 	p.pid.Store(0)
 }
@@ -131,12 +131,12 @@
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
-	case err := <-p.exit:
-		p.down()
+	case err := <-p.exited:
+		p.markStopped()
 		if err != nil {
 			p.t.Errorf("%s: graceful shutdown failed: %v", p.name, err)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Errorf("%s: no exit after SIGTERM", p.name)
 	}
 }
@@ -147,8 +147,8 @@
 	if p.cmd != nil {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		_ = p.cmd.Process.Kill()
-		<-p.exit
-		p.down()
+		<-p.exited
+		p.markStopped()
 	}
 	if p.t.Failed() {
 		p.t.Logf("log of %s:\n%s", p.name, p.log.tail())
@@ -168,10 +168,10 @@
 }
 
 // operatorClient has a short timeout, since a paused daemon does not answer.
-var operators = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var operatorClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (p *process) get(path string) ([]byte, int) {
-	resp, err := operators.Get("http://" + p.oper + path)
+	resp, err := operatorClient.Get("http://" + p.operatorAddr + path)
 	if err != nil {
 		return nil, 0
 	}
@@ -197,11 +197,11 @@
 }
 
 func (b *logBuffer) tail() string {
-	const most = 3000
+	const limit = 3000
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := b.buf.Bytes()
-	return string(all[max(0, len(all)-most):])
+	return string(all[max(0, len(all)-limit):])
 }
 
 // tryPause and tryResume have no effect on a process that has exited.
--- a/test/quarantine_test.go
+++ b/test/quarantine_test.go
@@ -11,44 +11,45 @@
 const (
 	// quarantineDelay is the time within which every daemon must learn that a request
 	// crashes leaves. maxLateAttempts is how many attempts may reach leaves after that.
-	knownWithin = 2 * time.Second
-	mostRetries = 3
-	crashDown   = 300 * time.Millisecond
+	quarantineDelay  = 2 * time.Second
+	maxLateAttempts  = 3
+	leafRestartDelay = 300 * time.Millisecond
 )
 
 // runsOfKey returns how often leaves of the desk began to run requests with a run key.
-func (tr *tier) crashesOf(key string) int {
+func (tr *tier) runsOfKey(key string) int {
 	n := 0
 	for i := range deskServices {
 		for shard := range uint32(3) {
-			n += tr.fleet.Runs().Count(standin.RunKey{Request: key, Service: fmt.Sprintf("%s/search-%d", desk, i+1), Shard: shard})
+			n += tr.fleet.Runs().Count(standin.RunKey{Request: key, Service: fmt.Sprintf("%s/search-%d", deskPath, i+1), Shard: shard})
 		}
 	}
 	return n
 }
 
 // TestCrashingQueryIsQuarantined guards against a query that crashes every leaf that runs
-// it and is sent repeatedly, to all daemons and to one that has just restarted. After three
-// runs, it must stop reaching leaves.
-func TestQueryThatCrashesLeavesStopsReachingThem(t *testing.T) {
+// it and is sent repeatedly, to all daemons and to one that has just restarted. Once
+// quarantineDelay has passed after the third run, at most maxLateAttempts attempts may reach
+// leaves.
+func TestCrashingQueryIsQuarantined(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 1, entries: 3})
-	fatal := tr.query(desk)
-	key := keyOf(fatal)
-	tr.behave("", func(b *standin.Behavior) { b.CrashKey, b.CrashFor = key, standin.Duration(crashDown) })
-	var third time.Time
-	late := 0
+	tr := startTier(t, tierConfig{controls: 1, entries: 3})
+	crashing := tr.newQuery(deskPath)
+	key := runKeyOf(crashing)
+	tr.updateBehavior("", func(b *standin.Behavior) { b.CrashKey, b.CrashFor = key, standin.Duration(leafRestartDelay) })
+	var thirdRun time.Time
+	lateAttempts := 0
 	series := func(attempts int) {
 		for n := range attempts {
-			before := tr.crashesOf(key)
-			tr.send(tr.entries[n%len(tr.entries)], fatal)
-			time.Sleep(crashDown + crashDown/2)
-			after := tr.crashesOf(key)
+			before := tr.runsOfKey(key)
+			tr.send(tr.entries[n%len(tr.entries)], crashing)
+			time.Sleep(leafRestartDelay + leafRestartDelay/2)
+			after := tr.runsOfKey(key)
 			switch {
-			case third.IsZero() && after >= 3:
-				third = time.Now()
-			case !third.IsZero() && after > before && time.Since(third) > knownWithin:
-				late++
+			case thirdRun.IsZero() && after >= 3:
+				thirdRun = time.Now()
+			case !thirdRun.IsZero() && after > before && time.Since(thirdRun) > quarantineDelay:
+				lateAttempts++
 			}
 		}
 	}
@@ -57,9 +58,9 @@
 	tr.entries[0].start()
 	tr.awaitReady(tr.entries[0])
 	series(6)
-	t.Logf("%d runs; %d attempts reached leaves more than %v after the third run", tr.crashesOf(key), late, knownWithin)
-	if late > mostRetries {
-		t.Errorf("%d attempts reached leaves more than %v after the third run, want at most %d", late, knownWithin, mostRetries)
+	t.Logf("%d runs; %d attempts reached leaves more than %v after the third run", tr.runsOfKey(key), lateAttempts, quarantineDelay)
+	if lateAttempts > maxLateAttempts {
+		t.Errorf("%d attempts reached leaves more than %v after the third run, want at most %d", lateAttempts, quarantineDelay, maxLateAttempts)
 	}
-	tr.awaitWhole()
+	tr.awaitFullCoverage()
 }
--- a/test/race_test.go
+++ b/test/race_test.go
@@ -17,21 +17,21 @@
 // setting at the same time, based on the same version. Exactly one change must be accepted.
 // The others must get a conflict that names the winning operator, and must leave nothing
 // in the tree.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentChangesOfOneSetting(t *testing.T) {
 	t.Parallel()
-	const racers = 6
-	tr := startTier(t, shape{controls: 3, entries: 1})
+	const operators = 6
+	tr := startTier(t, tierConfig{controls: 3, entries: 1})
 	for round := range 4 {
 		base := tr.version()
-		codes, says := make([]int, racers), make([]string, racers)
-		var race sync.WaitGroup
-		for i := range racers {
-			race.Go(func() {
-				codes[i], _, says[i] = operate(fmt.Sprintf("operator-%d", i), tr.controlAddrs(), "set", desk,
+		codes, messages := make([]int, operators), make([]string, operators)
+		var wg sync.WaitGroup
+		for i := range operators {
+			wg.Go(func() {
+				codes[i], _, messages[i] = runCLIAs(fmt.Sprintf("operator-%d", i), tr.controlAddrs(), "set", deskPath,
 					fmt.Sprintf("--hedge-after=%dms", 100*(round+1)+i), fmt.Sprintf("--base=%d", base), "--reason=race", "--wait=0s")
 			})
 		}
-		race.Wait()
+		wg.Wait()
 		winner := -1
 		for i, code := range codes {
 			if code == cli.ExitOK {
@@ -42,17 +42,17 @@
 			}
 		}
 		if winner < 0 {
-			t.Fatalf("round %d: no change accepted: %v %v", round, codes, says)
+			t.Fatalf("round %d: no change accepted: %v %v", round, codes, messages)
 		}
 		for i, code := range codes {
-			if i != winner && (code != cli.ExitConflict || !strings.Contains(says[i], fmt.Sprintf("operator-%d ", winner))) {
-				t.Errorf("round %d: operator %d conflicts with operator %d: exit %d, message %q", round, i, winner, code, says[i])
+			if i != winner && (code != cli.ExitConflict || !strings.Contains(messages[i], fmt.Sprintf("operator-%d ", winner))) {
+				t.Errorf("round %d: operator %d conflicts with operator %d: exit %d, message %q", round, i, winner, code, messages[i])
 			}
 		}
 		if v := tr.version(); v != base+1 {
 			t.Errorf("round %d: version is %d after one change to version %d", round, v, base)
 		}
-		if got := tr.must("get", desk, "--output=json"); !strings.Contains(got, fmt.Sprintf(`"%dms"`, 100*(round+1)+winner)) {
+		if got := tr.mustRun("get", deskPath, "--output=json"); !strings.Contains(got, fmt.Sprintf(`"%dms"`, 100*(round+1)+winner)) {
 			t.Errorf("round %d: the tree does not contain the accepted value: %s", round, got)
 		}
 	}
@@ -62,19 +62,19 @@
 // rejected as a conflict. The operator's tool loses the reply to an accepted change; then
 // another change is accepted and the leader is killed. Resending the change ID must return
 // the first outcome, from the new leader and after the former one has restarted.
-func TestResendOfAChange(t *testing.T) {
+func TestChangeResentAfterLostReply(t *testing.T) {
 	t.Parallel()
-	tr := startTier(t, shape{controls: 3, entries: 1})
+	tr := startTier(t, tierConfig{controls: 3, entries: 1})
 	base := tr.version()
-	change := []string{"set", desk, "--hedge-after=111ms", fmt.Sprintf("--base=%d", base), "--change-id=lost-reply",
+	change := []string{"set", deskPath, "--hedge-after=111ms", fmt.Sprintf("--base=%d", base), "--change-id=lost-reply",
 		"--reason=its reply is lost", "--wait=0s", "--output=json"}
-	tr.must(change...)
-	tr.must("set", desk, "--hedge-after=222ms", "--reason=another change", "--wait=20s")
-	old := tr.leader()
-	old.kill()
+	tr.mustRun(change...)
+	tr.mustRun("set", deskPath, "--hedge-after=222ms", "--reason=another change", "--wait=20s")
+	former := tr.leader()
+	former.kill()
 	tr.leader()
 	checkResend(t, tr, base)
-	old.start()
+	former.start()
 	tr.leader()
 	checkResend(t, tr, base)
 	if v := tr.version(); v != base+2 {
@@ -91,12 +91,12 @@
 			continue
 		}
 		await(t, "the first outcome through "+p.name, func() bool {
-			reply, err := changeAt(p.peer, &wire.ChangeRequest{
+			reply, err := sendChange(p.peerAddr, &wire.ChangeRequest{
 				ChangeId: "lost-reply", BaseVersion: base, Reason: "its reply is lost", Operator: "asha",
-				Edits: []*wire.Edit{{Path: desk, Name: "hedge-after", Value: "111ms"}},
+				Edits: []*wire.Edit{{Path: deskPath, Name: "hedge-after", Value: "111ms"}},
 			})
 			if err != nil || reply.Redirect != "" {
-				return err == nil && reply.Redirect != p.peer // the leader that it names is asked by the loop too
+				return err == nil && reply.Redirect != p.peerAddr // the leader that it names is asked by the loop too
 			}
 			if reply.Outcome != wire.Outcome_ACCEPTED || reply.Version != base+1 || !reply.Resend {
 				t.Errorf("%s: outcome %v, version %d, resend %v; want the first outcome, version %d", p.name, reply.Outcome, reply.Version, reply.Resend, base+1)
@@ -106,7 +106,7 @@
 	}
 }
 
-func changeAt(addr string, req *wire.ChangeRequest) (*wire.ChangeReply, error) {
+func sendChange(addr string, req *wire.ChangeRequest) (*wire.ChangeReply, error) {
 	pool := peer.NewPool(nil)
 	defer pool.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
--- a/test/tier_test.go
+++ b/test/tier_test.go
@@ -19,29 +19,29 @@
 
 // Paths in the configuration tree of every test.
 const (
-	region = "valley"
-	desk   = "valley/desk"   // three query services with two leaves of two slots each
-	ledger = "valley/ledger" // one query service with three leaves of three slots each
+	region     = "valley"
+	deskPath   = "valley/desk"   // three query services with two leaves of two slots each
+	ledgerPath = "valley/ledger" // one query service with three leaves of three slots each
 )
 
 const (
-	deskServices = 3
-	deskSlots    = 2
-	ledgerSlots  = 3
-	deskCap      = 30
-	leaseSetting = 3 * time.Second
+	deskServices    = 3
+	deskSlots       = 2
+	ledgerSlots     = 3
+	deskConnections = 30
+	leaseDuration   = 3 * time.Second
 )
 
 var failureDomains = []string{"hall-a", "hall-b", "hall-c"}
 
 // tierConfig describes the tier that a test starts.
-type shape struct {
-	controls int
-	entries  int
-	network  bool              // route peer connections through the test's network
-	tree     map[string]string // root settings in addition to the defaults of writeTree
-	region   map[string]string // region settings in addition to the defaults of writeTree
-	entry    []string          // additional flags of each entry VM
+type tierConfig struct {
+	controls       int
+	entries        int
+	useNetwork     bool              // route peer connections through the test's network
+	rootSettings   map[string]string // root settings in addition to the defaults of writeTree
+	regionSettings map[string]string // region settings in addition to the defaults of writeTree
+	entryFlags     []string          // additional flags of each entry VM
 }
 
 // tier is a running tier: daemons as processes, and stand-in leaves in the test process.
@@ -56,41 +56,41 @@
 
 // startTier starts the control VMs, applies the tree, starts the entry VMs and waits
 // until all of them are ready and answer with full coverage.
-func startTier(t *testing.T, s shape) *tier {
+func startTier(t *testing.T, cfg tierConfig) *tier {
 	t.Helper()
 	tr := &tier{t: t, dir: t.TempDir()}
-	if s.network {
+	if cfg.useNetwork {
 		tr.network = newNetwork(t)
 	}
 	tr.startLeaves()
-	tr.startControl(s.controls)
-	tr.must("apply", tr.writeTree(s), "--reason=the tree of this test", "--wait=20s")
-	for i := range s.entries {
-		tr.entries = append(tr.entries, tr.newEntry(fmt.Sprintf("entry-%d", i+1), i, s.entry))
+	tr.startControlVMs(cfg.controls)
+	tr.mustRun("apply", tr.writeTree(cfg), "--reason=the tree of this test", "--wait=20s")
+	for i := range cfg.entries {
+		tr.entries = append(tr.entries, tr.newEntry(fmt.Sprintf("entry-%d", i+1), i, cfg.entryFlags))
 	}
 	for _, p := range tr.entries {
 		p.launch()
 	}
 	for _, p := range tr.entries {
-		p.serves()
+		p.awaitServing()
 	}
 	tr.awaitReady(tr.entries...)
-	tr.awaitWhole()
+	tr.awaitFullCoverage()
 	return tr
 }
 
 func (tr *tier) startLeaves() {
 	tr.t.Helper()
 	b := standin.DefaultBehavior()
-	b.Slots, b.Connections = deskSlots, deskCap
+	b.Slots, b.Connections = deskSlots, deskConnections
 	var services []standin.ServiceSpec
 	for i := range deskServices {
 		services = append(services, standin.ServiceSpec{
-			Path: fmt.Sprintf("%s/search-%d", desk, i+1), Leaves: leafNames(fmt.Sprintf("search-%d", i+1), 2), Behavior: b, Shards: 3,
+			Path: fmt.Sprintf("%s/search-%d", deskPath, i+1), Leaves: leafNames(fmt.Sprintf("search-%d", i+1), 2), Behavior: b, Shards: 3,
 		})
 	}
 	b.Slots = ledgerSlots
-	services = append(services, standin.ServiceSpec{Path: ledger, Leaves: leafNames("ledger", 3), Behavior: b})
+	services = append(services, standin.ServiceSpec{Path: ledgerPath, Leaves: leafNames("ledger", 3), Behavior: b})
 	fleet, err := standin.StartFleet(standin.FleetConfig{Services: services, Host: "127.0.0.1", Seed: 1})
 	if err != nil {
 		tr.t.Fatal(err)
@@ -109,27 +109,27 @@
 
 // writeTree writes the configuration tree with the addresses of the leaves, whose
 // ports were picked by the kernel, and returns its path.
-func (tr *tier) writeTree(s shape) string {
+func (tr *tier) writeTree(cfg tierConfig) string {
 	tr.t.Helper()
 	var b strings.Builder
 	b.WriteString("settings:\n")
 	writeSettings(&b, "  ", map[string]string{
-		"daemon-lease": leaseSetting.String(), "address-lifetime": "1s", "resend-window": "1m",
+		"daemon-lease": leaseDuration.String(), "address-lifetime": "1s", "resend-window": "1m",
 		"deadline-default": "800ms", "deadline-max": "1s",
-	}, s.tree)
+	}, cfg.rootSettings)
 	fmt.Fprintf(&b, "nodes:\n  %s:\n    settings:\n", region)
 	writeSettings(&b, "      ", map[string]string{
 		"connect-cost": "0s", "ramp": "0s", "probe-interval": "100ms",
-		"leaf-slots": fmt.Sprint(deskSlots), "leaf-connections": fmt.Sprint(deskCap),
-	}, s.region)
+		"leaf-slots": fmt.Sprint(deskSlots), "leaf-connections": fmt.Sprint(deskConnections),
+	}, cfg.regionSettings)
 	b.WriteString("    nodes:\n      desk:\n        nodes:\n")
 	for i := range deskServices {
 		name := fmt.Sprintf("search-%d", i+1)
 		fmt.Fprintf(&b, "          %s:\n            settings:\n", name)
-		tr.writeLeaves(&b, "              ", desk+"/"+name, leafNames(name, 2))
+		tr.writeLeaves(&b, "              ", deskPath+"/"+name, leafNames(name, 2))
 	}
 	fmt.Fprintf(&b, "      ledger:\n        settings:\n          leaf-slots: %d\n          hedge-budget: 0\n          retry-budget: 0\n", ledgerSlots)
-	tr.writeLeaves(&b, "          ", ledger, leafNames("ledger", 3))
+	tr.writeLeaves(&b, "          ", ledgerPath, leafNames("ledger", 3))
 	path := filepath.Join(tr.dir, "tree.yaml")
 	if err := os.WriteFile(path, []byte(b.String()), 0o600); err != nil {
 		tr.t.Fatal(err)
@@ -138,11 +138,11 @@
 }
 
 // writeSettings writes the settings in defaults, as changed by overrides.
-func writeSettings(b *strings.Builder, indent string, base, own map[string]string) {
-	for name, value := range own {
-		base[name] = value
+func writeSettings(b *strings.Builder, indent string, defaults, overrides map[string]string) {
+	for name, value := range overrides {
+		defaults[name] = value
 	}
-	for name, value := range base {
+	for name, value := range defaults {
 		fmt.Fprintf(b, "%s%s: %s\n", indent, name, value)
 	}
 }
@@ -155,7 +155,7 @@
 }
 
 // newProcess returns a daemon with its addresses and flags. It does not start it.
-func (tr *tier) newProcess(name string, place int, flags ...string) *process {
+func (tr *tier) newProcess(name string, domainIndex int, flags ...string) *process {
 	tr.t.Helper()
 	host := newHost()
 	p := &process{t: tr.t, name: name, dir: tr.dir, log: &logBuffer{}}
@@ -163,72 +163,72 @@
 	if err != nil {
 		tr.t.Fatal(err)
 	}
-	p.bound, p.oper, p.entry = addrs[0], addrs[1], addrs[2]
-	p.peer = p.bound
+	p.peerListenAddr, p.operatorAddr, p.callerAddr = addrs[0], addrs[1], addrs[2]
+	p.peerAddr = p.peerListenAddr
 	p.args = append([]string{
-		"--name=" + name, "--region=" + region, "--domain=" + failureDomains[place%len(failureDomains)],
-		"--peer-listen=" + p.bound, "--operator-listen=" + p.oper, "--sync-every=200ms", "--platform-every=200ms",
+		"--name=" + name, "--region=" + region, "--domain=" + failureDomains[domainIndex%len(failureDomains)],
+		"--peer-listen=" + p.peerListenAddr, "--operator-listen=" + p.operatorAddr, "--sync-every=200ms", "--platform-every=200ms",
 	}, flags...)
 	if tr.network != nil {
 		tr.network.join(tr.t, p)
-		p.args = append(p.args, "--peer-address="+p.peer)
+		p.args = append(p.args, "--peer-address="+p.peerAddr)
 	}
 	tr.t.Cleanup(p.close)
 	return p
 }
 
-func (tr *tier) newEntry(name string, place int, flags []string) *process {
+func (tr *tier) newEntry(name string, domainIndex int, flags []string) *process {
 	tr.t.Helper()
-	p := tr.newProcess(name, place, flags...)
-	p.caller = "http://" + p.entry
-	p.args = append(p.args, "--caller-listen="+p.entry, "--control="+tr.controlAddrs())
+	p := tr.newProcess(name, domainIndex, flags...)
+	p.callerURL = "http://" + p.callerAddr
+	p.args = append(p.args, "--caller-listen="+p.callerAddr, "--control="+tr.controlAddrs())
 	return p
 }
 
 // newControl returns a control VM that is not started. startControlVMs adds the
 // bootstrap flags for the first members.
-func (tr *tier) newControl(id, place int) *process {
+func (tr *tier) newControl(id, domainIndex int) *process {
 	tr.t.Helper()
-	return tr.newProcess(fmt.Sprintf("control-%d", id), place,
+	return tr.newProcess(fmt.Sprintf("control-%d", id), domainIndex,
 		"--no-entry", fmt.Sprintf("--control-id=%d", id), "--data-dir="+tr.dataDir(id))
 }
 
 func (tr *tier) dataDir(id int) string { return filepath.Join(tr.dir, fmt.Sprintf("control-%d", id)) }
 
-func (tr *tier) startControl(n int) {
+func (tr *tier) startControlVMs(n int) {
 	tr.t.Helper()
 	for id := 1; id <= n; id++ {
 		tr.controls = append(tr.controls, tr.newControl(id, id-1))
 	}
-	found := []string{"--bootstrap"}
+	bootstrapFlags := []string{"--bootstrap"}
 	for i, p := range tr.controls {
-		found = append(found, fmt.Sprintf("--bootstrap-voter=%d=%s", i+1, p.peer))
+		bootstrapFlags = append(bootstrapFlags, fmt.Sprintf("--bootstrap-voter=%d=%s", i+1, p.peerAddr))
 	}
 	for _, p := range tr.controls {
-		own := p.args
-		p.args = append(slices.Clone(own), found...)
+		args := p.args
+		p.args = append(slices.Clone(args), bootstrapFlags...)
 		p.launch()
-		p.args = own // a restart must not bootstrap the group again
+		p.args = args // a restart must not bootstrap the group again
 	}
 	for _, p := range tr.controls {
-		p.serves()
+		p.awaitServing()
 	}
 }
 
 func (tr *tier) controlAddrs() string {
 	var addrs []string
 	for _, p := range tr.controls {
-		addrs = append(addrs, p.peer)
+		addrs = append(addrs, p.peerAddr)
 	}
 	return strings.Join(addrs, ",")
 }
 
 // runCLI runs the operator's command-line tool against all control VMs.
-func (tr *tier) operate(args ...string) (code int, out, errOut string) {
-	return operate("asha", tr.controlAddrs(), args...)
+func (tr *tier) runCLI(args ...string) (code int, out, errOut string) {
+	return runCLIAs("asha", tr.controlAddrs(), args...)
 }
 
-func operate(operator, control string, args ...string) (code int, out, errOut string) {
+func runCLIAs(operator, control string, args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	args = append([]string{"--plaintext-peers", "--operator-name=" + operator, "--control=" + control}, args...)
 	code = cli.Run(context.Background(), args, strings.NewReader(""), &o, &e, "test")
@@ -236,9 +236,9 @@
 }
 
 // mustRun runs the operator's command-line tool and fails the test unless it succeeds.
-func (tr *tier) must(args ...string) string {
+func (tr *tier) mustRun(args ...string) string {
 	tr.t.Helper()
-	code, out, errOut := tr.operate(args...)
+	code, out, errOut := tr.runCLI(args...)
 	if code != cli.ExitOK {
 		tr.t.Fatalf("pearmoor %v: exit %d: %s%s", args, code, out, errOut)
 	}
@@ -251,11 +251,11 @@
 	var st struct {
 		ConfigVersion uint64 `json:"config_version"`
 	}
-	tr.decode(tr.must("status", "--output=json"), &st)
+	tr.decodeJSON(tr.mustRun("status", "--output=json"), &st)
 	return st.ConfigVersion
 }
 
-func (tr *tier) decode(text string, into any) {
+func (tr *tier) decodeJSON(text string, into any) {
 	tr.t.Helper()
 	if err := json.Unmarshal([]byte(text), into); err != nil {
 		tr.t.Fatalf("%v in %q", err, text)
@@ -265,15 +265,15 @@
 func (tr *tier) awaitReady(ps ...*process) {
 	tr.t.Helper()
 	for _, p := range ps {
-		var why string
-		for end := time.Now().Add(patience); ; time.Sleep(poll) {
+		var reason string
+		for deadline := time.Now().Add(waitTimeout); ; time.Sleep(pollInterval) {
 			var ok bool
-			if ok, why = p.ready(); ok {
+			if ok, reason = p.ready(); ok {
 				break
 			}
-			if time.Now().After(end) {
+			if time.Now().After(deadline) {
 				st, _ := p.status()
-				tr.t.Fatalf("%s is not ready: %s; status %+v", p.name, why, st)
+				tr.t.Fatalf("%s is not ready: %s; status %+v", p.name, reason, st)
 			}
 		}
 	}
@@ -281,16 +281,16 @@
 
 // awaitFullCoverage waits until every running entry VM answers queries of the desk
 // and of the ledger with full coverage.
-func (tr *tier) awaitWhole() {
+func (tr *tier) awaitFullCoverage() {
 	tr.t.Helper()
 	for _, p := range tr.entries {
 		if p.cmd == nil {
 			continue
 		}
 		await(tr.t, "full coverage through "+p.name, func() bool {
-			r := tr.send(p, tr.query(desk))
-			s := tr.send(p, tr.query(ledger))
-			return whole(r.answer) && whole(s.answer)
+			r := tr.send(p, tr.newQuery(deskPath))
+			s := tr.send(p, tr.newQuery(ledgerPath))
+			return fullCoverage(r.answer) && fullCoverage(s.answer)
 		})
 	}
 }
@@ -309,23 +309,23 @@
 
 // updateBehavior changes the behavior of the leaves whose service path starts with
 // service; "" selects all leaves.
-func (tr *tier) behave(service string, change func(*standin.Behavior)) {
+func (tr *tier) updateBehavior(service string, change func(*standin.Behavior)) {
 	tr.t.Helper()
 	for _, l := range tr.fleet.Leaves() {
 		if service != "" && !strings.HasPrefix(l.Stats(false).Services[0], service) {
 			continue
 		}
-		tr.behaveLeaf(l, change)
+		tr.updateLeafBehavior(l, change)
 	}
 }
 
 // setLatency sets how long the leaves of a service take to run a request.
-func (tr *tier) slow(service string, run time.Duration) {
+func (tr *tier) setLatency(service string, run time.Duration) {
 	tr.t.Helper()
-	tr.behave(service, func(b *standin.Behavior) { b.Latency = standin.Duration(run) })
+	tr.updateBehavior(service, func(b *standin.Behavior) { b.Latency = standin.Duration(run) })
 }
 
-func (tr *tier) behaveLeaf(l *standin.Leaf, change func(*standin.Behavior)) {
+func (tr *tier) updateLeafBehavior(l *standin.Leaf, change func(*standin.Behavior)) {
 	tr.t.Helper()
 	b := l.Behavior()
 	change(&b)
@@ -337,7 +337,7 @@
 // checkLeafLimits fails the test for each leaf that ever had more requests in flight
 // than it has slots, or more open connections than its limit. A connection that the
 // leaf refuses counts as open.
-func (tr *tier) checkSlots() {
+func (tr *tier) checkLeafLimits() {
 	tr.t.Helper()
 	for _, l := range tr.fleet.Stats(false).Leaves {
 		if l.MostInFlight > l.Slots {
