--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -17,29 +17,29 @@
 )
 
 var (
-	seeds    = flag.String("seeds", "1", "seeds of the runs, separated by spaces; empty: 1")
-	duration = flag.Duration("faults-for", 10*time.Second, "how long faults last in each run")
-	keepLogs = flag.String("logs", "", "folder for the logs of runs that failed")
+	seeds     = flag.String("seeds", "1", "seeds of the runs, separated by spaces; 1 if empty")
+	faultsFor = flag.Duration("faults-for", 10*time.Second, "how long faults are injected in each run")
+	logsDir   = flag.String("logs", "", "directory for the logs of failed runs")
 )
 
-// regressions are seeds that once failed, each with what was found. They run with the
-// short run.
+// regressions are seeds of runs that failed in the past, each with the fault found. They run
+// in addition to the seeds of TestSoak.
 var regressions = []uint64{
-	60, // requests that a leaf never answered were cut off at the end of a planned stop
-	// For an instant a leaf behind a link that had held everything for 1.9 s had 36
-	// connections, 28 are its limit. A daemon that gave up a request on a silent link gave
-	// its place back at once, and what it closed and what it opened since came to the leaf
-	// together when the link was well again.
+	60, // A graceful stop cut off requests that a leaf had not answered.
+	// A leaf briefly had 36 connections, with a limit of 28, after its link had held all data
+	// for 1.9 s. A daemon that timed out a request on a silent link freed the connection slot
+	// immediately, so the close and the new connection reached the leaf at the same time when
+	// the link recovered.
 	203,
 }
 
-// findings are seeds that failed and are not mended yet, each with what was found.
-var findings = []uint64{}
+// openFindings are seeds whose failures are not fixed yet, each with the fault found.
+var openFindings = []uint64{}
 
-// TestOpenFindings plays the seeds of open findings as they were.
+// TestOpenFindings runs the seeds of openFindings.
 func TestOpenFindings(t *testing.T) {
-	for _, seed := range findings {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { soak(t, seed) })
+	for _, seed := range openFindings {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
@@ -56,148 +56,151 @@
 	for _, field := range strings.Fields(list) {
 		seed, err := strconv.ParseUint(field, 10, 64)
 		if err != nil {
-			t.Fatalf("seed %q is no number", field)
+			t.Fatalf("seed %q is not a number", field)
 		}
-		t.Run(field, func(t *testing.T) { soak(t, seed) })
+		t.Run(field, func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
 func TestRegressions(t *testing.T) {
 	for _, seed := range regressions {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { soak(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
-// soak is one run: a tier starts, faults come, all heals, and everything must be well.
-func soak(t *testing.T, seed uint64) {
-	w := newWorld(t, seed)
-	defer w.close()
+// runSoak starts a tier, injects faults, ends them and checks that the tier has recovered.
+func runSoak(t *testing.T, seed uint64) {
+	h := newHarness(t, seed)
+	defer h.close()
 	for _, s := range allServices() {
 		for range 2 {
-			w.startLeaf(s)
+			h.startLeaf(s)
 		}
 	}
-	for _, v := range w.vms {
+	for _, v := range h.vms {
 		v.start()
 	}
-	number, text := w.ops.next(w.rng)
+	number, text := h.operators.newConfiguration(h.rng)
 	first, cancelFirst := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancelFirst()
-	if !w.put(first, w.rng, number, text) {
-		w.report(t, seed)
-		t.Fatal("the first configuration is not acknowledged")
+	if !h.putConfiguration(first, h.rng, number, text) {
+		h.report(t, seed)
+		t.Fatal("the first configuration was not acknowledged within 30 s")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	w.runCallers(ctx, &wg)
-	w.runOperators(ctx, &wg)
+	h.runCallers(ctx, &wg)
+	h.runOperators(ctx, &wg)
 	wg.Go(func() {
-		w.runFatal(ctx, &caller{w: w, rng: rand.New(rand.NewPCG(seed, 9)), client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}})
+		h.sendCrashingRequests(ctx, &caller{h: h, rng: rand.New(rand.NewPCG(seed, 9)), client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}})
 	})
 	time.Sleep(time.Second)
-	beside, cancelBeside := context.WithCancel(ctx)
-	var others sync.WaitGroup
-	for i, play := range []func(context.Context, *rand.Rand){w.growAndShrink, w.disturbDisks, w.resetInSeries, w.loseControl} {
-		others.Go(func() { play(beside, rand.New(rand.NewPCG(seed, uint64(2+i)))) })
-	}
-	w.faults(*duration)
-	cancelBeside()
-	others.Wait()
-	w.heal()
+	faultCtx, cancelFaults := context.WithCancel(ctx)
+	var faultLoops sync.WaitGroup
+	for i, loop := range []func(context.Context, *rand.Rand){h.alternateConfigurationSize, h.injectDiskFaults, h.resetRepeatedly, h.killControlVMs} {
+		faultLoops.Go(func() { loop(faultCtx, rand.New(rand.NewPCG(seed, uint64(2+i)))) })
+	}
+	h.injectFaults(*faultsFor)
+	cancelFaults()
+	faultLoops.Wait()
+	h.endFaults()
 	cancel()
 	wg.Wait()
-	w.longOverNarrowLinks()
+	h.checkLongConfiguration()
 	time.Sleep(settleTime + 100*time.Millisecond)
-	w.checkFatal()
-	w.checkWell()
-	w.report(t, seed)
+	h.checkCrashingRequestsBlocked()
+	h.checkRecovered()
+	h.report(t, seed)
 }
 
-// heal ends what still goes on and lets the tier settle.
-func (w *world) heal() {
-	w.listFails.Store(false)
-	w.mu.Lock()
-	for _, l := range w.leaves {
-		l.mode.Store(int32(well))
-	}
-	w.mu.Unlock()
+// endFaults ends the remaining faults, gives the tier 5 s to recover, and then drains leaves
+// without faults.
+func (h *harness) endFaults() {
+	h.listFailing.Store(false)
+	h.mu.Lock()
+	for _, l := range h.leaves {
+		l.mode.Store(int32(healthy))
+	}
+	h.mu.Unlock()
 	time.Sleep(5 * time.Second)
-	w.leaveInCalm()
+	h.drainWithoutFaults()
 }
 
-// leaveInCalm lets a leaf of each service leave while nothing else happens. Among the
-// faults there is hardly a moment in which every daemon must have heard of it.
-func (w *world) leaveInCalm() {
+// drainWithoutFaults makes one leaf of each service leave while there are no other faults.
+// During the faults there is rarely a time when every daemon must know of a leaving leaf, so
+// checkNoRequestsAfterDrain would rarely apply.
+func (h *harness) drainWithoutFaults() {
 	var leaving []*leaf
 	for _, s := range allServices() {
-		if l := w.readyLeaf(s); l != nil {
-			l.drain()
-			w.startLeaf(s)
+		if l := h.readyLeaf(s); l != nil {
+			l.startLeaving()
+			h.startLeaf(s)
 			leaving = append(leaving, l)
 		}
 	}
-	time.Sleep(drainTime + 2*time.Second)
+	time.Sleep(leafDrainTime + 2*time.Second)
 	for _, l := range leaving {
-		w.drop(l)
+		h.removeLeaf(l)
 	}
 }
 
-func (w *world) readyLeaf(service string) *leaf {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, l := range w.leaves {
-		if l.service == service && l.state() == standin.Ready {
+func (h *harness) readyLeaf(service string) *leaf {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, l := range h.leaves {
+		if l.service == service && l.listState() == standin.Ready {
 			return l
 		}
 	}
 	return nil
 }
 
-// checkWell holds that everything is served again, and that what was acknowledged is
-// there.
-func (w *world) checkWell() {
-	c := &caller{w: w, rng: w.rng, client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}}
+// checkRecovered checks that every VM serves queries again and that the newest acknowledged
+// configuration can be read.
+func (h *harness) checkRecovered() {
+	c := &caller{h: h, rng: h.rng, client: &http.Client{Transport: &http.Transport{}, Timeout: 4 * time.Second}}
 	defer c.client.CloseIdleConnections()
-	for _, v := range w.vms {
+	for _, v := range h.vms {
 		for range 5 {
 			id := c.newID()
-			resp, text, err := c.send(v.addr(w.ports.callers), http.MethodGet, "/search/"+id, "", id)
+			resp, text, err := c.send(v.addr(h.ports.callers), http.MethodGet, "/search/"+id, "", id)
 			if err != nil || resp.StatusCode != http.StatusOK {
-				w.fail("%s does not serve after all has healed: %v %v %q", v.name, err, resp, text)
+				h.fail("%s does not serve after the faults have ended: %v %v %q", v.name, err, resp, text)
 			}
 		}
 	}
-	want := w.ops.newestAcked(time.Now())
+	want := h.operators.newestAcked(time.Now())
 	for range 20 {
-		if got, ok := w.readBack(w.rng); ok {
+		if got, ok := h.checkReadBack(h.rng); ok {
 			if got < want {
-				w.fail("configuration %d is read at the end, %d was acknowledged", got, want)
+				h.fail("read configuration %d at the end although %d was acknowledged", got, want)
 			}
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 	}
-	w.fail("no VM gives the configuration back")
+	h.fail("no VM returned the configuration")
 }
 
-// report prints the run and fails the test with what was found.
-func (w *world) report(t *testing.T, seed uint64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	t.Logf("seed %d: answers by status %v, %d configurations acknowledged", seed, w.served, len(w.ops.acks))
-	for _, f := range w.failures {
+// report logs a summary of the run, fails the test with the recorded failures, and keeps
+// the logs of a failed run if -logs is set.
+func (h *harness) report(t *testing.T, seed uint64) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	t.Logf("seed %d: answers by status %v, %d configurations acknowledged", seed, h.answersByStatus, len(h.operators.acks))
+	for _, f := range h.failures {
 		t.Error(f)
 	}
-	if len(w.failures) == 0 || *keepLogs == "" {
+	if len(h.failures) == 0 || *logsDir == "" {
 		return
 	}
-	for _, v := range w.vms {
-		text, err := os.ReadFile(w.dir + "/" + v.name + ".log")
+	for _, v := range h.vms {
+		text, err := os.ReadFile(h.dir + "/" + v.name + ".log")
 		if err == nil {
-			err = os.WriteFile(fmt.Sprintf("%s/seed-%d-%s.log", *keepLogs, seed, v.name), text, 0o600)
+			err = os.WriteFile(fmt.Sprintf("%s/seed-%d-%s.log", *logsDir, seed, v.name), text, 0o600)
 		}
 		if err != nil {
-			t.Logf("log of %s is not kept: %v", v.name, err)
+			t.Logf("saving the log of %s: %v", v.name, err)
 		}
 	}
 }
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -16,49 +16,50 @@
 	"pearmoor/internal/standin"
 )
 
-// callerLimit is how long a test waits for a reply that must come far sooner.
-const callerLimit = 20 * time.Second
+// callerTimeout bounds the wait for a reply. Replies are due within the request deadline,
+// which is far shorter.
+const callerTimeout = 20 * time.Second
 
-var runKeys atomic.Uint64
+var lastRunKey atomic.Uint64
 
-// query returns a repeatable request with a run key of its own.
-func (tr *tier) query(path string) *contract.Request {
-	key := fmt.Sprintf("key-%d", runKeys.Add(1))
+// newQuery returns a repeatable request with a unique run key.
+func (tr *tier) newQuery(path string) *contract.Request {
+	key := fmt.Sprintf("key-%d", lastRunKey.Add(1))
 	return &contract.Request{Path: path, Body: json.RawMessage(`{"run_key":"` + key + `"}`)}
 }
 
-// charge returns a request that must run at most once, with a session of p.
-func (tr *tier) charge(p *process) *contract.Request {
+// newCharge returns a request that must run at most once, in a session issued by p.
+func (tr *tier) newCharge(p *process) *contract.Request {
 	tr.t.Helper()
-	r := tr.query(ledger)
+	r := tr.newQuery(ledgerPath)
 	no := false
-	r.Repeatable, r.Key, r.Session = &no, keyOf(r), tr.session(p)
+	r.Repeatable, r.Key, r.Session = &no, runKeyOf(r), tr.newSession(p)
 	return r
 }
 
-// keyOf returns the run key in the body of r.
-func keyOf(r *contract.Request) string {
+// runKeyOf returns the run key in the body of r.
+func runKeyOf(r *contract.Request) string {
 	var body struct {
 		RunKey string `json:"run_key"`
 	}
 	if err := json.Unmarshal(r.Body, &body); err != nil {
-		panic(err) // the tests' own bodies are objects
+		panic(err) // newQuery always sets an object as the body
 	}
 	return body.RunKey
 }
 
-// session asks p for addresses until they come with a session.
-func (tr *tier) session(p *process) string {
+// newSession requests the address list of p until it includes a session.
+func (tr *tier) newSession(p *process) string {
 	tr.t.Helper()
 	var list contract.Addresses
-	await(tr.t, "a session of "+p.name, func() bool {
-		status, body, err := post(p.caller+"/v1/addresses?service="+ledger, nil)
+	await(tr.t, "a session from "+p.name, func() bool {
+		status, body, err := doHTTP(p.callerURL+"/v1/addresses?service="+ledgerPath, nil)
 		return err == nil && status == http.StatusOK && json.Unmarshal(body, &list) == nil && list.Session != ""
 	})
 	return list.Session
 }
 
-// reply is what a caller got: an answer, a failure, or nothing but an error.
+// reply is the outcome of a request at the caller: an answer, a failure, or an error.
 type reply struct {
 	status  int
 	answer  *contract.Answer
@@ -67,7 +68,7 @@
 	took    time.Duration
 }
 
-// verdict is what the caller may believe.
+// verdict returns the verdict of the reply, or MayHaveRun if there was none.
 func (r *reply) verdict() contract.Verdict {
 	switch {
 	case r.answer != nil:
@@ -88,14 +89,14 @@
 	return fmt.Sprintf("no reply: %v", r.err)
 }
 
-// send sends r to one entry.
+// send sends r to the entry VM p and waits for the reply.
 func (tr *tier) send(p *process, r *contract.Request) *reply {
 	raw, err := json.Marshal(r)
 	if err != nil {
 		return &reply{err: err}
 	}
 	began := time.Now()
-	status, body, err := post(p.caller+"/v1/query", raw)
+	status, body, err := doHTTP(p.callerURL+"/v1/query", raw)
 	out := &reply{status: status, err: err, took: time.Since(began)}
 	if err != nil {
 		return out
@@ -110,17 +111,17 @@
 	return out
 }
 
-// sendAsync sends r in the background.
+// sendAsync sends r in the background and returns a channel for the reply.
 func (tr *tier) sendAsync(p *process, r *contract.Request) <-chan *reply {
 	done := make(chan *reply, 1)
 	go func() { done <- tr.send(p, r) }()
 	return done
 }
 
-// post sends a body, or gets when it is nil, on a connection of its own, so that
-// no test depends on a connection that another left behind.
-func post(url string, body []byte) (status int, reply []byte, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), callerLimit)
+// doHTTP sends a POST request with body, or a GET request if body is nil. Each request
+// uses a new connection, so that no test depends on one left over from another.
+func doHTTP(url string, body []byte) (status int, reply []byte, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	method := http.MethodGet
 	if body != nil {
@@ -130,7 +131,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	req.GetBody = nil // the client must not resend by itself
+	req.GetBody = nil // prevents automatic retries
 	req.Close = true
 	transport := &http.Transport{DisableKeepAlives: true}
 	defer transport.CloseIdleConnections()
@@ -143,42 +144,42 @@
 	return resp.StatusCode, reply, err
 }
 
-func whole(a *contract.Answer) bool {
+func fullCoverage(a *contract.Answer) bool {
 	return a != nil && a.Coverage.Total > 0 && a.Coverage.Answered == a.Coverage.Total
 }
 
-// checkAnswer fails the test when an answer is mixed, lost or doubled a hit, has
-// hits of another request, or says something untrue of its coverage.
+// checkAnswer fails the test if an answer mixes index versions, has lost or duplicate
+// hits or hits of another request, or reports wrong coverage.
 func checkAnswer(t *testing.T, r *contract.Request, a *contract.Answer) {
 	t.Helper()
-	if c := load.CheckAnswer(a, keyOf(r)); c.Bad() {
-		t.Errorf("the answer is wrong: %+v; coverage %+v", c, a.Coverage)
+	if c := load.CheckAnswer(a, runKeyOf(r)); c.Bad() {
+		t.Errorf("wrong answer: %+v; coverage %+v", c, a.Coverage)
 	}
 }
 
-// runsOf returns how often each shard of the ledger ran r.
-func (tr *tier) runsOf(r *contract.Request) []int {
+// runsPerShard returns how often each shard of the ledger ran r.
+func (tr *tier) runsPerShard(r *contract.Request) []int {
 	shards := standin.DefaultShards(3)
 	runs := make([]int, shards)
 	for s := range shards {
-		runs[s] = tr.fleet.Runs().Count(standin.RunKey{Request: keyOf(r), Service: ledger, Shard: s})
+		runs[s] = tr.fleet.Runs().Count(standin.RunKey{Request: runKeyOf(r), Service: ledgerPath, Shard: s})
 	}
 	return runs
 }
 
-// traffic is load that goes on until its end is asked for.
-type traffic struct {
+// loadRun is generated load that continues until stop is called.
+type loadRun struct {
 	cancel context.CancelFunc
 	done   chan struct{}
 	result *load.Result
 	err    error
 }
 
-// startTraffic sends load to entries, as callers that follow the address lists do.
-func (tr *tier) startTraffic(cfg load.Config) *traffic {
+// startLoad starts load on the entry VMs, from callers that follow the address lists.
+func (tr *tier) startLoad(cfg load.Config) *loadRun {
 	tr.t.Helper()
 	for _, p := range tr.entries {
-		cfg.Entries = append(cfg.Entries, p.caller)
+		cfg.Entries = append(cfg.Entries, p.callerURL)
 	}
 	cfg.Duration = 10 * time.Minute // ended by stop
 	cfg.Seed = 1
@@ -186,32 +187,32 @@
 		cfg.Deadline = time.Second
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	tf := &traffic{cancel: cancel, done: make(chan struct{})}
+	run := &loadRun{cancel: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(tf.done)
-		tf.result, tf.err = load.Run(ctx, cfg)
+		defer close(run.done)
+		run.result, run.err = load.Run(ctx, cfg)
 	}()
-	tr.t.Cleanup(func() { cancel(); <-tf.done })
-	return tf
+	tr.t.Cleanup(func() { cancel(); <-run.done })
+	return run
 }
 
-// stop ends the load and returns what it measured.
-func (tf *traffic) stop(t *testing.T) *load.Result {
+// stop ends the load and returns its result.
+func (l *loadRun) stop(t *testing.T) *load.Result {
 	t.Helper()
-	tf.cancel()
-	<-tf.done
-	if tf.err != nil {
-		t.Fatal(tf.err)
+	l.cancel()
+	<-l.done
+	if l.err != nil {
+		t.Fatal(l.err)
 	}
-	r := tf.result
+	r := l.result
 	t.Logf("load: scheduled %d answered %d whole %d refused %d in doubt %d failed %d broken %d failovers %d late %d; reasons %v missing %v check %+v once %+v; last error %q",
 		r.Answered+r.Refused+r.InDoubt+r.Failed, r.Answered, r.Whole, r.Refused, r.InDoubt, r.Failed, r.Errors, r.Failovers, r.Late, r.Reasons, r.Missing, r.Check, r.Once, r.LastError)
 	return r
 }
 
-// listed reports whether the address list that p gives names a daemon.
-func (tr *tier) listed(p *process, name string) bool {
-	status, body, err := post(p.caller+"/v1/addresses?service="+region, nil)
+// listsVM reports whether the address list served by p contains the VM called name.
+func (tr *tier) listsVM(p *process, name string) bool {
+	status, body, err := doHTTP(p.callerURL+"/v1/addresses?service="+region, nil)
 	var list contract.Addresses
 	if err != nil || status != http.StatusOK || json.Unmarshal(body, &list) != nil {
 		return false
--- a/test/link_test.go
+++ b/test/link_test.go
@@ -10,35 +10,35 @@
 	"testing"
 )
 
-// network forwards the connections between daemons, and can hold back silently
-// what one daemon sends or is sent: connections stay open, nothing arrives.
+// network forwards the connections between daemons. It can hold back the inbound or
+// outbound data of a daemon while its connections stay open.
 type network struct {
-	mu      sync.Mutex
-	changed *sync.Cond
-	deaf    map[*process]bool // nothing reaches it
-	mute    map[*process]bool // nothing that it sends arrives
-	members []*process
-	conns   map[net.Conn]bool
-	lis     []net.Listener
-	closed  bool
-	done    sync.WaitGroup
+	mu           sync.Mutex
+	changed      *sync.Cond
+	inboundHeld  map[*process]bool // data sent to the daemon is held back
+	outboundHeld map[*process]bool // data sent by the daemon is held back
+	members      []*process
+	conns        map[net.Conn]bool
+	lis          []net.Listener
+	closed       bool
+	done         sync.WaitGroup
 }
 
 func newNetwork(t *testing.T) *network {
-	n := &network{deaf: map[*process]bool{}, mute: map[*process]bool{}, conns: map[net.Conn]bool{}}
+	n := &network{inboundHeld: map[*process]bool{}, outboundHeld: map[*process]bool{}, conns: map[net.Conn]bool{}}
 	n.changed = sync.NewCond(&n.mu)
 	t.Cleanup(n.close)
 	return n
 }
 
-// join puts a forwarding address before p, which listens on p.bound.
+// join gives p a peer address that forwards to p.peerListenAddr.
 func (n *network) join(t *testing.T, p *process) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.peer = lis.Addr().String()
+	p.peerAddr = lis.Addr().String()
 	n.mu.Lock()
 	n.members = append(n.members, p)
 	n.lis = append(n.lis, lis)
@@ -46,15 +46,16 @@
 	n.done.Go(func() { n.accept(lis, p) })
 }
 
-// cut holds back what p is sent and sends, as chosen; heal lets it through.
-func (n *network) cut(p *process, deaf, mute bool) {
+// hold sets whether the inbound and the outbound data of p is held back. release
+// delivers held data.
+func (n *network) hold(p *process, inbound, outbound bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.deaf[p], n.mute[p] = deaf, mute
+	n.inboundHeld[p], n.outboundHeld[p] = inbound, outbound
 	n.changed.Broadcast()
 }
 
-func (n *network) heal(p *process) { n.cut(p, false, false) }
+func (n *network) release(p *process) { n.hold(p, false, false) }
 
 func (n *network) accept(lis net.Listener, to *process) {
 	for {
@@ -70,30 +71,30 @@
 	if !n.track(in) {
 		return
 	}
-	defer n.drop(in)
-	from := n.owner(in.RemoteAddr().String())
-	if !n.pass(from, to) {
+	defer n.closeConn(in)
+	from := n.processAt(in.RemoteAddr().String())
+	if !n.awaitReleased(from, to) {
 		return
 	}
-	out, err := net.Dial("tcp", to.bound)
+	out, err := net.Dial("tcp", to.peerListenAddr)
 	if err != nil || !n.track(out) {
 		return
 	}
-	defer n.drop(out)
+	defer n.closeConn(out)
 	var both sync.WaitGroup
 	both.Go(func() { n.copy(out, in, from, to) })
 	both.Go(func() { n.copy(in, out, to, from) })
 	both.Wait()
 }
 
-// copy moves bytes that source sends to sink until either end closes.
+// copy forwards bytes from source to sink until either connection is closed.
 func (n *network) copy(dst, src net.Conn, source, sink *process) {
 	defer dst.Close()
 	buf := make([]byte, 32<<10)
 	for {
 		k, err := src.Read(buf)
 		if k > 0 {
-			if !n.pass(source, sink) {
+			if !n.awaitReleased(source, sink) {
 				return
 			}
 			if _, err := dst.Write(buf[:k]); err != nil {
@@ -107,11 +108,12 @@
 	}
 }
 
-// pass waits until bytes go from source to sink; false when the network closes.
-func (n *network) pass(source, sink *process) bool {
+// awaitReleased waits until data may pass from source to sink. It returns false if the
+// network was closed.
+func (n *network) awaitReleased(source, sink *process) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for !n.closed && (n.mute[source] || n.deaf[sink]) {
+	for !n.closed && (n.outboundHeld[source] || n.inboundHeld[sink]) {
 		n.changed.Wait()
 	}
 	return !n.closed
@@ -128,7 +130,7 @@
 	return true
 }
 
-func (n *network) drop(c net.Conn) {
+func (n *network) closeConn(c net.Conn) {
 	c.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -149,9 +151,9 @@
 	n.done.Wait()
 }
 
-// owner returns the daemon that holds the local end addr of a connection, nil
-// for a caller or operator.
-func (n *network) owner(addr string) *process {
+// processAt returns the daemon that owns the socket with local address addr, or nil for
+// a caller or operator.
+func (n *network) processAt(addr string) *process {
 	inode := socketInode(addr)
 	if inode == "" {
 		return nil
@@ -167,7 +169,8 @@
 	return nil
 }
 
-// socketInode looks up the inode of the IPv4 TCP socket with a local address.
+// socketInode returns the inode of the IPv4 TCP socket with the given local address, or
+// "" if there is none.
 func socketInode(addr string) string {
 	tcp, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
--- a/test/main_test.go
+++ b/test/main_test.go
@@ -1,6 +1,6 @@
-// Package test causes the failures that the tier is meant to bear, with the real
-// daemons as processes and stand-in leaves in this process, which count what was
-// truly run.
+// Package test injects the failures that the tier must tolerate. It runs the real
+// daemons as processes, and stand-in leaves in the test process that count the
+// requests they have run.
 package test
 
 import (
@@ -13,21 +13,21 @@
 	"go.uber.org/goleak"
 )
 
-// pearmoord is the daemon's program, built once for all tests.
-var pearmoord string
+// daemonPath is the path of the pearmoord binary, built once for all tests.
+var daemonPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "pearmoor-test-")
 	if err == nil {
-		pearmoord = filepath.Join(dir, "pearmoord")
-		err = build(pearmoord)
+		daemonPath = filepath.Join(dir, "pearmoord")
+		err = buildDaemon(daemonPath)
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "test: pearmoord was not built:", err)
+		fmt.Fprintln(os.Stderr, "test: building pearmoord failed:", err)
 		os.Exit(1)
 	}
 	goleak.VerifyTestMain(m,
-		// The library's one ticker for all meters runs as long as the process.
+		// go-metrics runs one ticker goroutine for all meters until the process exits.
 		goleak.IgnoreTopFunction("github.com/rcrowley/go-metrics.(*meterArbiter).tick"),
 		goleak.Cleanup(func(code int) {
 			os.RemoveAll(dir)
@@ -35,8 +35,8 @@
 		}))
 }
 
-// build makes the program as it is shipped.
-func build(out string) error {
+// buildDaemon builds pearmoord with the default build options, as for a release.
+func buildDaemon(out string) error {
 	cmd := exec.Command("go", "build", "-o", out, "pearmoor/cmd/pearmoord")
 	cmd.Stdout, cmd.Stderr = os.Stderr, os.Stderr
 	return cmd.Run()
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -19,65 +19,67 @@
 )
 
 const (
-	// patience bounds every wait for an event; it is only used up by a failure.
-	patience = 40 * time.Second
-	poll     = 20 * time.Millisecond
+	// waitTimeout bounds every wait for an event. A passing test waits far less.
+	waitTimeout  = 40 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-// await polls done until it holds; what says what was waited for.
-func await(t *testing.T, what string, done func() bool) {
+// await polls condition until it is true, and fails the test after waitTimeout. what
+// names the awaited event in the error.
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(poll) {
-		if done() {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatalf("not within %v: %s", patience, what)
+	t.Fatalf("timed out after %v waiting for: %s", waitTimeout, what)
 }
 
-// hosts hands out loopback hosts. Each daemon has one of its own, so that its
-// ports, picked by the kernel, are still free when it is started again: nothing
-// else binds to that host, and outgoing connections come from 127.0.0.1.
-var hosts atomic.Uint32
+// hostCount counts the loopback hosts that newHost has returned. Each daemon has its
+// own host, so that its ports, picked by the kernel, are still free when it is
+// restarted: nothing else binds to that host, and outgoing connections come from
+// 127.0.0.1.
+var hostCount atomic.Uint32
 
 func newHost() string {
 	const first = 2
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", pid>>8&0xff, pid&0xff, first+hosts.Add(1)%250)
+	return fmt.Sprintf("127.%d.%d.%d", pid>>8&0xff, pid&0xff, first+hostCount.Add(1)%250)
 }
 
-// process is one daemon, which may be started several times.
+// process is a daemon, which may be started several times.
 type process struct {
-	t      *testing.T
-	name   string
-	args   []string
-	dir    string
-	caller string // base URL; empty on a control VM
-	peer   string // as told to others
-	bound  string // peer address it listens on
-	oper   string
-	entry  string // host:port for callers, if it is an entry
-
-	log  *logBuffer
-	cmd  *exec.Cmd // nil while it is down
-	exit chan error
-	pid  atomic.Int64 // 0 while it is down
-	proc atomic.Pointer[os.Process]
-	runs int
-}
-
-// start starts the daemon and waits until its ports serve.
+	t              *testing.T
+	name           string
+	args           []string
+	dir            string
+	callerURL      string // base URL for callers; empty on a control VM
+	peerAddr       string // peer address that other daemons connect to
+	peerListenAddr string // peer address that it listens on; differs from peerAddr behind a network
+	operatorAddr   string
+	callerAddr     string // host:port for callers; used by entry VMs only
+
+	log    *logBuffer
+	cmd    *exec.Cmd // nil while the process is not running
+	exited chan error
+	pid    atomic.Int64 // 0 while the process is not running
+	proc   atomic.Pointer[os.Process]
+	starts int
+}
+
+// start starts the daemon and waits until it serves on its ports.
 func (p *process) start() {
 	p.t.Helper()
 	p.launch()
-	p.serves()
+	p.awaitServing()
 }
 
 // launch starts the daemon without waiting for it.
 func (p *process) launch() {
 	p.t.Helper()
-	p.runs++
-	p.cmd = exec.Command(pearmoord, append([]string{"--ready-file=" + p.readyFile()}, p.args...)...)
+	p.starts++
+	p.cmd = exec.Command(daemonPath, append([]string{"--ready-file=" + p.readyFile()}, p.args...)...)
 	p.cmd.Env = append(os.Environ(), "PEARMOOR_PLAINTEXT_PEERS=true")
 	p.cmd.Stderr = p.log
 	if err := p.cmd.Start(); err != nil {
@@ -85,17 +87,17 @@
 	}
 	p.pid.Store(int64(p.cmd.Process.Pid))
 	p.proc.Store(p.cmd.Process)
-	p.exit = make(chan error, 1)
-	go func(cmd *exec.Cmd, exit chan<- error) { exit <- cmd.Wait() }(p.cmd, p.exit)
+	p.exited = make(chan error, 1)
+	go func(cmd *exec.Cmd, exit chan<- error) { exit <- cmd.Wait() }(p.cmd, p.exited)
 }
 
 func (p *process) readyFile() string {
-	return filepath.Join(p.dir, fmt.Sprintf("%s-%d.json", p.name, p.runs))
+	return filepath.Join(p.dir, fmt.Sprintf("%s-%d.json", p.name, p.starts))
 }
 
-func (p *process) serves() {
+func (p *process) awaitServing() {
 	p.t.Helper()
-	await(p.t, p.name+" serves", func() bool {
+	await(p.t, p.name+" to serve", func() bool {
 		_, err := os.Stat(p.readyFile())
 		return err == nil
 	})
@@ -108,15 +110,15 @@
 	}
 }
 
-// kill ends the daemon as a lost VM does.
+// kill ends the daemon with SIGKILL, as if its VM were lost.
 func (p *process) kill() {
 	p.t.Helper()
 	p.signal(os.Kill)
-	<-p.exit
-	p.down()
+	<-p.exited
+	p.markStopped()
 }
 
-func (p *process) down() {
+func (p *process) markStopped() {
 	p.cmd = nil
 	p.pid.Store(0)
 }
@@ -124,51 +126,52 @@
 func (p *process) pause()  { p.t.Helper(); p.signal(syscall.SIGSTOP) }
 func (p *process) resume() { p.t.Helper(); p.signal(syscall.SIGCONT) }
 
-// stop asks the daemon to end and waits for its graceful shutdown.
+// stop sends SIGTERM and waits for the graceful shutdown.
 func (p *process) stop() {
 	p.t.Helper()
 	p.signal(syscall.SIGTERM)
 	select {
-	case err := <-p.exit:
-		p.down()
+	case err := <-p.exited:
+		p.markStopped()
 		if err != nil {
-			p.t.Errorf("%s did not stop cleanly: %v", p.name, err)
+			p.t.Errorf("%s: graceful shutdown failed: %v", p.name, err)
 		}
-	case <-time.After(patience):
-		p.t.Errorf("%s did not stop", p.name)
+	case <-time.After(waitTimeout):
+		p.t.Errorf("%s: no exit after SIGTERM", p.name)
 	}
 }
 
-// close ends the daemon if it still runs. A failed test shows its log.
+// close kills the daemon if it is still running, and prints the end of its log if the
+// test has failed.
 func (p *process) close() {
 	if p.cmd != nil {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT)
 		_ = p.cmd.Process.Kill()
-		<-p.exit
-		p.down()
+		<-p.exited
+		p.markStopped()
 	}
 	if p.t.Failed() {
 		p.t.Logf("log of %s:\n%s", p.name, p.log.tail())
 	}
 }
 
-// status reads what the operator sees; ok is false when the daemon is down.
+// status reads the operator's status page; ok is false if the daemon does not answer.
 func (p *process) status() (s daemon.Status, ok bool) {
 	body, code := p.get("/status")
 	return s, code == http.StatusOK && json.Unmarshal(body, &s) == nil
 }
 
-// ready reports whether the daemon takes new work, and the reason.
+// ready reports whether the daemon accepts new work, and the reason.
 func (p *process) ready() (bool, string) {
 	body, code := p.get("/readyz")
 	return code == http.StatusOK, string(body)
 }
 
-// operators must not wait for a daemon that is paused.
-var operators = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// operatorClient has a short timeout, since a paused daemon does not answer.
+var operatorClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 func (p *process) get(path string) ([]byte, int) {
-	resp, err := operators.Get("http://" + p.oper + path)
+	resp, err := operatorClient.Get("http://" + p.operatorAddr + path)
 	if err != nil {
 		return nil, 0
 	}
@@ -180,7 +183,7 @@
 	return body, resp.StatusCode
 }
 
-// logBuffer keeps what a daemon wrote.
+// logBuffer collects the log output of a daemon.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -194,13 +197,13 @@
 }
 
 func (b *logBuffer) tail() string {
-	const most = 3000
+	const limit = 3000
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	all := b.buf.Bytes()
-	return string(all[max(0, len(all)-most):])
+	return string(all[max(0, len(all)-limit):])
 }
 
-// tryPause and tryResume do nothing to a process that has ended.
+// tryPause and tryResume have no effect on a process that has exited.
 func (p *process) tryPause()  { _ = p.proc.Load().Signal(syscall.SIGSTOP) }
 func (p *process) tryResume() { _ = p.proc.Load().Signal(syscall.SIGCONT) }
