--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -189,7 +189,7 @@
 	if st.Role != quorum.Leader || len(st.Peers) == 0 {
 		return time.After(0)
 	}
-	if err := d.machine.Transfer(0); err != nil {
+	if err := d.machine.TransferLeadership(0); err != nil {
 		klog.Warningf("control: leadership transfer failed: %v", err)
 		return time.After(0)
 	}
--- a/internal/control/group_test.go
+++ b/internal/control/group_test.go
@@ -186,7 +186,7 @@
 			}
 		}
 		lead = c.leader(follower.cfg.ID)
-		So(lead.node.leadership.Load().status.First, ShouldBeGreaterThan, changes/2)
+		So(lead.node.leadership.Load().status.FirstIndex, ShouldBeGreaterThan, changes/2)
 		c.setPartitioned(follower, false)
 		eventually(t, "it has all changes", func() bool { return follower.node.stateView().version == changes })
 		follower = follower.restart()
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -70,7 +70,7 @@
 // logRefusal logs that the group no longer accepts this VM as the member whose ID it
 // uses, because the disk was replaced or the member was removed.
 func (n *Node) logRefusal(old, l *leadership) {
-	if reason := l.status.Refused; reason != old.status.Refused && reason != quorumpb.Refusal_NONE {
+	if reason := l.status.Refusal; reason != old.status.Refusal && reason != quorumpb.Refusal_NONE {
 		klog.Errorf("control: the group rejects this VM as member %d (%v); start it on an empty folder with an id that was never used, and add it to the group", n.cfg.ID, reason)
 	}
 }
@@ -125,8 +125,8 @@
 		return 0
 	}
 	for _, p := range st.Peers {
-		if p.ID == id && p.Age >= 0 {
-			return p.Age
+		if p.ID == id && p.AckAgeTicks >= 0 {
+			return p.AckAgeTicks
 		}
 	}
 	return noContactAge
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -64,11 +64,11 @@
 	return n, nil
 }
 
-func open(cfg Config, j *journal.Journal, stored *journal.Stored) (*Node, error) {
+func open(cfg Config, j *journal.Journal, stored *journal.StoredState) (*Node, error) {
 	if err := initDataDir(&cfg, j, stored); err != nil {
 		return nil, err
 	}
-	machine, err := quorum.New(quorum.DefaultConfig(cfg.ID, rand.Uint64()), quorum.Stored{
+	machine, err := quorum.New(quorum.DefaultConfig(cfg.ID, rand.Uint64()), quorum.StoredState{
 		HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: stored.Entries,
 	})
 	if err != nil {
@@ -101,7 +101,7 @@
 // initDataDir writes an identity and the initial state to an empty data folder, which
 // includes the bootstrap snapshot if cfg.Bootstrap is set. It returns an error for a
 // folder that belongs to another VM.
-func initDataDir(cfg *Config, j *journal.Journal, st *journal.Stored) error {
+func initDataDir(cfg *Config, j *journal.Journal, st *journal.StoredState) error {
 	if st.Identity == nil {
 		st.Identity = &wire.DiskIdentity{Disk: rand.Uint64() | 1, Id: cfg.ID, Name: cfg.Name}
 		if err := j.WriteIdentity(st.Identity); err != nil {
--- a/internal/control/ready.go
+++ b/internal/control/ready.go
@@ -30,7 +30,7 @@
 // processReady processes one Ready of the machine in the order that package quorum requires.
 func (d *driver) processReady(ctx context.Context) error {
 	ready := d.machine.Ready()
-	d.node.transport.send(ready.Early)
+	d.node.transport.send(ready.EarlyMessages)
 	if err := d.save(ctx, &ready); err != nil {
 		return err
 	}
@@ -191,5 +191,5 @@
 	if snap.Index <= keep {
 		return nil
 	}
-	return d.journal.DropBelow(snap.Index - keep)
+	return d.journal.RemoveLogsBelow(snap.Index - keep)
 }
--- a/internal/control/seat.go
+++ b/internal/control/seat.go
@@ -127,7 +127,7 @@
 		}
 		now := m.cfg.Clock()
 		switch {
-		case node.leadership.Load().status.Refused == quorumpb.Refusal_NONE:
+		case node.leadership.Load().status.Refusal == quorumpb.Refusal_NONE:
 			since = 0
 		case since == 0:
 			since = now
@@ -181,7 +181,7 @@
 // been founded and the founders are not needed.
 func (m *Seat) hasLog() bool {
 	names, err := m.cfg.FS.ReadDir(m.cfg.DataDir)
-	return err == nil && slices.ContainsFunc(names, journal.IsLog)
+	return err == nil && slices.ContainsFunc(names, journal.IsLogFile)
 }
 
 // join asks for admission to the group until it is granted, and writes the identity with
@@ -266,7 +266,7 @@
 
 // removalRank orders files for removal: the identity after all others.
 func removalRank(name string) int {
-	if name == journal.IdentityName {
+	if name == journal.IdentityFile {
 		return 1
 	}
 	return 0
--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -31,12 +31,12 @@
 type CorruptError struct {
 	File   string
 	Offset int64 // of the first unreadable frame
-	Why    string
+	Reason string
 }
 
 // Error implements error.
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("journal: %s is damaged at offset %d: %s; replace this control VM's disk and add it to the group as a new member", e.File, e.Offset, e.Why)
+	return fmt.Sprintf("journal: %s is damaged at offset %d: %s; replace this control VM's disk and add it to the group as a new member", e.File, e.Offset, e.Reason)
 }
 
 func isNoSpace(err error) bool {
--- a/internal/journal/faultydisk/faultydisk.go
+++ b/internal/journal/faultydisk/faultydisk.go
@@ -18,10 +18,10 @@
 
 // The faults.
 const (
-	Well   Fault = ""
-	Slow   Fault = "slow"   // each sync is delayed by slowSyncDelay
-	Stalls Fault = "stalls" // writes and syncs block until the fault is changed
-	Full   Fault = "full"   // writes fail with ENOSPC
+	None    Fault = ""
+	Slow    Fault = "slow"   // each sync is delayed by slowSyncDelay
+	Stalled Fault = "stalls" // writes and syncs block until the fault is changed
+	Full    Fault = "full"   // writes fail with ENOSPC
 )
 
 const (
@@ -53,14 +53,14 @@
 func (fs FS) currentFault() Fault {
 	text, err := os.ReadFile(fs.faultPath)
 	if err != nil {
-		return Well // no fault was set
+		return None // no fault was set
 	}
 	return Fault(strings.TrimSpace(string(text)))
 }
 
 // waitWritable blocks while the disk is stalled. It returns ENOSPC if the disk is full.
 func (fs FS) waitWritable() error {
-	for fs.currentFault() == Stalls {
+	for fs.currentFault() == Stalled {
 		time.Sleep(pollInterval)
 	}
 	if fs.currentFault() == Full {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -19,12 +19,12 @@
 const (
 	logPrefix      = "log"
 	snapshotPrefix = "snapshot-"
-	identityFile   = IdentityName
+	identityFile   = IdentityFile
 	lockFile       = "lock"
 )
 
 // IdentityFile is the name of the file that holds the identity of the disk.
-const IdentityName = "identity"
+const IdentityFile = "identity"
 
 // DefaultSegmentBytes is the size from which a new log file is started.
 const DefaultSegmentBytes = 16 << 20
@@ -36,7 +36,7 @@
 }
 
 // StoredState is the content of a data folder when it was opened.
-type Stored struct {
+type StoredState struct {
 	Identity  *wire.DiskIdentity // nil on a new disk
 	HardState *quorum.HardState  // nil before the first Save
 	Snapshot  *quorum.Snapshot   // nil if there is none
@@ -57,7 +57,7 @@
 }
 
 // Open locks and reads a data folder, and creates it if it does not exist.
-func Open(dir string, o Options) (*Journal, *Stored, error) {
+func Open(dir string, o Options) (*Journal, *StoredState, error) {
 	if o.FS == nil {
 		o.FS = OS{}
 	}
@@ -80,8 +80,8 @@
 	return j, st, nil
 }
 
-func (j *Journal) load() (*Stored, error) {
-	st := &Stored{}
+func (j *Journal) load() (*StoredState, error) {
+	st := &StoredState{}
 	names, err := j.fs.ReadDir(j.dir)
 	if err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 
 // IsLogFile reports whether name is that of a log file, which holds entries and hard
 // states.
-func IsLog(name string) bool { return strings.HasPrefix(name, logPrefix+"-") }
+func IsLogFile(name string) bool { return strings.HasPrefix(name, logPrefix+"-") }
 
 // ReadIdentity returns the identity in a data folder, or nil if there is none.
 func ReadIdentity(fs FS, dir string) (*wire.DiskIdentity, error) {
@@ -304,7 +304,7 @@
 // RemoveLogsBelow deletes the oldest log files that hold neither an entry at or above
 // index nor the entry at the snapshot's index. The latter is needed at the next start
 // to check that log and snapshot belong together.
-func (j *Journal) DropBelow(index uint64) error {
+func (j *Journal) RemoveLogsBelow(index uint64) error {
 	index = min(index, j.snapshotIndex)
 	current, _ := j.log.Current()
 	firstKept := uint64(0)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -49,8 +49,8 @@
 }
 
 // stateAfter returns the state that Open must return after the given saves.
-func stateAfter(saves []saveCall) *Stored {
-	st := &Stored{}
+func stateAfter(saves []saveCall) *StoredState {
+	st := &StoredState{}
 	for _, s := range saves {
 		if s.hardState != nil {
 			st.HardState = s.hardState
@@ -69,7 +69,7 @@
 }
 
 // diffStates describes the first difference between got and want, or returns "".
-func diffStates(got, want *Stored) string {
+func diffStates(got, want *StoredState) string {
 	if !proto.Equal(got.HardState, want.HardState) {
 		return fmt.Sprintf("hard state %v, want %v", got.HardState, want.HardState)
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-func readState(t *testing.T, dir string) *Stored {
+func readState(t *testing.T, dir string) *StoredState {
 	t.Helper()
 	j, st, err := Open(dir, Options{})
 	if err != nil {
@@ -327,7 +327,7 @@
 		Convey("RemoveLogsBelow after a snapshot removes older files, and the rest reads back", func() {
 			snap := &quorum.Snapshot{Index: 90, Term: 1, Data: []byte("s")}
 			So(j.SaveSnapshot(snap), ShouldBeNil)
-			So(j.DropBelow(90), ShouldBeNil)
+			So(j.RemoveLogsBelow(90), ShouldBeNil)
 			So(j.Size(), ShouldBeLessThan, before/2)
 			So(j.Close(), ShouldBeNil)
 			st := readState(t, dir)
--- a/internal/journal/segments.go
+++ b/internal/journal/segments.go
@@ -27,11 +27,11 @@
 
 // VisitFunc is called for each frame that OpenSegments or ReadSegment reads, oldest
 // first.
-type Visit func(segment uint64, payload []byte) error
+type VisitFunc func(segment uint64, payload []byte) error
 
 // OpenSegments reads the files in dir whose names start with prefix, truncates a
 // damaged tail, and opens the last file for appending.
-func OpenSegments(fs FS, dir, prefix string, visit Visit) (*Segments, error) {
+func OpenSegments(fs FS, dir, prefix string, visit VisitFunc) (*Segments, error) {
 	s := &Segments{fs: fs, dir: dir, prefix: prefix}
 	names, err := fs.ReadDir(dir)
 	if err != nil {
@@ -70,7 +70,7 @@
 // a frame that was not synced before a crash. It was never acknowledged, and
 // openLast truncates it. A valid frame after the damage proves that the damaged frame
 // had been synced.
-func (s *Segments) loadSegment(i int, visit Visit) error {
+func (s *Segments) loadSegment(i int, visit VisitFunc) error {
 	seg := &s.segments[i]
 	path := s.path(seg.number)
 	b, err := s.fs.ReadFile(path)
@@ -220,7 +220,7 @@
 
 // ReadSegment visits the complete frames of a file. It may run concurrently with
 // Append; a frame that is not completely written is skipped.
-func (s *Segments) ReadSegment(number uint64, visit Visit) error {
+func (s *Segments) ReadSegment(number uint64, visit VisitFunc) error {
 	b, err := s.fs.ReadFile(s.path(number))
 	if err != nil {
 		return err
--- a/internal/quorum/agreement_test.go
+++ b/internal/quorum/agreement_test.go
@@ -79,7 +79,7 @@
 		}
 	}
 	c.runTicks(60)
-	if r := c.reads[token]; r == nil || !r.Lost {
+	if r := c.reads[token]; r == nil || !r.LeadershipLost {
 		t.Fatalf("the isolated leader answered a read: %v", r)
 	}
 	l := c.waitForLeader()
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := New(DefaultConfig(1, 1), Stored{
+	m, err := New(DefaultConfig(1, 1), StoredState{
 		HardState: &HardState{Disk: 1, Term: 3}, Snapshot: boot,
 		Entries: []*Entry{{Index: 1, Term: 1}, {Index: 2, Term: 2}},
 	})
@@ -201,7 +201,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := l.m.Transfer(2); err != nil {
+		if err := l.m.TransferLeadership(2); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := l.m.Propose(nil); !errors.Is(err, ErrTransferring) {
@@ -232,7 +232,7 @@
 		}
 		rd := l.m.Ready()
 		l.persist(rd)
-		for _, msg := range rd.Early {
+		for _, msg := range rd.EarlyMessages {
 			entriesSent[msg.To] += len(msg.Entries)
 		}
 		l.m.Advance()
--- a/internal/quorum/chaos_test.go
+++ b/internal/quorum/chaos_test.go
@@ -258,7 +258,7 @@
 
 func (w *randomCluster) actTransfer(t *rapid.T) {
 	h := w.pickLeader(t)
-	_ = h.m.Transfer(0)
+	_ = h.m.TransferLeadership(0)
 	w.processAllReady(h)
 }
 
--- a/internal/quorum/cluster_test.go
+++ b/internal/quorum/cluster_test.go
@@ -32,8 +32,8 @@
 // host is a control VM with its disk. Only id, disk and persisted survive a crash.
 type host struct {
 	id, disk  uint64
-	m         *Machine // nil while down
-	persisted Stored   // state that was synced
+	m         *Machine    // nil while down
+	persisted StoredState // state that was synced
 	state     appState
 }
 
@@ -93,7 +93,7 @@
 func (c *cluster) addHost(id uint64, bootSnapshot *Snapshot) *host {
 	c.lastDisk++
 	h := &host{id: id, disk: 1000 + c.lastDisk}
-	h.persisted = Stored{HardState: &HardState{Disk: h.disk}, Snapshot: bootSnapshot}
+	h.persisted = StoredState{HardState: &HardState{Disk: h.disk}, Snapshot: bootSnapshot}
 	c.hosts[h.disk] = h
 	c.start(h)
 	return h
@@ -161,7 +161,7 @@
 // processReady does the work of a Ready up to the given point.
 func (c *cluster) processReady(h *host, until int) {
 	rd := h.m.Ready()
-	c.enqueue(rd.Early)
+	c.enqueue(rd.EarlyMessages)
 	if !c.deliveringBeforeSync && c.rng.Float64() < c.deliverBeforeSyncRate {
 		c.deliveringBeforeSync = true
 		c.deliver()
--- a/internal/quorum/disk_test.go
+++ b/internal/quorum/disk_test.go
@@ -36,7 +36,7 @@
 	if c.leader() != nil {
 		t.Fatalf("a leader was elected with the vote of a replaced disk: %s", c)
 	}
-	if reason := blank.m.Status().Refused; reason != quorumpb.Refusal_WRONG_DISK {
+	if reason := blank.m.Status().Refusal; reason != quorumpb.Refusal_WRONG_DISK {
 		t.Fatalf("refusal reason at the VM with the replaced disk: %v", reason)
 	}
 	c.start(l)
@@ -91,8 +91,8 @@
 	blank := c.addHost(3, nil)
 	l.m.broadcastHeartbeat()
 	for l.m.HasReady() {
-		for _, msg := range l.m.Ready().Early {
-			var refused *RefusedError
+		for _, msg := range l.m.Ready().EarlyMessages {
+			var refused *MessageRefusedError
 			if err := blank.m.Step(msg); msg.To == 3 && !errors.As(err, &refused) {
 				t.Fatalf("message for the replaced disk was processed: %v: %v", msg, err)
 			}
--- a/internal/quorum/errors.go
+++ b/internal/quorum/errors.go
@@ -25,12 +25,12 @@
 }
 
 // MessageRefusedError is returned by Step for a message that was not processed.
-type RefusedError struct {
-	From uint64
-	Why  string
+type MessageRefusedError struct {
+	From   uint64
+	Reason string
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string {
-	return fmt.Sprintf("quorum: refused a message from member %d: %s", e.From, e.Why)
+func (e *MessageRefusedError) Error() string {
+	return fmt.Sprintf("quorum: refused a message from member %d: %s", e.From, e.Reason)
 }
--- a/internal/quorum/invariant_test.go
+++ b/internal/quorum/invariant_test.go
@@ -93,7 +93,7 @@
 		c.t.Fatalf("read %d finished twice", r.Token)
 	}
 	c.reads[r.Token] = &r
-	if !r.Lost && r.Index < c.commitAtRead[r.Token] {
+	if !r.LeadershipLost && r.Index < c.commitAtRead[r.Token] {
 		c.t.Fatalf("linearizable read: got index %d, but %d was committed before the request", r.Index, c.commitAtRead[r.Token])
 	}
 	if c.onRead != nil {
--- a/internal/quorum/lease_test.go
+++ b/internal/quorum/lease_test.go
@@ -49,7 +49,7 @@
 		c.start(h)
 	case 6:
 		if l := c.leader(); l != nil {
-			_ = l.m.Transfer(0)
+			_ = l.m.TransferLeadership(0)
 			c.processAllReady(l)
 		}
 	}
--- a/internal/quorum/linear_test.go
+++ b/internal/quorum/linear_test.go
@@ -95,7 +95,7 @@
 }
 
 func (k *workload) onReadFinished(h *host, r ReadState) {
-	if !r.Lost {
+	if !r.LeadershipLost {
 		k.pendingReads[h.disk] = append(k.pendingReads[h.disk], r)
 	}
 	k.completeReads(h)
--- a/internal/quorum/machine.go
+++ b/internal/quorum/machine.go
@@ -50,7 +50,7 @@
 }
 
 // New returns a machine that continues from the state the driver stored.
-func New(cfg Config, st Stored) (*Machine, error) {
+func New(cfg Config, st StoredState) (*Machine, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
@@ -100,7 +100,7 @@
 	return s.Conf
 }
 
-func (m *Machine) restoreLog(st Stored) error {
+func (m *Machine) restoreLog(st StoredState) error {
 	m.log.reset(m.snapshot.Index, m.snapshot.Term)
 	es := st.Entries
 	for len(es) > 0 && es[0].Index <= m.snapshot.Index {
@@ -183,9 +183,9 @@
 func (m *Machine) Status() Status {
 	s := Status{
 		ID: m.cfg.ID, Term: m.hardState.Term, Leader: m.leader, Role: m.role,
-		Commit: m.log.commit, Applied: m.log.applied, LastIndex: m.log.lastIndex(), First: m.log.firstIndex,
+		Commit: m.log.commit, Applied: m.log.applied, LastIndex: m.log.lastIndex(), FirstIndex: m.log.firstIndex,
 		Conf: m.conf(), ConfCommitted: m.confs.latest().index <= m.log.commit,
-		Refused: m.lastRefusal.reason,
+		Refusal: m.lastRefusal.reason,
 	}
 	for _, member := range s.Conf.GetMembers() {
 		p := m.peers[member.Id]
@@ -196,7 +196,7 @@
 		if p.ackedSentTick != neverAcked {
 			ackAge = m.tick - p.ackedSentTick
 		}
-		s.Peers = append(s.Peers, PeerStatus{ID: member.Id, Match: p.match, Age: ackAge, CaughtUp: p.match >= m.log.commit})
+		s.Peers = append(s.Peers, PeerStatus{ID: member.Id, Match: p.match, AckAgeTicks: ackAge, CaughtUp: p.match >= m.log.commit})
 	}
 	return s
 }
--- a/internal/quorum/membership.go
+++ b/internal/quorum/membership.go
@@ -38,14 +38,14 @@
 // ConfError is returned for a membership change that is invalid or would leave the
 // group without an active quorum.
 type ConfError struct {
-	Op       ConfOp
-	ID       uint64
-	Why, Fix string
+	Op          ConfOp
+	ID          uint64
+	Reason, Fix string
 }
 
 // Error implements error.
 func (e *ConfError) Error() string {
-	return fmt.Sprintf("quorum: can't %s member %d: %s; %s", e.Op, e.ID, e.Why, e.Fix)
+	return fmt.Sprintf("quorum: can't %s member %d: %s; %s", e.Op, e.ID, e.Reason, e.Fix)
 }
 
 // ProposeConf appends a membership change. At most one change may be uncommitted,
--- a/internal/quorum/membership_test.go
+++ b/internal/quorum/membership_test.go
@@ -109,7 +109,7 @@
 	c, l := newElectedCluster(t, 3)
 	c.changeMembership(l, Remove, &Member{Id: 3})
 	c.runTicks(20)
-	if reason := c.host(3).m.Status().Refused; reason != quorumpb.Refusal_REMOVED {
+	if reason := c.host(3).m.Status().Refusal; reason != quorumpb.Refusal_REMOVED {
 		t.Fatalf("refusal reason at the removed VM: %v", reason)
 	}
 	refuse := func(op ConfOp, b *Member) {
--- a/internal/quorum/readindex.go
+++ b/internal/quorum/readindex.go
@@ -45,7 +45,7 @@
 
 func (m *Machine) failReads() {
 	for _, r := range m.reads {
-		m.finishedReads = append(m.finishedReads, ReadState{Token: r.token, Lost: true})
+		m.finishedReads = append(m.finishedReads, ReadState{Token: r.token, LeadershipLost: true})
 	}
 	m.reads, m.readRoundUnsent = nil, false
 }
--- a/internal/quorum/ready.go
+++ b/internal/quorum/ready.go
@@ -53,7 +53,7 @@
 	unsynced := m.termOrVoteChanged()
 	for _, msg := range m.outbox {
 		if safeBeforeSync(msg) && !unsynced {
-			rd.Early = append(rd.Early, msg)
+			rd.EarlyMessages = append(rd.EarlyMessages, msg)
 		} else {
 			rd.Messages = append(rd.Messages, msg)
 		}
--- a/internal/quorum/replicate.go
+++ b/internal/quorum/replicate.go
@@ -130,7 +130,7 @@
 // does not remove entries of a later message.
 func (m *Machine) onAppend(msg *Message) error {
 	if err := checkEntries(msg.Entries, msg.Index, msg.LogTerm, msg.Term); err != nil {
-		return &RefusedError{msg.From, err.Error()}
+		return &MessageRefusedError{msg.From, err.Error()}
 	}
 	m.onLeaderContact(msg.From)
 	if msg.Index < m.log.commit {
--- a/internal/quorum/snapshot.go
+++ b/internal/quorum/snapshot.go
@@ -49,10 +49,10 @@
 func (m *Machine) onSnapshot(msg *Message) error {
 	s := msg.Snapshot
 	if s == nil || s.Index == 0 || s.Term > msg.Term {
-		return &RefusedError{msg.From, "its snapshot is empty"}
+		return &MessageRefusedError{msg.From, "its snapshot is empty"}
 	}
 	if err := validateConf(confOrEmpty(s)); err != nil {
-		return &RefusedError{msg.From, err.Error()}
+		return &MessageRefusedError{msg.From, err.Error()}
 	}
 	m.onLeaderContact(msg.From)
 	if s.Index <= m.log.commit {
--- a/internal/quorum/step.go
+++ b/internal/quorum/step.go
@@ -9,7 +9,7 @@
 // not processed; the driver logs the error and continues.
 func (m *Machine) Step(msg *Message) error {
 	if _, ok := quorumpb.Kind_name[int32(msg.Kind)]; !ok || msg.Kind == quorumpb.Kind_UNKNOWN {
-		return &RefusedError{msg.From, "its kind is unknown"}
+		return &MessageRefusedError{msg.From, "its kind is unknown"}
 	}
 	if err := m.checkSenderAndRecipient(msg); err != nil {
 		return err
@@ -36,10 +36,10 @@
 // so a removed member stays refused.
 func (m *Machine) checkSenderAndRecipient(msg *Message) error {
 	if msg.To != m.cfg.ID || msg.ToDisk != 0 && msg.ToDisk != m.hardState.Disk {
-		return &RefusedError{msg.From, "it is addressed to another member or to a replaced disk"}
+		return &MessageRefusedError{msg.From, "it is addressed to another member or to a replaced disk"}
 	}
 	if msg.From == 0 || msg.From == m.cfg.ID || msg.FromDisk == 0 {
-		return &RefusedError{msg.From, "it does not name its sender"}
+		return &MessageRefusedError{msg.From, "it does not name its sender"}
 	}
 	reason := m.refusalReason(msg)
 	if reason == quorumpb.Refusal_NONE {
@@ -49,9 +49,9 @@
 		m.reply(msg, &Message{Kind: quorumpb.Kind_REFUSED, Refusal: reason})
 	}
 	if reason == quorumpb.Refusal_WRONG_DISK {
-		return &RefusedError{msg.From, "its disk was replaced; remove the member and add the VM under a new id"}
+		return &MessageRefusedError{msg.From, "its disk was replaced; remove the member and add the VM under a new id"}
 	}
-	return &RefusedError{msg.From, "it was removed from the group"}
+	return &MessageRefusedError{msg.From, "it was removed from the group"}
 }
 
 // refusalReason returns why the sender of msg is refused, by the committed
@@ -82,7 +82,7 @@
 		m.becomeFollower(msg.Term, 0)
 	}
 	if isLeaderMessage(msg) && m.role == Leader {
-		return &RefusedError{msg.From, "it claims leadership of the term that this member leads"}
+		return &MessageRefusedError{msg.From, "it claims leadership of the term that this member leads"}
 	}
 	switch msg.Kind {
 	case quorumpb.Kind_VOTE_REPLY:
--- a/internal/quorum/transfer.go
+++ b/internal/quorum/transfer.go
@@ -20,7 +20,7 @@
 // if to is 0. During the transfer, proposals fail with ErrTransferring. If the voter
 // does not take over within ElectionTicks, the leader resumes if TIMEOUT_NOW was not
 // sent yet, and steps down otherwise.
-func (m *Machine) Transfer(to uint64) error {
+func (m *Machine) TransferLeadership(to uint64) error {
 	if err := m.checkLeader(); err != nil {
 		return err
 	}
--- a/internal/quorum/types.go
+++ b/internal/quorum/types.go
@@ -30,7 +30,7 @@
 func (r Role) String() string { return roleNames[r] }
 
 // StoredState is the state that a driver has read from its journal.
-type Stored struct {
+type StoredState struct {
 	HardState *HardState // Disk must be set
 	Snapshot  *Snapshot  // latest; on a new disk the one of Bootstrap, or empty
 	Entries   []*Entry   // consecutive, starting at or before Snapshot.Index+1
@@ -47,7 +47,7 @@
 	// above Entries[0].Index.
 	Entries []*Entry
 	// EarlyMessages may be sent before the journal is synced.
-	Early []*Message
+	EarlyMessages []*Message
 	// Messages may only be sent after the journal is synced: they may acknowledge a
 	// vote or an entry.
 	Messages []*Message
@@ -62,26 +62,26 @@
 
 // ReadState is the result of a ReadIndex call.
 type ReadState struct {
-	Token uint64
-	Index uint64 // the read may be served once the entry at Index is applied
-	Lost  bool   // leadership was lost before the read finished; retry at the new leader
+	Token          uint64
+	Index          uint64 // the read may be served once the entry at Index is applied
+	LeadershipLost bool   // leadership was lost before the read finished; retry at the new leader
 }
 
 // Status is the state of a machine, for operators and for its driver.
 type Status struct {
-	ID, Term, Leader                  uint64 // Leader is 0 if unknown
-	Role                              Role
-	Commit, Applied, LastIndex, First uint64
-	Conf                              *Conf            // latest in the log, committed or not
-	ConfCommitted                     bool             // whether Conf is committed
-	Peers                             []PeerStatus     // on the leader only, sorted by id
-	Refused                           quorumpb.Refusal // reason why another member refuses this VM, if any
+	ID, Term, Leader                       uint64 // Leader is 0 if unknown
+	Role                                   Role
+	Commit, Applied, LastIndex, FirstIndex uint64
+	Conf                                   *Conf            // latest in the log, committed or not
+	ConfCommitted                          bool             // whether Conf is committed
+	Peers                                  []PeerStatus     // on the leader only, sorted by id
+	Refusal                                quorumpb.Refusal // reason why another member refuses this VM, if any
 }
 
 // PeerStatus is the leader's view of another member.
 type PeerStatus struct {
-	ID       uint64
-	Match    uint64 // index of the last entry that the member is known to have synced
-	Age      int    // ticks since the latest answered message was sent; -1 if none in this term
-	CaughtUp bool   // the member holds every committed entry; a learner may be promoted
+	ID          uint64
+	Match       uint64 // index of the last entry that the member is known to have synced
+	AckAgeTicks int    // ticks since the latest answered message was sent; -1 if none in this term
+	CaughtUp    bool   // the member holds every committed entry; a learner may be promoted
 }
--- a/soak/disks_test.go
+++ b/soak/disks_test.go
@@ -14,7 +14,7 @@
 // with disks. It uses a separate random source, so that it does not change the order of the
 // other faults of a seed.
 func (h *harness) injectDiskFaults(ctx context.Context, rng *rand.Rand) {
-	faults := []faultydisk.Fault{faultydisk.Slow, faultydisk.Stalls, faultydisk.Full}
+	faults := []faultydisk.Fault{faultydisk.Slow, faultydisk.Stalled, faultydisk.Full}
 	for n := 0; vm.Sleep(ctx, time.Duration(200+rng.IntN(1500))*time.Millisecond); n++ {
 		if n%len(faults) == 0 {
 			rng.Shuffle(len(faults), func(i, k int) { faults[i], faults[k] = faults[k], faults[i] })
@@ -22,7 +22,7 @@
 		v := h.vms[rng.IntN(diskVMs)]
 		h.setDiskFault(v, faults[n%len(faults)])
 		vm.Sleep(ctx, time.Duration(300+rng.IntN(2500))*time.Millisecond)
-		h.setDiskFault(v, faultydisk.Well)
+		h.setDiskFault(v, faultydisk.None)
 	}
 }
 
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -152,7 +152,7 @@
 	}
 	newest := ""
 	for _, f := range entries {
-		if journal.IsLog(f.Name()) {
+		if journal.IsLogFile(f.Name()) {
 			newest = f.Name() // ReadDir sorts by name
 		}
 	}
