--- a/cmd/pearmoord/main.go
+++ b/cmd/pearmoord/main.go
@@ -110,7 +110,7 @@
 	stringFlag(app, &c.PeerKey, "peer-key", "PEM key of --peer-cert.")
 	app.Flag("plaintext-peers", "No TLS between daemons; loopback addresses only.").Envar(envVar("plaintext-peers")).BoolVar(&c.PlaintextPeers)
 	app.Flag("sync-every", "Heartbeat interval.").Envar(envVar("sync-every")).Default("1s").DurationVar(&c.SyncEvery)
-	app.Flag("relay-above", "A tier of more daemons than this has relays.").Envar(envVar("relay-above")).Default(fmt.Sprint(relay.DefaultDirect)).IntVar(&c.Direct)
+	app.Flag("relay-above", "A tier of more daemons than this has relays.").Envar(envVar("relay-above")).Default(fmt.Sprint(relay.DefaultMaxDirect)).IntVar(&c.Direct)
 	app.Flag("relay-fanout", "Daemons below one relay.").Envar(envVar("relay-fanout")).Default(fmt.Sprint(relay.DefaultFanout)).IntVar(&c.Fanout)
 }
 
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -31,7 +31,7 @@
 	now := n.cfg.Clock()
 	grace := n.state.LeaseBound() + electionTimeout
 	n.daemons.Reset(now, now.Add(grace), n.state.Settled(), n.state.Pending())
-	n.leaseTerms.Store(&presence.Terms{Lease: n.state.Tree().Tier().DaemonLease})
+	n.leaseTerms.Store(&presence.LeaseRequirements{Lease: n.state.Tree().Tier().DaemonLease})
 	klog.Infof("control: leads in term %d at version %d, with %d members and a grace of %v", term, n.state.Version(), len(n.state.Settled().Members), grace)
 	n.wakeLeaderLoop()
 }
@@ -103,7 +103,7 @@
 func (l *leaderLoop) runOnce(ctx context.Context) {
 	v, now := l.stateView(), l.cfg.Clock()
 	l.updateLeaseTerms(&v, now)
-	l.daemons.Sweep(now)
+	l.daemons.DeleteExpired(now)
 	daemonCountGauge.Update(int64(l.daemons.Len()))
 	if c := l.epochCommand(&v, now); c != nil {
 		l.proposeAndLog(ctx, c)
@@ -126,7 +126,7 @@
 
 func (l *leaderLoop) updateLeaseTerms(v *stateView, now vm.Instant) {
 	l.versions.add(v.version, now)
-	t := &presence.Terms{Lease: v.daemonLease, Config: l.versions.newestDue(now), Patience: maxConfirmDelay}
+	t := &presence.LeaseRequirements{Lease: v.daemonLease, MinConfigVersion: l.versions.newestDue(now), GracePeriod: maxConfirmDelay}
 	if v.pending == nil {
 		l.pendingEpoch = pendingEpoch{}
 	} else if l.pendingEpoch.epoch != v.pending.Epoch {
@@ -136,7 +136,7 @@
 	// has received the epoch fits into its smaller shares. One that has not
 	// acknowledged the epoch by then gets no further lease.
 	if l.pendingEpoch.epoch != 0 && now.Sub(l.pendingEpoch.since) > v.daemonLease+maxConfirmDelay {
-		t.Epoch = l.pendingEpoch.epoch
+		t.MinEpoch = l.pendingEpoch.epoch
 	}
 	l.leaseTerms.Store(t)
 }
@@ -146,7 +146,7 @@
 // epoch with the joins and departures since the last one.
 func (l *leaderLoop) epochCommand(v *stateView, now vm.Instant) *wire.Command {
 	if v.pending != nil {
-		if !l.daemons.Respected(v.pending.Epoch, now, v.settled, v.pending) {
+		if !l.daemons.EpochAcknowledged(v.pending.Epoch, now, v.settled, v.pending) {
 			return nil
 		}
 		return &wire.Command{Body: &wire.Command_Settle{Settle: &wire.SettleCommand{Epoch: v.pending.Epoch}}}
@@ -155,7 +155,7 @@
 		return nil
 	}
 	l.membershipCheckedAt = now
-	upserts, removes := l.daemons.Want(v.settled, now)
+	upserts, removes := l.daemons.MembershipChanges(v.settled, now)
 	if len(upserts)+len(removes) == 0 {
 		l.membershipChangedAt = 0
 		return nil
@@ -176,7 +176,7 @@
 	if v.inForce >= v.version {
 		return nil
 	}
-	confirmed := l.daemons.Confirmed(v.version, now)
+	confirmed := l.daemons.ConfirmedVersion(v.version, now)
 	if confirmed <= v.inForce {
 		return nil
 	}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -29,14 +29,14 @@
 	trail          *audit.Trail
 	daemons        *presence.Table
 	history        *relay.History
-	expander       relay.Expander
+	expander       relay.HeartbeatExpander
 	leaderLoopWake chan struct{} // wakes the leader loop before its next interval
 
 	mu    sync.RWMutex // guards state
 	state *state.State
 
 	leadership atomic.Pointer[leadership]
-	leaseTerms atomic.Pointer[presence.Terms]
+	leaseTerms atomic.Pointer[presence.LeaseRequirements]
 	diskFull   atomic.Bool
 	// releaseSem is a semaphore that is held while a release is merged into the tree.
 	releaseSem   chan struct{}
@@ -90,7 +90,7 @@
 		crashReports: newCrashReportQueue(cfg.Clock),
 	}
 	n.leadership.Store(&leadership{})
-	n.leaseTerms.Store(&presence.Terms{Lease: st.Tree().Tier().DaemonLease})
+	n.leaseTerms.Store(&presence.LeaseRequirements{Lease: st.Tree().Tier().DaemonLease})
 	n.transport = newTransport(&n.cfg)
 	n.driver = newDriver(n, machine, j, stored.Snapshot.GetIndex())
 	n.appendInForceRecords()
@@ -166,7 +166,7 @@
 	st := n.state
 	versionGauge.Update(int64(st.Version()))
 	inForceGauge.Update(int64(st.InForce()))
-	n.history.Advance(relay.State{
+	n.history.Update(relay.State{
 		ConfigVersion: st.Version(), ConfigDigest: st.Tree().Digest(), Tree: st.Tree(),
 		InForce: st.InForce(), Settled: st.Settled(), Pending: st.Pending(),
 	}, st.Deltas(oldVersion))
--- a/internal/control/operator.go
+++ b/internal/control/operator.go
@@ -135,7 +135,7 @@
 		}
 	}
 	if c := reply.Conflict; c != nil && req.ChangeId != "" && c.ChangeId == req.ChangeId {
-		return state.Resend(c, req.ChangeId, req.BaseVersion, req.Edits), nil
+		return state.ResendReply(c, req.ChangeId, req.BaseVersion, req.Edits), nil
 	}
 	return reply, nil
 }
--- a/internal/control/presence/member.go
+++ b/internal/control/presence/member.go
@@ -13,7 +13,7 @@
 // into the set of daemons that are running now. A member is removed when its lease has
 // expired, when it reports phase Gone, or when a newer run of the same name has sent a
 // heartbeat.
-func (t *Table) Want(settled *vm.Membership, now vm.Instant) (upserts []*wire.Vm, removes []string) {
+func (t *Table) MembershipChanges(settled *vm.Membership, now vm.Instant) (upserts []*wire.Vm, removes []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	known := 0 // members that are in the table
@@ -63,7 +63,7 @@
 // EpochAcknowledged reports whether no member of the memberships can still use shares
 // larger than those of the epoch: each has acknowledged the epoch, has reported Gone,
 // or its lease has expired. A run that is not in the table has no lease.
-func (t *Table) Respected(epoch uint64, now vm.Instant, memberships ...*vm.Membership) bool {
+func (t *Table) EpochAcknowledged(epoch uint64, now vm.Instant, memberships ...*vm.Membership) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, ms := range memberships {
@@ -79,7 +79,7 @@
 
 // ConfirmedVersion returns the highest version, at most newest, that every active
 // daemon with a lease has confirmed.
-func (t *Table) Confirmed(newest uint64, now vm.Instant) uint64 {
+func (t *Table) ConfirmedVersion(newest uint64, now vm.Instant) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.runs {
@@ -92,7 +92,7 @@
 
 // UnconfirmedDaemons returns the names of the active daemons with a lease that have
 // not confirmed the version, sorted.
-func (t *Table) Unconfirmed(version uint64, now vm.Instant) []string {
+func (t *Table) UnconfirmedDaemons(version uint64, now vm.Instant) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
@@ -107,7 +107,7 @@
 
 // DaemonStatuses returns the status of each run in the table, sorted by name, then
 // incarnation.
-func (t *Table) Daemons(now vm.Instant) []*wire.DaemonStatus {
+func (t *Table) DaemonStatuses(now vm.Instant) []*wire.DaemonStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]*wire.DaemonStatus, 0, len(t.runs))
@@ -134,7 +134,7 @@
 // SilentMembers returns the names of the members of any of the memberships that have
 // sent no heartbeat for longer than threshold, sorted. A nil membership has no
 // members.
-func (t *Table) Quiet(now vm.Instant, threshold time.Duration, memberships ...*vm.Membership) []string {
+func (t *Table) SilentMembers(now vm.Instant, threshold time.Duration, memberships ...*vm.Membership) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
--- a/internal/control/presence/table.go
+++ b/internal/control/presence/table.go
@@ -72,21 +72,21 @@
 
 // LeaseRequirements are the conditions that a heartbeat must meet for a lease to be
 // granted.
-type Terms struct {
+type LeaseRequirements struct {
 	Lease time.Duration
 	// MinConfigVersion and MinEpoch are what a daemon must have confirmed after its
 	// grace period. A daemon that sends heartbeats but confirms nothing new would
 	// otherwise block a configuration change, or a transfer of shares, indefinitely.
 	// Without a new lease it blocks them no longer than its current lease lasts.
-	Config   uint64
-	Epoch    uint64
-	Patience time.Duration // time after the first heartbeat in which the minimums do not apply
+	MinConfigVersion uint64
+	MinEpoch         uint64
+	GracePeriod      time.Duration // time after the first heartbeat in which the minimums do not apply
 }
 
 // RecordHeartbeats records heartbeats. It returns the names of the daemons that are
 // not granted a lease, and whether anything but the time of the last heartbeat has
 // changed.
-func (t *Table) Beat(hbs []*wire.Heartbeat, now vm.Instant, requirements *Terms) (refused []string, changed bool) {
+func (t *Table) RecordHeartbeats(hbs []*wire.Heartbeat, now vm.Instant, requirements *LeaseRequirements) (refused []string, changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, hb := range hbs {
@@ -99,7 +99,7 @@
 	return refused, changed
 }
 
-func (t *Table) recordHeartbeat(hb *wire.Heartbeat, now vm.Instant, requirements *Terms) (granted, changed bool) {
+func (t *Table) recordHeartbeat(hb *wire.Heartbeat, now vm.Instant, requirements *LeaseRequirements) (granted, changed bool) {
 	m := vm.FromWire(hb.GetVm())
 	r := t.runs[runIDOf(&m)]
 	if r == nil {
@@ -124,19 +124,19 @@
 	return true, changed
 }
 
-func (t *Table) mayGrant(r *run, now vm.Instant, requirements *Terms) bool {
+func (t *Table) mayGrant(r *run, now vm.Instant, requirements *LeaseRequirements) bool {
 	if r.gone() || r.member.Incarnation < t.newestIncarnation[r.member.Name] {
 		return false
 	}
-	if now.Sub(r.firstHeard) < requirements.Patience {
+	if now.Sub(r.firstHeard) < requirements.GracePeriod {
 		return true
 	}
-	return r.confirmedVersion >= requirements.Config && r.ackedEpoch >= requirements.Epoch
+	return r.confirmedVersion >= requirements.MinConfigVersion && r.ackedEpoch >= requirements.MinEpoch
 }
 
 // DeleteExpired deletes the runs whose lease has expired and that have sent no
 // heartbeat for expiredRunRetention.
-func (t *Table) Sweep(now vm.Instant) {
+func (t *Table) DeleteExpired(now vm.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, r := range t.runs {
--- a/internal/control/presence/table_test.go
+++ b/internal/control/presence/table_test.go
@@ -65,9 +65,9 @@
 		}
 		table.Reset(now, now.Add(lease), ms)
 		for range rapid.IntRange(1, 150).Draw(t, "steps") {
-			requirements := &Terms{Lease: lease, Patience: time.Second}
+			requirements := &LeaseRequirements{Lease: lease, GracePeriod: time.Second}
 			if rapid.Bool().Draw(t, "strict") {
-				requirements.Config, requirements.Epoch = version, epoch
+				requirements.MinConfigVersion, requirements.MinEpoch = version, epoch
 			}
 			d := rapid.SampledFrom(runs).Draw(t, "daemon")
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
@@ -82,7 +82,7 @@
 				i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "request")
 				r := inFlight[i]
 				inFlight = append(inFlight[:i], inFlight[i+1:]...)
-				refused, _ := table.Beat([]*wire.Heartbeat{r.hb}, now, requirements)
+				refused, _ := table.RecordHeartbeats([]*wire.Heartbeat{r.hb}, now, requirements)
 				if len(refused) == 0 && rapid.Bool().Draw(t, "reply arrives") {
 					r.sender.leaseEnd = max(r.sender.leaseEnd, r.sent.Add(lease))
 					r.sender.grantedBy = leader
@@ -101,10 +101,10 @@
 				}
 			case 7:
 				now = now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
-				table.Sweep(now)
+				table.DeleteExpired(now)
 			}
-			acknowledged := table.Respected(epoch, now, ms)
-			confirmed := table.Confirmed(version, now) == version
+			acknowledged := table.EpochAcknowledged(epoch, now, ms)
+			confirmed := table.ConfirmedVersion(version, now) == version
 			for _, d := range runs {
 				if now >= d.leaseEnd {
 					continue
@@ -127,19 +127,19 @@
 func TestRestartedDaemonWaitsForOldLease(t *testing.T) {
 	Convey("The new run's heartbeats neither release the old run's share nor renew its lease", t, func() {
 		now := vm.Instant(time.Hour)
-		requirements := &Terms{Lease: lease}
+		requirements := &LeaseRequirements{Lease: lease}
 		table := New()
 		ms := &vm.Membership{Epoch: 1, Members: []vm.Member{newMember("d", 1)}}
-		refused, _ := table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, now, requirements)
+		refused, _ := table.RecordHeartbeats([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, now, requirements)
 		So(refused, ShouldBeEmpty)
 		later := now.Add(lease - 1)
-		refused, _ = table.Beat([]*wire.Heartbeat{newHeartbeat("d", 2, vm.Serving, 0, 2)}, later, requirements)
+		refused, _ = table.RecordHeartbeats([]*wire.Heartbeat{newHeartbeat("d", 2, vm.Serving, 0, 2)}, later, requirements)
 		So(refused, ShouldBeEmpty)
-		refused, _ = table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, later, requirements)
+		refused, _ = table.RecordHeartbeats([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, later, requirements)
 		So(refused, ShouldResemble, []string{"d"})
-		So(table.Respected(2, later, ms), ShouldBeFalse)
-		So(table.Respected(2, now.Add(lease), ms), ShouldBeTrue)
-		upserts, removes := table.Want(ms, later)
+		So(table.EpochAcknowledged(2, later, ms), ShouldBeFalse)
+		So(table.EpochAcknowledged(2, now.Add(lease), ms), ShouldBeTrue)
+		upserts, removes := table.MembershipChanges(ms, later)
 		So(removes, ShouldBeEmpty)
 		So(len(upserts), ShouldEqual, 1)
 		So(upserts[0].Incarnation, ShouldEqual, 2)
@@ -157,10 +157,10 @@
 		pending := &vm.Membership{Epoch: 2, Members: []vm.Member{newMember("a", 1)}}
 		table.Reset(now, now.Add(lease), settled)
 		now = now.Add(lease)
-		table.Beat([]*wire.Heartbeat{newHeartbeat("a", 1, vm.Serving, 0, 0)}, now, &Terms{Lease: lease})
-		So(table.Quiet(now, time.Second, settled, nil), ShouldResemble, []string{"lost"})
-		So(table.Quiet(now, time.Second, settled, pending), ShouldResemble, []string{"lost"})
-		So(table.Quiet(now, time.Second, pending, nil), ShouldBeEmpty)
+		table.RecordHeartbeats([]*wire.Heartbeat{newHeartbeat("a", 1, vm.Serving, 0, 0)}, now, &LeaseRequirements{Lease: lease})
+		So(table.SilentMembers(now, time.Second, settled, nil), ShouldResemble, []string{"lost"})
+		So(table.SilentMembers(now, time.Second, settled, pending), ShouldResemble, []string{"lost"})
+		So(table.SilentMembers(now, time.Second, pending, nil), ShouldBeEmpty)
 	})
 }
 
@@ -169,17 +169,17 @@
 func TestGoneDaemonReleasesShareImmediately(t *testing.T) {
 	Convey("A daemon blocks nothing after it has reported Gone", t, func() {
 		now := vm.Instant(time.Hour)
-		requirements := &Terms{Lease: lease}
+		requirements := &LeaseRequirements{Lease: lease}
 		table := New()
 		ms := &vm.Membership{Epoch: 1, Members: []vm.Member{newMember("d", 1)}}
-		table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, now, requirements)
-		So(table.Respected(2, now, ms), ShouldBeFalse)
-		table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Gone, 0, 0)}, now, requirements)
-		refused, _ := table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, now, requirements)
+		table.RecordHeartbeats([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, now, requirements)
+		So(table.EpochAcknowledged(2, now, ms), ShouldBeFalse)
+		table.RecordHeartbeats([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Gone, 0, 0)}, now, requirements)
+		refused, _ := table.RecordHeartbeats([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 0, 0)}, now, requirements)
 		So(refused, ShouldResemble, []string{"d"})
-		So(table.Respected(2, now, ms), ShouldBeTrue)
-		So(table.Confirmed(5, now), ShouldEqual, 5)
-		_, removes := table.Want(ms, now)
+		So(table.EpochAcknowledged(2, now, ms), ShouldBeTrue)
+		So(table.ConfirmedVersion(5, now), ShouldEqual, 5)
+		_, removes := table.MembershipChanges(ms, now)
 		So(removes, ShouldResemble, []string{"d"})
 	})
 }
@@ -191,14 +191,14 @@
 	Convey("The change is confirmed once the lease of the stuck daemon has expired", t, func() {
 		now := vm.Instant(time.Hour)
 		table := New()
-		table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 4, 0)}, now, &Terms{Lease: lease})
-		strict := &Terms{Lease: lease, Config: 5, Patience: time.Second}
+		table.RecordHeartbeats([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 4, 0)}, now, &LeaseRequirements{Lease: lease})
+		strict := &LeaseRequirements{Lease: lease, MinConfigVersion: 5, GracePeriod: time.Second}
 		for range 5 {
 			now = now.Add(2 * time.Second)
-			refused, _ := table.Beat([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 4, 0)}, now, strict)
+			refused, _ := table.RecordHeartbeats([]*wire.Heartbeat{newHeartbeat("d", 1, vm.Serving, 4, 0)}, now, strict)
 			So(refused, ShouldResemble, []string{"d"})
 		}
-		So(table.Confirmed(5, now), ShouldEqual, 5)
+		So(table.ConfirmedVersion(5, now), ShouldEqual, 5)
 	})
 }
 
@@ -214,7 +214,7 @@
 			hbs = append(hbs, hb)
 		}
 		batches = append(batches, hbs)
-		table.Beat(hbs, now, &Terms{Lease: lease})
+		table.RecordHeartbeats(hbs, now, &LeaseRequirements{Lease: lease})
 	}
 	return batches, table, now
 }
@@ -223,10 +223,10 @@
 // daemons, in a table of 3,600 daemons.
 func BenchmarkRecordHeartbeats(b *testing.B) {
 	batches, table, now := newBenchmarkTable(3600, 70)
-	requirements := &Terms{Lease: lease}
+	requirements := &LeaseRequirements{Lease: lease}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		table.Beat(batches[i%len(batches)], now, requirements)
+		table.RecordHeartbeats(batches[i%len(batches)], now, requirements)
 	}
 }
 
@@ -236,7 +236,7 @@
 	_, table, now := newBenchmarkTable(3600, 70)
 	b.ReportAllocs()
 	for b.Loop() {
-		table.Confirmed(5, now)
+		table.ConfirmedVersion(5, now)
 	}
 }
 
@@ -244,13 +244,13 @@
 // membership.
 func BenchmarkMembershipChanges(b *testing.B) {
 	_, table, now := newBenchmarkTable(3600, 70)
-	upserts, _ := table.Want(&vm.Membership{}, now)
+	upserts, _ := table.MembershipChanges(&vm.Membership{}, now)
 	settled := &vm.Membership{Epoch: 1}
 	for _, u := range upserts {
 		settled.Members = append(settled.Members, vm.FromWire(u))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		table.Want(settled, now)
+		table.MembershipChanges(settled, now)
 	}
 }
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -150,7 +150,7 @@
 		case <-ctx.Done():
 		case <-steppedDown:
 		}
-		return &wire.InForceReply{Unconfirmed: s.daemons.Unconfirmed(req.Version, s.cfg.Clock())}, s.confirmLeadership()
+		return &wire.InForceReply{Unconfirmed: s.daemons.UnconfirmedDaemons(req.Version, s.cfg.Clock())}, s.confirmLeadership()
 	}
 }
 
@@ -176,7 +176,7 @@
 		out.PendingEpoch = v.pending.Epoch
 	}
 	if l.isLeader {
-		out.Daemons = s.daemons.Daemons(s.cfg.Clock())
+		out.Daemons = s.daemons.DaemonStatuses(s.cfg.Clock())
 	}
 	return out, nil
 }
--- a/internal/control/ready.go
+++ b/internal/control/ready.go
@@ -124,7 +124,7 @@
 				return errors.Wrapf(err, "control: entry %d", e.Index)
 			}
 		}
-		stateChanged = stateChanged || res.Moved
+		stateChanged = stateChanged || res.Changed
 		if res.InForce != 0 {
 			n.appendInForceRecords()
 		}
--- a/internal/control/seat.go
+++ b/internal/control/seat.go
@@ -285,7 +285,7 @@
 		return nil
 	}
 	v := n.stateView()
-	return n.daemons.Quiet(n.cfg.Clock(), after, v.settled, v.pending)
+	return n.daemons.SilentMembers(n.cfg.Clock(), after, v.settled, v.pending)
 }
 
 // GroupAddrs returns the peer addresses of the control group, with the leader's first if
--- a/internal/control/state/change.go
+++ b/internal/control/state/change.go
@@ -22,7 +22,7 @@
 // evicted, its base version is old, so a resend is a conflict and is not accepted
 // twice.
 func (s *State) applyChange(c *wire.ChangeCommand) Result {
-	if r := s.Known(c.ChangeId, c.BaseVersion, c.Edits); r != nil {
+	if r := s.PriorOutcome(c.ChangeId, c.BaseVersion, c.Edits); r != nil {
 		return Result{Reply: r}
 	}
 	if r := s.conflictReply(c.BaseVersion); r != nil {
@@ -46,12 +46,12 @@
 	s.tree, s.version = tree, rec.Version
 	s.recent.add(rec, tree.Digest())
 	s.leaseBound = max(s.leaseBound, tree.Tier().DaemonLease)
-	return Result{Reply: &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: rec.Version}, Accepted: rec, Moved: true}
+	return Result{Reply: &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: rec.Version}, Accepted: rec, Changed: true}
 }
 
 // Check returns the outcome that a change would have now, without applying it.
 func (s *State) Check(r *wire.ChangeRequest) *wire.ChangeReply {
-	if outcome := s.Settle(r); outcome != nil {
+	if outcome := s.FinalOutcome(r); outcome != nil {
 		return outcome
 	}
 	if _, err := s.tree.Apply(s.version+1, settings.EditsFromWire(r.Edits)); err != nil {
@@ -63,8 +63,8 @@
 // FinalOutcome returns the outcome of a change if no later log entry can alter it: the
 // change was accepted before, or its base version is not the newest. Otherwise it
 // returns nil.
-func (s *State) Settle(r *wire.ChangeRequest) *wire.ChangeReply {
-	if outcome := s.Known(r.ChangeId, r.BaseVersion, r.Edits); outcome != nil {
+func (s *State) FinalOutcome(r *wire.ChangeRequest) *wire.ChangeReply {
+	if outcome := s.PriorOutcome(r.ChangeId, r.BaseVersion, r.Edits); outcome != nil {
 		return outcome
 	}
 	return s.conflictReply(r.BaseVersion)
@@ -72,17 +72,17 @@
 
 // PriorOutcome returns the reply to a change whose id an accepted change has used, or
 // nil if there is none among the recent changes.
-func (s *State) Known(id string, base uint64, edits []*wire.Edit) *wire.ChangeReply {
+func (s *State) PriorOutcome(id string, base uint64, edits []*wire.Edit) *wire.ChangeReply {
 	rec := s.recent.recordByID(id)
 	if rec == nil {
 		return nil
 	}
-	return Resend(rec, id, base, edits)
+	return ResendReply(rec, id, base, edits)
 }
 
 // ResendReply returns the reply to a request whose change id is already used by rec:
 // accepted if the request is the same, otherwise invalid.
-func Resend(rec *wire.AuditRecord, id string, base uint64, edits []*wire.Edit) *wire.ChangeReply {
+func ResendReply(rec *wire.AuditRecord, id string, base uint64, edits []*wire.Edit) *wire.ChangeReply {
 	if rec.BaseVersion == base && slices.EqualFunc(rec.Edits, edits, func(a, b *wire.Edit) bool { return proto.Equal(a, b) }) {
 		return &wire.ChangeReply{Outcome: wire.Outcome_ACCEPTED, Version: rec.Version, Resend: true}
 	}
--- a/internal/control/state/state.go
+++ b/internal/control/state/state.go
@@ -39,7 +39,7 @@
 	Accepted      *wire.AuditRecord // set if this entry accepted a change
 	InForce       uint64            // set if versions up to this one came into force everywhere
 	InForceUnixMS int64
-	Moved         bool // whether daemons or waiting operators have to be notified
+	Changed       bool // whether daemons or waiting operators have to be notified
 }
 
 // Apply applies one entry. It returns an error if this program cannot decode the
@@ -54,9 +54,9 @@
 	case *wire.Command_Change:
 		return s.applyChange(b.Change), nil
 	case *wire.Command_Epoch:
-		return Result{Moved: s.applyEpoch(b.Epoch)}, nil
+		return Result{Changed: s.applyEpoch(b.Epoch)}, nil
 	case *wire.Command_Settle:
-		return Result{Moved: s.applySettle(b.Settle.Epoch)}, nil
+		return Result{Changed: s.applySettle(b.Settle.Epoch)}, nil
 	case *wire.Command_InForce:
 		return s.applyInForce(b.InForce), nil
 	case *wire.Command_LeaseBound:
@@ -92,7 +92,7 @@
 	ms := s.advanceClock(c.UnixMs)
 	s.recent.markInForce(s.inForce+1, c.Version, ms)
 	s.inForce = c.Version
-	return Result{InForce: c.Version, InForceUnixMS: ms, Moved: true}
+	return Result{InForce: c.Version, InForceUnixMS: ms, Changed: true}
 }
 
 func (s *State) applyLeaseBound(d time.Duration) {
--- a/internal/control/sync.go
+++ b/internal/control/sync.go
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	terms := s.leaseTerms.Load()
-	refused, changed := s.daemons.Beat(heartbeats, s.cfg.Clock(), terms)
+	refused, changed := s.daemons.RecordHeartbeats(heartbeats, s.cfg.Clock(), terms)
 	syncMeter.Mark(1)
 	heartbeatMeter.Mark(int64(len(heartbeats)))
 	if changed {
@@ -68,10 +68,10 @@
 	}
 	if !unknownDigests {
 		// Hold the call until there is news for the caller or this VM stops leading.
-		s.waitForState(ctx, syncWait(req, maxSyncWait), s.leadership.Load().steppedDown, func(st *relay.State) bool { return st.HasNews(req) })
+		s.waitForState(ctx, syncWait(req, maxSyncWait), s.leadership.Load().steppedDown, func(st *relay.State) bool { return st.NewerThan(req) })
 	}
 	reply := &wire.SyncReply{Refused: refused, Resend: unknownDigests, Control: lead.controlAddrs()}
-	s.history.Fill(req, reply)
+	s.history.FillReply(req, reply)
 	current := s.leadership.Load()
 	if current.term == lead.term && current.confirmed(s.cfg.Clock()) {
 		reply.Granted = !unknownDigests
@@ -97,7 +97,7 @@
 func (s *spreadServer) fillCommitted(ctx context.Context, req *wire.SyncRequest, reply *wire.SyncReply) {
 	known := func(st *relay.State) bool { return st.ConfigVersion > 0 }
 	if s.waitForState(ctx, syncWait(req, maxInitialSyncWait), nil, known) {
-		s.history.Fill(req, reply)
+		s.history.FillReply(req, reply)
 	}
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -154,13 +154,13 @@
 		return err
 	}
 	d.client = relay.NewClient(relay.Config{
-		Self:     d.self,
-		Control:  d.controlAddrs(),
-		Conns:    d.controlConns,
-		Clock:    vm.Now,
-		Interval: d.conf.SyncEvery,
-		Direct:   d.conf.Direct,
-		Fanout:   d.conf.Fanout,
+		Self:      d.self,
+		Control:   d.controlAddrs(),
+		Conns:     d.controlConns,
+		Clock:     vm.Now,
+		Interval:  d.conf.SyncEvery,
+		MaxDirect: d.conf.Direct,
+		Fanout:    d.conf.Fanout,
 	})
 	d.gates = admit.NewGates(vm.Now)
 	d.sender = leaf.NewSender(leaf.Config{Clock: vm.Now, TLS: leafTLS})
@@ -322,7 +322,7 @@
 	if m, ok := v.Settled.Find(d.self.Name); !ok || !m.Same(d.self) {
 		return false, "joining: the agreed membership does not hold this daemon yet"
 	}
-	if remaining := v.Lease.Sub(vm.Now()); remaining <= 0 {
+	if remaining := v.LeaseEnd.Sub(vm.Now()); remaining <= 0 {
 		return false, "unconfirmed: the daemon lease ran out " + (-remaining).Round(time.Millisecond).String() + " ago"
 	}
 	return true, phaseServing.String()
--- a/internal/daemon/homes.go
+++ b/internal/daemon/homes.go
@@ -104,7 +104,7 @@
 		m.configure(v)
 		m.applied = version
 	}
-	m.gates.SetLeaseEnd(v.Lease)
+	m.gates.SetLeaseEnd(v.LeaseEnd)
 }
 
 // configure sets the share of every leaf. A leaf of which this daemon no longer has a
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -30,7 +30,7 @@
 	version := shareVersionOf(v)
 	s.ConfigVersion, s.InForce = version.config, version.inForce
 	s.SettledEpoch, s.PendingEpoch = version.settled, version.pending
-	s.LeaseLeftMS = max(0, v.Lease.Sub(vm.Now()).Milliseconds())
+	s.LeaseLeftMS = max(0, v.LeaseEnd.Sub(vm.Now()).Milliseconds())
 	s.InFlight = d.engine.InFlight()
 	s.Services = d.shares.services()
 	return s
--- a/internal/directory/horizon.go
+++ b/internal/directory/horizon.go
@@ -24,7 +24,7 @@
 		return
 	}
 	maxLifetime := v.Tree.Tier().AddressLifetime
-	for _, older := range v.Older { // in use by daemons that have not confirmed the newest version
+	for _, older := range v.OlderVersions { // in use by daemons that have not confirmed the newest version
 		maxLifetime = max(maxLifetime, older.Tree.Tier().AddressLifetime)
 	}
 	e.mu.Lock()
--- a/internal/directory/horizon_test.go
+++ b/internal/directory/horizon_test.go
@@ -31,8 +31,8 @@
 		So(h.Remaining(0), ShouldEqual, 30*time.Second)
 
 		// Other daemons still hand out lists with the lifetime of version 1.
-		older := []relay.Version{{Number: 1, Tree: long}}
-		h.Observe(&relay.View{ConfigVersion: 2, InForce: 1, Tree: short, Older: older}, 10*second)
+		older := []relay.VersionedTree{{Number: 1, Tree: long}}
+		h.Observe(&relay.View{ConfigVersion: 2, InForce: 1, Tree: short, OlderVersions: older}, 10*second)
 		So(h.Remaining(11*second), ShouldEqual, 30*time.Second)
 
 		// From 12 s on no daemon does; the last such list is in use until 42 s.
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -48,7 +48,7 @@
 		err := contract.Refuse(contract.ReasonUnknownPath, errors.Newf("no query service at or below %q", path))
 		return nil, err
 	}
-	f := filter{view: v, self: self, excludeSelf: !v.Confirmed(now)}
+	f := filter{view: v, self: self, excludeSelf: !v.HoldsLease(now)}
 	domainUse := make(map[string]int)
 	homes := f.homes(services)
 	ordered := l.appendSpread(nil, homes, domainUse)
--- a/internal/directory/list_test.go
+++ b/internal/directory/list_test.go
@@ -51,7 +51,7 @@
 }
 
 func newView(tree *settings.Tree, m *vm.Membership) *relay.View {
-	return &relay.View{ConfigVersion: 1, InForce: 1, Tree: tree, Settled: m, Lease: testLease}
+	return &relay.View{ConfigVersion: 1, InForce: 1, Tree: tree, Settled: m, LeaseEnd: testLease}
 }
 
 func newSeededLister(seed uint64) lister {
@@ -119,7 +119,7 @@
 		self := m.Members[0].Identity
 		confirmed := rapid.Bool().Draw(t, "confirmed")
 		if !confirmed {
-			v.Lease = testNow
+			v.LeaseEnd = testNow
 		}
 		list, err := newSeededLister(rapid.Uint64().Draw(t, "seed")).list(v, "/desk/s1", self, testNow)
 		if err != nil {
@@ -145,7 +145,7 @@
 		if !ok || m.Phase != vm.Serving || seen[a.VM] {
 			t.Fatalf("%s is listed: member %v, phase %v, duplicate %v", a.VM, ok, m.Phase, seen[a.VM])
 		}
-		if next, ok := v.Members().Find(a.VM); !ok || next.Phase != vm.Serving {
+		if next, ok := v.Membership().Find(a.VM); !ok || next.Phase != vm.Serving {
 			t.Fatalf("%s is listed but leaves in the pending membership", a.VM)
 		}
 		if a.VM == self.Name && !confirmed {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -57,7 +57,7 @@
 			CallerAddr: fmt.Sprintf("http://127.0.0.1:%d", 7000+i),
 		}})
 	}
-	return &relay.View{ConfigVersion: 1, InForce: 1, Tree: tree, Settled: m, Lease: testNow + 1}
+	return &relay.View{ConfigVersion: 1, InForce: 1, Tree: tree, Settled: m, LeaseEnd: testNow + 1}
 }
 
 func testServer(t testing.TB, engine *fakeEngine, draining bool) *Server {
@@ -261,7 +261,7 @@
 			status, _ := getAddresses(testServer(t, nil, true), "/desk/a")
 			So(status, ShouldEqual, 503)
 			s := testServer(t, nil, false)
-			s.conf.Source.(*fakeSource).view.Lease = testNow
+			s.conf.Source.(*fakeSource).view.LeaseEnd = testNow
 			status, _ = getAddresses(s, "/desk/a")
 			So(status, ShouldEqual, 503)
 		})
--- a/internal/entry/handle.go
+++ b/internal/entry/handle.go
@@ -182,7 +182,7 @@
 		return notReadyError(contract.NotRun, contract.ReasonUnconfirmed)
 	case s.conf.Draining():
 		notListing.Reason = contract.ReasonDraining
-	case !v.Confirmed(now):
+	case !v.HoldsLease(now):
 		notListing.Reason = contract.ReasonUnconfirmed
 	default:
 		return nil
--- a/internal/entryvm/contacts.go
+++ b/internal/entryvm/contacts.go
@@ -143,7 +143,7 @@
 // disconnectedAfter.
 func (v *VM) disconnected() bool {
 	view := v.client.Current()
-	return view.Tree == nil || vm.Now().Sub(view.Lease) > disconnectedAfter
+	return view.Tree == nil || vm.Now().Sub(view.LeaseEnd) > disconnectedAfter
 }
 
 func (v *VM) exchange(ctx context.Context, addr string, group []string, member bool) (*wire.ContactsReply, error) {
--- a/internal/entryvm/near.go
+++ b/internal/entryvm/near.go
@@ -43,7 +43,7 @@
 // DelegateAddr implements forward.PeerDaemons. It selects one of the delegates of this
 // daemon in the domain.
 func (d *peerDaemons) DelegateAddr(domain string) string {
-	ms := d.v.client.Current().Members()
+	ms := d.v.client.Current().Membership()
 	if ms == nil {
 		return ""
 	}
@@ -53,7 +53,7 @@
 // HandoverAddr implements forward.PeerDaemons. It selects a daemon with sufficient CPU, in
 // this daemon's own domain if possible, and none if this daemon has sufficient CPU itself.
 func (d *peerDaemons) HandoverAddr(tried []string) string {
-	ms := d.v.client.Current().Members()
+	ms := d.v.client.Current().Membership()
 	if ms == nil {
 		return ""
 	}
--- a/internal/entryvm/reach.go
+++ b/internal/entryvm/reach.go
@@ -83,7 +83,7 @@
 		p.mu.Lock()
 		active := p.lastRequest != 0 && vm.Monotonic().Sub(p.lastRequest) < probeIdleTimeout
 		p.mu.Unlock()
-		if ms := p.v.client.Current().Members(); active && ms != nil {
+		if ms := p.v.client.Current().Membership(); active && ms != nil {
 			roles := p.v.roles(ms)
 			p.probeSample(roles.sufficientCPU, roles.insufficientCPU)
 		}
--- a/internal/entryvm/steer.go
+++ b/internal/entryvm/steer.go
@@ -127,7 +127,7 @@
 // senderCount returns the number of daemons among which limits shared by all senders to
 // leaves are divided, or 0 while it is unknown.
 func (v *VM) senderCount() int {
-	ms := v.client.Current().Members()
+	ms := v.client.Current().Membership()
 	if ms == nil {
 		return 0
 	}
--- a/internal/entryvm/tier.go
+++ b/internal/entryvm/tier.go
@@ -57,7 +57,7 @@
 // Addresses returns the addresses of daemons for a caller in that region and domain, and
 // for how many seconds to keep them.
 func (v *VM) Addresses(_, region, domain string) ([]string, float64) {
-	ms := v.client.Current().Members()
+	ms := v.client.Current().Membership()
 	if ms == nil {
 		if v.draining.Load() || v.conf.CallerAddr == "" {
 			return nil, 0
--- a/internal/entryvm/vm.go
+++ b/internal/entryvm/vm.go
@@ -63,7 +63,7 @@
 		Millicores: conf.Millicores,
 	}
 	v.client = relay.NewClient(relay.Config{
-		Self: self, Control: v.contacts(), Conns: v.controlConns, Clock: vm.Now, Restarts: true, Eager: true,
+		Self: self, Control: v.contacts(), Conns: v.controlConns, Clock: vm.Now, ExclusiveRuns: true, EagerStart: true,
 		Interval: heartbeatInterval,
 	})
 	v.prober = newProber(v)
@@ -204,7 +204,7 @@
 
 // daemonCount returns the number of daemons in the tier, or 0 while it is unknown.
 func (v *VM) daemonCount() int {
-	m := v.client.Current().Members()
+	m := v.client.Current().Membership()
 	if m == nil {
 		return 0
 	}
@@ -309,7 +309,7 @@
 	v.releaseBytes.Store(estimateReadBytes(rel))
 	v.releaseNumber.Store(rel.Number)
 	klog.Infof("entry: configuration in use release=%d version=%d routes=%d services=%d confirmed=%v",
-		rel.Number, view.ConfigVersion, len(rel.Routes), len(rel.Services), view.Confirmed(vm.Now()))
+		rel.Number, view.ConfigVersion, len(rel.Routes), len(rel.Services), view.HoldsLease(vm.Now()))
 }
 
 // estimateReadBytes estimates the size of a read of a release, in bytes.
--- a/internal/query/engine_test.go
+++ b/internal/query/engine_test.go
@@ -124,7 +124,7 @@
 func TestExpiredLeaseRefusesQueries(t *testing.T) {
 	err := runInTier(t, 3, "", func(tier *testTier) error {
 		lapsed := *tier.view.Load()
-		lapsed.Lease = fakeClock()
+		lapsed.LeaseEnd = fakeClock()
 		tier.view.Store(&lapsed)
 		_, err := sendQuery(tier, "a", "q")
 		var e *contract.Error
--- a/internal/query/keyed_test.go
+++ b/internal/query/keyed_test.go
@@ -143,7 +143,7 @@
 		}
 		before := tier.view.Load()
 		lapsed := *tier.view.Load()
-		lapsed.Lease = fakeClock()
+		lapsed.LeaseEnd = fakeClock()
 		lapsed.Tree = settings.New()
 		tier.view.Store(&lapsed)
 		if _, err := sendKeyed(tier, "a", sess, "old"); err != nil {
--- a/internal/query/part.go
+++ b/internal/query/part.go
@@ -24,7 +24,7 @@
 type placedGroup struct {
 	leafGroup
 	eff       *settings.Effective // effective settings of the service
-	placement relay.Placed
+	placement relay.GroupHomes
 }
 
 // subquery is the request of an entry to a home.
--- a/internal/query/state.go
+++ b/internal/query/state.go
@@ -12,7 +12,7 @@
 	Confirmed(now vm.Instant) bool
 	Effective(path string) (*settings.Effective, bool)
 	Services(path string) []string
-	Placement(service string, e *settings.Effective) []relay.Placed
+	Placement(service string, e *settings.Effective) []relay.GroupHomes
 	Member(name string) (vm.Member, bool)
 	Tier() settings.Tier
 }
@@ -21,7 +21,7 @@
 type relayTierView struct{ view *relay.View }
 
 func (v relayTierView) ConfigVersion() uint64         { return v.view.ConfigVersion }
-func (v relayTierView) Confirmed(now vm.Instant) bool { return v.view.Confirmed(now) }
+func (v relayTierView) Confirmed(now vm.Instant) bool { return v.view.HoldsLease(now) }
 func (v relayTierView) Services(path string) []string { return v.view.Tree.Services(path) }
 func (v relayTierView) Tier() settings.Tier           { return v.view.Tree.Tier() }
 
@@ -29,8 +29,8 @@
 	return v.view.Tree.Effective(path)
 }
 
-func (v relayTierView) Placement(service string, e *settings.Effective) []relay.Placed {
-	return v.view.Placement(service, e)
+func (v relayTierView) Placement(service string, e *settings.Effective) []relay.GroupHomes {
+	return v.view.LeafGroups(service, e)
 }
 
 // Member returns a daemon of the pending or else of the settled membership: a daemon whose
--- a/internal/query/world_test.go
+++ b/internal/query/world_test.go
@@ -125,7 +125,7 @@
 		id := vm.Identity{Name: name, Incarnation: 1, Domain: "d" + name, Region: "r", PeerAddr: name}
 		members.Members = append(members.Members, vm.Member{Identity: id, Phase: vm.Serving})
 	}
-	tier.view.Store(&relay.View{ConfigVersion: 1, InForce: 1, Tree: t, Settled: members, Lease: fakeClock().Add(time.Hour)})
+	tier.view.Store(&relay.View{ConfigVersion: 1, InForce: 1, Tree: t, Settled: members, LeaseEnd: fakeClock().Add(time.Hour)})
 	for _, m := range members.Members {
 		tier.startDaemon(m.Identity)
 	}
@@ -151,7 +151,7 @@
 			d.gates.Configure(l.Addr, admit.Limits{Slots: slots, MaxQueue: eff.QueueLimit})
 		}
 	}
-	d.gates.SetLeaseEnd(tier.view.Load().Lease)
+	d.gates.SetLeaseEnd(tier.view.Load().LeaseEnd)
 	tier.mu.Lock()
 	tier.daemons[id.Name] = d
 	tier.mu.Unlock()
--- a/internal/relay/advance.go
+++ b/internal/relay/advance.go
@@ -31,7 +31,7 @@
 		return v, err
 	}
 	next.InForce = max(next.InForce, r.GetInForce())
-	next.Older = versionsFrom(next.Older, next.InForce)
+	next.OlderVersions = versionsFrom(next.OlderVersions, next.InForce)
 	sameTree := next.ConfigVersion == v.ConfigVersion && next.ConfigDigest == v.ConfigDigest
 	sameMembers := next.Settled == v.Settled && next.Pending == v.Pending
 	if sameTree && sameMembers && next.InForce == v.InForce {
@@ -84,7 +84,7 @@
 	if t.Digest() != r.GetConfigDigest() {
 		return errors.Wrapf(errDigestMismatch, "snapshot of version %d", r.GetConfigVersion())
 	}
-	v.Tree, v.ConfigVersion, v.ConfigDigest, v.Older = t, r.GetConfigVersion(), r.GetConfigDigest(), nil
+	v.Tree, v.ConfigVersion, v.ConfigDigest, v.OlderVersions = t, r.GetConfigVersion(), r.GetConfigDigest(), nil
 	return nil
 }
 
@@ -96,9 +96,9 @@
 	if t.Digest() != d.GetDigest() {
 		return errors.Wrapf(errDigestMismatch, "change %d", d.GetVersion())
 	}
-	older := make([]Version, len(v.Older), len(v.Older)+1)
-	copy(older, v.Older)
-	v.Older = append(older, Version{Number: v.ConfigVersion, Tree: v.Tree})
+	older := make([]VersionedTree, len(v.OlderVersions), len(v.OlderVersions)+1)
+	copy(older, v.OlderVersions)
+	v.OlderVersions = append(older, VersionedTree{Number: v.ConfigVersion, Tree: v.Tree})
 	v.Tree, v.ConfigVersion, v.ConfigDigest = t, d.GetVersion(), d.GetDigest()
 	return nil
 }
@@ -148,7 +148,7 @@
 
 // versionsFrom returns the versions that are not lower than number. It does not modify
 // vs.
-func versionsFrom(vs []Version, number uint64) []Version {
+func versionsFrom(vs []VersionedTree, number uint64) []VersionedTree {
 	for len(vs) > 0 && vs[0].Number < number {
 		vs = vs[1:]
 	}
--- a/internal/relay/advance_test.go
+++ b/internal/relay/advance_test.go
@@ -38,7 +38,7 @@
 			s.InForce = s.ConfigVersion
 		}
 		h := NewHistory()
-		h.Advance(s, deltas[:len(deltas):len(deltas)])
+		h.Update(s, deltas[:len(deltas):len(deltas)])
 		if rapid.Bool().Draw(t, "forgot") { // a source that has no deltas
 			h.deltas = nil
 		}
@@ -59,11 +59,11 @@
 		for range 20 {
 			h := rapid.SampledFrom(sources).Draw(t, "source")
 			reply := &wire.SyncReply{}
-			h.Fill(rapid.SampledFrom(requests).Draw(t, "request"), reply)
+			h.FillReply(rapid.SampledFrom(requests).Draw(t, "request"), reply)
 			next, err := mergeReply(v, reply)
 			if err != nil {
 				full := &wire.SyncReply{}
-				h.Fill(&wire.SyncRequest{}, full)
+				h.FillReply(&wire.SyncRequest{}, full)
 				if next, err = mergeReply(v, full); err != nil {
 					t.Fatalf("full state rejected: %v", err)
 				}
@@ -116,9 +116,9 @@
 	members := &vm.Membership{Epoch: 3, Members: []vm.Member{{Identity: self, Phase: vm.Serving}}}
 	state := State{ConfigVersion: 9, ConfigDigest: tree.Digest(), Tree: tree, InForce: 5, Settled: members}
 	mergeAndCountSlots := func(v *View) (*View, int) {
-		source.Advance(state, nil)
+		source.Update(state, nil)
 		reply := &wire.SyncReply{}
-		source.Fill(requestOf(v), reply)
+		source.FillReply(requestOf(v), reply)
 		next, err := mergeReply(v, reply)
 		if err != nil {
 			t.Fatal(err)
@@ -163,9 +163,9 @@
 	if len(req.GetSteady()) != len(steady) || len(req.GetHeartbeats()) != len(other) {
 		t.Fatalf("%d short and %d full heartbeats", len(req.GetSteady()), len(req.GetHeartbeats()))
 	}
-	var x Expander
+	var x HeartbeatExpander
 	hbs, unknown := x.Expand(req, agreed, nil)
-	if unknown || len(hbs) != len(steady)+len(other) || Sender(req, hbs).GetVm().GetName() != "a" {
+	if unknown || len(hbs) != len(steady)+len(other) || SenderHeartbeat(req, hbs).GetVm().GetName() != "a" {
 		t.Fatalf("expanded to %v, unknown %v", hbs, unknown)
 	}
 	if _, unknown = x.Expand(req, nil, nil); !unknown {
@@ -182,9 +182,9 @@
 	source := NewHistory()
 	tree := settings.New()
 	members := &vm.Membership{Epoch: 1, Members: []vm.Member{{Identity: identity("d1", 1), Phase: vm.Serving}}}
-	source.Advance(State{ConfigDigest: tree.Digest(), Tree: tree, Settled: members}, nil)
+	source.Update(State{ConfigDigest: tree.Digest(), Tree: tree, Settled: members}, nil)
 	reply := &wire.SyncReply{}
-	source.Fill(requestOf(&View{}), reply)
+	source.FillReply(requestOf(&View{}), reply)
 	v, err := mergeReply(&View{}, reply)
 	if err != nil || v.Tree == nil {
 		t.Fatalf("the empty tree was not applied: %v", err)
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -43,14 +43,14 @@
 // SupersededError is returned by Run when the membership contains a later run of this
 // daemon. The shares belong to the later run, so this one must stop.
 type SupersededError struct {
-	Self  vm.Identity
-	Known uint64 // incarnation of the later run
+	Self             vm.Identity
+	LaterIncarnation uint64 // incarnation of the later run
 }
 
 // Error implements error.
 func (e *SupersededError) Error() string {
 	return fmt.Sprintf("relay: %s has a later run: incarnation %d is known, this one is %d; "+
-		"stop one of the two, or start again with an incarnation above the known one", e.Self.Name, e.Known, e.Self.Incarnation)
+		"stop one of the two, or start again with an incarnation above the known one", e.Self.Name, e.LaterIncarnation, e.Self.Incarnation)
 }
 
 // Client keeps a daemon's view of the agreed state up to date, renews its lease, and
@@ -186,14 +186,14 @@
 	c.started = c.cfg.Clock()
 	c.mu.Unlock()
 	jitter := startJitter
-	if c.cfg.Eager {
+	if c.cfg.EagerStart {
 		jitter = eagerStartJitter
 	}
 	if !vm.Sleep(ctx, c.randomDuration(jitter)) {
 		return nil
 	}
 	g, ctx := errgroup.WithContext(ctx)
-	if c.cfg.Eager {
+	if c.cfg.EagerStart {
 		g.Go(func() error { c.fetchInitialState(ctx); return nil })
 	}
 	g.Go(func() error { return c.poll(ctx) })
@@ -311,7 +311,7 @@
 // checkSuperseded checks whether the membership contains a later run of this daemon.
 // The caller holds mu.
 func (c *Client) checkSuperseded(v *View) {
-	m := v.Members()
+	m := v.Membership()
 	if m == nil || c.supersededErr != nil {
 		return
 	}
@@ -320,14 +320,14 @@
 		c.wasMember = true
 	}
 	if ok && known.Incarnation > c.cfg.Self.Incarnation {
-		if c.cfg.Restarts && !c.wasMember {
+		if c.cfg.ExclusiveRuns && !c.wasMember {
 			klog.Warningf("relay: incarnation %d of an earlier run is above this run's %d, the clock was set back; continuing as %d",
 				known.Incarnation, c.cfg.Self.Incarnation, known.Incarnation+1)
 			c.cfg.Self.Incarnation = known.Incarnation + 1
 			c.fullHeartbeats = true
 			return
 		}
-		c.supersededErr = &SupersededError{Self: c.cfg.Self, Known: known.Incarnation}
+		c.supersededErr = &SupersededError{Self: c.cfg.Self, LaterIncarnation: known.Incarnation}
 		klog.Errorf("relay: superseded by incarnation %d", known.Incarnation)
 	}
 }
--- a/internal/relay/client_test.go
+++ b/internal/relay/client_test.go
@@ -49,7 +49,7 @@
 		synctest.Wait()
 		for i, one := range daemons {
 			sinceLease[i] += step
-			if one.client.Current().Confirmed(w.clock()) {
+			if one.client.Current().HoldsLease(w.clock()) {
 				sinceLease[i] = 0
 			}
 			longest = max(longest, sinceLease[i])
@@ -90,12 +90,12 @@
 		time.Sleep(5 * time.Second)
 		first := d.client.ControlGroup()[0]
 		w.network.setCut(first, true)
-		before := d.client.Current().Lease
+		before := d.client.Current().LeaseEnd
 		time.Sleep(DefaultInterval + replyMargin + 2*minRetryDelay)
 		synctest.Wait()
 		Convey("the lease is renewed through the other address", t, func() {
 			So(first, ShouldNotEqual, "")
-			So(d.client.Current().Lease, ShouldBeGreaterThan, before)
+			So(d.client.Current().LeaseEnd, ShouldBeGreaterThan, before)
 			So(w.longestWithoutLease(30*time.Second, d), ShouldEqual, 0)
 		})
 	})
@@ -245,7 +245,7 @@
 		Convey("children keep leases that the leader granted, the relay loses its own", t, func() {
 			So(leaseErr, ShouldBeNil)
 			So(longest, ShouldEqual, 0)
-			So(relay.client.Current().Confirmed(w.clock()), ShouldBeFalse)
+			So(relay.client.Current().HoldsLease(w.clock()), ShouldBeFalse)
 		})
 	})
 }
@@ -260,13 +260,13 @@
 		time.Sleep(5 * time.Second)
 		resume := w.network.pause(d.client.cfg.Self.PeerAddr)
 		time.Sleep(30 * time.Second)
-		before := d.client.Current().Lease
+		before := d.client.Current().LeaseEnd
 		w.network.setCut(leaderAddr, true) // only messages already in flight arrive
 		resume()
 		time.Sleep(time.Second)
 		Convey("the messages in flight renew no lease", t, func() {
-			So(d.client.Current().Confirmed(w.clock()), ShouldBeFalse)
-			So(d.client.Current().Lease.Sub(before), ShouldBeLessThan, 2*time.Second)
+			So(d.client.Current().HoldsLease(w.clock()), ShouldBeFalse)
+			So(d.client.Current().LeaseEnd.Sub(before), ShouldBeLessThan, 2*time.Second)
 		})
 	})
 }
@@ -312,7 +312,7 @@
 			So(out, ShouldEqual, stateChanged)
 			So(viewUnchanged, ShouldBeTrue)
 			So(d.client.Current().ConfigVersion, ShouldEqual, 2)
-			So(d.client.Current().Confirmed(w.clock()), ShouldBeTrue)
+			So(d.client.Current().HoldsLease(w.clock()), ShouldBeTrue)
 		})
 	})
 }
--- a/internal/relay/daemon_test.go
+++ b/internal/relay/daemon_test.go
@@ -63,7 +63,7 @@
 	d := &daemon{cancel: cancel, inFlight: make(map[string]int)}
 	d.client = NewClient(Config{
 		Self: id, Control: []string{leaderAddr}, Conns: w.network.from(id.PeerAddr),
-		Clock: w.clock, Direct: direct, Fanout: fanout,
+		Clock: w.clock, MaxDirect: direct, Fanout: fanout,
 	})
 	d.client.SetPhase(vm.Serving)
 	w.network.serve(id.PeerAddr, d.client.Server())
@@ -146,8 +146,8 @@
 func (d *daemon) setInFlight(ctx context.Context, v *View, shares map[string]int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if ctx.Err() == nil && v.Confirmed(d.client.cfg.Clock()) {
-		d.inFlight, d.leaseEnd = shares, v.Lease
+	if ctx.Err() == nil && v.HoldsLease(d.client.cfg.Clock()) {
+		d.inFlight, d.leaseEnd = shares, v.LeaseEnd
 	}
 }
 
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -140,7 +140,7 @@
 		req.HaveConfig, req.HaveDigest = v.ConfigVersion, v.ConfigDigest
 		req.HaveSettled, req.HavePending = epochOf(v.Settled), epochOf(v.Pending)
 	}
-	agreed := v.Members()
+	agreed := v.Membership()
 	addHeartbeat(req, c.ownHeartbeat(), agreed, c.fullHeartbeats)
 	full := len(req.GetSteady()) == 0 // see SenderHeartbeat
 	for _, fwd := range forwarded {
@@ -298,9 +298,9 @@
 	}
 	c.view = next
 	c.checkSuperseded(next)
-	c.upstreams.updateRelays(next.Members(), c.cfg.Direct, c.cfg.Fanout)
+	c.upstreams.updateRelays(next.Membership(), c.cfg.MaxDirect, c.cfg.Fanout)
 	configVersionGauge.Update(int64(next.ConfigVersion))
-	c.history.Advance(State{
+	c.history.Update(State{
 		ConfigVersion: next.ConfigVersion,
 		ConfigDigest:  next.ConfigDigest,
 		Tree:          next.Tree,
@@ -337,9 +337,9 @@
 	age := time.Duration(r.GetAgeMs()) * time.Millisecond
 	until := sent.Add(lease - lease/clockDriftDivisor - age)
 	c.leaseEnd = max(c.leaseEnd, until)
-	if c.leaseEnd > c.view.Lease && c.isMember() {
+	if c.leaseEnd > c.view.LeaseEnd && c.isMember() {
 		next := *c.view
-		next.Lease = c.leaseEnd
+		next.LeaseEnd = c.leaseEnd
 		c.view = &next
 	}
 }
@@ -349,7 +349,7 @@
 // run that accepted requests on its lease alone could still use an older
 // configuration.
 func (c *Client) isMember() bool {
-	members := c.view.Members()
+	members := c.view.Membership()
 	if members == nil {
 		return false
 	}
--- a/internal/relay/heartbeat.go
+++ b/internal/relay/heartbeat.go
@@ -9,7 +9,7 @@
 
 // HeartbeatExpander expands short heartbeats. The zero value is ready for use. It is
 // safe for concurrent use.
-type Expander struct {
+type HeartbeatExpander struct {
 	mu      sync.Mutex
 	indexes [2]digestIndex // of the two memberships used last
 }
@@ -24,7 +24,7 @@
 // the pending membership, then in the settled one; each may be nil. Unknown reports
 // that a short one was not found; the reply must then request full heartbeats
 // (resend).
-func (x *Expander) Expand(req *wire.SyncRequest, settled, pending *vm.Membership) (hbs []*wire.Heartbeat, unknown bool) {
+func (x *HeartbeatExpander) Expand(req *wire.SyncRequest, settled, pending *vm.Membership) (hbs []*wire.Heartbeat, unknown bool) {
 	hbs = req.GetHeartbeats()
 	if len(req.GetSteady()) == 0 {
 		return hbs, false
@@ -47,7 +47,7 @@
 // It is the first short one, or the first of all if there is no short one, as a sender
 // whose own heartbeat is in full sends the others in full, too. It returns nil if
 // there is no heartbeat or a short one was unknown.
-func Sender(req *wire.SyncRequest, hbs []*wire.Heartbeat) *wire.Heartbeat {
+func SenderHeartbeat(req *wire.SyncRequest, hbs []*wire.Heartbeat) *wire.Heartbeat {
 	short := len(hbs) - len(req.GetHeartbeats())
 	switch {
 	case len(hbs) == 0 || short != len(req.GetSteady()):
@@ -58,7 +58,7 @@
 	return hbs[0]
 }
 
-func (x *Expander) indexesOf(ms ...*vm.Membership) [2]digestIndex {
+func (x *HeartbeatExpander) indexesOf(ms ...*vm.Membership) [2]digestIndex {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var next [2]digestIndex
@@ -69,7 +69,7 @@
 	return next
 }
 
-func (x *Expander) indexOf(m *vm.Membership) digestIndex {
+func (x *HeartbeatExpander) indexOf(m *vm.Membership) digestIndex {
 	for _, index := range x.indexes {
 		if index.membership == m {
 			return index
--- a/internal/relay/history.go
+++ b/internal/relay/history.go
@@ -50,7 +50,7 @@
 // Update replaces the state. Deltas are the changes that lead to it; those that are
 // already kept are ignored, and a gap discards the ones kept before it. A state with a
 // lower version or epoch is ignored.
-func (h *History) Advance(s State, deltas []*wire.TreeDelta) {
+func (h *History) Update(s State, deltas []*wire.TreeDelta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s.ConfigVersion < h.state.ConfigVersion || epochOf(s.Settled) < epochOf(h.state.Settled) {
@@ -124,7 +124,7 @@
 
 // NewerThan reports whether the state contains anything that the sender of req does
 // not have.
-func (s *State) HasNews(req *wire.SyncRequest) bool {
+func (s *State) NewerThan(req *wire.SyncRequest) bool {
 	return s.configNewerThan(req) ||
 		epochOf(s.Settled) > req.GetHaveSettled() ||
 		epochOf(s.Pending) > max(req.GetHavePending(), req.GetHaveSettled()) ||
@@ -140,7 +140,7 @@
 
 // FillReply writes the newest state into reply, except for what the requester already
 // has according to req.
-func (h *History) Fill(req *wire.SyncRequest, reply *wire.SyncReply) {
+func (h *History) FillReply(req *wire.SyncRequest, reply *wire.SyncReply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := &h.state
--- a/internal/relay/leader_test.go
+++ b/internal/relay/leader_test.go
@@ -19,7 +19,7 @@
 type modelLeader struct {
 	clock    vm.Clock
 	history  *History
-	expander Expander
+	expander HeartbeatExpander
 
 	mu        sync.Mutex
 	state     State
@@ -52,7 +52,7 @@
 	}
 	l.state.ConfigVersion++
 	l.state.Tree, l.state.ConfigDigest = t, t.Digest()
-	l.history.Advance(l.state, []*wire.TreeDelta{{
+	l.history.Update(l.state, []*wire.TreeDelta{{
 		Version: l.state.ConfigVersion, Edits: settings.EditsToWire(edits), Digest: t.Digest(),
 	}})
 	return nil
@@ -78,7 +78,7 @@
 	defer timer.Stop()
 	for held := !unknown; held; {
 		state, news := l.history.State()
-		if !l.hasQuorum() || state.HasNews(req) {
+		if !l.hasQuorum() || state.NewerThan(req) {
 			break
 		}
 		select {
@@ -93,7 +93,7 @@
 	defer l.mu.Unlock()
 	reply := &wire.SyncReply{Granted: l.quorum, LeaseMs: uint32(modelLease.Milliseconds()), Resend: unknown}
 	if l.quorum {
-		l.history.Fill(req, reply)
+		l.history.FillReply(req, reply)
 	}
 	return reply, nil
 }
@@ -133,7 +133,7 @@
 		l.proposeMembership()
 		l.updateInForce()
 		if l.state != before {
-			l.history.Advance(l.state, nil)
+			l.history.Update(l.state, nil)
 		}
 		l.mu.Unlock()
 	}
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -8,7 +8,7 @@
 
 // GroupHomes is a group of a service's leaves with its homes: the daemons that
 // currently have a share of at least one leaf of the group, best first.
-type Placed struct {
+type GroupHomes struct {
 	domain.Group
 	Homes []vm.Member
 }
@@ -17,12 +17,12 @@
 // currently have a share. During a membership transition a group may have no home. The
 // result is cached by e, whose path is canonical; the caller's spelling of the path is
 // not used.
-func (v *View) Placement(_ string, e *settings.Effective) []Placed {
+func (v *View) LeafGroups(_ string, e *settings.Effective) []GroupHomes {
 	if v.cache == nil {
 		return v.shareHolders(e)
 	}
 	if groups, ok := v.cache.shareHolders.Load(e); ok {
-		return groups.([]Placed)
+		return groups.([]GroupHomes)
 	}
 	groups := v.shareHolders(e)
 	v.cache.shareHolders.Store(e, groups)
@@ -32,7 +32,7 @@
 // HomesOf returns the daemons that currently have a share of at least one leaf of the
 // service, best first.
 func (v *View) HomesOf(service string, e *settings.Effective) []vm.Member {
-	groups := v.Placement(service, e)
+	groups := v.LeafGroups(service, e)
 	if len(groups) == 1 {
 		return groups[0].Homes
 	}
@@ -51,9 +51,9 @@
 
 // shareHolders returns the groups with those homes of the settled membership that have
 // a share of a leaf.
-func (v *View) shareHolders(e *settings.Effective) []Placed {
+func (v *View) shareHolders(e *settings.Effective) []GroupHomes {
 	settled := v.membershipHomes(e, v.Settled)
-	out := make([]Placed, len(settled))
+	out := make([]GroupHomes, len(settled))
 	for k, g := range settled {
 		out[k].Group = g.Group
 		for _, h := range g.Homes {
@@ -75,7 +75,7 @@
 }
 
 // membershipHomes returns the groups and homes under one membership alone.
-func (v *View) membershipHomes(e *settings.Effective, m *vm.Membership) []Placed {
+func (v *View) membershipHomes(e *settings.Effective, m *vm.Membership) []GroupHomes {
 	if m == nil || len(e.Leaves) == 0 {
 		return nil
 	}
@@ -85,11 +85,11 @@
 	return v.cache.homes(e, m)
 }
 
-func computeHomes(e *settings.Effective, m *vm.Membership) []Placed {
+func computeHomes(e *settings.Effective, m *vm.Membership) []GroupHomes {
 	groups := domain.Groups(e.Path, e.Leaves, m)
-	out := make([]Placed, len(groups))
+	out := make([]GroupHomes, len(groups))
 	for k, g := range groups {
-		out[k] = Placed{Group: g, Homes: domain.HomesIn(m, g.Key, g.Region, homeCount(e))}
+		out[k] = GroupHomes{Group: g, Homes: domain.HomesIn(m, g.Key, g.Region, homeCount(e))}
 	}
 	return out
 }
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -33,7 +33,7 @@
 
 // successor returns the cache for next, which replaces v.
 func (p *placementCache) successor(v, next *View) *placementCache {
-	out := &placementCache{base: v.Members()}
+	out := &placementCache{base: v.Membership()}
 	if p == nil || out.base == nil {
 		return out
 	}
@@ -50,10 +50,10 @@
 	return out
 }
 
-func (p *placementCache) homes(e *settings.Effective, m *vm.Membership) []Placed {
+func (p *placementCache) homes(e *settings.Effective, m *vm.Membership) []GroupHomes {
 	key := epochKey{effective: e, epoch: m.Epoch}
 	if homes, ok := p.byEpoch.Load(key); ok {
-		return homes.([]Placed)
+		return homes.([]GroupHomes)
 	}
 	homes := p.deriveHomes(e, m)
 	p.byEpoch.Store(key, homes)
@@ -61,7 +61,7 @@
 }
 
 // deriveHomes computes the homes under m from those under the base membership.
-func (p *placementCache) deriveHomes(e *settings.Effective, m *vm.Membership) []Placed {
+func (p *placementCache) deriveHomes(e *settings.Effective, m *vm.Membership) []GroupHomes {
 	if p.base == nil {
 		return computeHomes(e, m)
 	}
@@ -69,12 +69,12 @@
 	if !ok {
 		return computeHomes(e, m)
 	}
-	old := value.([]Placed)
+	old := value.([]GroupHomes)
 	changes := p.changesTo(m)
 	groups := domain.Groups(e.Path, e.Leaves, m)
-	out := make([]Placed, len(groups))
+	out := make([]GroupHomes, len(groups))
 	for k, g := range groups {
-		out[k] = Placed{Group: g}
+		out[k] = GroupHomes{Group: g}
 		if old[k].Group == g && domain.Unmoved(old[k].Homes, g.Key, g.Region, homeCount(e), changes) {
 			out[k].Homes = old[k].Homes
 			continue
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -31,7 +31,7 @@
 
 type server struct {
 	client   *Client
-	expander Expander
+	expander HeartbeatExpander
 }
 
 // Sync implements wire.DRPCSpreadServer.
@@ -43,7 +43,7 @@
 	if unknown {
 		return &wire.SyncReply{Resend: true}, nil
 	}
-	own := Sender(req, hbs)
+	own := SenderHeartbeat(req, hbs)
 	if own == nil {
 		return nil, errNoHeartbeat
 	}
@@ -70,7 +70,7 @@
 	// Fill in the grants before the state. A grant must never be newer than the state
 	// sent with it, or the child would use shares that it no longer has.
 	s.fillGrants(reply, hbs, arrived)
-	c.history.Fill(req, reply)
+	c.history.FillReply(req, reply)
 	return reply, nil
 }
 
@@ -86,7 +86,7 @@
 	for {
 		state, news := c.history.State()
 		grants, granted := c.children.grantsOf(hbs)
-		if state.HasNews(req) || c.isCutOff() || (needsGrant && !anyExpiring(grants, arrived)) {
+		if state.NewerThan(req) || c.isCutOff() || (needsGrant && !anyExpiring(grants, arrived)) {
 			return
 		}
 		select {
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -30,8 +30,8 @@
 		return 0, 0
 	}
 	smallest := v.configShare(e, leafIndex, self)
-	for i := len(v.Older) - 1; i >= 0 && smallest != (share{}); i-- {
-		if older, index, ok := v.locateLeaf(v.Older[i].Tree, e, leafIndex); ok {
+	for i := len(v.OlderVersions) - 1; i >= 0 && smallest != (share{}); i-- {
+		if older, index, ok := v.locateLeaf(v.OlderVersions[i].Tree, e, leafIndex); ok {
 			smallest = smallest.min(v.configShare(older, index, self))
 		}
 	}
--- a/internal/relay/shares_test.go
+++ b/internal/relay/shares_test.go
@@ -189,7 +189,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, d := range w.daemons {
-		self, until := d.client.cfg.Self, d.client.Current().Lease
+		self, until := d.client.cfg.Self, d.client.Current().LeaseEnd
 		if last := w.leader.leaseEnd(runID{name: self.Name, incarnation: self.Incarnation}); until > last {
 			return fmt.Errorf("%s believes its lease lasts %v longer than the leader does", self.Name, until.Sub(last))
 		}
--- a/internal/relay/upstream_test.go
+++ b/internal/relay/upstream_test.go
@@ -59,7 +59,7 @@
 		}}
 		c.applyState(&wire.SyncRequest{}, reply)
 		c.extendLease(now, reply)
-		So(c.Current().Confirmed(now), ShouldBeFalse)
+		So(c.Current().HoldsLease(now), ShouldBeFalse)
 
 		Convey("the lease counts once the membership contains its own run", func() {
 			reply.PendingEpoch = 2
@@ -67,7 +67,7 @@
 				Upserts: []*wire.Vm{vm.ToWire(vm.Member{Identity: self, Phase: vm.Serving})}}
 			c.applyState(&wire.SyncRequest{HaveSettled: 1}, reply)
 			c.extendLease(now, reply)
-			So(c.Current().Confirmed(now), ShouldBeTrue)
+			So(c.Current().HoldsLease(now), ShouldBeTrue)
 		})
 	})
 }
--- a/internal/relay/view.go
+++ b/internal/relay/view.go
@@ -11,28 +11,28 @@
 	ConfigVersion uint64
 	ConfigDigest  uint64
 	Tree          *settings.Tree
-	InForce       uint64         // every daemon with a lease has confirmed this version or a newer one
-	Older         []Version      // known versions from InForce up to, but not including, ConfigVersion
-	Settled       *vm.Membership // shares of this epoch may be used
-	Pending       *vm.Membership // nil if no transition is in progress
-	Lease         vm.Instant     // new requests are accepted strictly before this instant
+	InForce       uint64          // every daemon with a lease has confirmed this version or a newer one
+	OlderVersions []VersionedTree // known versions from InForce up to, but not including, ConfigVersion
+	Settled       *vm.Membership  // shares of this epoch may be used
+	Pending       *vm.Membership  // nil if no transition is in progress
+	LeaseEnd      vm.Instant      // new requests are accepted strictly before this instant
 
 	cache *placementCache // shared by the views of one tree and membership; nil: no caching
 }
 
 // VersionedTree is the settings tree of one configuration version.
-type Version struct {
+type VersionedTree struct {
 	Number uint64
 	Tree   *settings.Tree
 }
 
 // HoldsLease reports whether the daemon's lease is valid at now. Its configuration is
 // then the one in force, and no other daemon uses its shares.
-func (v *View) Confirmed(now vm.Instant) bool { return now < v.Lease }
+func (v *View) HoldsLease(now vm.Instant) bool { return now < v.LeaseEnd }
 
 // Membership returns the newest membership known: the pending one, else the settled
 // one, else nil.
-func (v *View) Members() *vm.Membership {
+func (v *View) Membership() *vm.Membership {
 	if v.Pending != nil {
 		return v.Pending
 	}
@@ -40,7 +40,7 @@
 }
 
 // Epoch returns the newest epoch known, or 0 if there is none.
-func (v *View) Epoch() uint64 { return epochOf(v.Members()) }
+func (v *View) Epoch() uint64 { return epochOf(v.Membership()) }
 
 // knowsOlderVersions reports whether the tree of every version that another daemon may
 // still use is known. Version 0 is the empty tree, under which there are no shares.
@@ -49,7 +49,7 @@
 	if v.ConfigVersion <= oldest {
 		return true
 	}
-	return len(v.Older) > 0 && v.Older[0].Number <= oldest
+	return len(v.OlderVersions) > 0 && v.OlderVersions[0].Number <= oldest
 }
 
 func epochOf(m *vm.Membership) uint64 {
