--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -253,12 +253,12 @@
 			for _, v := range got.Values {
 				found[v.Name] = v
 			}
-			So(found["hedge-after"].StatedAt, ShouldEqual, "desk")
+			So(found["hedge-after"].Source, ShouldEqual, "desk")
 			So(found["hedge-after"].Operator, ShouldEqual, "asha")
 			So(found["hedge-after"].Reason, ShouldEqual, "tail of counters")
 			So(found["hedge-budget"].Operator, ShouldEqual, "ravi")
 			So(found["hedge-budget"].AcceptedMS, ShouldBeGreaterThan, 0)
-			So(found["goal"].StatedAt, ShouldEqual, settings.StatedAtDefault)
+			So(found["goal"].Source, ShouldEqual, settings.SourceDefault)
 
 			So(c.mustRun("history", "/desk/a").out, ShouldNotContainSubstring, "tail of counters")
 			So(c.mustRun("history", "/desk").out, ShouldContainSubstring, "tail of counters")
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -12,7 +12,7 @@
 
 // explainedValue is one value that holds at a node, with the change that set it.
 type explainedValue struct {
-	settings.Explained
+	settings.Explanation
 	Operator   string `json:"operator,omitempty"`
 	Verified   bool   `json:"verified"` // a certificate vouches for the operator's name
 	AcceptedMS int64  `json:"accepted_unix_ms,omitempty"`
@@ -72,8 +72,8 @@
 
 // explainValue adds the change that set a value. records caches the records that
 // were read, by version; nil stands for a change older than the audit trail.
-func (a *app) explainValue(e settings.Explained, records map[uint64]*changeRecord) (explainedValue, error) {
-	v := explainedValue{Explained: e}
+func (a *app) explainValue(e settings.Explanation, records map[uint64]*changeRecord) (explainedValue, error) {
+	v := explainedValue{Explanation: e}
 	if e.Version == 0 {
 		return v, nil
 	}
@@ -98,11 +98,11 @@
 	var rows [][]string
 	defaults := 0
 	for _, v := range e.Values {
-		if v.StatedAt == settings.StatedAtDefault && !e.showDefaults {
+		if v.Source == settings.SourceDefault && !e.showDefaults {
 			defaults++
 			continue
 		}
-		rows = append(rows, []string{v.Name, v.Value, v.StatedAt, v.versionText(), v.operatorText(), formatTime(v.AcceptedMS), v.reasonText()})
+		rows = append(rows, []string{v.Name, v.Value, v.Source, v.versionText(), v.operatorText(), formatTime(v.AcceptedMS), v.reasonText()})
 	}
 	writeTable(w, "SETTING|VALUE|STATED AT|VERSION|BY|WHEN|WHY", rows)
 	if defaults > 0 {
--- a/internal/cli/file.go
+++ b/internal/cli/file.go
@@ -23,7 +23,7 @@
 			return err
 		}
 		tree = tree.Replay(at, []settings.Edit{{Path: settings.QuarantinePath, Op: settings.Remove}})
-		_, err = a.out.Write(tree.ExportFileAt(at))
+		_, err = a.out.Write(tree.ExportFileWithBase(at))
 		return errors.Wrap(err, "write the tree")
 	})
 
@@ -49,7 +49,7 @@
 		return err
 	}
 	if !f.base.isSet {
-		f.base.value, f.base.isSet, err = settings.FileBase(text)
+		f.base.value, f.base.isSet, err = settings.FileBaseVersion(text)
 		if err != nil {
 			return err
 		}
@@ -105,7 +105,7 @@
 
 func (a *app) readFileOrStdin(name string) ([]byte, error) {
 	if name == "-" {
-		text, err := io.ReadAll(io.LimitReader(a.in, settings.MaxFile+1))
+		text, err := io.ReadAll(io.LimitReader(a.in, settings.MaxFileSize+1))
 		return text, errors.Wrap(err, "read the standard input")
 	}
 	text, err := os.ReadFile(name)
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -97,5 +97,5 @@
 // quarantine out, so applying one would otherwise lift it and let requests that
 // crash leaves run again.
 func withoutQuarantine(edits []settings.Edit) []settings.Edit {
-	return slices.DeleteFunc(edits, func(e settings.Edit) bool { return settings.Below(e.Path, settings.QuarantinePath) })
+	return slices.DeleteFunc(edits, func(e settings.Edit) bool { return settings.IsWithin(e.Path, settings.QuarantinePath) })
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -160,7 +160,7 @@
 var phaseNames = map[vm.Phase]string{vm.Starting: "starting", vm.Serving: "serving", vm.Draining: "draining", vm.Gone: "gone"}
 
 func newDaemonState(d *wire.DaemonStatus) daemonState {
-	v := vm.FromWire(d.GetVm())
+	v := vm.MemberFromWire(d.GetVm())
 	return daemonState{
 		Name:          v.Name,
 		Domain:        v.Domain,
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -232,7 +232,7 @@
 	for _, req := range fullRequests {
 		s := &wire.SyncRequest{HaveConfig: req.HaveConfig, HaveDigest: req.HaveDigest, HaveSettled: req.HaveSettled, HaveInForce: req.HaveInForce}
 		for _, hb := range req.Heartbeats {
-			s.Steady = append(s.Steady, vm.FromWire(hb.Vm).Digest())
+			s.Steady = append(s.Steady, vm.MemberFromWire(hb.Vm).Digest())
 		}
 		shortRequests = append(shortRequests, s)
 	}
@@ -241,11 +241,11 @@
 	// One daemon joins the 3,600 others: the leader computes this delta once per relay.
 	settled := v.node.stateView().settled
 	next := &vm.Membership{Epoch: settled.Epoch + 1, Members: append([]vm.Member(nil), settled.Members...)}
-	next.Members = append(next.Members, vm.FromWire(serving("zz", 1)))
+	next.Members = append(next.Members, vm.MemberFromWire(serving("zz", 1)))
 	b.Run("membership-delta", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			vm.Delta(settled, next)
+			vm.MembershipDelta(settled, next)
 		}
 	})
 }
--- a/internal/control/presence/member.go
+++ b/internal/control/presence/member.go
@@ -27,7 +27,7 @@
 		case !ok:
 			removes = append(removes, old.Name)
 		case m != *old:
-			upserts = append(upserts, vm.ToWire(m))
+			upserts = append(upserts, vm.MemberToWire(m))
 		}
 	}
 	if known < len(t.newestIncarnation) {
@@ -45,7 +45,7 @@
 			continue
 		}
 		if m, ok := t.desiredMember(name, now); ok && m.Phase == vm.Serving {
-			out = append(out, vm.ToWire(m))
+			out = append(out, vm.MemberToWire(m))
 		}
 	}
 	return out
@@ -113,7 +113,7 @@
 	out := make([]*wire.DaemonStatus, 0, len(t.runs))
 	for _, r := range t.runs {
 		out = append(out, &wire.DaemonStatus{
-			Vm: vm.ToWire(r.member), ConfigVersion: r.confirmedVersion, AckedEpoch: r.ackedEpoch,
+			Vm: vm.MemberToWire(r.member), ConfigVersion: r.confirmedVersion, AckedEpoch: r.ackedEpoch,
 			LeaseLeftMs: uint32(max(r.leaseEnd.Sub(now), 0).Milliseconds()),
 		})
 	}
--- a/internal/control/presence/table.go
+++ b/internal/control/presence/table.go
@@ -100,7 +100,7 @@
 }
 
 func (t *Table) recordHeartbeat(hb *wire.Heartbeat, now vm.Instant, requirements *LeaseRequirements) (granted, changed bool) {
-	m := vm.FromWire(hb.GetVm())
+	m := vm.MemberFromWire(hb.GetVm())
 	r := t.runs[runIDOf(&m)]
 	if r == nil {
 		r = &run{member: m, firstHeard: now}
--- a/internal/control/presence/table_test.go
+++ b/internal/control/presence/table_test.go
@@ -247,7 +247,7 @@
 	upserts, _ := table.MembershipChanges(&vm.Membership{}, now)
 	settled := &vm.Membership{Epoch: 1}
 	for _, u := range upserts {
-		settled.Members = append(settled.Members, vm.FromWire(u))
+		settled.Members = append(settled.Members, vm.MemberFromWire(u))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/control/state/epoch.go
+++ b/internal/control/state/epoch.go
@@ -14,7 +14,7 @@
 	delta := &wire.MembershipDelta{
 		FromEpoch: s.settled.Epoch, ToEpoch: s.lastEpoch + 1, Upserts: c.Upserts, Removes: c.Removes,
 	}
-	pending, err := vm.Apply(s.settled, delta)
+	pending, err := vm.ApplyDelta(s.settled, delta)
 	if err != nil {
 		return false // unreachable: the delta starts at the settled epoch
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -319,7 +319,7 @@
 	if v.Tree == nil || v.Settled == nil {
 		return false, "unconfirmed: no configuration was learned yet"
 	}
-	if m, ok := v.Settled.Find(d.self.Name); !ok || !m.Same(d.self) {
+	if m, ok := v.Settled.Find(d.self.Name); !ok || !m.SameIncarnation(d.self) {
 		return false, "joining: the agreed membership does not hold this daemon yet"
 	}
 	if remaining := v.LeaseEnd.Sub(vm.Now()); remaining <= 0 {
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	m, ok := v.Settled.Find(self.Name)
-	return !ok || !m.Same(self) || m.Phase != vm.Serving
+	return !ok || !m.SameIncarnation(self) || m.Phase != vm.Serving
 }
 
 // isGone reports whether neither the agreed nor the pending membership has self in a phase
@@ -58,7 +58,7 @@
 		if m == nil {
 			continue
 		}
-		if found, ok := m.Find(self.Name); ok && found.Same(self) && found.Phase != vm.Gone {
+		if found, ok := m.Find(self.Name); ok && found.SameIncarnation(self) && found.Phase != vm.Gone {
 			return false
 		}
 	}
--- a/internal/domain/bench_test.go
+++ b/internal/domain/bench_test.go
@@ -25,7 +25,7 @@
 				for s := range size.services {
 					for _, g := range Groups(fmt.Sprintf("/desk/s%d", s), leaves, m) {
 						for _, h := range Homes(m, g.Key, 2) {
-							leavesPerDaemon[h.Name] += g.Leaves
+							leavesPerDaemon[h.Name] += g.LeafCount
 						}
 					}
 				}
--- a/internal/domain/change.go
+++ b/internal/domain/change.go
@@ -9,20 +9,20 @@
 )
 
 // MemberChange is the change of one member between two memberships.
-type Change struct {
+type MemberChange struct {
 	Name  string
 	After vm.Member // phase Gone if the member was removed
 }
 
 // MemberChanges returns the members that differ between two memberships.
-func Changes(from, to *vm.Membership) []Change {
-	d := vm.Delta(from, to)
-	var out []Change
+func MemberChanges(from, to *vm.Membership) []MemberChange {
+	d := vm.MembershipDelta(from, to)
+	var out []MemberChange
 	for _, name := range d.GetRemoves() {
-		out = append(out, Change{Name: name, After: vm.Member{Phase: vm.Gone}})
+		out = append(out, MemberChange{Name: name, After: vm.Member{Phase: vm.Gone}})
 	}
 	for _, w := range d.GetUpserts() {
-		out = append(out, Change{Name: w.GetName(), After: vm.FromWire(w)})
+		out = append(out, MemberChange{Name: w.GetName(), After: vm.MemberFromWire(w)})
 	}
 	return out
 }
@@ -34,7 +34,7 @@
 // With one home in each of n failure domains, each home is the highest-ranked member of
 // its domain. Then only a change of a home itself, or of a member that ranks above one of
 // the homes, can change the result.
-func Unmoved(homes []vm.Member, key, region string, n int, changes []Change) bool {
+func HomesUnchanged(homes []vm.Member, key, region string, n int, changes []MemberChange) bool {
 	if len(homes) != n {
 		return false
 	}
@@ -59,7 +59,7 @@
 
 // mayChangeHomes reports whether c affects one of the homes or adds a Serving member whose
 // score reaches that of the lowest-ranked home.
-func (c *Change) mayChangeHomes(homes []vm.Member, seed, lowestScore uint64) bool {
+func (c *MemberChange) mayChangeHomes(homes []vm.Member, seed, lowestScore uint64) bool {
 	for i := range homes {
 		if homes[i].Name == c.Name {
 			return true
--- a/internal/domain/group.go
+++ b/internal/domain/group.go
@@ -14,10 +14,10 @@
 
 // Group is a contiguous range of a service's leaves that have the same homes.
 type Group struct {
-	Key    string // rendezvous key: the service, followed by #k if the service has several groups
-	Region string // region of most of its leaves; empty if unknown
-	First  int    // index of its first leaf in the service's list
-	Leaves int    // number of leaves
+	Key       string // rendezvous key: the service, followed by #k if the service has several groups
+	Region    string // region of most of its leaves; empty if unknown
+	FirstLeaf int    // index of its first leaf in the service's list
+	LeafCount int    // number of leaves
 }
 
 // Groups divides a service's leaves, which are sorted by name, into ranges of GroupSize
@@ -29,14 +29,14 @@
 	regions := regionsByDomain(m)
 	groups := make([]Group, n)
 	for k := range groups {
-		g := Group{Key: service, First: k * GroupSize, Leaves: GroupSize}
+		g := Group{Key: service, FirstLeaf: k * GroupSize, LeafCount: GroupSize}
 		if n > 1 {
 			g.Key = service + "#" + strconv.Itoa(k)
 		}
 		if k == n-1 {
-			g.Leaves = len(leaves) - g.First
+			g.LeafCount = len(leaves) - g.FirstLeaf
 		}
-		g.Region = majorityRegion(leaves[g.First:g.First+g.Leaves], regions)
+		g.Region = majorityRegion(leaves[g.FirstLeaf:g.FirstLeaf+g.LeafCount], regions)
 		groups[k] = g
 	}
 	return groups
--- a/internal/domain/homes.go
+++ b/internal/domain/homes.go
@@ -14,13 +14,13 @@
 // few as possible from each failure domain. If fewer than n members are Serving, it
 // returns fewer.
 func Homes(m *vm.Membership, key string, n int) []vm.Member {
-	return HomesIn(m, key, "", n)
+	return HomesInRegion(m, key, "", n)
 }
 
 // HomesInRegion is like Homes but prefers members in the given region: members of other
 // regions are used only if the region has fewer than n Serving members. An empty region
 // means no preference.
-func HomesIn(m *vm.Membership, key, region string, n int) []vm.Member {
+func HomesInRegion(m *vm.Membership, key, region string, n int) []vm.Member {
 	if m == nil || n <= 0 {
 		return nil
 	}
--- a/internal/domain/homes_test.go
+++ b/internal/domain/homes_test.go
@@ -139,14 +139,14 @@
 		leaves := make([]settings.Leaf, rapid.IntRange(1, 500).Draw(t, "leaves"))
 		next := 0
 		for k, g := range Groups("/desk/s", leaves, nil) {
-			for i := g.First; i < g.First+g.Leaves; i++ {
+			for i := g.FirstLeaf; i < g.FirstLeaf+g.LeafCount; i++ {
 				if i != next || GroupIndex(len(leaves), i) != k {
 					t.Fatalf("leaf %d of %d: group %d, GroupIndex %d", i, len(leaves), k, GroupIndex(len(leaves), i))
 				}
 				next++
 			}
-			if len(leaves) >= GroupSize && (g.Leaves < GroupSize || g.Leaves >= 2*GroupSize) {
-				t.Fatalf("a group has %d leaves", g.Leaves)
+			if len(leaves) >= GroupSize && (g.LeafCount < GroupSize || g.LeafCount >= 2*GroupSize) {
+				t.Fatalf("a group has %d leaves", g.LeafCount)
 			}
 		}
 		if next != len(leaves) {
--- a/internal/entryvm/vm.go
+++ b/internal/entryvm/vm.go
@@ -280,7 +280,7 @@
 		if view.Tree != nil && view.ConfigVersion > version {
 			version = view.ConfigVersion
 			v.quarantine.Update(view.ConfigVersion, view.Tree)
-			if previous == nil || !view.Tree.SameBut(previous, settings.QuarantinePath) {
+			if previous == nil || !view.Tree.EqualExcept(previous, settings.QuarantinePath) {
 				v.applyRelease(view)
 			}
 			previous = view.Tree
--- a/internal/quarantine/tree.go
+++ b/internal/quarantine/tree.go
@@ -29,11 +29,11 @@
 		}
 		e, _ := t.Effective(casePath(f))
 		q := &e.Quarantine
-		lastReport, err := time.Parse(time.RFC3339, q.Seen)
-		if err != nil && q.Seen != "" {
+		lastReport, err := time.Parse(time.RFC3339, q.LastSeen)
+		if err != nil && q.LastSeen != "" {
 			klog.Warningf("quarantine: %s has an invalid time of its last report and will be evicted first: %v", casePath(f), err)
 		}
-		out[f] = Case{LeafExits: q.Ends, CrashedAttempts: q.Crashes, UnansweredAttempts: q.Attempts, Variants: q.Variants, Blocked: q.Blocked, Description: q.Request, LastReport: lastReport}
+		out[f] = Case{LeafExits: q.LeafExits, CrashedAttempts: q.CrashedAttempts, UnansweredAttempts: q.UnansweredAttempts, Variants: q.Variants, Blocked: q.Blocked, Description: q.Request, LastReport: lastReport}
 	}
 	return out
 }
@@ -57,7 +57,7 @@
 			}
 		}
 		set(settings.NameQuarantineRequest, sanitizeDescription(c.After.Description))
-		set(settings.NameQuarantineEnds, strconv.Itoa(c.After.LeafExits))
+		set(settings.NameQuarantineLeafEnds, strconv.Itoa(c.After.LeafExits))
 		set(settings.NameQuarantineCrashes, strconv.Itoa(c.After.CrashedAttempts))
 		set(settings.NameQuarantineAttempts, strconv.Itoa(c.After.UnansweredAttempts))
 		set(settings.NameQuarantineVariants, strconv.Itoa(c.After.Variants))
--- a/internal/query/call.go
+++ b/internal/query/call.go
@@ -216,7 +216,7 @@
 	home := c.homes[c.sent]
 	q := *c.q
 	q.attemptBase += uint32(c.sent) * attemptStride
-	local := home.Same(c.e.Self)
+	local := home.SameIncarnation(c.e.Self)
 	c.sent++
 	c.inFlight++
 	if local {
--- a/internal/query/lend.go
+++ b/internal/query/lend.go
@@ -30,7 +30,7 @@
 	}
 	o := &otherHomes{e: e, st: st, group: g}
 	for _, m := range placed[g.group].Homes {
-		if !m.Same(e.Self) {
+		if !m.SameIncarnation(e.Self) {
 			o.homes = append(o.homes, m)
 		}
 	}
--- a/internal/query/pin.go
+++ b/internal/query/pin.go
@@ -42,7 +42,7 @@
 
 // isHome reports whether self is a home of the leaf group.
 func isHome(g *placedGroup, self vm.Identity) bool {
-	return slices.ContainsFunc(g.placement.Homes, func(m vm.Member) bool { return m.Same(self) })
+	return slices.ContainsFunc(g.placement.Homes, func(m vm.Member) bool { return m.SameIncarnation(self) })
 }
 
 // fetchVersions asks a home of each group for its index versions, with one call per daemon,
--- a/internal/query/route.go
+++ b/internal/query/route.go
@@ -120,7 +120,7 @@
 	now := e.Clock()
 	homes := slices.Clone(g.placement.Homes)
 	rand.Shuffle(len(homes), func(i, j int) { homes[i], homes[j] = homes[j], homes[i] })
-	i := slices.IndexFunc(homes, func(m vm.Member) bool { return m.Same(e.Self) })
+	i := slices.IndexFunc(homes, func(m vm.Member) bool { return m.SameIncarnation(e.Self) })
 	if i >= 0 {
 		homes[0], homes[i] = homes[i], homes[0]
 		return homes
--- a/internal/relay/advance.go
+++ b/internal/relay/advance.go
@@ -121,7 +121,7 @@
 	if r.GetPendingEpoch() == 0 || stale {
 		return nil
 	}
-	m, err := vm.Apply(v.Settled, r.GetPending())
+	m, err := vm.ApplyDelta(v.Settled, r.GetPending())
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 	if v.Pending != nil && v.Pending.Epoch == r.GetSettledEpoch() {
 		return v.Pending, nil
 	}
-	m, err := vm.Apply(v.Settled, r.GetSettled())
+	m, err := vm.ApplyDelta(v.Settled, r.GetSettled())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/relay/advance_test.go
+++ b/internal/relay/advance_test.go
@@ -149,7 +149,7 @@
 		{Identity: identity("a", 1), Phase: vm.Serving}, {Identity: identity("b", 1), Phase: vm.Serving}}}
 	heartbeat := func(name string, incarnation uint64, p vm.Phase, config, epoch uint64) *wire.Heartbeat {
 		m := vm.Member{Identity: identity(name, incarnation), Phase: p}
-		return &wire.Heartbeat{Vm: vm.ToWire(m), ConfigVersion: config, AckedEpoch: epoch}
+		return &wire.Heartbeat{Vm: vm.MemberToWire(m), ConfigVersion: config, AckedEpoch: epoch}
 	}
 	steady := []*wire.Heartbeat{heartbeat("a", 1, vm.Serving, 4, 7), heartbeat("b", 1, vm.Serving, 4, 7)}
 	other := []*wire.Heartbeat{
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -316,7 +316,7 @@
 		return
 	}
 	known, ok := m.Find(c.cfg.Self.Name)
-	if ok && known.Same(c.cfg.Self) {
+	if ok && known.SameIncarnation(c.cfg.Self) {
 		c.wasMember = true
 	}
 	if ok && known.Incarnation > c.cfg.Self.Incarnation {
@@ -335,7 +335,7 @@
 // ownHeartbeat returns the daemon's own heartbeat. The caller holds mu.
 func (c *Client) ownHeartbeat() *wire.Heartbeat {
 	return &wire.Heartbeat{
-		Vm:            vm.ToWire(vm.Member{Identity: c.cfg.Self, Phase: c.phase}),
+		Vm:            vm.MemberToWire(vm.Member{Identity: c.cfg.Self, Phase: c.phase}),
 		ConfigVersion: c.ackedVersion,
 		AckedEpoch:    c.ackedEpoch,
 	}
--- a/internal/relay/client_test.go
+++ b/internal/relay/client_test.go
@@ -111,7 +111,7 @@
 		began := w.clock()
 		reply, err := stateless.client.Server().Sync(w.ctx, &wire.SyncRequest{
 			WaitMs:     uint32(DefaultInterval.Milliseconds()),
-			Heartbeats: []*wire.Heartbeat{{Vm: vm.ToWire(vm.Member{Identity: identity("d2", 1)})}},
+			Heartbeats: []*wire.Heartbeat{{Vm: vm.MemberToWire(vm.Member{Identity: identity("d2", 1)})}},
 		})
 		took := w.clock().Sub(began)
 		Convey("it replies long before an interval is over and grants nothing", t, func() {
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -354,7 +354,7 @@
 		return false
 	}
 	m, ok := members.Find(c.cfg.Self.Name)
-	return ok && m.Same(c.cfg.Self) && m.Phase != vm.Gone
+	return ok && m.SameIncarnation(c.cfg.Self) && m.Phase != vm.Gone
 }
 
 // notifyChanged wakes those who wait for a view newer than before.
--- a/internal/relay/heartbeat.go
+++ b/internal/relay/heartbeat.go
@@ -38,7 +38,7 @@
 			unknown = true
 			continue
 		}
-		hbs = append(hbs, &wire.Heartbeat{Vm: vm.ToWire(m), ConfigVersion: req.GetHaveConfig(), AckedEpoch: epoch})
+		hbs = append(hbs, &wire.Heartbeat{Vm: vm.MemberToWire(m), ConfigVersion: req.GetHaveConfig(), AckedEpoch: epoch})
 	}
 	return hbs, unknown
 }
@@ -98,7 +98,7 @@
 // daemon is unchanged from the agreed membership and has confirmed exactly the version
 // and epoch that the request states.
 func addHeartbeat(req *wire.SyncRequest, hb *wire.Heartbeat, agreed *vm.Membership, full bool) {
-	member := vm.FromWire(hb.GetVm())
+	member := vm.MemberFromWire(hb.GetVm())
 	confirmed := hb.GetConfigVersion() == req.GetHaveConfig() &&
 		hb.GetAckedEpoch() == max(req.GetHaveSettled(), req.GetHavePending())
 	if !full && confirmed && agreed != nil {
--- a/internal/relay/history.go
+++ b/internal/relay/history.go
@@ -149,10 +149,10 @@
 	reply.PendingEpoch = epochOf(s.Pending)
 	h.fillConfig(req, reply)
 	if s.Settled != nil && s.Settled.Epoch > req.GetHaveSettled() {
-		reply.Settled = vm.Delta(h.findMembership(req.GetHaveSettled()), s.Settled)
+		reply.Settled = vm.MembershipDelta(h.findMembership(req.GetHaveSettled()), s.Settled)
 	}
 	if s.Pending != nil && s.Pending.Epoch > req.GetHavePending() {
-		reply.Pending = vm.Delta(s.Settled, s.Pending)
+		reply.Pending = vm.MembershipDelta(s.Settled, s.Pending)
 	}
 }
 
--- a/internal/relay/leader_test.go
+++ b/internal/relay/leader_test.go
@@ -112,7 +112,7 @@
 	}
 	hbs, unknown := l.expander.Expand(req, l.state.Settled, l.state.Pending)
 	for _, hb := range hbs {
-		m := vm.FromWire(hb.GetVm())
+		m := vm.MemberFromWire(hb.GetVm())
 		key := runID{name: m.Name, incarnation: m.Incarnation}
 		if l.runs[key] == nil {
 			l.runs[key] = &reportedRun{}
--- a/internal/relay/placement.go
+++ b/internal/relay/placement.go
@@ -66,7 +66,7 @@
 }
 
 func (v *View) holdsShare(e *settings.Effective, g domain.Group, id vm.Identity) bool {
-	for i := g.First; i < g.First+g.Leaves; i++ {
+	for i := g.FirstLeaf; i < g.FirstLeaf+g.LeafCount; i++ {
 		if slots, conns := v.Share(e.Path, e, i, id); slots > 0 && conns > 0 {
 			return true
 		}
@@ -89,7 +89,7 @@
 	groups := domain.Groups(e.Path, e.Leaves, m)
 	out := make([]GroupHomes, len(groups))
 	for k, g := range groups {
-		out[k] = GroupHomes{Group: g, Homes: domain.HomesIn(m, g.Key, g.Region, homeCount(e))}
+		out[k] = GroupHomes{Group: g, Homes: domain.HomesInRegion(m, g.Key, g.Region, homeCount(e))}
 	}
 	return out
 }
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -75,20 +75,20 @@
 	out := make([]GroupHomes, len(groups))
 	for k, g := range groups {
 		out[k] = GroupHomes{Group: g}
-		if old[k].Group == g && domain.Unmoved(old[k].Homes, g.Key, g.Region, homeCount(e), changes) {
+		if old[k].Group == g && domain.HomesUnchanged(old[k].Homes, g.Key, g.Region, homeCount(e), changes) {
 			out[k].Homes = old[k].Homes
 			continue
 		}
-		out[k].Homes = domain.HomesIn(m, g.Key, g.Region, homeCount(e))
+		out[k].Homes = domain.HomesInRegion(m, g.Key, g.Region, homeCount(e))
 	}
 	return out
 }
 
-func (p *placementCache) changesTo(m *vm.Membership) []domain.Change {
+func (p *placementCache) changesTo(m *vm.Membership) []domain.MemberChange {
 	if changes, ok := p.changes.Load(m.Epoch); ok {
-		return changes.([]domain.Change)
+		return changes.([]domain.MemberChange)
 	}
-	changes := domain.Changes(p.base, m)
+	changes := domain.MemberChanges(p.base, m)
 	p.changes.Store(m.Epoch, changes)
 	return changes
 }
--- a/internal/relay/share.go
+++ b/internal/relay/share.go
@@ -82,7 +82,7 @@
 	groups := v.membershipHomes(e, m)
 	homes := groups[domain.GroupIndex(len(e.Leaves), leafIndex)].Homes
 	for i := range homes {
-		if homes[i].Same(self) {
+		if homes[i].SameIncarnation(self) {
 			offset := remainderOffset(e.Leaves[leafIndex].Name)
 			return share{
 				slots: domain.Share(e.LeafSlots, len(homes), i, offset),
--- a/internal/relay/upstream_test.go
+++ b/internal/relay/upstream_test.go
@@ -55,7 +55,7 @@
 		now := vm.Instant(time.Second)
 		c := NewClient(Config{Self: self, Clock: func() vm.Instant { return now }})
 		reply := &wire.SyncReply{Granted: true, LeaseMs: 6000, SettledEpoch: 1, Settled: &wire.MembershipDelta{
-			ToEpoch: 1, Upserts: []*wire.Vm{vm.ToWire(vm.Member{Identity: identity("d1", 1), Phase: vm.Serving})},
+			ToEpoch: 1, Upserts: []*wire.Vm{vm.MemberToWire(vm.Member{Identity: identity("d1", 1), Phase: vm.Serving})},
 		}}
 		c.applyState(&wire.SyncRequest{}, reply)
 		c.extendLease(now, reply)
@@ -64,7 +64,7 @@
 		Convey("the lease counts once the membership contains its own run", func() {
 			reply.PendingEpoch = 2
 			reply.Pending = &wire.MembershipDelta{FromEpoch: 1, ToEpoch: 2,
-				Upserts: []*wire.Vm{vm.ToWire(vm.Member{Identity: self, Phase: vm.Serving})}}
+				Upserts: []*wire.Vm{vm.MemberToWire(vm.Member{Identity: self, Phase: vm.Serving})}}
 			c.applyState(&wire.SyncRequest{HaveSettled: 1}, reply)
 			c.extendLease(now, reply)
 			So(c.Current().HoldsLease(now), ShouldBeTrue)
--- a/internal/route/tree.go
+++ b/internal/route/tree.go
@@ -35,7 +35,7 @@
 	}
 	slices.Sort(paths)
 	for _, path := range paths {
-		out = append(out, nodeEdits(path, t.Stated(path), want[path])...)
+		out = append(out, nodeEdits(path, t.ExplicitValues(path), want[path])...)
 	}
 	return out
 }
@@ -43,7 +43,7 @@
 // setByRelease reports whether a release created the node. An operator may have set
 // something on a node whose route no release defines yet.
 func setByRelease(t *settings.Tree, path string) bool {
-	for name := range t.Stated(path) {
+	for name := range t.ExplicitValues(path) {
 		if isReleaseSetting[name] {
 			return true
 		}
@@ -193,7 +193,7 @@
 		return nil, nil
 	}
 	rel, _ := t.Effective(settings.ReleasePath)
-	r := &Release{Number: number, Extra: rel.Release.Extra}
+	r := &Release{Number: number, Extra: rel.Release.UnknownFields}
 	limits, ok := t.Effective(settings.LimitsPath)
 	if !ok {
 		limits, _ = t.Effective(settings.Root) // no limits node: every limit has its default
@@ -226,7 +226,7 @@
 
 func readService(e *settings.Effective, seg string) (Service, error) {
 	s := Service{
-		Connections: e.Service.Connections, TLS: e.LeafTLS, Extra: e.Service.Extra,
+		Connections: e.Service.Connections, TLS: e.LeafTLS, Extra: e.Service.UnknownFields,
 	}
 	var u unescaper
 	s.Name = u.text(cmp.Or(e.Service.Name, seg))
@@ -239,8 +239,8 @@
 	in := &e.Route
 	r := Route{
 		Repeatable: !in.NotRepeatable, Timeout: in.Timeout, TargetLatency: in.TargetLatency,
-		Priority: in.Priority, Attempts: in.Attempts, Top: in.Top, LeastCoverage: in.LeastCoverage,
-		Extra: in.Extra, AnswerMargin: in.AnswerMargin,
+		Priority: in.Priority, Attempts: in.Attempts, Top: in.MaxRecords, LeastCoverage: in.MinCoverage,
+		Extra: in.UnknownFields, AnswerMargin: in.AnswerMargin,
 	}
 	var u unescaper
 	r.Name = u.text(cmp.Or(in.Name, seg))
--- a/internal/settings/explain.go
+++ b/internal/settings/explain.go
@@ -3,13 +3,13 @@
 import "pearmoor/internal/contract"
 
 // SourceDefault is the Source of a default value, which no node sets.
-const StatedAtDefault = "default"
+const SourceDefault = "default"
 
 // Explanation describes where the effective value of one setting at a node comes from.
-type Explained struct {
+type Explanation struct {
 	Name     string `json:"name"`
 	Value    string `json:"value"`
-	StatedAt string `json:"stated_at"` // path of the node that sets the value, or "default"
+	Source   string `json:"stated_at"` // path of the node that sets the value, or "default"
 	Version  uint64 `json:"version"`   // version of the change that set it; 0 for a default
 	Obsolete bool   `json:"obsolete,omitempty"`
 }
@@ -17,7 +17,7 @@
 // Explain lists the effective value of each setting at a path, with the node that sets
 // it and the version of the change that set it. Settings and values that this release
 // does not know follow at the end, marked obsolete: they have no effect.
-func (t *Tree) Explain(path string) ([]Explained, error) {
+func (t *Tree) Explain(path string) ([]Explanation, error) {
 	segments, why := splitPath(path)
 	if why != "" {
 		return nil, contract.Faults{{Field: path, Why: why, Fix: segmentRule}}
@@ -26,7 +26,7 @@
 		return nil, contract.Faults{{Field: displayPath(trimPath(path)), Why: "there is no such node", Fix: "name a node of the tree"}}
 	}
 	chain := t.nodesOnPath(segments)
-	out := make([]Explained, 0, len(t.schema.settings))
+	out := make([]Explanation, 0, len(t.schema.settings))
 	for i := range t.schema.settings {
 		if x, ok := chain.explain(&t.schema.settings[i]); ok {
 			out = append(out, x)
@@ -56,17 +56,17 @@
 
 // explain returns the explanation of the effective value of s, and false if s has
 // neither a value nor a default.
-func (p nodePath) explain(s *Setting) (Explained, bool) {
+func (p nodePath) explain(s *Setting) (Explanation, bool) {
 	for i := len(p) - 1; i >= 0; i-- {
 		if !s.Inherits && !s.RootOnly && i < len(p)-1 {
 			break
 		}
 		n := p[i].node
 		if j, ok := n.findAssignment(s.Name); ok && n.assignments[j].val != nil {
-			return Explained{Name: s.Name, Value: n.assignments[j].text, StatedAt: p[i].path, Version: n.assignments[j].version}, true
+			return Explanation{Name: s.Name, Value: n.assignments[j].text, Source: p[i].path, Version: n.assignments[j].version}, true
 		}
 	}
-	return Explained{Name: s.Name, Value: s.defaultText(), StatedAt: StatedAtDefault}, s.defaultValue != nil
+	return Explanation{Name: s.Name, Value: s.defaultText(), Source: SourceDefault}, s.defaultValue != nil
 }
 
 func (s *Setting) defaultText() string {
@@ -77,12 +77,12 @@
 }
 
 // obsoleteValues returns the values on the path that this release does not know.
-func (p nodePath) obsoleteValues() []Explained {
-	var out []Explained
+func (p nodePath) obsoleteValues() []Explanation {
+	var out []Explanation
 	for _, pn := range p {
 		for _, v := range pn.node.assignments {
 			if v.val == nil {
-				out = append(out, Explained{Name: v.name, Value: v.text, StatedAt: pn.path, Version: v.version, Obsolete: true})
+				out = append(out, Explanation{Name: v.name, Value: v.text, Source: pn.path, Version: v.version, Obsolete: true})
 			}
 		}
 	}
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -20,7 +20,7 @@
 )
 
 // MaxFileSize is the maximum size in bytes of a file that ParseFile accepts.
-const MaxFile = 16 << 20
+const MaxFileSize = 16 << 20
 
 // ParseFile parses a tree from the YAML format that operators keep in version control.
 // The error is a contract.Faults with every fault found. ParseFile validates the
@@ -40,7 +40,7 @@
 
 // FileBaseVersion returns the version of the tree from which a file was exported, and
 // whether the file records one. The error is a contract.Faults.
-func FileBase(text []byte) (version uint64, found bool, err error) {
+func FileBaseVersion(text []byte) (version uint64, found bool, err error) {
 	body, err := parseYAML(text)
 	if err != nil {
 		return 0, false, err
@@ -56,8 +56,8 @@
 
 // parseYAML returns the only document of a file, or a null node if the file is empty.
 func parseYAML(text []byte) (ast.Node, error) {
-	if len(text) > MaxFile {
-		return nil, newFileFault("the file is too large", fmt.Sprintf("keep it to %d bytes", MaxFile))
+	if len(text) > MaxFileSize {
+		return nil, newFileFault("the file is too large", fmt.Sprintf("keep it to %d bytes", MaxFileSize))
 	}
 	file, err := parser.ParseBytes(text, 0)
 	if err != nil {
@@ -203,7 +203,7 @@
 
 // ExportFileWithBase returns the output of ExportFile with the additional key base, the
 // version of the change that produced t.
-func (t *Tree) ExportFileAt(base uint64) []byte {
+func (t *Tree) ExportFileWithBase(base uint64) []byte {
 	return marshalYAML(append(yaml.MapSlice{{Key: keyBase, Value: base}}, exportNode(t.root)...))
 }
 
--- a/internal/settings/forwarding.go
+++ b/internal/settings/forwarding.go
@@ -11,12 +11,12 @@
 	Service       string
 	Split         string // service=weight,...
 	Shards        string // service,...
-	Extra         string // a JSON object with the fields that this release does not know
+	UnknownFields string // a JSON object with the fields that this release does not know
 	NotRepeatable bool
 	Attempts      int
 	Priority      int
-	Top           int
-	LeastCoverage float64
+	MaxRecords    int
+	MinCoverage   float64
 
 	Timeout       time.Duration
 	TargetLatency time.Duration
@@ -26,11 +26,11 @@
 // ServiceSettings holds the settings of one service that requests are forwarded to, set
 // at a node below ServicesPath.
 type ServiceSettings struct {
-	Name        string // "": the name of the node
-	HealthPath  string
-	Protocol    string
-	Extra       string
-	Connections int // maximum connections that a leaf accepts from all daemons together; 0: not set
+	Name          string // "": the name of the node
+	HealthPath    string
+	Protocol      string
+	UnknownFields string
+	Connections   int // maximum connections that a leaf accepts from all daemons together; 0: not set
 }
 
 // CallerLimits bounds the size of a caller's requests, the time to send a request header
@@ -44,10 +44,10 @@
 
 // ReleaseSettings identifies the complete configuration that an operator's system sent.
 type ReleaseSettings struct {
-	Number       string // decimal
-	RouteOrder   string // node names in order, if the routes are not sorted by name
-	ServiceOrder string
-	Extra        string
+	Number        string // decimal
+	RouteOrder    string // node names in order, if the routes are not sorted by name
+	ServiceOrder  string
+	UnknownFields string
 }
 
 // The paths of the nodes that hold a complete configuration sent by an operator's system.
@@ -137,16 +137,16 @@
 			assign: func(e *Effective, _ *Tier, v *value) { e.Route.NotRepeatable = v.integer == 0 }},
 		countSetting(NameRouteAttempts, "leaves", "1", "The most leaves that one request may be sent to; of each shard, where there are shards.", func(e *Effective) *int { return &e.Route.Attempts }),
 		countSetting(NameRoutePriority, "rank", "0", "The rank of the route's requests when not all can be served; 0 is the highest.", func(e *Effective) *int { return &e.Route.Priority }),
-		countSetting(NameRouteTop, "records", "0", "How many of the greatest records an answer made of parts holds.", func(e *Effective) *int { return &e.Route.Top }),
+		countSetting(NameRouteTop, "records", "0", "How many of the greatest records an answer made of parts holds.", func(e *Effective) *int { return &e.Route.MaxRecords }),
 		{Name: NameRouteLeastCoverage, Kind: Ratio, Unit: "0 to 1", Min: "0", Max: "1", Default: "0",
 			Doc:    "The least share of the shards that an answer made of parts holds.",
-			assign: func(e *Effective, _ *Tier, v *value) { e.Route.LeastCoverage = v.ratio }},
+			assign: func(e *Effective, _ *Tier, v *value) { e.Route.MinCoverage = v.ratio }},
 		durationSetting(NameRouteTimeout, "0s", "The longest time a caller is kept waiting.", func(e *Effective) *time.Duration { return &e.Route.Timeout }),
 		durationSetting(NameRouteTargetLatency, "0s", "The time within which an answer is wanted.", func(e *Effective) *time.Duration { return &e.Route.TargetLatency }),
 		{Name: "answer-margin", Kind: Duration, Unit: "duration", Min: "0s", Max: "10s", Default: "14ms", Inherits: true,
 			Doc:    "How long before route-target-latency an answer made of parts is given without the parts that are still missing, if it holds route-least-coverage. It covers the way from and to the caller.",
 			assign: func(e *Effective, _ *Tier, v *value) { e.Route.AnswerMargin = v.duration() }},
-		textSetting(NameRouteExtra, "JSON object", "Fields of the route that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Route.Extra }),
+		textSetting(NameRouteExtra, "JSON object", "Fields of the route that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Route.UnknownFields }),
 	}
 }
 
@@ -156,7 +156,7 @@
 		textSetting(NameServiceHealthPath, "path", "Where a leaf of the service tells its health.", func(e *Effective) *string { return &e.Service.HealthPath }),
 		textSetting(NameServiceProtocol, "word", "The protocol that leaves of the service speak.", func(e *Effective) *string { return &e.Service.Protocol }),
 		countSetting(NameServiceConnections, "connections", "0", "The most connections a leaf of the service accepts, from all daemons together; 0 is not stated.", func(e *Effective) *int { return &e.Service.Connections }),
-		textSetting(NameServiceExtra, "JSON object", "Fields of the service that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Service.Extra }),
+		textSetting(NameServiceExtra, "JSON object", "Fields of the service that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Service.UnknownFields }),
 	}
 }
 
@@ -176,6 +176,6 @@
 		textSetting(NameReleaseNumber, "number", "The number under which the whole configuration was sent.", func(e *Effective) *string { return &e.Release.Number }),
 		textSetting(NameReleaseRoutes, "node,...", "The order of the routes where it is not that of their names.", func(e *Effective) *string { return &e.Release.RouteOrder }),
 		textSetting(NameReleaseServices, "node,...", "The order of the services where it is not that of their names.", func(e *Effective) *string { return &e.Release.ServiceOrder }),
-		textSetting(NameReleaseExtra, "JSON object", "Fields of the whole configuration that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Release.Extra }),
+		textSetting(NameReleaseExtra, "JSON object", "Fields of the whole configuration that this release does not know. They are kept and have no effect.", func(e *Effective) *string { return &e.Release.UnknownFields }),
 	}
 }
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -28,12 +28,12 @@
 // FuzzParseFile parses arbitrary files. A file that parses must yield a tree that can be
 // exported and parsed again.
 func FuzzParseFile(f *testing.F) {
-	f.Add(exampleTree(f).ExportFileAt(3))
+	f.Add(exampleTree(f).ExportFileWithBase(3))
 	f.Add([]byte("settings: {homes: 1, ramp: 20s}\nnodes: {a: {settings: {leaves: [x=10.0.0.1:1@h]}}}"))
 	f.Add([]byte("a: &a [*a]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		tree, err := ParseFile(text)
-		if _, _, baseErr := FileBase(text); err == nil && baseErr != nil {
+		if _, _, baseErr := FileBaseVersion(text); err == nil && baseErr != nil {
 			t.Fatalf("the base version is rejected: %v", baseErr)
 		}
 		if err != nil {
--- a/internal/settings/obsolete_test.go
+++ b/internal/settings/obsolete_test.go
@@ -53,10 +53,10 @@
 		Convey("Explain lists it as obsolete with the node and version that set it", func() {
 			explanations, err := tree.Explain("gj-west/desk")
 			So(err, ShouldBeNil)
-			So(explanations[len(explanations)-3:], ShouldResemble, []Explained{
-				{Name: "cache-size", Value: "4MiB", StatedAt: "gj-west", Version: 4, Obsolete: true},
-				{Name: "goal", Value: "cost", StatedAt: "gj-west", Version: 4, Obsolete: true},
-				{Name: "cache-size", Value: "8MiB", StatedAt: "gj-west/desk", Version: 4, Obsolete: true},
+			So(explanations[len(explanations)-3:], ShouldResemble, []Explanation{
+				{Name: "cache-size", Value: "4MiB", Source: "gj-west", Version: 4, Obsolete: true},
+				{Name: "goal", Value: "cost", Source: "gj-west", Version: 4, Obsolete: true},
+				{Name: "cache-size", Value: "8MiB", Source: "gj-west/desk", Version: 4, Obsolete: true},
 			})
 		})
 		Convey("it cannot be set again", func() {
@@ -106,8 +106,8 @@
 		Convey("each value is kept as written", func() {
 			explanations, err := tree.Explain("/")
 			So(err, ShouldBeNil)
-			So(explanations, ShouldContain, Explained{Name: "hedge-after", Value: "0.02s", StatedAt: "/", Version: 3})
-			So(explanations[len(explanations)-1], ShouldResemble, Explained{Name: "daemon-lease", Value: "20m", StatedAt: "/", Version: 3, Obsolete: true})
+			So(explanations, ShouldContain, Explanation{Name: "hedge-after", Value: "0.02s", Source: "/", Version: 3})
+			So(explanations[len(explanations)-1], ShouldResemble, Explanation{Name: "daemon-lease", Value: "20m", Source: "/", Version: 3, Obsolete: true})
 		})
 		Convey("known values take effect, and unknown ones are replaced by the default", func() {
 			e, _ := tree.Effective("x")
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -70,7 +70,7 @@
 }
 
 // IsWithin reports whether path is ancestor itself or a path below it.
-func Below(path, ancestor string) bool {
+func IsWithin(path, ancestor string) bool {
 	path, ancestor = trimPath(path), trimPath(ancestor)
 	return path == ancestor || strings.HasPrefix(path, ancestor+Root)
 }
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -92,7 +92,7 @@
 
 // EqualExcept reports whether t and o are equal, ignoring the child of the root with the
 // given name and the versions of the values set at the root.
-func (t *Tree) SameBut(o *Tree, name string) bool {
+func (t *Tree) EqualExcept(o *Tree, name string) bool {
 	if !slices.EqualFunc(t.root.assignments, o.root.assignments, func(a, b assignment) bool { return a.name == b.name && a.text == b.text }) {
 		return false
 	}
@@ -158,7 +158,7 @@
 }
 
 // ExplicitValues returns the texts of the values set at the node itself, by setting name.
-func (t *Tree) Stated(path string) map[string]string {
+func (t *Tree) ExplicitValues(path string) map[string]string {
 	r := t.lookup(path)
 	if r == nil {
 		return nil
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -80,13 +80,13 @@
 			next := mustApply(t, tree, 7, Edit{Path: "gj-west/storefront", Name: "homes", Value: "1"})
 			explanations, err := next.Explain("gj-west/storefront/s1")
 			So(err, ShouldBeNil)
-			got := map[string]Explained{}
+			got := map[string]Explanation{}
 			for _, x := range explanations {
 				got[x.Name] = x
 			}
-			So(got["homes"], ShouldResemble, Explained{Name: "homes", Value: "1", StatedAt: "gj-west/storefront", Version: 7})
-			So(got["deadline-default"], ShouldResemble, Explained{Name: "deadline-default", Value: "220ms", StatedAt: "/", Version: 1})
-			So(got["ramp"], ShouldResemble, Explained{Name: "ramp", Value: "10s", StatedAt: "default"})
+			So(got["homes"], ShouldResemble, Explanation{Name: "homes", Value: "1", Source: "gj-west/storefront", Version: 7})
+			So(got["deadline-default"], ShouldResemble, Explanation{Name: "deadline-default", Value: "220ms", Source: "/", Version: 1})
+			So(got["ramp"], ShouldResemble, Explanation{Name: "ramp", Value: "10s", Source: "default"})
 		})
 	})
 }
--- a/internal/vm/wire.go
+++ b/internal/vm/wire.go
@@ -12,10 +12,10 @@
 
 // ErrEpochMismatch is returned by ApplyDelta if the delta does not start from the epoch
 // of the given membership.
-var ErrEpoch = errors.New("vm: membership delta starts from another epoch")
+var ErrEpochMismatch = errors.New("vm: membership delta starts from another epoch")
 
 // MemberToWire converts a member to its protobuf message.
-func ToWire(m Member) *wire.Vm {
+func MemberToWire(m Member) *wire.Vm {
 	return &wire.Vm{
 		Name:        m.Name,
 		Incarnation: m.Incarnation,
@@ -30,7 +30,7 @@
 
 // MemberFromWire converts a protobuf message to a member. An unknown phase becomes Gone,
 // the phase without any rights.
-func FromWire(w *wire.Vm) Member {
+func MemberFromWire(w *wire.Vm) Member {
 	phase := Gone
 	if w.GetPhase() < uint32(Gone) {
 		phase = Phase(w.GetPhase())
@@ -56,7 +56,7 @@
 	}
 	w := &wire.Membership{Epoch: m.Epoch, Members: make([]*wire.Vm, len(m.Members))}
 	for i := range m.Members {
-		w.Members[i] = ToWire(m.Members[i])
+		w.Members[i] = MemberToWire(m.Members[i])
 	}
 	return w
 }
@@ -69,7 +69,7 @@
 	}
 	m := &Membership{Epoch: w.GetEpoch(), Members: make([]Member, len(w.GetMembers()))}
 	for i, member := range w.GetMembers() {
-		m.Members[i] = FromWire(member)
+		m.Members[i] = MemberFromWire(member)
 	}
 	sortMembers(m.Members)
 	return m
@@ -77,7 +77,7 @@
 
 // MembershipDelta returns the delta message that turns from into to. A nil from is the
 // empty membership of epoch 0.
-func Delta(from, to *Membership) *wire.MembershipDelta {
+func MembershipDelta(from, to *Membership) *wire.MembershipDelta {
 	d := &wire.MembershipDelta{ToEpoch: to.Epoch}
 	var old []Member
 	if from != nil {
@@ -90,11 +90,11 @@
 			d.Removes = append(d.Removes, old[i].Name)
 			i++
 		case i == len(old) || to.Members[j].Name < old[i].Name:
-			d.Upserts = append(d.Upserts, ToWire(to.Members[j]))
+			d.Upserts = append(d.Upserts, MemberToWire(to.Members[j]))
 			j++
 		default:
 			if old[i] != to.Members[j] {
-				d.Upserts = append(d.Upserts, ToWire(to.Members[j]))
+				d.Upserts = append(d.Upserts, MemberToWire(to.Members[j]))
 			}
 			i++
 			j++
@@ -106,11 +106,11 @@
 // ApplyDelta returns the membership that results from applying d to from, which is not
 // modified. A nil from is the empty membership of epoch 0. A delta with FromEpoch 0
 // contains the whole list and applies to any membership.
-func Apply(from *Membership, d *wire.MembershipDelta) (*Membership, error) {
+func ApplyDelta(from *Membership, d *wire.MembershipDelta) (*Membership, error) {
 	var old []Member
 	if d.GetFromEpoch() != 0 {
 		if from == nil || from.Epoch != d.GetFromEpoch() {
-			return nil, errors.WithDetailf(ErrEpoch, "delta from epoch %d", d.GetFromEpoch())
+			return nil, errors.WithDetailf(ErrEpochMismatch, "delta from epoch %d", d.GetFromEpoch())
 		}
 		old = from.Members
 	}
@@ -129,7 +129,7 @@
 	}
 	for _, member := range changed {
 		if member != nil {
-			to.Members = append(to.Members, FromWire(member))
+			to.Members = append(to.Members, MemberFromWire(member))
 		}
 	}
 	sortMembers(to.Members)
@@ -153,7 +153,7 @@
 }
 
 // SameIncarnation reports whether two identities denote the same run of the same daemon.
-func (id Identity) Same(o Identity) bool {
+func (id Identity) SameIncarnation(o Identity) bool {
 	return id.Name == o.Name && id.Incarnation == o.Incarnation
 }
 
--- a/internal/vm/wire_test.go
+++ b/internal/vm/wire_test.go
@@ -43,15 +43,15 @@
 func TestApplyDeltaYieldsTargetMembership(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawMembership(t, 4), drawMembership(t, 5)
-		got, err := Apply(from, roundTrip(t, Delta(from, to)))
+		got, err := ApplyDelta(from, roundTrip(t, MembershipDelta(from, to)))
 		if err != nil || !reflect.DeepEqual(got, to) {
 			t.Fatalf("got %+v (%v), want %+v", got, err, to)
 		}
-		full, err := Apply(from, roundTrip(t, Delta(nil, to)))
+		full, err := ApplyDelta(from, roundTrip(t, MembershipDelta(nil, to)))
 		if err != nil || !reflect.DeepEqual(full, to) {
 			t.Fatalf("full delta: got %+v (%v), want %+v", full, err, to)
 		}
-		if _, err := Apply(to, Delta(from, to)); err == nil {
+		if _, err := ApplyDelta(to, MembershipDelta(from, to)); err == nil {
 			t.Fatal("a delta from epoch 4 was applied to epoch 5")
 		}
 	})
