--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -29,12 +29,12 @@
 	Conns relay.Conns
 	Clock vm.Clock // nil: vm.Now
 
-	Tick            time.Duration // tick interval of the quorum machine; 0: DefaultTick
-	ReserveBytes    uint64        // free disk space below which changes are rejected; 0: DefaultReserveBytes
-	SnapshotEntries uint64        // log entries between two snapshots; 0: DefaultSnapshotEntries
-	AuditBytes      int64         // size of the audit trail above which its oldest records are deleted; 0: unlimited
-	FS              journal.FS    // nil: the operating system's
-	Upkeep          Upkeep        // automatic changes of the group; the zero value disables them
+	Tick            time.Duration     // tick interval of the quorum machine; 0: DefaultTick
+	ReserveBytes    uint64            // free disk space below which changes are rejected; 0: DefaultReserveBytes
+	SnapshotEntries uint64            // log entries between two snapshots; 0: DefaultSnapshotEntries
+	MaxAuditBytes   int64             // size of the audit trail above which its oldest records are deleted; 0: unlimited
+	FS              journal.FS        // nil: the operating system's
+	Maintenance     MaintenanceConfig // automatic changes of the group; the zero value disables them
 }
 
 // Defaults for fields of Config.
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, err
 	}
-	trail, err := audit.Open(cfg.DataDir, cfg.FS, cfg.AuditBytes)
+	trail, err := audit.Open(cfg.DataDir, cfg.FS, cfg.MaxAuditBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/control/seat.go
+++ b/internal/control/seat.go
@@ -22,18 +22,18 @@
 // GroupMember keeps a VM a member of the control group without an operator. It founds the
 // group together with the other founders, joins an existing group if the data folder is
 // empty, and joins again with an empty data folder after the group has removed the VM.
-type Seat struct {
-	cfg  SeatConfig
+type GroupMember struct {
+	cfg  GroupMemberConfig
 	node atomic.Pointer[Node]
 }
 
 // GroupMemberConfig configures a GroupMember, which sets Config.ID, Config.Bootstrap and
 // Config.Voters itself.
-type SeatConfig struct {
+type GroupMemberConfig struct {
 	Config
 	// FirstStart is true when the whole tier starts for the first time. Only then a
 	// founder may found the group.
-	Found bool
+	FirstStart bool
 	// Founders waits until the peer addresses of the group's founders are known and
 	// returns them. The result must be identical on every founder.
 	Founders func(ctx context.Context) []string
@@ -43,7 +43,7 @@
 	// OnNodeChange is called with each new node, and with nil after the node has
 	// stopped. It is responsible for registering the node's RPC services and for
 	// removing them.
-	OnNode func(*Node)
+	OnNodeChange func(*Node)
 }
 
 const (
@@ -56,17 +56,17 @@
 )
 
 // NewGroupMember returns a GroupMember. It does nothing until Run.
-func NewSeat(cfg SeatConfig) *Seat {
+func NewGroupMember(cfg GroupMemberConfig) *GroupMember {
 	cfg.Config = cfg.Config.withDefaults()
-	return &Seat{cfg: cfg}
+	return &GroupMember{cfg: cfg}
 }
 
 // Node returns the running node, or nil if there is none.
-func (m *Seat) Node() *Node { return m.node.Load() }
+func (m *GroupMember) Node() *Node { return m.node.Load() }
 
 // Run runs nodes and joins the group again when needed, until ctx is done. After an error
 // the process must exit.
-func (m *Seat) Run(ctx context.Context) error {
+func (m *GroupMember) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		cfg, err := m.prepareConfig(ctx)
 		if err != nil {
@@ -84,14 +84,14 @@
 
 // runNode runs a node until ctx is done or the group has rejected the node for
 // refusalTimeout. In the latter case it clears the data folder.
-func (m *Seat) runNode(ctx context.Context, cfg Config) error {
+func (m *GroupMember) runNode(ctx context.Context, cfg Config) error {
 	node, err := Open(cfg)
 	if err != nil {
 		return err
 	}
 	klog.Infof("control: member %d starts at version %d, commit %d", cfg.ID, node.state.Version(), node.leadership.Load().status.Commit)
 	m.node.Store(node)
-	m.cfg.OnNode(node)
+	m.cfg.OnNodeChange(node)
 	nodeCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan error, 1)
@@ -103,7 +103,7 @@
 	}
 	err = <-done
 	m.node.Store(nil)
-	m.cfg.OnNode(nil)
+	m.cfg.OnNodeChange(nil)
 	if err == nil && refused {
 		err = m.clear()
 	}
@@ -112,7 +112,7 @@
 
 // waitUntilRefused returns true when the group has rejected the node for refusalTimeout,
 // and false when ctx is done or the node has stopped.
-func (m *Seat) waitUntilRefused(ctx context.Context, node *Node, done chan error) bool {
+func (m *GroupMember) waitUntilRefused(ctx context.Context, node *Node, done chan error) bool {
 	ticker := time.NewTicker(refusalCheckInterval)
 	defer ticker.Stop()
 	var since vm.Instant
@@ -141,14 +141,14 @@
 // identity on disk, if there is one. Otherwise it is a founder's ID if this VM is a
 // founder, or the ID that the group assigns when the VM joins. The result is nil if ctx
 // is done.
-func (m *Seat) prepareConfig(ctx context.Context) (*Config, error) {
+func (m *GroupMember) prepareConfig(ctx context.Context) (*Config, error) {
 	id, err := journal.ReadIdentity(m.cfg.FS, m.cfg.DataDir)
 	if err != nil {
 		return nil, err
 	}
 	cfg := m.cfg.Config
 	var founders []string
-	if m.cfg.Found && (id == nil || !m.hasLog()) {
+	if m.cfg.FirstStart && (id == nil || !m.hasLog()) {
 		founders = m.cfg.Founders(ctx)
 	}
 	index := slices.Index(founders, cfg.PeerAddr)
@@ -179,14 +179,14 @@
 
 // hasLog reports whether the data folder contains a log. If so, the group has already
 // been founded and the founders are not needed.
-func (m *Seat) hasLog() bool {
+func (m *GroupMember) hasLog() bool {
 	names, err := m.cfg.FS.ReadDir(m.cfg.DataDir)
 	return err == nil && slices.ContainsFunc(names, journal.IsLogFile)
 }
 
 // join asks for admission to the group until it is granted, and writes the identity with
 // the assigned ID to disk. The result is nil if ctx is done.
-func (m *Seat) join(ctx context.Context, cfg Config) (*Config, error) {
+func (m *GroupMember) join(ctx context.Context, cfg Config) (*Config, error) {
 	disk := rand.Uint64() | 1
 	for ctx.Err() == nil {
 		id := m.requestID(ctx, disk)
@@ -210,7 +210,7 @@
 
 // requestID asks the contacts in turn for admission, following redirects. It returns the
 // assigned member ID, or 0 if no contact granted admission.
-func (m *Seat) requestID(ctx context.Context, disk uint64) uint64 {
+func (m *GroupMember) requestID(ctx context.Context, disk uint64) uint64 {
 	id := uint64(0)
 	contacts := slices.DeleteFunc(slices.Clone(m.cfg.Contacts()), func(a string) bool { return a == m.cfg.PeerAddr })
 	peer.Walk(ctx, contacts, func(addr string) (string, bool) {
@@ -225,7 +225,7 @@
 	return id
 }
 
-func (m *Seat) requestJoin(ctx context.Context, addr string, disk uint64) (*wire.JoinReply, error) {
+func (m *GroupMember) requestJoin(ctx context.Context, addr string, disk uint64) (*wire.JoinReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	conn, err := m.cfg.Conns.Conn(ctx, addr)
@@ -239,7 +239,7 @@
 // clear removes all files from the data folder. The identity is removed last, so
 // that if clearing is interrupted, the rest of the log still belongs to the ID it was
 // written under.
-func (m *Seat) clear() error {
+func (m *GroupMember) clear() error {
 	fs, dir := m.cfg.FS, m.cfg.DataDir
 	if err := fs.MkdirAll(dir); err != nil {
 		return errors.Wrap(err, "control: data folder")
@@ -273,15 +273,15 @@
 }
 
 // IsLeader reports whether this VM leads and no other VM can have been elected by now.
-func (n *Node) Leads() bool { return n.leadership.Load().confirmed(n.cfg.Clock()) }
+func (n *Node) IsLeader() bool { return n.leadership.Load().confirmed(n.cfg.Clock()) }
 
 // SilentMembers returns the names of the tier's members that the leader has not heard from
 // for at least after. On any other VM the result is empty. A member that is being removed
 // is included until the membership without it has settled: a daemon that is partitioned
 // before it learns of that membership keeps telling callers about the removed member, and
 // must know that it is silent.
-func (n *Node) Quiet(after time.Duration) []string {
-	if !n.Leads() {
+func (n *Node) SilentMembers(after time.Duration) []string {
+	if !n.IsLeader() {
 		return nil
 	}
 	v := n.stateView()
@@ -290,7 +290,7 @@
 
 // GroupAddrs returns the peer addresses of the control group, with the leader's first if
 // it is known.
-func (n *Node) Group() []string {
+func (n *Node) GroupAddrs() []string {
 	l := n.leadership.Load()
 	out := l.controlAddrs()
 	if at := slices.Index(out, l.leaderAddr); at > 0 {
--- a/internal/control/seat_test.go
+++ b/internal/control/seat_test.go
@@ -24,8 +24,8 @@
 // memberVM is a VM with a GroupMember that serves on a loopback port.
 type memberVM struct {
 	t          testing.TB
-	cfg        SeatConfig
-	member     *Seat
+	cfg        GroupMemberConfig
+	member     *GroupMember
 	pool       *peer.Pool
 	mux        atomic.Pointer[drpcmux.Mux]
 	cancel     context.CancelFunc
@@ -73,15 +73,15 @@
 	addr := lis.Addr().String()
 	v := &memberVM{t: s.t, pool: peer.NewPool(nil)}
 	v.mux.Store(drpcmux.New())
-	v.cfg = SeatConfig{
+	v.cfg = GroupMemberConfig{
 		Config: Config{
 			Name: "vm-" + addr, DataDir: s.dataDir(addr), PeerAddr: addr, Conns: v.pool, Tick: testTick, ReserveBytes: 1,
-			Upkeep: Upkeep{MinVoters: 3, SilentAfter: testRemoveSilentAfter},
+			Maintenance: MaintenanceConfig{MinVoters: 3, RemoveSilentAfter: testRemoveSilentAfter},
 		},
-		Found:    found,
-		Founders: func(context.Context) []string { return s.founders },
-		Contacts: func() []string { return s.founders },
-		OnNode: func(n *Node) {
+		FirstStart: found,
+		Founders:   func(context.Context) []string { return s.founders },
+		Contacts:   func() []string { return s.founders },
+		OnNodeChange: func(n *Node) {
 			mux := drpcmux.New()
 			if n != nil {
 				if err := n.Register(mux); err != nil {
@@ -91,7 +91,7 @@
 			v.mux.Store(mux)
 		},
 	}
-	v.member = NewSeat(v.cfg)
+	v.member = NewGroupMember(v.cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	v.cancel = cancel
 	v.background.Go(func() {
@@ -200,7 +200,7 @@
 	eventually(s.t, fmt.Sprintf("the voters are %v", want), func() bool {
 		for addr := range s.vms {
 			n := s.vms[addr].member.Node()
-			if n == nil || !n.Leads() {
+			if n == nil || !n.IsLeader() {
 				continue
 			}
 			l := n.leadership.Load()
@@ -266,7 +266,7 @@
 		before = out.Version
 	}
 	for addr, v := range tier.vms {
-		if out, err := tier.control(addr).Newest(callCtx(t), &wire.NewestRequest{}); err == nil && out.Redirect == "" && !v.member.Node().Leads() {
+		if out, err := tier.control(addr).Newest(callCtx(t), &wire.NewestRequest{}); err == nil && out.Redirect == "" && !v.member.Node().IsLeader() {
 			t.Errorf("%s does not lead but reports version=%d", addr, out.Version)
 		}
 	}
@@ -298,7 +298,7 @@
 	tier.putRelease(testRelease(5, time.Second))
 	var lostAddr string
 	for addr, v := range tier.vms {
-		if n := v.member.Node(); n != nil && n.Leads() {
+		if n := v.member.Node(); n != nil && n.IsLeader() {
 			lostAddr = addr
 		}
 	}
@@ -366,7 +366,7 @@
 	time.Sleep(3 * testRemoveSilentAfter)
 	tier.putRelease(testRelease(2, time.Second))
 	for _, v := range tier.vms {
-		if n := v.member.Node(); n.Leads() && len(n.leadership.Load().conf.GetMembers()) != 3 {
+		if n := v.member.Node(); n.IsLeader() && len(n.leadership.Load().conf.GetMembers()) != 3 {
 			t.Errorf("members of the group: %v", n.leadership.Load().conf)
 		}
 	}
--- a/internal/control/upkeep.go
+++ b/internal/control/upkeep.go
@@ -13,14 +13,14 @@
 
 // MaintenanceConfig configures the leader's automatic changes of the group: it promotes new
 // members and removes replaced and lost ones without an operator.
-type Upkeep struct {
+type MaintenanceConfig struct {
 	// MinVoters is the number of responsive voters that must remain before a silent
 	// voter is removed. It should be 2n+1 to tolerate the loss of n disks at once. 0
 	// disables automatic maintenance.
 	MinVoters int
 	// RemoveSilentAfter is how long a voter must have been silent before it is removed,
 	// provided that at least MinVoters other voters respond.
-	SilentAfter time.Duration
+	RemoveSilentAfter time.Duration
 }
 
 const (
@@ -67,7 +67,7 @@
 // that voter is removed, the group tolerates one failure less than intended: with three
 // voters, the next failure blocks all changes.
 func (n *Node) runMaintenance(ctx context.Context) {
-	if n.cfg.Upkeep.MinVoters == 0 {
+	if n.cfg.Maintenance.MinVoters == 0 {
 		return
 	}
 	g := &groupMaintainer{Node: n}
@@ -171,7 +171,7 @@
 			return "a later disk of the same VM votes"
 		}
 	}
-	if g.silentFor(m.Id, now) < g.cfg.Upkeep.SilentAfter {
+	if g.silentFor(m.Id, now) < g.cfg.Maintenance.RemoveSilentAfter {
 		return ""
 	}
 	responsive := 0
@@ -180,7 +180,7 @@
 			responsive++
 		}
 	}
-	if responsive < g.cfg.Upkeep.MinVoters {
+	if responsive < g.cfg.Maintenance.MinVoters {
 		return ""
 	}
 	return "it is silent and enough others vote"
--- a/internal/entryvm/contacts.go
+++ b/internal/entryvm/contacts.go
@@ -69,7 +69,7 @@
 // and whether this VM is a member.
 func (v *VM) controlGroup() (addrs []string, member bool) {
 	if n := v.controlNode(); n != nil {
-		if group := n.Group(); slices.Contains(group, v.conf.PeerAddr) {
+		if group := n.GroupAddrs(); slices.Contains(group, v.conf.PeerAddr) {
 			return group, true
 		}
 	}
--- a/internal/entryvm/vm.go
+++ b/internal/entryvm/vm.go
@@ -35,7 +35,7 @@
 	controlConns *peer.Pool // heartbeats and the messages of the control group
 	bulkConns    *peer.Pool // calls that may be large or slow
 	gatherConns  *peer.Pool // gathers, handovers and probes
-	seat         *control.Seat
+	seat         *control.GroupMember
 	client       *relay.Client
 	leafCache    *discovery.LeafCache
 	leafSyncer   *discovery.Syncer
@@ -87,17 +87,17 @@
 	return v, v.registerServices(nil)
 }
 
-func (v *VM) newSeat() *control.Seat {
-	return control.NewSeat(control.SeatConfig{
+func (v *VM) newSeat() *control.GroupMember {
+	return control.NewGroupMember(control.GroupMemberConfig{
 		Config: control.Config{
 			Name: v.conf.Name, DataDir: v.conf.DataDir, PeerAddr: v.conf.PeerAddr, Conns: v.controlConns,
 			Tick: controlTick, ReserveBytes: max(v.conf.DiskBytes/diskReserveDivisor, 1), SnapshotEntries: 500,
-			AuditBytes: int64(v.conf.DiskBytes / auditDivisor),
-			Upkeep:     control.Upkeep{MinVoters: 2*v.conf.Tolerated + 1, SilentAfter: removeVoterAfter},
-			FS:         diskOf(v.conf.DataDir),
+			MaxAuditBytes: int64(v.conf.DiskBytes / auditDivisor),
+			Maintenance:   control.MaintenanceConfig{MinVoters: 2*v.conf.Tolerated + 1, RemoveSilentAfter: removeVoterAfter},
+			FS:            diskOf(v.conf.DataDir),
 		},
-		Found: v.conf.FirstStart, Founders: v.founders, Contacts: v.contacts,
-		OnNode: func(n *control.Node) {
+		FirstStart: v.conf.FirstStart, Founders: v.founders, Contacts: v.contacts,
+		OnNodeChange: func(n *control.Node) {
 			if err := v.registerServices(n); err != nil {
 				klog.Errorf("entry: registering the control services failed: %v", err)
 			}
@@ -184,7 +184,7 @@
 // for all daemons.
 func (v *VM) isLeader() bool {
 	n := v.controlNode()
-	return n != nil && n.Leads()
+	return n != nil && n.IsLeader()
 }
 
 // unresponsiveDaemons returns the daemons that the leader has not heard from for
@@ -194,7 +194,7 @@
 	if n == nil {
 		return nil
 	}
-	return n.Quiet(unresponsiveAfter)
+	return n.SilentMembers(unresponsiveAfter)
 }
 
 // listUpstreams returns the daemons that may have a newer leaf list.
