--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -107,9 +107,9 @@
 				addr = answer.GetRedirect()
 				continue
 			}
-		case peer.Denied(err) || peer.IsPermanent(err):
+		case peer.IsDenied(err) || peer.IsPermanent(err):
 			return reply, sent, &exitError{code: ExitInvalid, cause: err}
-		case !peer.NotSent(err) && !peer.IsNotDone(err):
+		case !peer.NotSent(err) && !peer.IsRetryable(err):
 			sent = true
 		}
 		if lastErr == nil || ctx.Err() == nil {
--- a/internal/control/disk_test.go
+++ b/internal/control/disk_test.go
@@ -78,7 +78,7 @@
 			_, err := tryChange(t, v, changeRequest("b", 1, "daemon-lease", "11s"))
 			So(err, ShouldNotBeNil)
 			So(err.Error(), ShouldContainSubstring, "not accepted")
-			So(peer.IsNotDone(err), ShouldBeTrue)
+			So(peer.IsRetryable(err), ShouldBeTrue)
 			disk.lowSpace.Store(false)
 			So(c.change("b", 1, "daemon-lease", "11s").Version, ShouldEqual, 2)
 		})
@@ -89,7 +89,7 @@
 			disk.full.Store(true)
 			_, err := tryChange(t, v, changeRequest("b", 1, "daemon-lease", "11s"))
 			So(err, ShouldNotBeNil)
-			So(peer.IsNotDone(err), ShouldBeFalse)
+			So(peer.IsRetryable(err), ShouldBeFalse)
 			eventually(t, "new changes are refused", func() bool {
 				_, err := tryChange(t, v, changeRequest("c", 1, "daemon-lease", "12s"))
 				return err != nil && v.node.diskFull.Load()
@@ -114,7 +114,7 @@
 			r, err := tryChange(t, v, changeRequest("b", 1, "daemon-lease", "11s"))
 			So(err, ShouldNotBeNil)
 			So(r, ShouldBeNil)
-			So(peer.IsNotDone(err), ShouldBeFalse)
+			So(peer.IsRetryable(err), ShouldBeFalse)
 			<-v.runDone
 			var sync *journal.SyncError
 			So(errors.As(v.err, &sync), ShouldBeTrue)
--- a/internal/control/group.go
+++ b/internal/control/group.go
@@ -49,7 +49,7 @@
 // has moved or is not ready. The request itself may be valid, so a retry may succeed.
 func isTransient(err error) bool {
 	var refused *quorum.ConfError
-	return err != nil && peer.IsNotDone(err) && !errors.As(err, &refused)
+	return err != nil && peer.IsRetryable(err) && !errors.As(err, &refused)
 }
 
 // addMember adds a learner and makes it a voter once it has caught up.
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -15,10 +15,10 @@
 // Errors whose text is returned to callers of a control VM. If an error is marked with
 // peer.NotDone, it is certain that nothing was changed.
 var (
-	errStopped                = peer.NotDone(errors.New("control: this control VM is stopping; ask another one"))
-	errNoLeader               = peer.NotDone(errors.New("control: no leader is known; try again"))
-	errDiskFull               = peer.NotDone(errors.New("control: the disk of the leading control VM is full, the change was not accepted; free space in its data folder"))
-	errLeadershipLost         = peer.NotDone(errors.New("control: another leader took over, nothing was accepted; ask it"))
+	errStopped                = peer.Retryable(errors.New("control: this control VM is stopping; ask another one"))
+	errNoLeader               = peer.Retryable(errors.New("control: no leader is known; try again"))
+	errDiskFull               = peer.Retryable(errors.New("control: the disk of the leading control VM is full, the change was not accepted; free space in its data folder"))
+	errLeadershipLost         = peer.Retryable(errors.New("control: another leader took over, nothing was accepted; ask it"))
 	errOutcomeUnknown         = errors.New("control: leadership changed and the outcome is not known here; resend with the same change id")
 	errDiskFullOutcomeUnknown = errors.New("control: the disk of this control VM is full, and the outcome is not known; resend with the same change id")
 	errStoppedOutcomeUnknown  = errors.New("control: this control VM stopped, and the outcome is not known; resend with the same change id")
@@ -82,7 +82,7 @@
 	err := d.call(ctx, func() {
 		index, term, err := propose(d.machine)
 		if err != nil {
-			w.finish(proposalResult{err: peer.NotDone(err)})
+			w.finish(proposalResult{err: peer.Retryable(err)})
 			return
 		}
 		w.term = term
--- a/internal/control/quarantine.go
+++ b/internal/control/quarantine.go
@@ -145,7 +145,7 @@
 			return peer.Permanent(errors.Newf("control: change of the quarantine is invalid: %v", reply.Faults))
 		}
 	}
-	return peer.NotDone(errors.Newf("control: reports of crashes lost %d races with other changes; send them again", maxCrashReportAttempts))
+	return peer.Retryable(errors.Newf("control: reports of crashes lost %d races with other changes; send them again", maxCrashReportAttempts))
 }
 
 func logQuarantineChanges(changes []quarantine.Change) {
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -17,7 +17,7 @@
 	maxInForceWait  = 30 * time.Second
 )
 
-var errUnconfirmed = peer.NotDone(errors.New("control: this leader has not heard enough of its group to be sure that its state is the newest; try again"))
+var errUnconfirmed = peer.Retryable(errors.New("control: this leader has not heard enough of its group to be sure that its state is the newest; try again"))
 
 func errNoSuchVersion(version, newest uint64) error {
 	return peer.Permanent(errors.Newf("control: version=%d does not exist; the newest is %d", version, newest))
--- a/internal/control/release.go
+++ b/internal/control/release.go
@@ -40,7 +40,7 @@
 	case s.releaseSem <- struct{}{}:
 		defer func() { <-s.releaseSem }()
 	case <-ctx.Done():
-		return nil, peer.NotDone(errors.Wrap(ctx.Err(), "control: other releases are being put"))
+		return nil, peer.Retryable(errors.Wrap(ctx.Err(), "control: other releases are being put"))
 	}
 	return s.putRelease(ctx, req, release)
 }
@@ -75,7 +75,7 @@
 			return &wire.ReleaseReply{Faults: reply.Faults}, nil
 		}
 	}
-	return nil, peer.NotDone(errors.Newf("control: release %d lost %d races with operators' changes; send it again", release.Number, maxReleaseAttempts))
+	return nil, peer.Retryable(errors.Newf("control: release %d lost %d races with operators' changes; send it again", release.Number, maxReleaseAttempts))
 }
 
 // Newest implements wire.DRPCControlServer. It returns the version and digest of the newest
--- a/internal/control/seat.go
+++ b/internal/control/seat.go
@@ -213,7 +213,7 @@
 func (m *GroupMember) requestID(ctx context.Context, disk uint64) uint64 {
 	id := uint64(0)
 	contacts := slices.DeleteFunc(slices.Clone(m.cfg.Contacts()), func(a string) bool { return a == m.cfg.PeerAddr })
-	peer.Walk(ctx, contacts, func(addr string) (string, bool) {
+	peer.TryEach(ctx, contacts, func(addr string) (string, bool) {
 		reply, err := m.requestJoin(ctx, addr, disk)
 		if err != nil {
 			klog.V(1).Infof("control: join request to %s failed: %v", addr, err)
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -233,7 +233,7 @@
 	for _, b := range batch.Payloads {
 		size += len(b)
 	}
-	ctx, cancel := context.WithTimeout(ctx, peer.TimeFor(deliverTimeout, size))
+	ctx, cancel := context.WithTimeout(ctx, peer.CallTimeout(deliverTimeout, size))
 	defer cancel()
 	conn, err := l.cfg.Conns.Conn(ctx, addr)
 	if err != nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -276,7 +276,7 @@
 // watchOnce sends one request to the daemon at addr and reports whether its reading is
 // recent. The time-out allows for a reply with maxLeaves leaves.
 func (s *Syncer) watchOnce(ctx context.Context, addr string, maxLeaves int) (fresh bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, peer.TimeFor(watchWait+watchTimeoutMargin, maxLeaves*maxLeafBytes))
+	ctx, cancel := context.WithTimeout(ctx, peer.CallTimeout(watchWait+watchTimeoutMargin, maxLeaves*maxLeafBytes))
 	defer cancel()
 	conn, err := s.cfg.Conns.Conn(ctx, addr)
 	if err != nil {
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -86,7 +86,7 @@
 // Serve answers callers on lis until ctx ends; it then stops accepting, waits
 // for the requests in flight and returns nil. A nil tlsConf means plain HTTP.
 func (s *Server) Serve(ctx context.Context, lis net.Listener, tlsConf *tls.Config) error {
-	lis = peer.WatchCallers(lis)
+	lis = peer.CallerListener(lis)
 	if tlsConf != nil {
 		lis = tls.NewListener(lis, tlsConf)
 	}
--- a/internal/entryvm/config.go
+++ b/internal/entryvm/config.go
@@ -22,17 +22,17 @@
 	// daemons known at startup.
 	Seeds []string
 	// FirstStart is true when the whole tier starts for the first time.
-	FirstStart bool
-	DataDir    string // empty: no disk, never a member of the control group
-	DiskBytes  uint64 // capacity of the disk
-	Tolerated  int    // number of disks that may fail at the same time
+	FirstStart   bool
+	DataDir      string // empty: no disk, never a member of the control group
+	DiskBytes    uint64 // capacity of the disk
+	MaxLostDisks int    // number of disks that may fail at the same time
 
-	Budget      policy.BudgetLimits
-	DrainWithin time.Duration // how long a leaf keeps serving after it has been marked for removal
-	Grace       time.Duration // between the request to stop and the kill of the process
-	CatchUp     time.Duration // how long a restarted control VM may take to catch up
-	Lifetime    time.Duration // upper bound of the lifetime of an address list at callers
-	ListRate    float64       // page reads of the leaf list per second, for the whole tier
+	Budget          policy.BudgetLimits
+	LeafDrainTime   time.Duration // how long a leaf keeps serving after it has been marked for removal
+	GracePeriod     time.Duration // between the request to stop and the kill of the process
+	CatchUpTime     time.Duration // how long a restarted control VM may take to catch up
+	MaxListLifetime time.Duration // upper bound of the lifetime of an address list at callers
+	ListPageRate    float64       // page reads of the leaf list per second, for the whole tier
 
 	Source  discovery.Source
 	Dialect *target.Dialect
--- a/internal/entryvm/quarantine_test.go
+++ b/internal/entryvm/quarantine_test.go
@@ -99,9 +99,9 @@
 	v, err := New(Config{
 		Name: name, Domain: fmt.Sprintf("hall-%d", index%2), Region: "valley", Millicores: 500,
 		PeerAddr: peers.Addr().String(), CallerAddr: callers.Addr().String(),
-		Seeds: c.seeds, FirstStart: dataDir != "", DataDir: dataDir, DiskBytes: 64 << 20, Tolerated: 1,
-		Budget:      policy.BudgetLimits{Ratio: 0.2, Burst: 600, Window: 10 * time.Second},
-		DrainWithin: time.Second, Grace: 300 * time.Millisecond, CatchUp: time.Second, Lifetime: time.Second, ListRate: 1000,
+		Seeds: c.seeds, FirstStart: dataDir != "", DataDir: dataDir, DiskBytes: 64 << 20, MaxLostDisks: 1,
+		Budget:        policy.BudgetLimits{Ratio: 0.2, Burst: 600, Window: 10 * time.Second},
+		LeafDrainTime: time.Second, GracePeriod: 300 * time.Millisecond, CatchUpTime: time.Second, MaxListLifetime: time.Second, ListPageRate: 1000,
 		Source: c.fleet, Dialect: crashDialect, Log: decision.New(io.Discard),
 	})
 	if err != nil {
--- a/internal/entryvm/size_test.go
+++ b/internal/entryvm/size_test.go
@@ -39,8 +39,8 @@
 	v, err := New(Config{
 		Name: name, Domain: "hall-1", Region: "valley", PeerAddr: peerAddr, CallerAddr: name + ":80",
 		Seeds: seeds, FirstStart: true, DataDir: dataDir, DiskBytes: 64 << 20,
-		Budget:      policy.BudgetLimits{Ratio: 0.2, Burst: 60, Window: 10 * time.Second},
-		DrainWithin: time.Second, Grace: time.Second, CatchUp: time.Second, Lifetime: time.Second, ListRate: 10,
+		Budget:        policy.BudgetLimits{Ratio: 0.2, Burst: 60, Window: 10 * time.Second},
+		LeafDrainTime: time.Second, GracePeriod: time.Second, CatchUpTime: time.Second, MaxListLifetime: time.Second, ListPageRate: 10,
 		Source: noLeaves{}, Log: decision.New(io.Discard),
 	})
 	if err != nil {
@@ -194,16 +194,16 @@
 	short.Routes = short.Routes[:100]
 	tier.putDirect(short)
 	tier.eventually("the VM has the short configuration", func() bool { return tier.slowVM.releaseNumber.Load() == 1 })
-	if host, err := tier.slowVM.ReadPlace(t.Context()); host != "" || err != nil {
+	if host, err := tier.slowVM.ReadRedirect(t.Context()); host != "" || err != nil {
 		t.Errorf("the read of a short configuration is redirected to %q: %v", host, err)
 	}
 	tier.putDirect(longRelease(2, time.Second))
 	tier.eventually("the VM has the long configuration", func() bool { return tier.slowVM.releaseNumber.Load() == 2 })
-	if host, err := tier.slowVM.ReadPlace(t.Context()); host != "127.0.0.1" || err != nil {
+	if host, err := tier.slowVM.ReadRedirect(t.Context()); host != "127.0.0.1" || err != nil {
 		t.Errorf("the read of a long configuration is redirected to %q: %v", host, err)
 	}
 	tier.eventually("the control VM has the long configuration", func() bool { return tier.control.releaseNumber.Load() == 2 })
-	if host, err := tier.control.ReadPlace(t.Context()); host != "" || err != nil {
+	if host, err := tier.control.ReadRedirect(t.Context()); host != "" || err != nil {
 		t.Errorf("a read at the control VM is redirected to %q: %v", host, err)
 	}
 }
--- a/internal/entryvm/steer_test.go
+++ b/internal/entryvm/steer_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	v, err := New(Config{
 		Name: name, Domain: "hall-1", Region: "valley", PeerAddr: peerAddr, CallerAddr: name + ":80",
-		Seeds: seeds, FirstStart: true, DataDir: dataDir, Tolerated: 1, ListRate: 10,
+		Seeds: seeds, FirstStart: true, DataDir: dataDir, MaxLostDisks: 1, ListPageRate: 10,
 		Budget: policy.BudgetLimits{Ratio: 0.2, Burst: 60, Window: 10 * time.Second},
 	})
 	if err != nil {
--- a/internal/entryvm/tier.go
+++ b/internal/entryvm/tier.go
@@ -62,10 +62,10 @@
 		if v.draining.Load() || v.conf.CallerAddr == "" {
 			return nil, 0
 		}
-		return []string{v.conf.CallerAddr}, min(addressListLifetime, v.conf.Lifetime).Seconds()
+		return []string{v.conf.CallerAddr}, min(addressListLifetime, v.conf.MaxListLifetime).Seconds()
 	}
 	reachable, lifetime := v.reachable(ms)
-	return addressesFor(reachable, region, domain), min(lifetime, v.conf.Lifetime).Seconds()
+	return addressesFor(reachable, region, domain), min(lifetime, v.conf.MaxListLifetime).Seconds()
 }
 
 // addressesFor returns the addresses for one caller: daemons of its region, or of all
@@ -105,7 +105,7 @@
 		return err
 	}
 	start := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, peer.TimeFor(operatorTimeout, len(body)))
+	ctx, cancel := context.WithTimeout(ctx, peer.CallTimeout(operatorTimeout, len(body)))
 	defer cancel()
 	reply, err := v.putToLeader(ctx, r.Number, body)
 	if err != nil {
@@ -134,7 +134,7 @@
 			return &wire.ReleaseReply{Held: *newest.Held}, nil
 		}
 		var reply *wire.ReleaseReply
-		_, err = v.callControl(ctx, leader, peer.TimeFor(controlCallTimeout, len(body)), func(ctx context.Context, c wire.DRPCControlClient) (string, error) {
+		_, err = v.callControl(ctx, leader, peer.CallTimeout(controlCallTimeout, len(body)), func(ctx context.Context, c wire.DRPCControlClient) (string, error) {
 			out, err := c.PutRelease(ctx, &wire.ReleaseRequest{Release: body, Operator: "platform"})
 			reply = out
 			return out.GetRedirect(), err
@@ -153,7 +153,7 @@
 // configuration is long or this VM is behind. Over a link of 14 Mbit/s a read of 1.7 MB
 // takes a second, as long as operators wait. Control VMs have five times the bandwidth and
 // redirect only while they are behind. The leader never redirects.
-func (v *VM) ReadPlace(ctx context.Context) (host string, err error) {
+func (v *VM) ReadRedirect(ctx context.Context) (host string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	leader, newest, err := v.queryNewest(ctx)
@@ -221,7 +221,7 @@
 func (v *VM) queryNewest(ctx context.Context) (leader string, newest *wire.NewestReply, err error) {
 	lastErr := errors.New("entry: no control VM is known")
 	for ctx.Err() == nil {
-		answered := peer.Walk(ctx, v.controlContacts(), func(addr string) (string, bool) {
+		answered := peer.TryEach(ctx, v.controlContacts(), func(addr string) (string, bool) {
 			redirect, err := v.callControl(ctx, addr, controlCallTimeout, func(ctx context.Context, c wire.DRPCControlClient) (string, error) {
 				out, err := c.Newest(ctx, &wire.NewestRequest{})
 				leader, newest = addr, out
--- a/internal/entryvm/vm.go
+++ b/internal/entryvm/vm.go
@@ -71,8 +71,8 @@
 	v.leafSyncer = discovery.NewSyncer(discovery.Config{
 		Source: conf.Source, Conns: v.bulkConns, Clock: vm.Monotonic,
 		IsReader: v.isLeader, Unresponsive: v.unresponsiveDaemons, ListNeeded: func() bool { return v.engine.Table() != nil }, ReadAtStart: conf.DataDir != "", Upstreams: v.listUpstreams, ReadJitter: v.readJitter,
-		ReadInterval: time.Duration(listReadFraction * float64(conf.DrainWithin)),
-		FallbackAge:  time.Duration(fallbackFraction * float64(conf.DrainWithin)),
+		ReadInterval: time.Duration(listReadFraction * float64(conf.LeafDrainTime)),
+		FallbackAge:  time.Duration(fallbackFraction * float64(conf.LeafDrainTime)),
 	}, v.leafCache)
 	v.quarantine = quarantine.NewRegistry(vm.Monotonic, &quarantine.RemoteLeader{Conns: v.bulkConns, ControlAddrs: v.controlContacts})
 	v.engine = forward.New(forward.Config{
@@ -93,7 +93,7 @@
 			Name: v.conf.Name, DataDir: v.conf.DataDir, PeerAddr: v.conf.PeerAddr, Conns: v.controlConns,
 			Tick: controlTick, ReserveBytes: max(v.conf.DiskBytes/diskReserveDivisor, 1), SnapshotEntries: 500,
 			MaxAuditBytes: int64(v.conf.DiskBytes / auditDivisor),
-			Maintenance:   control.MaintenanceConfig{MinVoters: 2*v.conf.Tolerated + 1, RemoveSilentAfter: removeVoterAfter},
+			Maintenance:   control.MaintenanceConfig{MinVoters: 2*v.conf.MaxLostDisks + 1, RemoveSilentAfter: removeVoterAfter},
 			FS:            diskOf(v.conf.DataDir),
 		},
 		FirstStart: v.conf.FirstStart, Founders: v.founders, Contacts: v.contacts,
@@ -217,7 +217,7 @@
 func (v *VM) readJitter() time.Duration {
 	pages := 1 + len(v.leafCache.Snapshot().All())/50
 	calls := float64(max(v.daemonCount(), 1) * pages)
-	return time.Duration(3 * calls / v.conf.ListRate * float64(time.Second))
+	return time.Duration(3 * calls / v.conf.ListPageRate * float64(time.Second))
 }
 
 // Listeners are the listeners for callers and for other daemons.
--- a/internal/link/peer/codes.go
+++ b/internal/link/peer/codes.go
@@ -11,10 +11,10 @@
 
 // Retryable marks an error of a handler as one after which the call has certainly changed
 // nothing and a retry, at this or another VM, may succeed.
-func NotDone(err error) error { return drpcerr.WithCode(err, codeRetryable) }
+func Retryable(err error) error { return drpcerr.WithCode(err, codeRetryable) }
 
 // IsRetryable reports whether the other side marked err with Retryable.
-func IsNotDone(err error) bool { return drpcerr.Code(err) == codeRetryable }
+func IsRetryable(err error) bool { return drpcerr.Code(err) == codeRetryable }
 
 // Permanent marks an error of a handler as one after which the call has changed nothing
 // and would fail in the same way at any other VM.
@@ -25,4 +25,4 @@
 
 // IsDenied reports whether the other side refused a call because of the kind of this
 // side's certificate. Every other process of the tier would refuse it as well.
-func Denied(err error) bool { return drpcerr.Code(err) == codeDenied }
+func IsDenied(err error) bool { return drpcerr.Code(err) == codeDenied }
--- a/internal/link/peer/health_test.go
+++ b/internal/link/peer/health_test.go
@@ -123,7 +123,7 @@
 	defer lis.Close()
 	accepted := make(chan net.Conn, 1)
 	go func() {
-		conn, _ := WatchCallers(lis).Accept()
+		conn, _ := CallerListener(lis).Accept()
 		accepted <- conn
 	}()
 	if client, err = net.Dial("tcp", lis.Addr().String()); err != nil {
--- a/internal/link/peer/limit.go
+++ b/internal/link/peer/limit.go
@@ -12,6 +12,6 @@
 // end every retry of a large call in the same way: with 1.2 s, a configuration of 0.8 MB
 // was accepted but never acknowledged. A link that carries nothing at all is detected
 // earlier, by the socket timeouts of the connection (peerTimeouts).
-func TimeFor(base time.Duration, bytes int) time.Duration {
+func CallTimeout(base time.Duration, bytes int) time.Duration {
 	return base + time.Duration(bytes)*time.Second/minLinkRate
 }
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -170,7 +170,7 @@
 			defer pool.Close()
 			_, err := readIdentity(pool, server.addr)
 			So(err, ShouldNotBeNil)
-			So(Denied(err), ShouldBeTrue)
+			So(IsDenied(err), ShouldBeTrue)
 			So(err.Error(), ShouldContainSubstring, `"e1" is of kind vm`)
 		})
 
--- a/internal/link/peer/socket.go
+++ b/internal/link/peer/socket.go
@@ -70,7 +70,7 @@
 
 // CallerListener returns a listener that sets keep-alives and a user timeout on every
 // connection that lis accepts, long enough for callers on slow networks.
-func WatchCallers(lis net.Listener) net.Listener { return callerListener{lis, callerTimeouts} }
+func CallerListener(lis net.Listener) net.Listener { return callerListener{lis, callerTimeouts} }
 
 type callerListener struct {
 	net.Listener
--- a/internal/link/peer/walk_test.go
+++ b/internal/link/peer/walk_test.go
@@ -11,7 +11,7 @@
 func TestTryEachEndsOnRedirectLoop(t *testing.T) {
 	var asked []string
 	redirects := map[string]string{"a": "b", "b": "a", "c": "d"}
-	answered := Walk(context.Background(), []string{"a", "c"}, func(addr string) (string, bool) {
+	answered := TryEach(context.Background(), []string{"a", "c"}, func(addr string) (string, bool) {
 		asked = append(asked, addr)
 		return redirects[addr], addr == "d"
 	})
--- a/internal/quarantine/remote.go
+++ b/internal/quarantine/remote.go
@@ -61,7 +61,7 @@
 // callLeader calls the control VMs in turn until the leader has answered.
 func (l *RemoteLeader) callLeader(ctx context.Context, call func(context.Context, wire.DRPCQuarantineClient) (redirect string, err error)) error {
 	lastErr := errors.New("quarantine: no control VM is known")
-	answered := peer.Walk(ctx, l.ControlAddrs(), func(addr string) (string, bool) {
+	answered := peer.TryEach(ctx, l.ControlAddrs(), func(addr string) (string, bool) {
 		redirect, err := l.callOne(ctx, addr, call)
 		if err != nil {
 			lastErr = err
