--- a/bench/baseline/client.go
+++ b/bench/baseline/client.go
@@ -148,7 +148,7 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusConflict:
-		return nil, contract.Refuse(contract.ReasonRefused, errors.Newf("%s", resp.Status))
+		return nil, contract.Refuse(contract.ReasonTargetRefused, errors.Newf("%s", resp.Status))
 	default:
 		return nil, errors.Newf("%s", resp.Status)
 	}
--- a/bench/baseline/targets.go
+++ b/bench/baseline/targets.go
@@ -50,7 +50,7 @@
 				versions[x.Service] = x.Version
 				shards[x.Service] = map[uint32][]*Leaf{}
 			}
-			for _, s := range x.Held {
+			for _, s := range x.HeldShards {
 				shards[x.Service][s] = append(shards[x.Service][s], leaf)
 			}
 		}
--- a/bench/forward/tier.go
+++ b/bench/forward/tier.go
@@ -127,10 +127,10 @@
 	for _, k := range requestKinds {
 		rt := route.Route{
 			Name: k.name, Host: host, Prefix: k.prefix, Repeatable: k.gathers, Timeout: k.timeout, TargetLatency: k.targetLatency,
-			Priority: k.priority, Attempts: 2,
+			Priority: k.priority, MaxAttempts: 2,
 		}
 		if k.gathers {
-			rt.Shards, rt.Top, rt.LeastCoverage = t.shards, topRecordCount, k.minCoverage
+			rt.Shards, rt.Top, rt.MinCoverage = t.shards, topRecordCount, k.minCoverage
 		} else {
 			rt.Service = singleService
 		}
--- a/cmd/pearmoor-entry/main.go
+++ b/cmd/pearmoor-entry/main.go
@@ -64,7 +64,7 @@
 	}
 	decisionLog := decision.New(os.Stdout)
 	defer decisionLog.Close()
-	if err := decisionLog.TakeKlog(); err != nil {
+	if err := decisionLog.RedirectKlog(); err != nil {
 		fmt.Fprintf(os.Stderr, "pearmoor-entry: %v\n", err)
 		return exitFailure
 	}
@@ -190,7 +190,7 @@
 func serveSideServer(name string, l net.Listener, h http.Handler) {
 	s := &http.Server{
 		Handler: h, ReadHeaderTimeout: sideReadHeaderTimeout, IdleTimeout: sideIdleTimeout,
-		ErrorLog: decision.ServerLog(name),
+		ErrorLog: decision.NewServerLog(name),
 	}
 	if err := s.Serve(l); err != nil && !errors.Is(err, net.ErrClosed) {
 		klog.Errorf("entry: stopped serving %s: %v", name, err)
--- a/cmd/pearmoord/main.go
+++ b/cmd/pearmoord/main.go
@@ -73,7 +73,7 @@
 	controlFlags(app, conf)
 	verbosity := app.Flag("verbosity", "Log level; 0 is for operators, 4 for developers.").Envar("PEARMOOR_VERBOSITY").Default("0").Int()
 	_, err := app.Parse(args)
-	conf.Control = splitCommaLists(conf.Control)
+	conf.ControlAddrs = splitCommaLists(conf.ControlAddrs)
 	return conf, *verbosity, err
 }
 
@@ -95,7 +95,7 @@
 }
 
 func callerFlags(app *kingpin.Application, c *daemon.Config) {
-	app.Flag("entry", "Serve callers; --no-entry on a VM set aside for control.").Envar(envVar("entry")).Default("true").BoolVar(&c.Entry)
+	app.Flag("entry", "Serve callers; --no-entry on a VM set aside for control.").Envar(envVar("entry")).Default("true").BoolVar(&c.ServeCallers)
 	app.Flag("caller-listen", "host:port callers connect to.").Envar(envVar("caller-listen")).Default("127.0.0.1:7400").StringVar(&c.CallerListen)
 	stringFlag(app, &c.CallerURL, "caller-url", "Base URL told to callers; default: http(s)://CALLER-LISTEN.")
 	stringFlag(app, &c.CallerCert, "caller-cert", "PEM certificate for callers; without it callers use plain HTTP.")
@@ -109,19 +109,19 @@
 	stringFlag(app, &c.PeerCert, "peer-cert", "PEM certificate of this VM; its name must be --name.")
 	stringFlag(app, &c.PeerKey, "peer-key", "PEM key of --peer-cert.")
 	app.Flag("plaintext-peers", "No TLS between daemons; loopback addresses only.").Envar(envVar("plaintext-peers")).BoolVar(&c.PlaintextPeers)
-	app.Flag("sync-every", "Heartbeat interval.").Envar(envVar("sync-every")).Default("1s").DurationVar(&c.SyncEvery)
-	app.Flag("relay-above", "A tier of more daemons than this has relays.").Envar(envVar("relay-above")).Default(fmt.Sprint(relay.DefaultMaxDirect)).IntVar(&c.Direct)
-	app.Flag("relay-fanout", "Daemons below one relay.").Envar(envVar("relay-fanout")).Default(fmt.Sprint(relay.DefaultFanout)).IntVar(&c.Fanout)
+	app.Flag("sync-every", "Heartbeat interval.").Envar(envVar("sync-every")).Default("1s").DurationVar(&c.SyncInterval)
+	app.Flag("relay-above", "A tier of more daemons than this has relays.").Envar(envVar("relay-above")).Default(fmt.Sprint(relay.DefaultMaxDirect)).IntVar(&c.RelayThreshold)
+	app.Flag("relay-fanout", "Daemons below one relay.").Envar(envVar("relay-fanout")).Default(fmt.Sprint(relay.DefaultFanout)).IntVar(&c.RelayFanout)
 }
 
 func targetFlags(app *kingpin.Application, c *daemon.Config) {
 	stringFlag(app, &c.LeafCA, "leaf-ca", "PEM authority of leaves that use TLS; default: the system's.")
 	stringFlag(app, &c.PlatformURL, "platform-url", "Base URL of the platform's VM list; empty: none.")
-	app.Flag("platform-every", "How often the platform's VM list is read.").Envar(envVar("platform-every")).Default("1s").DurationVar(&c.PlatformEvery)
+	app.Flag("platform-every", "How often the platform's VM list is read.").Envar(envVar("platform-every")).Default("1s").DurationVar(&c.PlatformInterval)
 }
 
 func controlFlags(app *kingpin.Application, c *daemon.Config) {
-	app.Flag("control", "Peer addresses of the control VMs, separated by commas; may be repeated.").Envar(envVar("control")).StringsVar(&c.Control)
+	app.Flag("control", "Peer addresses of the control VMs, separated by commas; may be repeated.").Envar(envVar("control")).StringsVar(&c.ControlAddrs)
 	app.Flag("control-id", "Makes this a control VM with this id, which is never used again.").Envar(envVar("control-id")).Uint64Var(&c.ControlID)
 	stringFlag(app, &c.DataDir, "data-dir", "Data folder of a control VM.")
 	app.Flag("bootstrap", "Found a new control group; once in a tier's life.").Envar(envVar("bootstrap")).BoolVar(&c.Bootstrap)
--- a/internal/admit/errors.go
+++ b/internal/admit/errors.go
@@ -32,7 +32,7 @@
 }
 
 func errDraining() *contract.Error {
-	return newRefusal(contract.ReasonNoReplica, noShareRetryAfter, ErrDraining)
+	return newRefusal(contract.ReasonNoLiveTarget, noShareRetryAfter, ErrDraining)
 }
 
 func errLeaseExpired() *contract.Error {
--- a/internal/audit/trail.go
+++ b/internal/audit/trail.go
@@ -106,7 +106,7 @@
 
 // SkipTo marks the versions up to and including version as lost, because no control VM
 // has them any more. The mark is not stored and must be set again after a restart.
-func (t *Trail) Skip(version uint64) {
+func (t *Trail) SkipTo(version uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if version > t.newestVersion() && len(t.buffered) == 0 {
--- a/internal/cli/query.go
+++ b/internal/cli/query.go
@@ -182,7 +182,7 @@
 		if err == nil {
 			return answer, nil
 		}
-		verdict = verdict.Join(verdictOf(err))
+		verdict = verdict.Combine(verdictOf(err))
 		if failsEverywhere(err) || verdict != contract.NotRun && !r.IsRepeatable() {
 			break
 		}
@@ -196,7 +196,7 @@
 	if !errors.As(err, &failed) {
 		return false
 	}
-	return failed.Reason == contract.ReasonInvalid || failed.Reason == contract.ReasonUnknownPath
+	return failed.Reason == contract.ReasonInvalidRequest || failed.Reason == contract.ReasonUnknownPath
 }
 
 func exitCodeOfVerdict(v contract.Verdict) int {
--- a/internal/cli/trace.go
+++ b/internal/cli/trace.go
@@ -10,7 +10,7 @@
 )
 
 // traceResult is the output of the trace command.
-type traceResult struct{ *logs.Story }
+type traceResult struct{ *logs.Trace }
 
 func (a *app) declareTrace(k *kingpin.Application) {
 	var id string
@@ -27,15 +27,15 @@
 }
 
 func (a *app) printTrace(id string, files []string) error {
-	t := &traceResult{logs.Of(id, files)}
+	t := &traceResult{logs.ReadTrace(id, files)}
 	if err := a.print(t); err != nil {
 		return err
 	}
 	switch {
 	case len(t.Lines) == 0:
-		return exitErrorf(ExitFailed, "nothing about request %s in %s (%s)", id, plural(len(files), "file"), plural(len(t.Troubles), "trouble"))
-	case len(t.Troubles) > 0:
-		return exitErrorf(ExitFailed, "%s: the trace may be incomplete", plural(len(t.Troubles), "trouble"))
+		return exitErrorf(ExitFailed, "nothing about request %s in %s (%s)", id, plural(len(files), "file"), plural(len(t.Problems), "trouble"))
+	case len(t.Problems) > 0:
+		return exitErrorf(ExitFailed, "%s: the trace may be incomplete", plural(len(t.Problems), "trouble"))
 	}
 	return nil
 }
@@ -47,9 +47,9 @@
 	for _, l := range t.Lines {
 		fmt.Fprintf(w, "%s  %s  %s\n", l.Time.UTC().Format("15:04:05.000"), l.File, l.Text)
 	}
-	for i, trouble := range t.Troubles {
+	for i, trouble := range t.Problems {
 		if i == maxShownTroubles {
-			fmt.Fprintf(w, "and %s more\n", plural(len(t.Troubles)-i, "trouble"))
+			fmt.Fprintf(w, "and %s more\n", plural(len(t.Problems)-i, "trouble"))
 			return
 		}
 		if trouble.Line == 0 {
--- a/internal/contract/answer.go
+++ b/internal/contract/answer.go
@@ -7,25 +7,25 @@
 
 // Reasons reported to callers.
 const (
-	ReasonDeadline      Reason = "deadline"          // no reply before the deadline
-	ReasonNoReplica     Reason = "no_live_replica"   // no live target has the shard at the pinned index version
-	ReasonRefused       Reason = "target_refused"    // every target asked refused before running
-	ReasonTargetFailed  Reason = "target_failed"     // the target failed after it may have run the request
-	ReasonWrongReply    Reason = "wrong_reply"       // the reply belongs to another request, shard or version
-	ReasonOverload      Reason = "overload"          // the wait for a slot would exceed the deadline
-	ReasonHomeLost      Reason = "home_unreachable"  // the daemon that serves the shard's leaves did not answer
-	ReasonEarly         Reason = "early_answer"      // the answer was sent early, as the settings and the caller allow
-	ReasonDraining      Reason = "draining"          // the daemon is draining and accepts no new requests
-	ReasonUnconfirmed   Reason = "unconfirmed"       // the daemon's configuration lease has expired
-	ReasonInvalid       Reason = "invalid_request"   // the request is not valid
-	ReasonUnknownPath   Reason = "unknown_path"      // there is no query service at the path
-	ReasonNoSnapshot    Reason = "no_common_version" // the queried services have no index version in common
-	ReasonKeyInDoubt    Reason = "key_in_doubt"      // an earlier attempt under this key may have run
-	ReasonKeyInProgress Reason = "key_in_progress"   // an attempt under this key is running now
-	ReasonBudget        Reason = "budget"            // a retry would exceed the retry budget
-	ReasonAnswerNotKept Reason = "answer_not_kept"   // the request of a resent key ran, but its answer was too large to keep
-	ReasonQuarantined   Reason = "quarantined"       // the request is known, or suspected, to crash the targets that run it
-	ReasonInternal      Reason = "internal"          // an internal error of the daemon
+	ReasonDeadline        Reason = "deadline"          // no reply before the deadline
+	ReasonNoLiveTarget    Reason = "no_live_replica"   // no live target has the shard at the pinned index version
+	ReasonTargetRefused   Reason = "target_refused"    // every target asked refused before running
+	ReasonTargetFailed    Reason = "target_failed"     // the target failed after it may have run the request
+	ReasonWrongReply      Reason = "wrong_reply"       // the reply belongs to another request, shard or version
+	ReasonOverload        Reason = "overload"          // the wait for a slot would exceed the deadline
+	ReasonHomeUnreachable Reason = "home_unreachable"  // the daemon that serves the shard's leaves did not answer
+	ReasonEarlyAnswer     Reason = "early_answer"      // the answer was sent early, as the settings and the caller allow
+	ReasonDraining        Reason = "draining"          // the daemon is draining and accepts no new requests
+	ReasonUnconfirmed     Reason = "unconfirmed"       // the daemon's configuration lease has expired
+	ReasonInvalidRequest  Reason = "invalid_request"   // the request is not valid
+	ReasonUnknownPath     Reason = "unknown_path"      // there is no query service at the path
+	ReasonNoCommonVersion Reason = "no_common_version" // the queried services have no index version in common
+	ReasonKeyInDoubt      Reason = "key_in_doubt"      // an earlier attempt under this key may have run
+	ReasonKeyInProgress   Reason = "key_in_progress"   // an attempt under this key is running now
+	ReasonRetryBudget     Reason = "budget"            // a retry would exceed the retry budget
+	ReasonAnswerNotKept   Reason = "answer_not_kept"   // the request of a resent key ran, but its answer was too large to keep
+	ReasonQuarantined     Reason = "quarantined"       // the request is known, or suspected, to crash the targets that run it
+	ReasonInternal        Reason = "internal"          // an internal error of the daemon
 )
 
 // Request is a caller's query, the body of POST /v1/query.
--- a/internal/contract/leaf.go
+++ b/internal/contract/leaf.go
@@ -62,10 +62,10 @@
 // LeafIndex is an index version of a service on a target. Shards is the size of the
 // version's partition map, HeldShards lists the shards that the target has.
 type LeafIndex struct {
-	Service string   `json:"service"`
-	Version uint64   `json:"version"`
-	Shards  uint32   `json:"shards"`
-	Held    []uint32 `json:"held"`
+	Service    string   `json:"service"`
+	Version    uint64   `json:"version"`
+	Shards     uint32   `json:"shards"`
+	HeldShards []uint32 `json:"held"`
 }
 
 // PlatformVM is an entry of the platform's VM list (GET /v1/vms), which may be outdated.
--- a/internal/contract/verdict.go
+++ b/internal/contract/verdict.go
@@ -47,7 +47,7 @@
 
 // Combine returns the verdict of a request from the verdicts of two attempts: Ran if
 // either is Ran, NotRun only if both are NotRun, and MayHaveRun otherwise.
-func (v Verdict) Join(other Verdict) Verdict {
+func (v Verdict) Combine(other Verdict) Verdict {
 	if v == Ran || other == Ran {
 		return Ran
 	}
@@ -76,11 +76,11 @@
 
 // ErrLeafExited marks the cause of a failure after which the target no longer runs: nothing
 // listens on its address, or another incarnation has replaced it.
-var ErrLeafEnded = errors.New("the leaf ended under the request")
+var ErrLeafExited = errors.New("the leaf ended under the request")
 
 // LeafExited reports whether the target exited during a request that it may have run.
-func (e *Error) LeafEnded() bool {
-	return e != nil && e.Verdict != NotRun && e.Cause != nil && errors.Is(e.Cause, ErrLeafEnded)
+func (e *Error) LeafExited() bool {
+	return e != nil && e.Verdict != NotRun && e.Cause != nil && errors.Is(e.Cause, ErrLeafExited)
 }
 
 // Unwrap returns the cause.
--- a/internal/control/backfill.go
+++ b/internal/control/backfill.go
@@ -139,7 +139,7 @@
 	done := make(chan struct{})
 	err := n.driver.call(ctx, func() {
 		defer close(done)
-		n.trail.Skip(lostUpTo)
+		n.trail.SkipTo(lostUpTo)
 		for _, r := range records {
 			if r.Version <= to {
 				n.trail.Append(r)
--- a/internal/control/release.go
+++ b/internal/control/release.go
@@ -51,7 +51,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if held, ok := route.HeldNumber(tree); ok && release.Number <= held {
+		if held, ok := route.ReleaseNumber(tree); ok && release.Number <= held {
 			return &wire.ReleaseReply{Held: held}, nil
 		}
 		reply, err := s.change(ctx, &wire.ChangeRequest{
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	out := &wire.NewestReply{Version: version, Digest: tree.Digest()}
-	if held, ok := route.HeldNumber(tree); ok {
+	if held, ok := route.ReleaseNumber(tree); ok {
 		out.Held = &held
 	}
 	return out, s.confirmLeadership()
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -28,30 +28,30 @@
 	Domain string // failure domain
 	Region string
 
-	CallerListen    string // host:port that callers connect to
-	CallerURL       string // base URL advertised to callers; empty: derived from CallerListen
-	CallerCert      string // PEM files; both empty: callers use plain HTTP
-	CallerKey       string
-	PeerListen      string // host:port that other daemons connect to
-	PeerAddr        string // host:port advertised to other daemons; empty: derived from PeerListen
-	OperatorListen  string // host:port for metrics, health, readiness, status and profiles
-	ReadyFile       string // written with the bound addresses once serving
-	PlaintextPeers  bool   // no TLS between daemons; loopback only
-	PeerCA          string // PEM files for mutual TLS between daemons
-	PeerCert        string
-	PeerKey         string
-	LeafCA          string        // PEM file; empty: the system's certificate authorities
-	PlatformURL     string        // base URL of the platform's VM list; empty: none
-	PlatformEvery   time.Duration // interval between reads of the VM list
-	SyncEvery       time.Duration // heartbeat interval
-	Direct          int           // maximum number of daemons that sync directly with the leader; a larger tier uses relays
-	Fanout          int           // number of daemons below one relay
-	Entry           bool          // serve callers; false on a dedicated control VM
-	Control         []string      // peer addresses of the control VMs
-	ControlID       uint64        // this control VM's id; 0: not a control VM
-	DataDir         string        // data directory of a control VM
-	Bootstrap       bool          // create a new control group
-	BootstrapVoters []string      // id=host:port of every initial voter; empty with Bootstrap: only this VM
+	CallerListen     string // host:port that callers connect to
+	CallerURL        string // base URL advertised to callers; empty: derived from CallerListen
+	CallerCert       string // PEM files; both empty: callers use plain HTTP
+	CallerKey        string
+	PeerListen       string // host:port that other daemons connect to
+	PeerAddr         string // host:port advertised to other daemons; empty: derived from PeerListen
+	OperatorListen   string // host:port for metrics, health, readiness, status and profiles
+	ReadyFile        string // written with the bound addresses once serving
+	PlaintextPeers   bool   // no TLS between daemons; loopback only
+	PeerCA           string // PEM files for mutual TLS between daemons
+	PeerCert         string
+	PeerKey          string
+	LeafCA           string        // PEM file; empty: the system's certificate authorities
+	PlatformURL      string        // base URL of the platform's VM list; empty: none
+	PlatformInterval time.Duration // interval between reads of the VM list
+	SyncInterval     time.Duration // heartbeat interval
+	RelayThreshold   int           // maximum number of daemons that sync directly with the leader; a larger tier uses relays
+	RelayFanout      int           // number of daemons below one relay
+	ServeCallers     bool          // serve callers; false on a dedicated control VM
+	ControlAddrs     []string      // peer addresses of the control VMs
+	ControlID        uint64        // this control VM's id; 0: not a control VM
+	DataDir          string        // data directory of a control VM
+	Bootstrap        bool          // create a new control group
+	BootstrapVoters  []string      // id=host:port of every initial voter; empty with Bootstrap: only this VM
 }
 
 // IsControl reports whether this daemon is a control VM.
@@ -88,7 +88,7 @@
 		flag, value string
 		required    bool
 	}{
-		{"--caller-listen", c.CallerListen, c.Entry},
+		{"--caller-listen", c.CallerListen, c.ServeCallers},
 		{"--peer-listen", c.PeerListen, true},
 		{"--operator-listen", c.OperatorListen, true},
 		{"--peer-address", c.PeerAddr, false},
@@ -182,10 +182,10 @@
 	if !c.IsControl() && c.Bootstrap {
 		faults = append(faults, fault("--bootstrap", "true", "needs a control VM", "set --control-id and --data-dir"))
 	}
-	if !c.IsControl() && len(c.Control) == 0 {
+	if !c.IsControl() && len(c.ControlAddrs) == 0 {
 		faults = append(faults, fault("--control", "", "names no control VM", "list their peer addresses, for example 10.0.0.1:7500,10.0.1.1:7500"))
 	}
-	for _, addr := range c.Control {
+	for _, addr := range c.ControlAddrs {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
 			faults = append(faults, fault("--control", addr, "is not host:port", "write for example 10.0.0.1:7500"))
 		}
@@ -236,17 +236,17 @@
 }
 
 func (c *Config) rangeFaults() (faults contract.Faults) {
-	if c.PlatformEvery < minPlatformInterval || c.PlatformEvery > maxPlatformInterval {
-		faults = append(faults, fault("--platform-every", c.PlatformEvery.String(), "is out of range", "choose 200ms to 1h"))
+	if c.PlatformInterval < minPlatformInterval || c.PlatformInterval > maxPlatformInterval {
+		faults = append(faults, fault("--platform-every", c.PlatformInterval.String(), "is out of range", "choose 200ms to 1h"))
 	}
-	if c.SyncEvery < minSyncInterval || c.SyncEvery > maxSyncInterval {
-		faults = append(faults, fault("--sync-every", c.SyncEvery.String(), "is out of range", "choose 50ms to 10s"))
+	if c.SyncInterval < minSyncInterval || c.SyncInterval > maxSyncInterval {
+		faults = append(faults, fault("--sync-every", c.SyncInterval.String(), "is out of range", "choose 50ms to 10s"))
 	}
-	if c.Direct < 1 || c.Direct > maxRelayThreshold {
-		faults = append(faults, fault("--relay-above", strconv.Itoa(c.Direct), "is out of range", "choose 1 to 4096"))
+	if c.RelayThreshold < 1 || c.RelayThreshold > maxRelayThreshold {
+		faults = append(faults, fault("--relay-above", strconv.Itoa(c.RelayThreshold), "is out of range", "choose 1 to 4096"))
 	}
-	if c.Fanout < minFanout || c.Fanout > maxFanout {
-		faults = append(faults, fault("--relay-fanout", strconv.Itoa(c.Fanout), "is out of range", "choose 2 to 1024"))
+	if c.RelayFanout < minFanout || c.RelayFanout > maxFanout {
+		faults = append(faults, fault("--relay-fanout", strconv.Itoa(c.RelayFanout), "is out of range", "choose 2 to 1024"))
 	}
 	return faults
 }
--- a/internal/daemon/config_test.go
+++ b/internal/daemon/config_test.go
@@ -12,10 +12,10 @@
 
 func validConfig() Config {
 	return Config{
-		Name: "entry-1", Domain: "lalitpur-hall", Region: "kathmandu-valley", Entry: true,
+		Name: "entry-1", Domain: "lalitpur-hall", Region: "kathmandu-valley", ServeCallers: true,
 		CallerListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0", OperatorListen: "127.0.0.1:0",
-		PlaintextPeers: true, Control: []string{"127.0.0.1:7401"},
-		PlatformEvery: time.Second, SyncEvery: time.Second, Direct: 64, Fanout: 8,
+		PlaintextPeers: true, ControlAddrs: []string{"127.0.0.1:7401"},
+		PlatformInterval: time.Second, SyncInterval: time.Second, RelayThreshold: 64, RelayFanout: 8,
 	}
 }
 
@@ -27,7 +27,7 @@
 		So(c.Validate(), ShouldBeNil)
 
 		Convey("several invalid settings are all listed", func() {
-			c.Name, c.Domain, c.PeerListen, c.Fanout = "", "a/b", "nowhere", 0
+			c.Name, c.Domain, c.PeerListen, c.RelayFanout = "", "a/b", "nowhere", 0
 			faults, ok := c.Validate().(contract.Faults)
 			So(ok, ShouldBeTrue)
 			var fields []string
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -80,7 +80,7 @@
 	if err := d.openControl(); err != nil {
 		return err
 	}
-	if !c.Entry {
+	if !c.ServeCallers {
 		return nil
 	}
 	return d.openEntry()
@@ -143,9 +143,9 @@
 // one of them.
 func (d *Daemon) controlAddrs() []string {
 	if d.control == nil {
-		return d.conf.Control
+		return d.conf.ControlAddrs
 	}
-	return append([]string{d.self.PeerAddr}, d.conf.Control...)
+	return append([]string{d.self.PeerAddr}, d.conf.ControlAddrs...)
 }
 
 func (d *Daemon) openEntry() error {
@@ -158,9 +158,9 @@
 		Control:   d.controlAddrs(),
 		Conns:     d.controlConns,
 		Clock:     vm.Now,
-		Interval:  d.conf.SyncEvery,
-		MaxDirect: d.conf.Direct,
-		Fanout:    d.conf.Fanout,
+		Interval:  d.conf.SyncInterval,
+		MaxDirect: d.conf.RelayThreshold,
+		Fanout:    d.conf.RelayFanout,
 	})
 	d.gates = admit.NewGates(vm.Now)
 	d.sender = leaf.NewSender(leaf.Config{Clock: vm.Now, TLS: leafTLS})
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -27,7 +27,7 @@
 	if l.operator, err = net.Listen("tcp", c.OperatorListen); err != nil {
 		return l, errors.Wrap(err, "--operator-listen")
 	}
-	if !c.Entry {
+	if !c.ServeCallers {
 		return l, nil
 	}
 	if l.caller, err = net.Listen("tcp", c.CallerListen); err != nil {
@@ -68,7 +68,7 @@
 }
 
 // ReadyInfo is the content of the --ready-file.
-type Ready struct {
+type ReadyInfo struct {
 	Name      string `json:"name"`
 	CallerURL string `json:"caller_url,omitempty"`
 	Peer      string `json:"peer"`
@@ -81,7 +81,7 @@
 	if c.ReadyFile == "" {
 		return nil
 	}
-	body, err := json.Marshal(Ready{
+	body, err := json.Marshal(ReadyInfo{
 		Name:      c.Name,
 		CallerURL: c.callerURL(l),
 		Peer:      c.peerAddr(l),
--- a/internal/decision/decision_test.go
+++ b/internal/decision/decision_test.go
@@ -54,7 +54,7 @@
 func TestLinesAreWholeAndInOrder(t *testing.T) {
 	out := &recordingOutput{}
 	log := New(out)
-	if err := log.TakeKlog(); err != nil {
+	if err := log.RedirectKlog(); err != nil {
 		t.Fatal(err)
 	}
 	defer klog.SetOutput(io.Discard)
--- a/internal/decision/klog.go
+++ b/internal/decision/klog.go
@@ -12,7 +12,7 @@
 
 // RedirectKlog redirects klog to this log. The text of a klog line begins with the
 // component of the program and a colon.
-func (l *Log) TakeKlog() error {
+func (l *Log) RedirectKlog() error {
 	set := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(set)
 	var err error
@@ -55,7 +55,7 @@
 
 // NewServerLog returns a logger for the errors of an http.Server, including panics of its
 // handlers. They are logged as warnings; component names the server.
-func ServerLog(component string) *log.Logger { return log.New(serverLogWriter{component}, "", 0) }
+func NewServerLog(component string) *log.Logger { return log.New(serverLogWriter{component}, "", 0) }
 
 type serverLogWriter struct{ component string }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -172,9 +172,9 @@
 // upstream until one has replied with a list, because some upstreams may not be running
 // yet and a call to a VM without power ends only by its time-out.
 func (s *Syncer) fetchFirstList(ctx context.Context) {
-	var tasks work.Each
+	var tasks work.KeyedRunner
 	var fetching sync.Mutex
-	tasks.InTurn(ctx, watchRetryDelay/2, s.cfg.Upstreams, s.cache.HasList, func(addr string) {
+	tasks.RunStaggered(ctx, watchRetryDelay/2, s.cfg.Upstreams, s.cache.HasList, func(addr string) {
 		// The watch loop that follows meets the same error and logs it.
 		leaves, err := s.leafCount(ctx, addr)
 		if err != nil || leaves < 0 || !fetching.TryLock() {
--- a/internal/entry/failure.go
+++ b/internal/entry/failure.go
@@ -56,7 +56,7 @@
 	case errors.As(err, &faults):
 		return http.StatusBadRequest, contract.Failure{
 			Verdict: contract.NotRun,
-			Reason:  contract.ReasonInvalid,
+			Reason:  contract.ReasonInvalidRequest,
 			Faults:  faults,
 			Message: faults.Error(),
 		}
@@ -72,7 +72,7 @@
 // 429 and 503, so these are returned only with verdict not_run.
 func statusOf(e *contract.Error) int {
 	switch e.Reason {
-	case contract.ReasonInvalid:
+	case contract.ReasonInvalidRequest:
 		return http.StatusBadRequest
 	case contract.ReasonUnknownPath:
 		return http.StatusNotFound
--- a/internal/entry/handle.go
+++ b/internal/entry/handle.go
@@ -130,7 +130,7 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
-		return nil, contract.Refuse(contract.ReasonInvalid, errors.Wrap(err, "the request ended early"))
+		return nil, contract.Refuse(contract.ReasonInvalidRequest, errors.Wrap(err, "the request ended early"))
 	}
 	if int64(len(raw)) > limit {
 		return nil, tooLargeError("request", int64(len(raw)), limit)
@@ -194,7 +194,7 @@
 func (s *Server) notFound(r *http.Request, _ string) (any, error) {
 	return nil, &httpError{
 		status:   http.StatusNotFound,
-		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalid},
+		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalidRequest},
 		location: r.URL.Path,
 		fix:      "use GET " + AddressesPath + " or POST " + QueryPath,
 	}
@@ -203,7 +203,7 @@
 func (s *Server) methodNotAllowed(r *http.Request, _ string) (any, error) {
 	return nil, &httpError{
 		status:   http.StatusMethodNotAllowed,
-		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalid},
+		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalidRequest},
 		location: r.Method + " " + r.URL.Path,
 		fix:      "use GET " + AddressesPath + " or POST " + QueryPath,
 	}
@@ -212,7 +212,7 @@
 func tooLargeError(field string, size, limit int64) error {
 	return &httpError{
 		status:   http.StatusRequestEntityTooLarge,
-		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalid},
+		Failure:  contract.Failure{Verdict: contract.NotRun, Reason: contract.ReasonInvalidRequest},
 		location: field,
 		value:    strconv.FormatInt(size, 10) + " bytes",
 		why:      "it is longer than the limit of " + strconv.FormatInt(limit, 10) + " bytes",
--- a/internal/entryvm/contacts.go
+++ b/internal/entryvm/contacts.go
@@ -104,7 +104,7 @@
 // otherwise asks them for it while disconnected, until ctx ends. Seeds are called
 // concurrently, so one that does not answer does not delay the others.
 func (v *VM) exchangeContacts(ctx context.Context) {
-	var inFlight work.Each
+	var inFlight work.KeyedRunner
 	defer inFlight.Wait()
 	var announced sync.Map // by seed: time of the last announcement
 	for ctx.Err() == nil {
@@ -120,7 +120,7 @@
 
 // startExchange starts an exchange with a seed unless one is in progress, the seed is a
 // member of the group, or the group was announced to it within announceInterval.
-func (v *VM) startExchange(ctx context.Context, inFlight *work.Each, announced *sync.Map, addr string, group []string, member bool) {
+func (v *VM) startExchange(ctx context.Context, inFlight *work.KeyedRunner, announced *sync.Map, addr string, group []string, member bool) {
 	if addr == v.conf.PeerAddr || member && slices.Contains(group, addr) {
 		return
 	}
--- a/internal/entryvm/quarantine_test.go
+++ b/internal/entryvm/quarantine_test.go
@@ -81,7 +81,7 @@
 
 func crashRelease() *route.Release {
 	r := &route.Release{Number: 1, Services: []route.Service{{Name: "fetch", Connections: 30}}}
-	gather := route.Route{Name: "gather", Host: crashHost, Prefix: gatherPath, Top: 5, LeastCoverage: 0.8}
+	gather := route.Route{Name: "gather", Host: crashHost, Prefix: gatherPath, Top: 5, MinCoverage: 0.8}
 	for s := range crashShards {
 		r.Services = append(r.Services, route.Service{Name: shardName(s), Connections: 30})
 		gather.Shards = append(gather.Shards, shardName(s))
@@ -89,7 +89,7 @@
 	r.Routes = []route.Route{gather, {Name: "single", Host: crashHost, Prefix: singlePath, Service: "fetch"}}
 	for i := range r.Routes {
 		rt := &r.Routes[i]
-		rt.Repeatable, rt.Attempts, rt.Timeout, rt.TargetLatency = true, 2, time.Second, 200*time.Millisecond
+		rt.Repeatable, rt.MaxAttempts, rt.Timeout, rt.TargetLatency = true, 2, time.Second, 200*time.Millisecond
 	}
 	return r
 }
--- a/internal/entryvm/reach_test.go
+++ b/internal/entryvm/reach_test.go
@@ -51,7 +51,7 @@
 // wideTable returns a table with a gather over too many shards for small VMs.
 func wideTable() *route.Table {
 	r := &route.Release{Number: 1}
-	wide := route.Route{Name: "wide", Host: "shop.example", Prefix: "/all/", Repeatable: true, Timeout: time.Second, TargetLatency: 60 * time.Millisecond, Top: 5, Attempts: 1}
+	wide := route.Route{Name: "wide", Host: "shop.example", Prefix: "/all/", Repeatable: true, Timeout: time.Second, TargetLatency: 60 * time.Millisecond, Top: 5, MaxAttempts: 1}
 	for i := range 87 {
 		name := fmt.Sprintf("shard-%d", i)
 		r.Services = append(r.Services, route.Service{Name: name, Connections: 10})
--- a/internal/entryvm/size_test.go
+++ b/internal/entryvm/size_test.go
@@ -65,7 +65,7 @@
 	for i := range routeCount {
 		r.Routes = append(r.Routes, route.Route{
 			Name: fmt.Sprintf("route-%05d", i), Host: fmt.Sprintf("host-%03d.example", i%300), Prefix: fmt.Sprintf("/path-%05d/", i),
-			Service: "ledger", Repeatable: true, Timeout: time.Second, TargetLatency: 400 * time.Millisecond, Priority: 2, Attempts: 2,
+			Service: "ledger", Repeatable: true, Timeout: time.Second, TargetLatency: 400 * time.Millisecond, Priority: 2, MaxAttempts: 2,
 		})
 	}
 	r.Routes[0].Timeout = timeout
--- a/internal/forward/bench_test.go
+++ b/internal/forward/bench_test.go
@@ -55,7 +55,7 @@
 	b.Helper()
 	var list []discovery.ListedLeaf
 	rel := &route.Release{Number: 1, Routes: []route.Route{{
-		Name: "r", Host: "h", Prefix: "/", Repeatable: true, Timeout: time.Second, Attempts: 2, Top: 10, LeastCoverage: 0.9,
+		Name: "r", Host: "h", Prefix: "/", Repeatable: true, Timeout: time.Second, MaxAttempts: 2, Top: 10, MinCoverage: 0.9,
 	}}}
 	for i := range shards {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -30,7 +30,7 @@
 		}
 		return r.giveUp("")
 	case policy.GiveUpNoLeaf:
-		return r.giveUp(contract.ReasonNoReplica)
+		return r.giveUp(contract.ReasonNoLiveTarget)
 	case policy.GiveUpUnsent:
 		return r.giveUp(contract.ReasonOverload)
 	}
@@ -76,7 +76,7 @@
 
 // successAnswer returns the merged parts of a gather, or the reply to a single request.
 func (r *run) successAnswer() *Answer {
-	if !r.entry.Gathers() {
+	if !r.entry.IsGather() {
 		return &Answer{
 			Status: r.lastReply.Status, Header: http.Header(r.lastReply.Header), Body: r.lastReply.Body, Rest: r.lastReply.Rest,
 			Verdict: contract.Ran,
@@ -115,7 +115,7 @@
 	verdict := r.verdict
 	r.abandonSends()
 	if r.mayHaveSent() {
-		verdict = verdict.Join(contract.MayHaveRun)
+		verdict = verdict.Combine(contract.MayHaveRun)
 	}
 	a := &Answer{Verdict: verdict, Reason: reason}
 	if r.lastErr != nil {
@@ -125,7 +125,7 @@
 		}
 	}
 	if a.Reason == "" {
-		a.Reason = contract.ReasonNoReplica
+		a.Reason = contract.ReasonNoLiveTarget
 	}
 	switch {
 	case verdict == contract.NotRun:
@@ -134,7 +134,7 @@
 		if a.Reason == contract.ReasonQuarantined {
 			a.RetryAfter = policy.QuarantinedRetryAfter
 		}
-	case !r.entry.Gathers() && r.lastReply != nil && !r.lastReply.Refused:
+	case !r.entry.IsGather() && r.lastReply != nil && !r.lastReply.Refused:
 		// The leaf's own error reply is more specific than an answer of this daemon.
 		a.Status, a.Header, a.Body, a.Rest = r.lastReply.Status, http.Header(r.lastReply.Header), r.lastReply.Body, r.lastReply.Rest
 	case reason == contract.ReasonDeadline:
@@ -187,7 +187,7 @@
 		Int("status", int64(a.Status)).Ms("took", time.Since(r.req.Arrived)).
 		Ms("wait", r.req.Wait).Ms("answer_by", r.times.PartialAfter).Int("release", int64(r.active.table.Number)).Int("sends", int64(r.sendCount)).Int("hedges", int64(r.hedgeCount)).
 		Int("attempts", int64(r.maxAttempts())).Bool("repeatable", r.entry.Repeatable).Int("denied", int64(r.budgetDenials))
-	if r.entry.Gathers() {
+	if r.entry.IsGather() {
 		l = l.Int("parts", int64(r.receivedParts)).Int("of", int64(len(r.shards))).Int("need", int64(r.requiredParts)).Int("delegated", int64(r.delegatedSends))
 		if r.receivedParts < len(r.shards) {
 			l = l.Str("missing", r.missingShards())
@@ -220,7 +220,7 @@
 
 // logComponent returns the component name for decision log lines.
 func (r *run) logComponent() string {
-	if r.entry.Gathers() {
+	if r.entry.IsGather() {
 		return "gather"
 	}
 	return "single"
--- a/internal/forward/delegate.go
+++ b/internal/forward/delegate.go
@@ -318,7 +318,7 @@
 			fault.Cause = errors.Mark(fault.Cause, target.ErrStaleConn)
 		}
 		if e.Ended {
-			fault.Cause = errors.Mark(fault.Cause, contract.ErrLeafEnded)
+			fault.Cause = errors.Mark(fault.Cause, contract.ErrLeafExited)
 		}
 		return outcomeOfError(fault), nil, fault
 	}
--- a/internal/forward/delegate_test.go
+++ b/internal/forward/delegate_test.go
@@ -120,7 +120,7 @@
 // with the scripts that newScript returns.
 func remoteRoute(t *testing.T, newScript func(shard, copy int) script) (route.Route, map[string][]*fakeLeaf) {
 	rt, leaves := gatherRoute(t, remoteShards, newScript)
-	rt.LeastCoverage, rt.Top = 0.5, 5
+	rt.MinCoverage, rt.Top = 0.5, 5
 	return rt, leaves
 }
 
@@ -144,7 +144,7 @@
 	rt, leaves := remoteRoute(t, validPart)
 	// On a busy machine, late replies could cause hedges or an answer with missing parts,
 	// which are not under test here.
-	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
+	rt.MaxAttempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
 	f := newTwoDaemonFixture(t, rt, leaves)
 	resp, text := f.do(t, http.MethodGet, "/x?y=1", "")
 	want := ""
@@ -323,7 +323,7 @@
 	first := &partSet{records: []byte(record("c"))}
 	later := &partSet{records: []byte(record("b")), previous: first}
 	other := &partSet{records: []byte(record("a"))}
-	f := newFixture(t, route.Route{Shards: []string{"s0", "s1", "s2"}, Top: 2, Attempts: 1}, nil)
+	f := newFixture(t, route.Route{Shards: []string{"s0", "s1", "s2"}, Top: 2, MaxAttempts: 1}, nil)
 	a := f.engine.active.Load()
 	r := f.engine.newRun(a, a.table.Entries()[0], &Request{ID: "id", Arrived: time.Now()})
 	for i, set := range []*partSet{first, later, other} {
--- a/internal/forward/gather_test.go
+++ b/internal/forward/gather_test.go
@@ -17,7 +17,7 @@
 // scripts that newScript returns.
 func gatherRoute(t *testing.T, n int, newScript func(shard, copy int) script) (route.Route, map[string][]*fakeLeaf) {
 	t.Helper()
-	rt := route.Route{Repeatable: true, Attempts: 2, Top: 3, LeastCoverage: 0.7, TargetLatency: 200 * time.Millisecond, AnswerMargin: 20 * time.Millisecond}
+	rt := route.Route{Repeatable: true, MaxAttempts: 2, Top: 3, MinCoverage: 0.7, TargetLatency: 200 * time.Millisecond, AnswerMargin: 20 * time.Millisecond}
 	leaves := map[string][]*fakeLeaf{}
 	for i := range n {
 		name := fmt.Sprintf("s%d", i)
--- a/internal/forward/handover.go
+++ b/internal/forward/handover.go
@@ -67,7 +67,7 @@
 // handOver lets another daemon answer a gather for which this one has too little CPU. handed
 // is false if no daemon has accepted and this daemon has to answer.
 func (r *run) handOver(ctx context.Context) (a *Answer, handed bool) {
-	if r.e.cfg.Peers == nil || r.req.HandedOver || r.leafRequest.Stream != nil || !r.entry.Gathers() {
+	if r.e.cfg.Peers == nil || r.req.HandedOver || r.leafRequest.Stream != nil || !r.entry.IsGather() {
 		return nil, false
 	}
 	h := &handover{run: r, events: make(chan offerEvent, maxOffers), done: make(chan struct{})}
@@ -357,7 +357,7 @@
 	}
 	uri, host := parseHead(in.Head)
 	entry, ok := active.table.Find(host, pathOf(uri))
-	if !ok || !entry.Gathers() {
+	if !ok || !entry.IsGather() {
 		return nil
 	}
 	return e.newRun(active, entry, &Request{
--- a/internal/forward/handover_test.go
+++ b/internal/forward/handover_test.go
@@ -81,7 +81,7 @@
 // the CPU for them.
 func TestGatherIsHandedOver(t *testing.T) {
 	rt, leaves := remoteRoute(t, validPart)
-	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second // no hedges
+	rt.MaxAttempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second // no hedges
 	f := newHandoverFixture(t, rt, leaves)
 	resp, text := f.do(t, http.MethodGet, "/x?y=1", "")
 	want := ""
@@ -115,7 +115,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			rt, leaves := remoteRoute(t, validPart)
-			rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
+			rt.MaxAttempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
 			f := newHandoverFixture(t, rt, leaves)
 			f.peers.addr = "" // parts are requested directly
 			c.breakPeer(t, f)
@@ -161,7 +161,7 @@
 // daemon that has begun the gather is lost.
 func TestLostHandoverIsNotRepeated(t *testing.T) {
 	rt, leaves := remoteRoute(t, func(int, int) script { return neverReply })
-	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
+	rt.MaxAttempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
 	f := newHandoverFixture(t, rt, leaves)
 	proxyAddr, cut := cuttableProxy(t, f.peers.addr)
 	f.peers.handoverAddrs[0] = proxyAddr
@@ -189,7 +189,7 @@
 			return neverReply(l, c, req)
 		}
 	})
-	rt.Attempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
+	rt.MaxAttempts, rt.TargetLatency, rt.Timeout = 1, 0, 20*time.Second
 	f := newHandoverFixture(t, rt, leaves)
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url+"/", nil)
@@ -218,7 +218,7 @@
 func TestHandoverAnswerRoundTrip(t *testing.T) {
 	for _, a := range []*Answer{
 		{Status: 200, Merged: true, HandedOver: true, Body: []byte("records"), Parts: []string{"a", "b"}, Missing: 3, Verdict: contract.Ran},
-		{Status: 503, HandedOver: true, RetryAfter: 60 * time.Millisecond, Verdict: contract.NotRun, Reason: contract.ReasonNoReplica},
+		{Status: 503, HandedOver: true, RetryAfter: 60 * time.Millisecond, Verdict: contract.NotRun, Reason: contract.ReasonNoLiveTarget},
 		{Status: 504, HandedOver: true, Verdict: contract.MayHaveRun, Reason: contract.ReasonDeadline},
 	} {
 		if got := decodeAnswer(encodeAnswer(a)); fmt.Sprint(got) != fmt.Sprint(a) {
--- a/internal/forward/life_test.go
+++ b/internal/forward/life_test.go
@@ -16,7 +16,7 @@
 // request counts as one that may have run, and a repeatable one is sent to the new process.
 func TestRequestInFlightEndsWhenLeafRestarts(t *testing.T) {
 	oldLeaf := startLeaf(t, neverReply)
-	rt := route.Route{Repeatable: true, Attempts: 2, Service: "s"}
+	rt := route.Route{Repeatable: true, MaxAttempts: 2, Service: "s"}
 	f := newFixture(t, rt, map[string][]*fakeLeaf{"s": {oldLeaf}})
 	go func() {
 		for oldLeaf.runs.Load() == 0 {
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -95,14 +95,14 @@
 // newRun prepares the execution of a request according to a route of the table.
 func (e *Engine) newRun(active *activeTable, entry *route.Entry, req *Request) *run {
 	r := &run{e: e, active: active, entry: entry, stats: active.stats[entry], req: req, finished: make(chan struct{}), verdict: contract.NotRun}
-	if entry.Gathers() {
+	if entry.IsGather() {
 		r.shards = make([]shard, len(entry.Shards))
 		for i, s := range entry.Shards {
 			r.shards[i].service = s
 		}
-		r.requiredParts = max(1, minParts(entry.LeastCoverage, len(r.shards)))
+		r.requiredParts = max(1, minParts(entry.MinCoverage, len(r.shards)))
 	} else {
-		r.shards = []shard{{service: entry.Pick()}}
+		r.shards = []shard{{service: entry.PickService()}}
 		r.requiredParts = 1
 	}
 	r.results = make(chan result, len(r.shards))
@@ -136,7 +136,7 @@
 	if r.leafRequest.Head == nil {
 		r.leafRequest.Head = renderHead(r.req)
 	}
-	if r.entry.Gathers() {
+	if r.entry.IsGather() {
 		r.leafRequest.BodyLimit, r.leafRequest.FailOverLimit = maxPartBytes, true
 	}
 }
--- a/internal/forward/scatter.go
+++ b/internal/forward/scatter.go
@@ -84,7 +84,7 @@
 			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonUnconfirmed, errNoTable)}
 			continue
 		case !ok || leaf.Draining:
-			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonNoReplica, errUnknownLeaf)}
+			sc.results <- result{shard: i, call: call, err: contract.Refuse(contract.ReasonNoLiveTarget, errUnknownLeaf)}
 			continue
 		}
 		link := sc.e.cfg.Tracker.Link(leaf, sc.active.connectionLimit)
@@ -168,7 +168,7 @@
 		if res.err != nil {
 			e.Verdict, e.Reason = uint32(res.err.Verdict), string(res.err.Reason)
 			if res.err.Cause != nil {
-				e.Cause, e.Stale, e.Ended = res.err.Cause.Error(), isStaleConn(res.err), res.err.LeafEnded()
+				e.Cause, e.Stale, e.Ended = res.err.Cause.Error(), isStaleConn(res.err), res.err.LeafExited()
 			}
 		} else {
 			e.Status, e.Refused = uint32(res.reply.Status), res.reply.Refused
--- a/internal/forward/send.go
+++ b/internal/forward/send.go
@@ -13,7 +13,7 @@
 )
 
 // maxAttempts returns the maximum number of runs of a repeatable request per shard.
-func (r *run) maxAttempts() int { return max(1, r.entry.Attempts) }
+func (r *run) maxAttempts() int { return max(1, r.entry.MaxAttempts) }
 
 // launch sends to the best leaf of a shard. If there is no leaf, it schedules a retry.
 func (r *run) launch(i int, hedge bool) {
@@ -92,7 +92,7 @@
 // handleBudgetDenied handles a retry that the budget does not allow. It schedules a later
 // retry, unless a single request already has a failure reply, which is then the answer.
 func (r *run) handleBudgetDenied(s *shard) {
-	if !r.entry.Gathers() && r.lastReply != nil {
+	if !r.entry.IsGather() && r.lastReply != nil {
 		s.stopSending()
 		return
 	}
@@ -167,7 +167,7 @@
 		}
 	case o.outcome == policy.Inconclusive && o.fault != nil && o.fault.Reason == contract.ReasonTargetFailed && (!o.delegated || o.fault.Verdict == contract.NotRun):
 		tracker.MarkUnreachable(life)
-	case o.fault.LeafEnded():
+	case o.fault.LeafExited():
 		tracker.MarkUnreachable(life)
 	case o.reply != nil && o.reply.Status == http.StatusMisdirectedRequest:
 		tracker.MarkMisplaced(life)
@@ -206,7 +206,7 @@
 		return policy.Inconclusive
 	case err.Reason == contract.ReasonDeadline:
 		return policy.Overdue
-	case isStaleConn(err) && !err.LeafEnded():
+	case isStaleConn(err) && !err.LeafExited():
 		return policy.Inconclusive
 	}
 	return policy.InvalidReply
@@ -283,11 +283,11 @@
 	case res.err == nil:
 		s.reachedSends++
 		s.possibleRuns++
-		r.verdict = r.verdict.Join(contract.Ran)
+		r.verdict = r.verdict.Combine(contract.Ran)
 	case res.err.Verdict != contract.NotRun:
 		s.reachedSends++
 		s.possibleRuns++
-		r.verdict = r.verdict.Join(contract.MayHaveRun)
+		r.verdict = r.verdict.Combine(contract.MayHaveRun)
 	}
 }
 
@@ -297,7 +297,7 @@
 		return false
 	}
 	reply := res.reply
-	if !r.entry.Gathers() {
+	if !r.entry.IsGather() {
 		if reply.Status >= http.StatusInternalServerError && r.mayRepeat(s) {
 			r.lastReply = reply
 			return false
@@ -353,7 +353,7 @@
 	case r.leafRequest.Stream != nil && (!notRun || res.err == nil):
 		s.stopSending() // part of the streamed body has been consumed
 		return
-	case isStaleConn(res.err) && !res.err.LeafEnded() && r.entry.Repeatable:
+	case isStaleConn(res.err) && !res.err.LeafExited() && r.entry.Repeatable:
 		// The leaf is healthy and only dropped an idle connection.
 		s.tried = nil
 	case res.set != nil && notRun || res.err != nil && peer.NotSent(res.err.Cause):
--- a/internal/forward/server.go
+++ b/internal/forward/server.go
@@ -35,7 +35,7 @@
 	s := &Server{idle: &idleConns{conns: make(map[*callerConn]struct{})}, handler: handler}
 	s.http = &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: 1 << 20,
-		ErrorLog:    decision.ServerLog("caller"),
+		ErrorLog:    decision.NewServerLog("caller"),
 		ConnContext: withCallerConn,
 		ConnState: func(c net.Conn, st http.ConnState) {
 			s.idle.update(c, st == http.StateIdle)
--- a/internal/forward/single_test.go
+++ b/internal/forward/single_test.go
@@ -13,10 +13,10 @@
 	"pearmoor/internal/route"
 )
 
-func singleRoute(service string) route.Route { return route.Route{Service: service, Attempts: 2} }
+func singleRoute(service string) route.Route { return route.Route{Service: service, MaxAttempts: 2} }
 
 func repeatableRoute(service string) route.Route {
-	return route.Route{Service: service, Attempts: 2, Repeatable: true}
+	return route.Route{Service: service, MaxAttempts: 2, Repeatable: true}
 }
 
 // The request line, the body and the caller's end-to-end headers reach the leaf unchanged.
@@ -303,7 +303,7 @@
 	}
 
 	replyingLeaf := startLeaf(t, replyWith("0123456789abcdef"))
-	gather := route.Route{Shards: []string{"a", "b"}, Attempts: 2, Repeatable: true, Top: 5, LeastCoverage: 0.5}
+	gather := route.Route{Shards: []string{"a", "b"}, MaxAttempts: 2, Repeatable: true, Top: 5, MinCoverage: 0.5}
 	f = newFixture(t, gather, map[string][]*fakeLeaf{"a": {replyingLeaf}, "b": {startLeaf(t, hang)}})
 	time.AfterFunc(200*time.Millisecond, f.engine.FinishAll)
 	resp, _ = f.do(t, http.MethodGet, "/", "")
--- a/internal/forward/suspicion.go
+++ b/internal/forward/suspicion.go
@@ -103,7 +103,7 @@
 		r.suspicion.RecordNotRun()
 	case res.err == nil && res.reply.Status < http.StatusInternalServerError:
 		r.suspicion.Answered = true // a leaf that returns an error may not have reached the code that crashes it
-	case res.err.LeafEnded():
+	case res.err.LeafExited():
 		r.suspicion.LeafExits++
 		leafCrashes.Inc(1)
 		r.e.cfg.Log.Line(r.logComponent(), "leaf ended").Str("id", r.req.ID).Str("request", r.fingerprints()[quarantine.Exact].String()).
--- a/internal/forward/suspicion_test.go
+++ b/internal/forward/suspicion_test.go
@@ -115,7 +115,7 @@
 		}
 		return replyWith("well")(l, c, req)
 	}
-	f := newFixture(t, route.Route{Repeatable: true, Attempts: 2, Service: "s"}, map[string][]*fakeLeaf{"s": {startLeaf(t, s), startLeaf(t, s)}})
+	f := newFixture(t, route.Route{Repeatable: true, MaxAttempts: 2, Service: "s"}, map[string][]*fakeLeaf{"s": {startLeaf(t, s), startLeaf(t, s)}})
 	registry := f.enableQuarantine()
 	if resp, text := f.do(t, http.MethodGet, "/a", ""); resp.StatusCode != http.StatusOK || text != "well" {
 		t.Errorf("status %d, %q", resp.StatusCode, text)
--- a/internal/forward/unsent_test.go
+++ b/internal/forward/unsent_test.go
@@ -57,7 +57,7 @@
 
 // Guards against a gather that is reported as "not run" although it was sent to one leaf.
 func TestPartlySentGatherMayHaveRun(t *testing.T) {
-	rt := route.Route{Shards: []string{"s0", "s1"}, Attempts: 1, Repeatable: true, Top: 2, LeastCoverage: 1, Timeout: 300 * time.Millisecond}
+	rt := route.Route{Shards: []string{"s0", "s1"}, MaxAttempts: 1, Repeatable: true, Top: 2, MinCoverage: 1, Timeout: 300 * time.Millisecond}
 	silentLeaf := startLeaf(t, neverReply)
 	f := newFixture(t, rt, map[string][]*fakeLeaf{"s0": {unreachableLeaf(t)}, "s1": {silentLeaf}})
 	resp, text := f.do(t, http.MethodGet, "/", "")
--- a/internal/link/leaf/catalog.go
+++ b/internal/link/leaf/catalog.go
@@ -61,7 +61,7 @@
 			if s.Version != ix.Version || s.Shards != ix.Shards {
 				continue
 			}
-			for _, shard := range ix.Held {
+			for _, shard := range ix.HeldShards {
 				if !slices.Contains(s.LeavesByShard[shard], r.leaf) {
 					s.LeavesByShard[shard] = append(s.LeavesByShard[shard], r.leaf)
 				}
--- a/internal/link/leaf/catalog_test.go
+++ b/internal/link/leaf/catalog_test.go
@@ -32,7 +32,7 @@
 }
 
 func newIndex(version uint64, shards uint32, held ...uint32) contract.LeafIndex {
-	return contract.LeafIndex{Service: "/s", Version: version, Shards: shards, Held: held}
+	return contract.LeafIndex{Service: "/s", Version: version, Shards: shards, HeldShards: held}
 }
 
 func leafNames(leaves []settings.Leaf) (out []string) {
@@ -111,6 +111,6 @@
 
 func holdsShard(r leafReport, version uint64, shards, shard uint32) bool {
 	return slices.ContainsFunc(r.status.Indexes, func(ix contract.LeafIndex) bool {
-		return ix.Version == version && ix.Shards == shards && slices.Contains(ix.Held, shard)
+		return ix.Version == version && ix.Shards == shards && slices.Contains(ix.HeldShards, shard)
 	})
 }
--- a/internal/link/leaf/judge.go
+++ b/internal/link/leaf/judge.go
@@ -22,11 +22,11 @@
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		repliesRefused.Inc(1)
 		delay := parseRetryAfter(resp.Header.Get("Retry-After"), time.Now())
-		e := contract.Refuse(contract.ReasonRefused, statusError(resp))
+		e := contract.Refuse(contract.ReasonTargetRefused, statusError(resp))
 		e.RetryAfter = delay.Milliseconds()
 		return outcome{err: e, gateOutcome: admit.Refused, retryAfter: delay}
 	case http.StatusConflict:
-		e := contract.Refuse(contract.ReasonNoReplica, statusError(resp))
+		e := contract.Refuse(contract.ReasonNoLiveTarget, statusError(resp))
 		return outcome{err: e, gateOutcome: admit.Declined}
 	default:
 		return failedAfterWrite(contract.ReasonTargetFailed, statusError(resp))
--- a/internal/link/leaf/probe.go
+++ b/internal/link/leaf/probe.go
@@ -100,7 +100,7 @@
 	if ix.Version == 0 {
 		return errors.Newf("an index of %q has the invalid version 0", ix.Service)
 	}
-	for _, shard := range ix.Held {
+	for _, shard := range ix.HeldShards {
 		if shard >= ix.Shards {
 			return errors.Newf("index %d of %q lists shard %d; it has %d shards", ix.Version, ix.Service, shard, ix.Shards)
 		}
--- a/internal/link/leaf/prober.go
+++ b/internal/link/leaf/prober.go
@@ -354,7 +354,7 @@
 }
 
 func sameIndex(a, b contract.LeafIndex) bool {
-	return a.Service == b.Service && a.Version == b.Version && a.Shards == b.Shards && slices.Equal(a.Held, b.Held)
+	return a.Service == b.Service && a.Version == b.Version && a.Shards == b.Shards && slices.Equal(a.HeldShards, b.HeldShards)
 }
 
 // pollPlatform polls the platform's list of leaving VMs until ctx is done. If the list cannot
--- a/internal/link/leaf/roundtrip.go
+++ b/internal/link/leaf/roundtrip.go
@@ -53,7 +53,7 @@
 	r, err := newQueryRequest(x.pool.addr, &x.req)
 	if err != nil {
 		x.pool.put(c)
-		return outcome{err: contract.Refuse(contract.ReasonInvalid, err), gateOutcome: admit.Unused}
+		return outcome{err: contract.Refuse(contract.ReasonInvalidRequest, err), gateOutcome: admit.Unused}
 	}
 	c.netConn.firstWrite.Store(x)
 	resp, err := c.client.RoundTrip(r)
@@ -112,7 +112,7 @@
 		return failedBeforeWrite(err)
 	}
 	if !cancelSent && !x.forceClosed.Load() && !x.callerGone.Load() && x.pool.connectionRefused() {
-		err = errors.Mark(err, contract.ErrLeafEnded)
+		err = errors.Mark(err, contract.ErrLeafExited)
 	}
 	out := failedAfterWrite(contract.ReasonTargetFailed, err)
 	if cancelSent && !x.forceClosed.Load() {
--- a/internal/link/leaf/verdict_test.go
+++ b/internal/link/leaf/verdict_test.go
@@ -56,9 +56,9 @@
 		verdict contract.Verdict
 		reason  contract.Reason
 	}{
-		{"429", statusReply(429, "2"), contract.NotRun, contract.ReasonRefused},
-		{"503", statusReply(503, ""), contract.NotRun, contract.ReasonRefused},
-		{"409", statusReply(409, ""), contract.NotRun, contract.ReasonNoReplica},
+		{"429", statusReply(429, "2"), contract.NotRun, contract.ReasonTargetRefused},
+		{"503", statusReply(503, ""), contract.NotRun, contract.ReasonTargetRefused},
+		{"409", statusReply(409, ""), contract.NotRun, contract.ReasonNoLiveTarget},
 		{"500", statusReply(500, ""), contract.MayHaveRun, contract.ReasonTargetFailed},
 		{"400", statusReply(400, ""), contract.MayHaveRun, contract.ReasonTargetFailed},
 		{"504", statusReply(504, ""), contract.MayHaveRun, contract.ReasonTargetFailed},
--- a/internal/link/target/ended.go
+++ b/internal/link/target/ended.go
@@ -15,7 +15,7 @@
 // also close idle connections and abort replies.
 func (l *Link) markLeafEnded(err error) error {
 	if l.leafEnded(time.Now()) {
-		return errors.Mark(err, contract.ErrLeafEnded)
+		return errors.Mark(err, contract.ErrLeafExited)
 	}
 	return err
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -32,16 +32,16 @@
 }
 
 // Problem is a file that can't be read or a line that can't be parsed.
-type Trouble struct {
+type Problem struct {
 	File string `json:"file"`
 	Line int    `json:"line,omitempty"` // 0: the whole file
 	Why  string `json:"why"`
 }
 
 // Trace holds the lines about a request, and the problems met in reading the logs.
-type Story struct {
+type Trace struct {
 	Lines    []Line    `json:"lines"`
-	Troubles []Trouble `json:"troubles,omitempty"`
+	Problems []Problem `json:"troubles,omitempty"`
 }
 
 // logRecord holds the fields of a line that are used here.
@@ -52,11 +52,11 @@
 
 // ReadTrace reads the log files and returns the lines with the request id, and the lines
 // without any id that the same files have around them, ordered by time.
-func Of(id string, files []string) *Story {
-	out := &Story{}
+func ReadTrace(id string, files []string) *Trace {
+	out := &Trace{}
 	for _, file := range files {
 		lines, problems := readFile(id, file)
-		out.Troubles = append(out.Troubles, problems...)
+		out.Problems = append(out.Problems, problems...)
 		out.Lines = append(out.Lines, trimToWindow(lines)...)
 	}
 	slices.SortStableFunc(out.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
@@ -64,16 +64,16 @@
 }
 
 // readFile returns the lines of a file that have the given id or no id.
-func readFile(id, file string) ([]Line, []Trouble) {
+func readFile(id, file string) ([]Line, []Problem) {
 	f, err := os.Open(file)
 	if err != nil {
-		return nil, []Trouble{{File: file, Why: err.Error()}}
+		return nil, []Problem{{File: file, Why: err.Error()}}
 	}
 	defer f.Close()
 	return scanLines(id, filepath.Base(file), f)
 }
 
-func scanLines(id, file string, from io.Reader) (lines []Line, problems []Trouble) {
+func scanLines(id, file string, from io.Reader) (lines []Line, problems []Problem) {
 	in := bufio.NewScanner(from)
 	in.Buffer(nil, maxLineBytes)
 	n := 0
@@ -85,7 +85,7 @@
 		r, text, err := parse(in.Text())
 		switch {
 		case err != nil:
-			problems = append(problems, Trouble{File: file, Line: n, Why: err.Error()})
+			problems = append(problems, Problem{File: file, Line: n, Why: err.Error()})
 		case r.ID == id:
 			lines = append(lines, Line{Time: r.Time, File: file, Text: text, ofRequest: true})
 		case r.ID == "":
@@ -93,7 +93,7 @@
 		}
 	}
 	if err := in.Err(); err != nil {
-		problems = append(problems, Trouble{File: file, Line: n + 1, Why: err.Error()})
+		problems = append(problems, Problem{File: file, Line: n + 1, Why: err.Error()})
 	}
 	return lines, problems
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -36,7 +36,7 @@
 	}, "\n"))
 	other := writeLog(t, "vm-3.log", day+`15.400Z","part":"entry","what":"of a daemon that did not decide"}`)
 	missing := filepath.Join(t.TempDir(), "vm-4.log")
-	s := Of("aa", []string{one, two, other, missing})
+	s := ReadTrace("aa", []string{one, two, other, missing})
 	want := []string{"a leaf left", "send failed", "answered", "after"}
 	if len(s.Lines) != len(want) {
 		t.Fatalf("got %d lines: %+v", len(s.Lines), s.Lines)
@@ -46,7 +46,7 @@
 			t.Errorf("line %d is %s %s, want %q", i, s.Lines[i].File, s.Lines[i].Text, w)
 		}
 	}
-	if len(s.Troubles) != 3 || s.Troubles[0].Line != 6 || s.Troubles[1].Line != 3 || s.Troubles[2].File != missing {
-		t.Errorf("got problems %+v", s.Troubles)
+	if len(s.Problems) != 3 || s.Problems[0].Line != 6 || s.Problems[1].Line != 3 || s.Problems[2].File != missing {
+		t.Errorf("got problems %+v", s.Problems)
 	}
 }
--- a/internal/query/call.go
+++ b/internal/query/call.go
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if !c.send(ctx) {
-		p := c.unanswered(contract.ReasonHomeLost)
+		p := c.unanswered(contract.ReasonHomeUnreachable)
 		p.retryAfter = drainingRetryAfter
 		return p
 	}
@@ -112,7 +112,7 @@
 		return nil
 	}
 	if c.mayHaveRun || c.bestRefusal == nil {
-		return c.unanswered(contract.ReasonHomeLost)
+		return c.unanswered(contract.ReasonHomeUnreachable)
 	}
 	return c.bestRefusal
 }
@@ -249,7 +249,7 @@
 	}
 	conn, err := e.Conns.Conn(ctx, home.PeerAddr)
 	if err != nil {
-		return nil, contract.Refuse(contract.ReasonHomeLost, err)
+		return nil, contract.Refuse(contract.ReasonHomeUnreachable, err)
 	}
 	defer conn.Close()
 	w, err := wire.NewDRPCHomeClient(conn).Query(ctx, q.toWire(left, st.ConfigVersion(), e.Self.Name))
@@ -266,9 +266,9 @@
 // else "may have run".
 func homeError(err error) *contract.Error {
 	if peer.NotSent(err) {
-		return contract.Refuse(contract.ReasonHomeLost, err)
+		return contract.Refuse(contract.ReasonHomeUnreachable, err)
 	}
-	return &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonHomeLost, Cause: err}
+	return &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonHomeUnreachable, Cause: err}
 }
 
 // betterRefusal returns the refusal with more information: one that lists index versions,
--- a/internal/query/entry.go
+++ b/internal/query/entry.go
@@ -126,7 +126,7 @@
 // Without a pin, each home could choose a different version.
 func (s *scopeRun) refuseAll() {
 	for _, g := range s.groups {
-		s.result.answers[g.leafGroup] = refusedAnswer(contract.ReasonNoSnapshot, g.eff.ProbeInterval)
+		s.result.answers[g.leafGroup] = refusedAnswer(contract.ReasonNoCommonVersion, g.eff.ProbeInterval)
 	}
 	s.result.shardCounts = nil
 }
@@ -216,7 +216,7 @@
 func (s *scopeRun) refusedGroups() []leafGroup {
 	var groups []leafGroup
 	for g, p := range s.result.answers {
-		if p.refusal == contract.ReasonNoSnapshot {
+		if p.refusal == contract.ReasonNoCommonVersion {
 			groups = append(groups, g)
 		}
 	}
@@ -228,7 +228,7 @@
 func (s *scopeRun) hasUnheldShards() bool {
 	for _, p := range s.result.answers {
 		for _, m := range p.missing {
-			if m.Reason == contract.ReasonNoReplica {
+			if m.Reason == contract.ReasonNoLiveTarget {
 				return true
 			}
 		}
@@ -262,7 +262,7 @@
 	for range n {
 		res := <-done
 		s.store(res.group, res.answer)
-		if res.answer.refusal == contract.ReasonNoSnapshot && s.willRepin() {
+		if res.answer.refusal == contract.ReasonNoCommonVersion && s.willRepin() {
 			cancel() // the other groups would answer at a version that is about to be discarded
 		}
 	}
--- a/internal/query/fill.go
+++ b/internal/query/fill.go
@@ -30,7 +30,7 @@
 
 // canFill reports whether a missing shard may be requested from another home.
 func canFill(m contract.Missing) bool {
-	return m.Verdict == contract.NotRun && (m.Reason == contract.ReasonNoReplica || m.Reason == contract.ReasonOverload)
+	return m.Verdict == contract.NotRun && (m.Reason == contract.ReasonNoLiveTarget || m.Reason == contract.ReasonOverload)
 }
 
 // mergeFill merges the second home's result for the missing shards into the first answer and
@@ -51,7 +51,7 @@
 func (c *call) markGapsMayHaveRun(p *partialAnswer) {
 	for i := range p.missing {
 		if canFill(p.missing[i]) {
-			p.missing[i].Reason, p.missing[i].Verdict = contract.ReasonHomeLost, contract.MayHaveRun
+			p.missing[i].Reason, p.missing[i].Verdict = contract.ReasonHomeUnreachable, contract.MayHaveRun
 		}
 	}
 }
--- a/internal/query/gather.go
+++ b/internal/query/gather.go
@@ -66,10 +66,10 @@
 	a.ExtraAttempts += p.extraAttempts
 	a.Early = a.Early || p.early
 	if p.answered > 0 {
-		b.verdict = b.verdict.Join(contract.Ran)
+		b.verdict = b.verdict.Combine(contract.Ran)
 	}
 	for _, m := range p.missing {
-		b.verdict = b.verdict.Join(m.Verdict)
+		b.verdict = b.verdict.Combine(m.Verdict)
 	}
 	b.noteRetryAfter(p.retryAfter)
 }
@@ -104,12 +104,12 @@
 	c := &b.answer.Coverage
 	if shards == 0 {
 		c.Total++
-		c.Missing = append(c.Missing, contract.Missing{Service: service, Reason: contract.ReasonNoSnapshot, Verdict: contract.NotRun})
+		c.Missing = append(c.Missing, contract.Missing{Service: service, Reason: contract.ReasonNoCommonVersion, Verdict: contract.NotRun})
 	}
 	for s := range shards {
 		if !assigned.has(s) {
 			c.Total++
-			c.Missing = append(c.Missing, contract.Missing{Service: service, Shard: s, Reason: contract.ReasonNoReplica, Verdict: contract.NotRun})
+			c.Missing = append(c.Missing, contract.Missing{Service: service, Shard: s, Reason: contract.ReasonNoLiveTarget, Verdict: contract.NotRun})
 		}
 	}
 }
--- a/internal/query/home.go
+++ b/internal/query/home.go
@@ -74,7 +74,7 @@
 	if k, ok := e.Catalog.(ProbeStatus); ok && !k.Known(q.service) {
 		// A daemon that has just become a home would answer only from the leaves that it
 		// has probed so far. Another home knows all of them.
-		return refusedAnswer(contract.ReasonNoReplica, unknownLeavesRetryAfter)
+		return refusedAnswer(contract.ReasonNoLiveTarget, unknownLeavesRetryAfter)
 	}
 	snaps := e.snapshots(q.leafGroup, eff)
 	p := e.serveFrom(ctx, st, eff, snaps, q)
@@ -88,12 +88,12 @@
 	snap := chooseSnapshot(snaps, q)
 	if snap == nil {
 		if q.pin == 0 {
-			return refusedAnswer(contract.ReasonNoReplica, eff.ProbeInterval)
+			return refusedAnswer(contract.ReasonNoLiveTarget, eff.ProbeInterval)
 		}
-		return refusedAnswer(contract.ReasonNoSnapshot, 0)
+		return refusedAnswer(contract.ReasonNoCommonVersion, 0)
 	}
 	if q.pin != 0 && !q.partial && !allLive(snap, q.shards) {
-		return refusedAnswer(contract.ReasonNoSnapshot, 0)
+		return refusedAnswer(contract.ReasonNoCommonVersion, 0)
 	}
 	h := e.homeStateFor(q.service, eff)
 	job := newJob(eff, snap, q)
--- a/internal/query/keyed.go
+++ b/internal/query/keyed.go
@@ -52,7 +52,7 @@
 // answered with not_run although the request ran.
 func (e *Engine) runKeyed(ctx context.Context, st tierView, token *session.Token, id string, r *contract.Request, timeLeft time.Duration) (*contract.Answer, *contract.Error) {
 	if !e.issuer.Verify(token) {
-		return nil, invalid(contract.ReasonInvalid, fault("session", truncated([]byte(r.Session)),
+		return nil, invalid(contract.ReasonInvalidRequest, fault("session", truncated([]byte(r.Session)),
 			"this daemon did not issue it", "take a session from GET /v1/addresses"))
 	}
 	key := session.Key{Nonce: token.Nonce, Key: r.Key}
@@ -85,7 +85,7 @@
 	case now >= token.KeysKeptUntil():
 		return keyInDoubt(errors.New("the session and its resend window have ended"))
 	case now >= token.ExpiresAt():
-		return invalid(contract.ReasonInvalid, fault("session", "", "it has ended, and the key has not run under it",
+		return invalid(contract.ReasonInvalidRequest, fault("session", "", "it has ended, and the key has not run under it",
 			"take a new session from GET /v1/addresses"))
 	}
 	return nil
@@ -104,7 +104,7 @@
 		return nil, &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonKeyInProgress,
 			RetryAfter: inProgressRetryAfter.Milliseconds()}
 	case session.Mismatch:
-		return nil, invalid(contract.ReasonInvalid, fault("key", truncated([]byte(r.Key)),
+		return nil, invalid(contract.ReasonInvalidRequest, fault("key", truncated([]byte(r.Key)),
 			"it was used for another request under this session", "send a new key for a new request"))
 	}
 	return nil, &contract.Error{Verdict: contract.NotRun, Reason: contract.ReasonOverload, RetryAfter: unconfirmedRetryAfter.Milliseconds(),
@@ -214,7 +214,7 @@
 	defer e.work.end()
 	var r contract.Request
 	if err := json.Unmarshal(w.Request, &r); err != nil {
-		return nil, invalid(contract.ReasonInvalid, fault("request", "", err.Error(), "send one JSON object"))
+		return nil, invalid(contract.ReasonInvalidRequest, fault("request", "", err.Error(), "send one JSON object"))
 	}
 	r.Caller = w.Caller
 	st := e.currentView()
--- a/internal/query/scatter/attempt.go
+++ b/internal/query/scatter/attempt.go
@@ -111,7 +111,7 @@
 		switch {
 		case e.Reason == contract.ReasonWrongReply:
 			s.g.meter.wrongReply.Inc(1)
-		case e.Reason == contract.ReasonNoReplica && e.Verdict == contract.NotRun:
+		case e.Reason == contract.ReasonNoLiveTarget && e.Verdict == contract.NotRun:
 			s.g.notHeld.add(shardKey{leaf.Addr, req.IndexVersion, req.Shard}, s.g.clock())
 		}
 		return nil, e
--- a/internal/query/scatter/borrow.go
+++ b/internal/query/scatter/borrow.go
@@ -106,7 +106,7 @@
 	}
 	ranked := s.g.rank(s.rankBuf[:0], s.replicas, s.tried, int(s.g.rotation.Add(1)))
 	if len(ranked) == 0 {
-		return s.missing(contract.ReasonNoReplica), true
+		return s.missing(contract.ReasonNoLiveTarget), true
 	}
 	if err := s.queueAndSend(ranked); err != nil {
 		return s.missing(err.Reason), true
--- a/internal/query/scatter/fake_test.go
+++ b/internal/query/scatter/fake_test.go
@@ -121,13 +121,13 @@
 		r.ID += "x"
 	case refuse:
 		permit.Done(admit.Refused, 0)
-		return sendResult{err: contract.Refuse(contract.ReasonRefused, nil)}
+		return sendResult{err: contract.Refuse(contract.ReasonTargetRefused, nil)}
 	case declineShard:
 		permit.Done(admit.Declined, 0)
-		return sendResult{err: contract.Refuse(contract.ReasonNoReplica, nil)}
+		return sendResult{err: contract.Refuse(contract.ReasonNoLiveTarget, nil)}
 	case crash:
 		permit.Done(admit.Failed, 0)
-		return sendResult{err: &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonTargetFailed, Cause: contract.ErrLeafEnded}}
+		return sendResult{err: &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonTargetFailed, Cause: contract.ErrLeafExited}}
 	case resetConnection, hang:
 		permit.Done(admit.Failed, 0)
 		return sendResult{err: &contract.Error{Verdict: contract.MayHaveRun, Reason: contract.ReasonTargetFailed}}
--- a/internal/query/scatter/group.go
+++ b/internal/query/scatter/group.go
@@ -160,7 +160,7 @@
 	for i := range r.shardResults {
 		s := &r.shardResults[i]
 		if !s.Answered && s.Reason == contract.ReasonDeadline {
-			s.Reason = contract.ReasonEarly
+			s.Reason = contract.ReasonEarlyAnswer
 			leftOut = true
 		}
 	}
--- a/internal/query/scatter/guard.go
+++ b/internal/query/scatter/guard.go
@@ -32,7 +32,7 @@
 	switch {
 	case result.err == nil:
 		g.suspicion.Answered = true
-	case result.err.LeafEnded():
+	case result.err.LeafExited():
 		g.suspicion.LeafExits++
 	case result.err.Verdict == contract.NotRun:
 		g.suspicion.RecordNotRun()
--- a/internal/query/scatter/scatter_test.go
+++ b/internal/query/scatter/scatter_test.go
@@ -189,7 +189,7 @@
 			r.waitIdle()
 			So(res.Early, ShouldBeTrue)
 			So(res.Answered(), ShouldEqual, 3)
-			So(res.Shards[2].Reason, ShouldEqual, contract.ReasonEarly)
+			So(res.Shards[2].Reason, ShouldEqual, contract.ReasonEarlyAnswer)
 			So(res.Shards[2].Verdict, ShouldEqual, contract.MayHaveRun)
 		})
 	})
--- a/internal/query/scatter/shard.go
+++ b/internal/query/scatter/shard.go
@@ -56,7 +56,7 @@
 func (s *shardRun) execute() ShardResult {
 	defer s.cancel()
 	if len(s.replicas) == 0 {
-		return s.missing(contract.ReasonNoReplica)
+		return s.missing(contract.ReasonNoLiveTarget)
 	}
 	s.g.hedges.Primary()
 	s.g.retries.Primary()
@@ -140,7 +140,7 @@
 }
 
 func (s *shardRun) recordFailure(result attemptResult) {
-	s.verdict = s.verdict.Join(result.err.Verdict)
+	s.verdict = s.verdict.Combine(result.err.Verdict)
 	s.lastErr = *result.err
 	s.recordRetryAfter(result.err.RetryAfter)
 }
@@ -150,7 +150,7 @@
 func (s *shardRun) missing(reason contract.Reason) ShardResult {
 	v := s.verdict
 	if len(s.inFlight) > 0 {
-		v = v.Join(contract.MayHaveRun)
+		v = v.Combine(contract.MayHaveRun)
 	}
 	return ShardResult{Reason: reason, Verdict: v}
 }
@@ -160,7 +160,7 @@
 func (s *shardRun) start() *contract.Error {
 	ranked := s.g.rank(s.rankBuf[:0], s.replicas, s.tried, int(s.g.rotation.Add(1)))
 	if len(ranked) == 0 {
-		return contract.Refuse(contract.ReasonNoReplica, nil)
+		return contract.Refuse(contract.ReasonNoLiveTarget, nil)
 	}
 	if a, ok := s.tryAcquire(ranked); ok {
 		s.send(a, false)
@@ -230,7 +230,7 @@
 		return s.lastErr.Reason, false
 	}
 	if !exempt && !s.g.retries.Spend() {
-		return contract.ReasonBudget, false
+		return contract.ReasonRetryBudget, false
 	}
 	if err := s.start(); err != nil {
 		return s.lastErr.Reason, false
@@ -247,7 +247,7 @@
 // would be missing. Only the first attempt at each replica is exempt, which bounds the
 // number.
 func exemptFromBudget(e *contract.Error) bool {
-	return e.Verdict == contract.NotRun && e.Reason != contract.ReasonRefused
+	return e.Verdict == contract.NotRun && e.Reason != contract.ReasonTargetRefused
 }
 
 // hasUntried reports whether a replica has not been tried in this round.
--- a/internal/query/validate.go
+++ b/internal/query/validate.go
@@ -56,7 +56,7 @@
 	fs = append(fs, p.checkLimits()...)
 	fs = append(fs, p.checkKey()...)
 	if len(fs) > 0 {
-		return nil, invalid(contract.ReasonInvalid, fs)
+		return nil, invalid(contract.ReasonInvalidRequest, fs)
 	}
 	return p, nil
 }
@@ -126,7 +126,7 @@
 		fs = append(fs, fault("session", truncated([]byte(r.Session)), errors.UnwrapAll(err).Error(), "take a session from GET /v1/addresses")...)
 	}
 	if len(fs) > 0 {
-		return nil, invalid(contract.ReasonInvalid, fs)
+		return nil, invalid(contract.ReasonInvalidRequest, fs)
 	}
 	return token, nil
 }
--- a/internal/query/world_test.go
+++ b/internal/query/world_test.go
@@ -265,11 +265,11 @@
 	case !held || req.Shard >= shards:
 		tier.mu.Unlock()
 		permit.Done(admit.Declined, 0)
-		return leafResult{err: contract.Refuse(contract.ReasonNoReplica, nil)}
+		return leafResult{err: contract.Refuse(contract.ReasonNoLiveTarget, nil)}
 	case random < fl.refusalRate:
 		tier.mu.Unlock()
 		permit.Done(admit.Refused, 0)
-		return leafResult{err: contract.Refuse(contract.ReasonRefused, nil)}
+		return leafResult{err: contract.Refuse(contract.ReasonTargetRefused, nil)}
 	}
 	tier.runs[runKey(req.Body, req.Service, req.Shard)]++
 	fl.inFlight++
--- a/internal/relay/client.go
+++ b/internal/relay/client.go
@@ -204,9 +204,9 @@
 // fetchInitialState requests the first state of a daemon from one more address every
 // initialQueryInterval, until the state is known.
 func (c *Client) fetchInitialState(ctx context.Context) {
-	var queries work.Each
+	var queries work.KeyedRunner
 	done := func() bool { return c.Current().Tree != nil || c.supersededError() != nil }
-	queries.InTurn(ctx, initialQueryInterval, c.Upstreams, done, func(addr string) {
+	queries.RunStaggered(ctx, initialQueryInterval, c.Upstreams, done, func(addr string) {
 		c.exchangeWith(ctx, addr, statelessHoldTime, false)
 	})
 }
--- a/internal/route/release.go
+++ b/internal/route/release.go
@@ -15,27 +15,27 @@
 // Route selects requests by host and path prefix. It sends them to Service, to one
 // service of Split chosen by weight, or to every service of Shards.
 type Route struct {
-	Name          string        `json:"name"`
-	Host          string        `json:"host"`
-	Prefix        string        `json:"prefix"`
-	Repeatable    bool          `json:"repeatable"` // a request may run more than once
-	Timeout       time.Duration `json:"timeout"`
-	TargetLatency time.Duration `json:"target_latency"`
-	Priority      int           `json:"priority"` // 0 is the highest
-	Attempts      int           `json:"attempts"` // maximum number of leaves that a request is sent to, for each shard
-	Service       string        `json:"service,omitempty"`
-	Split         []Weighted    `json:"split,omitempty"`
-	Shards        []string      `json:"shards,omitempty"`
-	Top           int           `json:"top,omitempty"`            // maximum number of records in a gathered answer
-	LeastCoverage float64       `json:"least_coverage,omitempty"` // minimum fraction of the shards in an answer, 0 to 1
-	Extra         string        `json:"extra,omitempty"`
+	Name          string            `json:"name"`
+	Host          string            `json:"host"`
+	Prefix        string            `json:"prefix"`
+	Repeatable    bool              `json:"repeatable"` // a request may run more than once
+	Timeout       time.Duration     `json:"timeout"`
+	TargetLatency time.Duration     `json:"target_latency"`
+	Priority      int               `json:"priority"` // 0 is the highest
+	MaxAttempts   int               `json:"attempts"` // maximum number of leaves that a request is sent to, for each shard
+	Service       string            `json:"service,omitempty"`
+	Split         []WeightedService `json:"split,omitempty"`
+	Shards        []string          `json:"shards,omitempty"`
+	Top           int               `json:"top,omitempty"`            // maximum number of records in a gathered answer
+	MinCoverage   float64           `json:"least_coverage,omitempty"` // minimum fraction of the shards in an answer, 0 to 1
+	Extra         string            `json:"extra,omitempty"`
 
 	AnswerMargin time.Duration `json:"-"` // set in the settings tree by an operator; not part of a release
 }
 
 // WeightedService is a service that receives a share of a route's requests in
 // proportion to its weight.
-type Weighted struct {
+type WeightedService struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
@@ -61,12 +61,12 @@
 
 // IsGather reports whether an answer of the route is merged from the replies of
 // several shards.
-func (r *Route) Gathers() bool { return len(r.Shards) > 0 }
+func (r *Route) IsGather() bool { return len(r.Shards) > 0 }
 
 // Targets returns the services that the route may send a request to.
 func (r *Route) Targets() []string {
 	switch {
-	case r.Gathers():
+	case r.IsGather():
 		return r.Shards
 	case len(r.Split) > 0:
 		out := make([]string, len(r.Split))
--- a/internal/route/spread.go
+++ b/internal/route/spread.go
@@ -11,12 +11,12 @@
 // one run in four is off by 5 in 100.
 type weightedPicker struct {
 	mu          sync.Mutex
-	services    []Weighted
+	services    []WeightedService
 	credit      []float64
 	totalWeight float64
 }
 
-func newWeightedPicker(services []Weighted) *weightedPicker {
+func newWeightedPicker(services []WeightedService) *weightedPicker {
 	if len(services) == 0 {
 		return nil
 	}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -40,7 +40,7 @@
 		pacer.Step()
 		e := &Entry{Route: r.Routes[i], picker: newWeightedPicker(r.Routes[i].Split)}
 		e.Shards = dedupe(e.Shards)
-		host := NormalHost(e.Host)
+		host := NormalizeHost(e.Host)
 		t.byHost[host] = append(t.byHost[host], e)
 		t.entries = append(t.entries, e)
 	}
@@ -63,7 +63,7 @@
 
 // Find returns the route of the host with the longest prefix that matches the path.
 func (t *Table) Find(host, path string) (*Entry, bool) {
-	for _, e := range t.byHost[NormalHost(host)] {
+	for _, e := range t.byHost[NormalizeHost(host)] {
 		if strings.HasPrefix(path, e.Prefix) {
 			return e, true
 		}
@@ -82,7 +82,7 @@
 }
 
 // PickService returns the service for the next request of a route without shards.
-func (e *Entry) Pick() string {
+func (e *Entry) PickService() string {
 	if e.picker == nil {
 		return e.Service
 	}
@@ -91,7 +91,7 @@
 
 // NormalizeHost returns host in the form used for comparison: lower case, without
 // port and trailing dot.
-func NormalHost(host string) string {
+func NormalizeHost(host string) string {
 	if strings.Contains(host, ":") {
 		if name, _, err := net.SplitHostPort(host); err == nil {
 			host = name
--- a/internal/route/tree.go
+++ b/internal/route/tree.go
@@ -143,13 +143,13 @@
 	n.setText(settings.NameRouteShards, joinNames(r.Shards))
 	n.setText(settings.NameRouteSplit, joinSplit(r.Split))
 	n.setUnlessDefault(settings.NameRouteRepeatable, strconv.FormatBool(r.Repeatable))
-	n.setUnlessDefault(settings.NameRouteAttempts, strconv.Itoa(r.Attempts))
+	n.setUnlessDefault(settings.NameRouteAttempts, strconv.Itoa(r.MaxAttempts))
 	n.setUnlessDefault(settings.NameRoutePriority, strconv.Itoa(r.Priority))
 	n.setUnlessDefault(settings.NameRouteTimeout, r.Timeout.String())
 	n.setUnlessDefault(settings.NameRouteTargetLatency, r.TargetLatency.String())
-	if r.Gathers() {
+	if r.IsGather() {
 		n.setUnlessDefault(settings.NameRouteTop, strconv.Itoa(r.Top))
-		n.setUnlessDefault(settings.NameRouteLeastCoverage, strconv.FormatFloat(r.LeastCoverage, 'f', -1, 64))
+		n.setUnlessDefault(settings.NameRouteLeastCoverage, strconv.FormatFloat(r.MinCoverage, 'f', -1, 64))
 	}
 	n.setText(settings.NameRouteExtra, r.Extra)
 	return n
@@ -177,7 +177,7 @@
 
 // ReleaseNumber returns the number of the release in the tree, and false if there
 // is none.
-func HeldNumber(t *settings.Tree) (uint64, bool) {
+func ReleaseNumber(t *settings.Tree) (uint64, bool) {
 	e, ok := t.Effective(settings.ReleasePath)
 	if !ok || e.Release.Number == "" {
 		return 0, false
@@ -188,7 +188,7 @@
 
 // FromTree returns the release in the tree, or nil if there is none.
 func FromTree(t *settings.Tree) (*Release, error) {
-	number, ok := HeldNumber(t)
+	number, ok := ReleaseNumber(t)
 	if !ok {
 		return nil, nil
 	}
@@ -239,7 +239,7 @@
 	in := &e.Route
 	r := Route{
 		Repeatable: !in.NotRepeatable, Timeout: in.Timeout, TargetLatency: in.TargetLatency,
-		Priority: in.Priority, Attempts: in.Attempts, Top: in.MaxRecords, LeastCoverage: in.MinCoverage,
+		Priority: in.Priority, MaxAttempts: in.Attempts, Top: in.MaxRecords, MinCoverage: in.MinCoverage,
 		Extra: in.UnknownFields, AnswerMargin: in.AnswerMargin,
 	}
 	var u unescaper
@@ -339,7 +339,7 @@
 	return strings.Join(out, ",")
 }
 
-func joinSplit(services []Weighted) string {
+func joinSplit(services []WeightedService) string {
 	out := make([]string, len(services))
 	for i, p := range services {
 		out[i] = escape(p.Service) + "=" + strconv.FormatFloat(p.Weight, 'g', -1, 64)
@@ -378,18 +378,18 @@
 	return out
 }
 
-func (u *unescaper) split(list string) []Weighted {
+func (u *unescaper) split(list string) []WeightedService {
 	if list == "" {
 		return nil
 	}
-	var out []Weighted
+	var out []WeightedService
 	for _, item := range strings.Split(list, ",") {
 		name, weight, _ := strings.Cut(item, "=")
 		w, err := strconv.ParseFloat(weight, 64)
 		if err != nil {
 			u.setErr(errors.Wrapf(err, "weight %q", item))
 		}
-		out = append(out, Weighted{Service: u.text(name), Weight: w})
+		out = append(out, WeightedService{Service: u.text(name), Weight: w})
 	}
 	return out
 }
--- a/internal/route/tree_test.go
+++ b/internal/route/tree_test.go
@@ -40,24 +40,24 @@
 
 func drawRoute(t *rapid.T, i int, services []Service) Route {
 	r := Route{
-		Name:       rapid.SampledFrom(unusualNames).Draw(t, "route"),
-		Host:       rapid.SampledFrom([]string{"h.example", "Other.example"}).Draw(t, "host"),
-		Prefix:     fmt.Sprintf("/p%d/", i),
-		Repeatable: rapid.Bool().Draw(t, "repeatable"),
-		Timeout:    time.Duration(rapid.IntRange(1, 5000).Draw(t, "timeout")) * time.Millisecond,
-		Priority:   rapid.IntRange(0, 3).Draw(t, "priority"),
-		Attempts:   rapid.IntRange(0, 3).Draw(t, "attempts"),
+		Name:        rapid.SampledFrom(unusualNames).Draw(t, "route"),
+		Host:        rapid.SampledFrom([]string{"h.example", "Other.example"}).Draw(t, "host"),
+		Prefix:      fmt.Sprintf("/p%d/", i),
+		Repeatable:  rapid.Bool().Draw(t, "repeatable"),
+		Timeout:     time.Duration(rapid.IntRange(1, 5000).Draw(t, "timeout")) * time.Millisecond,
+		Priority:    rapid.IntRange(0, 3).Draw(t, "priority"),
+		MaxAttempts: rapid.IntRange(0, 3).Draw(t, "attempts"),
 	}
 	pick := func() string { return rapid.SampledFrom(services).Draw(t, "of").Name }
 	switch rapid.IntRange(0, 2).Draw(t, "shape") {
 	case 0:
 		r.Service = pick()
 	case 1:
-		r.Split = []Weighted{{pick(), 0.25}, {pick(), 3}}
+		r.Split = []WeightedService{{pick(), 0.25}, {pick(), 3}}
 	default:
 		r.Shards = []string{pick(), pick()}
 		r.Top = rapid.IntRange(0, 20).Draw(t, "top")
-		r.LeastCoverage = rapid.SampledFrom([]float64{0, 0.5, 0.89, 1}).Draw(t, "coverage")
+		r.MinCoverage = rapid.SampledFrom([]float64{0, 0.5, 0.89, 1}).Draw(t, "coverage")
 	}
 	return r
 }
@@ -131,7 +131,7 @@
 		Services: []Service{{Name: "s"}},
 		Routes: []Route{
 			{Name: "a", Host: "h", Prefix: "/", Timeout: time.Second, Service: "nobody"},
-			{Name: "b", Host: "H", Prefix: "/", Timeout: 0, Split: []Weighted{{"s", 0}}},
+			{Name: "b", Host: "H", Prefix: "/", Timeout: 0, Split: []WeightedService{{"s", 0}}},
 			{Name: "c", Host: "h", Prefix: "/c/", Timeout: time.Second},
 		},
 	}
@@ -166,11 +166,11 @@
 func TestPickerFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "parts")
-		var parts []Weighted
+		var parts []WeightedService
 		total := 0.0
 		for i := range n {
 			w := float64(rapid.IntRange(0, 9).Draw(t, "weight"))
-			parts = append(parts, Weighted{fmt.Sprint(i), w})
+			parts = append(parts, WeightedService{fmt.Sprint(i), w})
 			total += w
 		}
 		if total == 0 {
--- a/internal/route/validate.go
+++ b/internal/route/validate.go
@@ -53,7 +53,7 @@
 func (v *validator) checkRoute(i int, r *Route) {
 	field := fmt.Sprintf("routes[%d] %q", i, r.Name)
 	v.checkSingleLine(field, r.Name, r.Host, r.Prefix)
-	key := routeKey{NormalHost(r.Host), r.Prefix}
+	key := routeKey{NormalizeHost(r.Host), r.Prefix}
 	if other, taken := v.routesByKey[key]; taken {
 		v.addFault(field, r.Host+r.Prefix, fmt.Sprintf("route %q has the same host and prefix", other), "drop one of the two")
 	}
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -107,7 +107,7 @@
 	}
 	if v := c.Publish; v != nil {
 		held := Layout(l.index, l.count, v.Shards)
-		l.Publish(contract.LeafIndex{Service: l.service, Version: v.Version, Shards: v.Shards, Held: held})
+		l.Publish(contract.LeafIndex{Service: l.service, Version: v.Version, Shards: v.Shards, HeldShards: held})
 	}
 	if c.Retire != 0 {
 		l.Retire(l.service, c.Retire)
--- a/internal/standin/controlhttp.go
+++ b/internal/standin/controlhttp.go
@@ -93,7 +93,7 @@
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(contract.Failure{
 		Verdict: contract.NotRun,
-		Reason:  contract.ReasonInvalid,
+		Reason:  contract.ReasonInvalidRequest,
 		Faults:  fs,
 		Message: err.Error(),
 	})
--- a/internal/standin/handle.go
+++ b/internal/standin/handle.go
@@ -191,7 +191,7 @@
 		if x.Service != service || x.Version != version {
 			continue
 		}
-		for _, s := range x.Held {
+		for _, s := range x.HeldShards {
 			if s == shard {
 				return x.Shards, true
 			}
--- a/internal/standin/leaf_test.go
+++ b/internal/standin/leaf_test.go
@@ -32,7 +32,7 @@
 	configure(&b)
 	l, err := StartLeaf(LeafConfig{
 		Name:     "leaf-1",
-		Indexes:  []contract.LeafIndex{{Service: testService, Version: 1, Shards: 2, Held: []uint32{0, 1}}},
+		Indexes:  []contract.LeafIndex{{Service: testService, Version: 1, Shards: 2, HeldShards: []uint32{0, 1}}},
 		Behavior: b,
 	})
 	if err != nil {
--- a/internal/work/each.go
+++ b/internal/work/each.go
@@ -9,7 +9,7 @@
 )
 
 // KeyedRunner runs at most one task per key at a time. The zero value is ready for use.
-type Each struct {
+type KeyedRunner struct {
 	mu      sync.Mutex
 	running map[string]bool
 	wg      sync.WaitGroup
@@ -17,7 +17,7 @@
 
 // Go runs f on a new goroutine unless a task for the key is running. It reports whether
 // f was started.
-func (r *Each) Go(key string, f func()) bool {
+func (r *KeyedRunner) Go(key string, f func()) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.running[key] {
@@ -40,7 +40,7 @@
 
 // RunStaggered starts f once per interval, for the first of keys that has no running task,
 // until done returns true or ctx is done. It then waits for all running tasks.
-func (r *Each) InTurn(ctx context.Context, interval time.Duration, keys func() []string, done func() bool, f func(key string)) {
+func (r *KeyedRunner) RunStaggered(ctx context.Context, interval time.Duration, keys func() []string, done func() bool, f func(key string)) {
 	defer r.Wait()
 	for ctx.Err() == nil && !done() {
 		for _, key := range keys() {
@@ -53,4 +53,4 @@
 }
 
 // Wait waits until no task is running.
-func (r *Each) Wait() { r.wg.Wait() }
+func (r *KeyedRunner) Wait() { r.wg.Wait() }
--- a/internal/work/each_test.go
+++ b/internal/work/each_test.go
@@ -11,7 +11,7 @@
 
 // Tasks of different keys must run concurrently, and those of one key one at a time.
 func TestOneTaskPerKey(t *testing.T) {
-	var r Each
+	var r KeyedRunner
 	gate := make(chan struct{})
 	var runs atomic.Int32
 	task := func() { runs.Add(1); <-gate }
@@ -32,14 +32,14 @@
 // The task of the first key blocks, as a call to a VM that does not answer. The tasks of
 // other keys must be started meanwhile, until one of them has the answer.
 func TestRunStaggeredSkipsUnresponsiveKey(t *testing.T) {
-	var r Each
+	var r KeyedRunner
 	var known atomic.Bool
 	var mu sync.Mutex
 	var asked []string
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	answered := make(chan struct{})
-	r.InTurn(ctx, time.Millisecond, func() []string { return []string{"a", "b", "c"} }, known.Load, func(key string) {
+	r.RunStaggered(ctx, time.Millisecond, func() []string { return []string{"a", "b", "c"} }, known.Load, func(key string) {
 		mu.Lock()
 		asked = append(asked, key)
 		mu.Unlock()
--- a/soak/operator_test.go
+++ b/soak/operator_test.go
@@ -83,14 +83,14 @@
 		Limits: route.Limits{HeaderBytes: 16 << 10, BodyBytes: 256 << 10, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 		Routes: []route.Route{
 			{Name: "search", Host: hostname, Prefix: "/search/", Repeatable: true, Timeout: 2 * time.Second, TargetLatency: 250 * time.Millisecond,
-				Shards: shards, Attempts: 2, Top: topRecords, LeastCoverage: 0.6},
+				Shards: shards, MaxAttempts: 2, Top: topRecords, MinCoverage: 0.6},
 			{Name: "charge", Host: hostname, Prefix: "/charge/", Timeout: 2 * time.Second, TargetLatency: 400 * time.Millisecond, Priority: 1,
-				Service: ledger, Attempts: 2},
+				Service: ledger, MaxAttempts: 2},
 		},
 	}
 	for i := range extraRoutes {
 		r.Routes = append(r.Routes, route.Route{Name: fmt.Sprintf("more-%04d", i), Host: fmt.Sprintf("host-%03d.example", i%300), Prefix: fmt.Sprintf("/more-%04d/", i),
-			Repeatable: true, Timeout: 2 * time.Second, TargetLatency: 400 * time.Millisecond, Priority: 2, Service: ledger, Attempts: 2})
+			Repeatable: true, Timeout: 2 * time.Second, TargetLatency: 400 * time.Millisecond, Priority: 2, Service: ledger, MaxAttempts: 2})
 	}
 	for _, s := range allServices() {
 		r.Services = append(r.Services, route.Service{Name: s, HealthPath: "/health", Connections: maxLeafConns, Protocol: "h1"})
