--- a/bench/baseline/client.go
+++ b/bench/baseline/client.go
@@ -53,8 +53,8 @@
 }
 
 // Askers returns clients as load.Asker values.
-func Askers(clients []*Client) []load.Asker {
-	out := make([]load.Asker, len(clients))
+func Queriers(clients []*Client) []load.Querier {
+	out := make([]load.Querier, len(clients))
 	for i, c := range clients {
 		out[i] = c
 	}
@@ -69,7 +69,7 @@
 }
 
 // Ask implements load.Asker. It makes one attempt for each shard, all in parallel.
-func (c *Client) Ask(ctx context.Context, q contract.Request, deadline time.Time) load.Outcome {
+func (c *Client) Query(ctx context.Context, q contract.Request, deadline time.Time) load.Outcome {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	id := fmt.Sprintf("direct-%d-%d-%x", c.id, c.next.Add(1), rand.Uint64())
--- a/bench/forward/callers.go
+++ b/bench/forward/callers.go
@@ -126,7 +126,7 @@
 		if err != nil || resp.StatusCode != http.StatusOK {
 			continue
 		}
-		addrs, ttl, err := standin.Addresses(body)
+		addrs, ttl, err := standin.DecodeAddresses(body)
 		if err != nil {
 			continue
 		}
@@ -222,7 +222,7 @@
 	if err != nil || missing+len(services) != len(shards) {
 		s.addWrongAnswer("%s: %d parts and %q missing of %d", id, len(services), h.Get(dialect.MissingParts), len(shards))
 	}
-	if want := standin.Top(services, id, topRecordCount); body != want {
+	if want := standin.TopRecords(services, id, topRecordCount); body != want {
 		s.addWrongAnswer("%s: other records than the greatest of its parts", id)
 	}
 	return float64(len(services)) / float64(len(shards))
--- a/bench/forward/leaf.go
+++ b/bench/forward/leaf.go
@@ -199,7 +199,7 @@
 
 func (l *leaf) writeAnswer(w http.ResponseWriter, id string, mode fault) {
 	signature := strings.Join([]string{l.service, id, strconv.FormatInt(l.p.signatureCount.Add(1), 10)}, "/")
-	body := standin.Part(l.service, id)
+	body := standin.PartialAnswer(l.service, id)
 	switch {
 	case mode == losesAnswers && l.chance(0.1):
 		l.writeRaw(w, nil)
@@ -232,7 +232,7 @@
 func (l *leaf) listEntry() standin.Leaf {
 	state, warmInMS := standin.Ready, 0
 	if l.leaving.Load() {
-		state = standin.Leaving
+		state = standin.Draining
 	}
 	if l.cold {
 		warmInMS = int(max(0, warmUpTime-time.Since(l.started)).Milliseconds())
--- a/bench/forward/platform.go
+++ b/bench/forward/platform.go
@@ -138,7 +138,7 @@
 	at := time.Since(p.startedAt).Seconds()
 	for _, l := range p.leaves {
 		s := p.series[l]
-		s.Most, s.At = append(s.Most, int(l.maxInFlight.Swap(l.running.Load()+l.waiting.Load()))), append(s.At, at)
+		s.Peaks, s.EndTimes = append(s.Peaks, int(l.maxInFlight.Swap(l.running.Load()+l.waiting.Load()))), append(s.EndTimes, at)
 	}
 }
 
@@ -163,7 +163,7 @@
 	if to < len(rows) {
 		next = strconv.Itoa(to)
 	}
-	text, err := standin.Page(rows[from:to], next)
+	text, err := standin.EncodePage(rows[from:to], next)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/bench/forward/report.go
+++ b/bench/forward/report.go
@@ -64,7 +64,7 @@
 	windows := 0
 	for l, s := range p.series {
 		out.ConnsOpened += l.connsOpened.Load()
-		for _, m := range s.Most {
+		for _, m := range s.Peaks {
 			over := float64(m) / float64(s.Slots)
 			out.MaxOverSlots = max(out.MaxOverSlots, over)
 			out.MeanMaxOverSlots += over
--- a/bench/forward/tier.go
+++ b/bench/forward/tier.go
@@ -76,7 +76,7 @@
 
 // start starts the VM's process. Its output goes to a log file beside its settings file.
 func (v *entryVM) start() error {
-	text, err := v.spec.Settings()
+	text, err := v.spec.EncodeSettings()
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 }
 
 func (t *entryTier) postRelease(ctx context.Context, v *entryVM, text string) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+v.addr(v.spec.Ports.Operators)+standin.PutPath, strings.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+v.addr(v.spec.Ports.Operators)+standin.PutConfigurationPath, strings.NewReader(text))
 	if err != nil {
 		return err
 	}
--- a/bench/query/env.go
+++ b/bench/query/env.go
@@ -123,14 +123,14 @@
 
 func (s loadSpec) config(standinURL string) load.Config {
 	c := load.Config{
-		Paths:         []string{deskPath},
-		Rate:          s.rate,
-		Duration:      s.duration,
-		Deadline:      s.deadline,
-		NotRepeatable: s.notRepeatable,
-		Resend:        s.resend,
-		Seed:          s.seed,
-		Standin:       standinURL,
+		Paths:              []string{deskPath},
+		Rate:               s.rate,
+		Duration:           s.duration,
+		Deadline:           s.deadline,
+		NonRepeatableShare: s.notRepeatable,
+		ResendShare:        s.resend,
+		Seed:               s.seed,
+		StandinURL:         standinURL,
 	}
 	if c.Deadline == 0 {
 		c.Deadline = deadline
@@ -148,7 +148,7 @@
 // runTier runs the load of spec against the tier.
 func (e *env) runTier(ctx context.Context, t *tier.Tier, spec loadSpec) (*load.Result, error) {
 	c := spec.config(t.Leaves.URL)
-	c.Entries = t.Entries()
+	c.EntryURLs = t.Entries()
 	return load.Run(ctx, c)
 }
 
@@ -161,7 +161,7 @@
 	clients := baseline.NewClients(clientCount, targets, newPolicy)
 	defer baseline.Close(clients)
 	c := spec.config(l.URL)
-	c.Askers = baseline.Askers(clients)
+	c.Queriers = baseline.Queriers(clients)
 	return load.Run(ctx, c)
 }
 
@@ -239,7 +239,7 @@
 		c := x.Check
 		fmt.Fprintf(w, "%s\t%.0f\t%.1f\t%.1f\t%.1f\t%.1f\t%.3f\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%d\n",
 			r.name, x.Rate, x.Answers.P50, x.Answers.P99, x.Answers.P999, x.Goodput, x.Coverage*100,
-			x.Refused, x.InDoubt, x.Failed, extraShare(x)*100, l.MostOverSlots, l.MostOverCap,
+			x.Refused, x.InDoubt, x.Failed, extraShare(x)*100, l.PeakOverSlots, l.PeakOverLimit,
 			c.Lost+c.Doubled+c.Mixed+c.Foreign+c.Coverage)
 	}
 	_ = w.Flush()
--- a/bench/query/homes.go
+++ b/bench/query/homes.go
@@ -44,7 +44,7 @@
 			return errors.Wrap(err, c.name)
 		}
 		rows = append(rows, row{c.name, res})
-		printFigure("homes", c.name+": most in flight over slots", res.Leaves.MostOverSlots, "at most 1")
+		printFigure("homes", c.name+": most in flight over slots", res.Leaves.PeakOverSlots, "at most 1")
 	}
 	printTable(rows)
 	if err := t.Stop(); err != nil {
--- a/bench/query/limits.go
+++ b/bench/query/limits.go
@@ -63,7 +63,7 @@
 			r.name = fmt.Sprintf("%s-%.1fx", r.name, factor)
 			rows = append(rows, r)
 		}
-		printFigure("limits", fmt.Sprintf("most in flight over slots at %.1fx", factor), tierRes.Leaves.MostOverSlots, "at most 1")
+		printFigure("limits", fmt.Sprintf("most in flight over slots at %.1fx", factor), tierRes.Leaves.PeakOverSlots, "at most 1")
 	}
 	printTable(rows)
 	if err := t.Stop(); err != nil {
@@ -134,9 +134,9 @@
 	for _, r := range rows {
 		l := r.res.Leaves
 		fmt.Printf("%s: opened %d in %v (%.4f per leaf request), refused by leaves %d, most open %d of 30\n",
-			r.name, l.Opened, spec.duration, float64(l.Opened)/float64(max(l.Runs.Total, 1)), l.ConnsRefused, l.MostOpen)
+			r.name, l.Opened, spec.duration, float64(l.Opened)/float64(max(l.Runs.Total, 1)), l.ConnsRefused, l.PeakOpen)
 	}
-	printFigure("connections", "most open over cap", max(tierRes.Leaves.MostOverCap, idleRes.Leaves.MostOverCap), "at most 1")
+	printFigure("connections", "most open over cap", max(tierRes.Leaves.PeakOverLimit, idleRes.Leaves.PeakOverLimit), "at most 1")
 	printFigure("connections", "opened per leaf and second, warm", perLeafSecond(tierRes.Leaves, spec.duration), "near 0")
 	printFigure("connections", "opened per leaf and second, at rest", perLeafSecond(idleRes.Leaves, spec.duration), "near 0")
 	if err := t.Stop(); err != nil {
--- a/bench/query/restart.go
+++ b/bench/query/restart.go
@@ -40,7 +40,7 @@
 	}
 	printFigure("restart", "requests without a whole answer", float64(res.Scheduled-res.Whole), "0")
 	printFigure("restart", "doubled runs of not-repeatable requests", float64(res.Leaves.Runs.Doubled), "0")
-	printFigure("restart", "most in flight over slots", res.Leaves.MostOverSlots, "at most 1")
+	printFigure("restart", "most in flight over slots", res.Leaves.PeakOverSlots, "at most 1")
 	if err := t.Stop(); err != nil {
 		return err
 	}
@@ -113,8 +113,8 @@
 		return err
 	}
 	printFigure("crashes", "doubled runs of not-repeatable requests", float64(res.Leaves.Runs.Doubled), "0")
-	printFigure("crashes", "resends told another outcome than a certain first", float64(res.Once.Changed), "0")
-	printFigure("crashes", "most in flight over slots", res.Leaves.MostOverSlots, "at most 1")
+	printFigure("crashes", "resends told another outcome than a certain first", float64(res.NonRepeatable.Changed), "0")
+	printFigure("crashes", "most in flight over slots", res.Leaves.PeakOverSlots, "at most 1")
 	printFigure("crashes", "mixed, lost, doubled or foreign hits", badHits(res), "0")
 	if err := t.Stop(); err != nil {
 		return err
--- a/cmd/pearmoor-entry/main.go
+++ b/cmd/pearmoor-entry/main.go
@@ -99,7 +99,7 @@
 	var listAddr atomic.Pointer[string]
 	listAddr.Store(&settings.ListAddr)
 	conf := settings.VM
-	conf.Source = platform.NewList(func() string { return *listAddr.Load() })
+	conf.Source = platform.NewLeafList(func() string { return *listAddr.Load() })
 	conf.Dialect, conf.Log = platform.Dialect(), decisionLog
 	v, err := entryvm.New(conf)
 	if err != nil {
@@ -147,8 +147,8 @@
 	if out.Peers, err = bind("peers", peersAddr); err != nil {
 		return out, nil, err
 	}
-	if settings.Callers != "" {
-		if out.Callers, err = bind("callers", settings.Callers); err != nil {
+	if settings.CallerAddr != "" {
+		if out.Callers, err = bind("callers", settings.CallerAddr); err != nil {
 			return out, nil, err
 		}
 	}
@@ -157,9 +157,9 @@
 		name, addr string
 		handler    http.Handler
 	}{
-		{"readiness", settings.Readiness, platform.ReadinessHandler(v)},
-		{"operators", settings.Operators, platform.OperatorHandler(v, settings.Operators)},
-		{"directory", settings.Directory, platform.DirectoryHandler(v)},
+		{"readiness", settings.ReadinessAddr, platform.ReadinessHandler(v)},
+		{"operators", settings.OperatorAddr, platform.OperatorHandler(v, settings.OperatorAddr)},
+		{"directory", settings.DirectoryAddr, platform.DirectoryHandler(v)},
 		{"metrics", metricsAddr(host, opts.metricsPort), entryvm.MetricsHandler()},
 	}
 	for _, s := range sideServers {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -25,20 +25,20 @@
 	c.Flag("duration", "How long new requests start.").Default("10s").DurationVar(&conf.Duration)
 	c.Flag("deadline", "Deadline of each request.").Default(load.DefaultDeadline.String()).DurationVar(&conf.Deadline)
 	c.Flag("arrivals", "poisson or constant.").Default(string(load.Poisson)).EnumVar((*string)(&conf.Arrivals), string(load.Poisson), string(load.Constant))
-	c.Flag("not-repeatable", "Share of requests sent as not repeatable, 0 to 1.").FloatVar(&conf.NotRepeatable)
-	c.Flag("resend", "Share of those sent a second time under the same key, 0 to 1.").FloatVar(&conf.Resend)
+	c.Flag("not-repeatable", "Share of requests sent as not repeatable, 0 to 1.").FloatVar(&conf.NonRepeatableShare)
+	c.Flag("resend", "Share of those sent a second time under the same key, 0 to 1.").FloatVar(&conf.ResendShare)
 	c.Flag("callers", "Callers, each with its own address lists.").Default(fmt.Sprint(load.DefaultCallers)).IntVar(&conf.Callers)
-	c.Flag("outstanding", "Most requests under way; arrivals beyond are skipped and counted.").Default(fmt.Sprint(load.DefaultOutstanding)).IntVar(&conf.Outstanding)
+	c.Flag("outstanding", "Most requests under way; arrivals beyond are skipped and counted.").Default(fmt.Sprint(load.DefaultMaxInFlight)).IntVar(&conf.MaxInFlight)
 	c.Flag("window", "Width of a point in the plots.").Default(load.DefaultWindow.String()).DurationVar(&conf.Window)
 	c.Flag("seed", "Seed of the arrivals.").Default("1").Uint64Var(&conf.Seed)
-	c.Flag("standin", "Control URL of the stand-in leaves, to measure their load.").StringVar(&conf.Standin)
+	c.Flag("standin", "Control URL of the stand-in leaves, to measure their load.").StringVar(&conf.StandinURL)
 	c.Flag("out", "Folder for result.json and the plots; left out: none.").StringVar(&dir)
 	c.Action(func(*kingpin.ParseContext) error {
 		var err error
 		if conf.TLS, err = entries.tlsConfig(); err != nil {
 			return err
 		}
-		conf.Entries = entries.urls
+		conf.EntryURLs = entries.urls
 		return a.runLoad(conf, dir)
 	})
 }
--- a/internal/discovery/first_test.go
+++ b/internal/discovery/first_test.go
@@ -39,7 +39,7 @@
 	go func() { defer close(served); _ = peer.ServeTrusted(ctx, lis, mux) }()
 	var upstreams []string
 	for range 3 {
-		link, err := standin.NewNarrowLink(lis.Addr().String(), rate, time.Millisecond)
+		link, err := standin.NewThrottledLink(lis.Addr().String(), rate, time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/entryvm/size_test.go
+++ b/internal/entryvm/size_test.go
@@ -83,7 +83,7 @@
 func startSlowLinkTier(t *testing.T) *slowLinkTier {
 	lis, slowListener := listen(t), listen(t)
 	control := lis.Addr().String()
-	link, err := standin.NewNarrowLink(control, slowLinkRate, slowLinkDelay)
+	link, err := standin.NewThrottledLink(control, slowLinkRate, slowLinkDelay)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -64,8 +64,8 @@
 
 // Querier sends one request and returns its outcome. If q has a session, the request is a
 // resend and keeps that session.
-type Asker interface {
-	Ask(ctx context.Context, q contract.Request, deadline time.Time) Outcome
+type Querier interface {
+	Query(ctx context.Context, q contract.Request, deadline time.Time) Outcome
 }
 
 // addresses returns the address list of a path, fetching a new one if the cached one has
@@ -204,7 +204,7 @@
 }
 
 // Query implements Querier. It fails over along the address list until the deadline.
-func (c *caller) Ask(ctx context.Context, q contract.Request, deadline time.Time) Outcome {
+func (c *caller) Query(ctx context.Context, q contract.Request, deadline time.Time) Outcome {
 	var out Outcome
 	for first := true; ; first = false {
 		if !first && !sleepUntil(ctx, time.Now().Add(failoverDelay)) {
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -26,7 +26,7 @@
 }
 
 // HasErrors reports whether any error was found.
-func (c Check) Bad() bool { return c != Check{} }
+func (c Check) HasErrors() bool { return c != Check{} }
 
 // CheckAnswer compares an answer with the documents of the stand-in leaves. The request must
 // not have limited the hits; runKey is the run_key of its body.
--- a/internal/load/leaves.go
+++ b/internal/load/leaves.go
@@ -17,20 +17,20 @@
 
 // LeafSeries is the in-flight peak of one leaf in each window of a run.
 type LeafSeries struct {
-	Name    string    `json:"name"`
-	Service string    `json:"service"`
-	Slots   int       `json:"slots"`
-	Most    []int     `json:"most_in_flight"` // peak of running plus queued requests in each window
-	At      []float64 `json:"at_s"`           // end of each window, from the start of the run
+	Name     string    `json:"name"`
+	Service  string    `json:"service"`
+	Slots    int       `json:"slots"`
+	Peaks    []int     `json:"most_in_flight"` // peak of running plus queued requests in each window
+	EndTimes []float64 `json:"at_s"`           // end of each window, from the start of the run
 }
 
 // LeafReport is a run as the stand-in leaves counted it.
 type LeafReport struct {
 	Runs           standin.RunStats   `json:"runs"` // of this run only
-	MostInFlight   int                `json:"most_in_flight"`
-	MostOverSlots  float64            `json:"most_in_flight_over_slots"`
-	MostOpen       int                `json:"most_open"`
-	MostOverCap    float64            `json:"most_open_over_cap"`
+	PeakInFlight   int                `json:"most_in_flight"`
+	PeakOverSlots  float64            `json:"most_in_flight_over_slots"`
+	PeakOpen       int                `json:"most_open"`
+	PeakOverLimit  float64            `json:"most_open_over_cap"`
 	Opened         uint64             `json:"connections_opened"`
 	ConnsRefused   uint64             `json:"connections_refused"`
 	Refused        uint64             `json:"refused"`
@@ -145,8 +145,8 @@
 			break
 		}
 		s := &p.report.Series[i]
-		s.Most = append(s.Most, l.WindowInFlight)
-		s.At = append(s.At, at)
+		s.Peaks = append(s.Peaks, l.WindowInFlight)
+		s.EndTimes = append(s.EndTimes, at)
 	}
 }
 
@@ -155,15 +155,15 @@
 	r := &p.report
 	r.Runs.Total = r.latest.Runs.Total - r.before.Runs.Total
 	r.Runs.Extra = r.latest.Runs.Extra - r.before.Runs.Extra
-	r.Runs.NotRepeatable = r.latest.Runs.NotRepeatable - r.before.Runs.NotRepeatable
+	r.Runs.NonRepeatable = r.latest.Runs.NonRepeatable - r.before.Runs.NonRepeatable
 	r.Runs.Doubled = r.latest.Runs.Doubled - r.before.Runs.Doubled
 	for i, l := range r.latest.Leaves {
 		b := r.before.Leaves[i]
-		r.MostInFlight = max(r.MostInFlight, l.MostInFlight)
-		r.MostOverSlots = max(r.MostOverSlots, float64(l.MostInFlight)/float64(l.Slots))
-		r.MostOpen = max(r.MostOpen, l.MostOpen)
+		r.PeakInFlight = max(r.PeakInFlight, l.PeakInFlight)
+		r.PeakOverSlots = max(r.PeakOverSlots, float64(l.PeakInFlight)/float64(l.Slots))
+		r.PeakOpen = max(r.PeakOpen, l.PeakOpen)
 		if l.Connections > 0 {
-			r.MostOverCap = max(r.MostOverCap, float64(l.MostOpen)/float64(l.Connections))
+			r.PeakOverLimit = max(r.PeakOverLimit, float64(l.PeakOpen)/float64(l.Connections))
 		}
 		r.Opened += l.Opened - b.Opened
 		r.ConnsRefused += l.ConnectionsRefused - b.ConnectionsRefused
@@ -178,10 +178,10 @@
 // busiest returns the n series with the highest peaks, in descending order.
 func (r *LeafReport) busiest(n int) []LeafSeries {
 	peak := func(s LeafSeries) int {
-		if len(s.Most) == 0 {
+		if len(s.Peaks) == 0 {
 			return 0
 		}
-		return slices.Max(s.Most)
+		return slices.Max(s.Peaks)
 	}
 	sorted := slices.Clone(r.Series)
 	slices.SortStableFunc(sorted, func(a, b LeafSeries) int { return peak(b) - peak(a) })
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -34,13 +34,13 @@
 		return false
 	}
 	res, err := Run(context.Background(), Config{
-		Entries: []string{e.URL}, Paths: []string{testPath}, Callers: 1,
+		EntryURLs: []string{e.URL}, Paths: []string{testPath}, Callers: 1,
 		Rate: float64(time.Second / gap), Arrivals: Constant, Duration: (n + 1) * gap, Deadline: time.Minute,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if res.Scheduled != n || res.Answered != n || res.Check.Bad() {
+	if res.Scheduled != n || res.Answered != n || res.Check.HasErrors() {
 		t.Fatalf("%+v", res)
 	}
 	span := float64((n - 1) * gap.Milliseconds())
@@ -58,7 +58,7 @@
 	done := make(chan *Result)
 	go func() {
 		res, _ := Run(context.Background(), Config{
-			Entries: []string{e.URL}, Paths: []string{testPath}, Outstanding: 3,
+			EntryURLs: []string{e.URL}, Paths: []string{testPath}, MaxInFlight: 3,
 			Rate: 1000, Arrivals: Constant, Duration: 50 * time.Millisecond, Deadline: time.Minute,
 		})
 		done <- res
@@ -101,7 +101,7 @@
 	Convey("A caller", t, func() {
 		first, second := startFakeEntry(t), startFakeEntry(t)
 		first.list = addressesOf(first.URL, second.URL)
-		cfg := Config{Entries: []string{first.URL}, Paths: []string{testPath}, Callers: 1,
+		cfg := Config{EntryURLs: []string{first.URL}, Paths: []string{testPath}, Callers: 1,
 			Rate: 1000, Arrivals: Constant, Duration: 20 * time.Millisecond, Deadline: 10 * time.Second}
 		Convey("fails over to the next address if one is draining", func() {
 			first.reply = func(w http.ResponseWriter, _ *contract.Request) bool {
@@ -123,10 +123,10 @@
 				sessions[q.Session] = true
 				return false
 			}
-			cfg.NotRepeatable = 1
+			cfg.NonRepeatableShare = 1
 			res, err := Run(context.Background(), cfg)
 			So(err, ShouldBeNil)
-			So(res.Once.Ran, ShouldEqual, res.Scheduled)
+			So(res.NonRepeatable.Ran, ShouldEqual, res.Scheduled)
 			So(sessions, ShouldResemble, map[string]bool{"session-1": true})
 		})
 		Convey("does not fail over after a refusal for overload", func() {
@@ -151,12 +151,12 @@
 				panic(http.ErrAbortHandler)
 			}
 			second.reply = func(_ http.ResponseWriter, q *contract.Request) bool { note(q); return false }
-			cfg.NotRepeatable = 1
+			cfg.NonRepeatableShare = 1
 			cfg.Callers = 100 // one for each request, since a caller avoids a daemon after a failure
 			res, err := Run(context.Background(), cfg)
 			So(err, ShouldBeNil)
-			So(res.Once.Ran, ShouldEqual, res.Scheduled)
-			So(res.Once.Resends, ShouldEqual, res.Scheduled)
+			So(res.NonRepeatable.Ran, ShouldEqual, res.Scheduled)
+			So(res.NonRepeatable.Resends, ShouldEqual, res.Scheduled)
 			So(len(seen), ShouldEqual, res.Scheduled)
 			for _, times := range seen {
 				So(times, ShouldEqual, 2)
@@ -171,7 +171,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	c := newCaller(http.DefaultClient, []string{"http://127.0.0.1:1"})
-	o := c.Ask(ctx, contract.Request{Path: testPath}, time.Now())
+	o := c.Query(ctx, contract.Request{Path: testPath}, time.Now())
 	if o.Answer != nil || o.Err == nil {
 		t.Fatalf("%+v", o)
 	}
@@ -183,7 +183,7 @@
 		shards := rapid.Uint32Range(1, 9).Draw(t, "shards")
 		version := rapid.Uint64Range(1, 99).Draw(t, "version")
 		a := wholeAnswer(shards, version, "mine")
-		if c := CheckAnswer(a, "mine"); c.Bad() {
+		if c := CheckAnswer(a, "mine"); c.HasErrors() {
 			t.Fatalf("errors found in a correct answer: %+v", c)
 		}
 		i := rapid.IntRange(0, len(a.Hits)-1).Draw(t, "hit")
@@ -230,8 +230,8 @@
 	go func() { _ = control.Serve(lis) }()
 	defer control.Close()
 	e := startFakeEntry(t)
-	res, err := Run(context.Background(), Config{Entries: []string{e.URL}, Paths: []string{testPath}, Rate: 200,
-		Duration: 300 * time.Millisecond, Window: 50 * time.Millisecond, Standin: "http://" + lis.Addr().String() + "\n"})
+	res, err := Run(context.Background(), Config{EntryURLs: []string{e.URL}, Paths: []string{testPath}, Rate: 200,
+		Duration: 300 * time.Millisecond, Window: 50 * time.Millisecond, StandinURL: "http://" + lis.Addr().String() + "\n"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -61,9 +61,9 @@
 	p.Y.Min, p.Y.Max = 0, 1
 	p.Legend.Top = true
 	for i, s := range r.busiest(plotMaxLeaves) {
-		xy := make(plotter.XYs, len(s.Most))
-		for j := range s.Most {
-			xy[j] = plotter.XY{X: s.At[j], Y: float64(s.Most[j]) / float64(s.Slots)}
+		xy := make(plotter.XYs, len(s.Peaks))
+		for j := range s.Peaks {
+			xy[j] = plotter.XY{X: s.EndTimes[j], Y: float64(s.Peaks[j]) / float64(s.Slots)}
 		}
 		if err := addLine(p, i, s.Service+" "+s.Name, xy); err != nil {
 			return err
--- a/internal/load/result.go
+++ b/internal/load/result.go
@@ -9,30 +9,30 @@
 
 // Result is the result of a run.
 type Result struct {
-	Rate       float64 `json:"rate"`
-	DurationMS int64   `json:"duration_ms"`
-	Scheduled  int     `json:"scheduled"`
-	Skipped    int     `json:"skipped"` // not started: this process had too many in flight
-	Answered   int     `json:"answered"`
-	Refused    int     `json:"refused"`  // verdict not_run
-	InDoubt    int     `json:"in_doubt"` // verdict may_have_run
-	Failed     int     `json:"failed"`   // no daemon replied before the deadline
-	Late       int     `json:"late"`     // answered after the deadline
-	Failovers  int     `json:"failovers"`
-	Whole      int     `json:"whole"`         // answered by every shard
-	Goodput    float64 `json:"goodput"`       // answers by every shard before the deadline, per second
-	Coverage   float64 `json:"mean_coverage"` // over the answered requests
-	Extra      int     `json:"extra_attempts"`
-	Errors     int     `json:"broken_answers"` // status 200 with a body that can't be decoded
+	Rate          float64 `json:"rate"`
+	DurationMS    int64   `json:"duration_ms"`
+	Scheduled     int     `json:"scheduled"`
+	Skipped       int     `json:"skipped"` // not started: this process had too many in flight
+	Answered      int     `json:"answered"`
+	Refused       int     `json:"refused"`  // verdict not_run
+	InDoubt       int     `json:"in_doubt"` // verdict may_have_run
+	Failed        int     `json:"failed"`   // no daemon replied before the deadline
+	Late          int     `json:"late"`     // answered after the deadline
+	Failovers     int     `json:"failovers"`
+	Whole         int     `json:"whole"`         // answered by every shard
+	Goodput       float64 `json:"goodput"`       // answers by every shard before the deadline, per second
+	Coverage      float64 `json:"mean_coverage"` // over the answered requests
+	ExtraAttempts int     `json:"extra_attempts"`
+	BrokenAnswers int     `json:"broken_answers"` // status 200 with a body that can't be decoded
 
 	LastError string `json:"last_error,omitempty"` // of a request without a reply
 
 	Reasons map[contract.Reason]int `json:"reasons"` // of refused and in-doubt requests
 	Missing map[contract.Reason]int `json:"missing"` // of shards not covered
 
-	Messages map[contract.Reason]string `json:"messages,omitempty"` // last message of each reason
-	Check    Check                      `json:"check"`
-	Once     Once                       `json:"not_repeatable"`
+	Messages      map[contract.Reason]string `json:"messages,omitempty"` // last message of each reason
+	Check         Check                      `json:"check"`
+	NonRepeatable NonRepeatable              `json:"not_repeatable"`
 
 	Answers  Quantiles   `json:"answer_latency"`
 	Refusals Quantiles   `json:"refusal_latency"`
@@ -41,7 +41,7 @@
 }
 
 // NonRepeatable counts the non-repeatable requests.
-type Once struct {
+type NonRepeatable struct {
 	Sent     int `json:"sent"`
 	Ran      int `json:"ran"`
 	NotRun   int `json:"not_run"`
@@ -92,7 +92,7 @@
 	r.Failovers += o.Failovers
 	switch {
 	case o.Answer != nil && o.Err != nil:
-		r.Errors++
+		r.BrokenAnswers++
 	case o.Answer != nil:
 		t.addAnswer(o.Answer, check, latency <= deadline)
 	case o.Failure != nil && o.Failure.Verdict == contract.NotRun:
@@ -117,7 +117,7 @@
 func (t *tally) addAnswer(a *contract.Answer, check Check, inTime bool) {
 	r := &t.res
 	r.Answered++
-	r.Extra += a.ExtraAttempts
+	r.ExtraAttempts += a.ExtraAttempts
 	r.Check.Add(check)
 	t.coverage += a.Coverage.Fraction()
 	for _, m := range a.Coverage.Missing {
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -40,15 +40,15 @@
 	defer stopPolling()
 	var poller *statsPoller
 	var polling errgroup.Group
-	if cfg.Standin != "" {
-		if poller, err = newStatsPoller(ctx, client, cfg.Standin); err != nil {
+	if cfg.StandinURL != "" {
+		if poller, err = newStatsPoller(ctx, client, cfg.StandinURL); err != nil {
 			return nil, err
 		}
 		polling.Go(func() error { return poller.run(pollCtx, cfg.Window) })
 	}
 	r := newRunner(&cfg, client)
 	start := time.Now()
-	Drive(ctx, schedule, cfg.Outstanding, r.runRequest, func(int, time.Time) { r.tally.addSkipped() })
+	Drive(ctx, schedule, cfg.MaxInFlight, r.runRequest, func(int, time.Time) { r.tally.addSkipped() })
 	stopPolling()
 	if err := polling.Wait(); err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 type runner struct {
 	cfg      *Config
 	runID    string // random, so that keys are unique across runs
-	queriers []Asker
+	queriers []Querier
 	tally    *tally
 
 	mu     sync.Mutex
@@ -77,12 +77,12 @@
 		tally:  newTally(time.Now(), cfg.Window),
 		random: rand.New(rand.NewPCG(cfg.Seed, ^cfg.Seed)),
 	}
-	r.queriers = cfg.Askers
+	r.queriers = cfg.Queriers
 	if len(r.queriers) > 0 {
 		return r
 	}
 	for range cfg.Callers {
-		r.queriers = append(r.queriers, newCaller(client, cfg.Entries))
+		r.queriers = append(r.queriers, newCaller(client, cfg.EntryURLs))
 	}
 	return r
 }
@@ -100,14 +100,14 @@
 	defer cancel()
 	querier := r.queriers[n%len(r.queriers)]
 	q := r.newRequest(n)
-	o := querier.Ask(ctx, q, deadline)
+	o := querier.Query(ctx, q, deadline)
 	runKey := r.runKey(n)
 	r.tally.add(&o, runKey, intended, time.Since(intended), r.cfg.Deadline)
 	if q.IsRepeatable() {
 		return
 	}
 	var again *Outcome
-	if o.Session != "" && r.chance(r.cfg.Resend) {
+	if o.Session != "" && r.chance(r.cfg.ResendShare) {
 		q.Session = o.Session
 		resent := resend(querier, q, r.cfg.Deadline)
 		again = &resent
@@ -126,7 +126,7 @@
 		panic(err) // a struct of a string can always be encoded
 	}
 	q := contract.Request{Path: r.cfg.Paths[n%len(r.cfg.Paths)], Body: body}
-	if r.chance(r.cfg.NotRepeatable) {
+	if r.chance(r.cfg.NonRepeatableShare) {
 		repeatable := false
 		q.Repeatable = &repeatable
 		q.Key = key
@@ -136,11 +136,11 @@
 
 // resend sends a request whose outcome is known again under its key, as a caller does that
 // did not receive the reply.
-func resend(querier Asker, q contract.Request, limit time.Duration) Outcome {
+func resend(querier Querier, q contract.Request, limit time.Duration) Outcome {
 	deadline := time.Now().Add(limit)
 	ctx, cancel := context.WithDeadline(context.Background(), deadline.Add(lateReplyTimeout))
 	defer cancel()
-	return querier.Ask(ctx, q, deadline)
+	return querier.Query(ctx, q, deadline)
 }
 
 // verdict returns what the caller knows about a request that has ended.
@@ -159,7 +159,7 @@
 func (t *tally) addNonRepeatable(first, again *Outcome) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	o := &t.res.Once
+	o := &t.res.NonRepeatable
 	o.Sent++
 	switch first.verdict() {
 	case contract.Ran:
--- a/internal/load/table.go
+++ b/internal/load/table.go
@@ -36,7 +36,7 @@
 		fmt.Fprintf(w, "%s\t"+format+"\n", append([]any{name}, args...)...)
 	}
 	row("scheduled", "%d at %.0f/s, %d skipped by this process", r.Scheduled, r.Rate, r.Skipped)
-	row("answered", "%d, of these whole %d, late %d, broken %d", r.Answered, r.Whole, r.Late, r.Errors)
+	row("answered", "%d, of these whole %d, late %d, broken %d", r.Answered, r.Whole, r.Late, r.BrokenAnswers)
 	row("not run", "%d", r.Refused)
 	row("in doubt", "%d", r.InDoubt)
 	row("no reply", "%d %s", r.Failed, r.LastError)
@@ -51,13 +51,13 @@
 	row("failovers", "%d", r.Failovers)
 	row("check", "lost %d, doubled %d, mixed versions %d, foreign %d, untrue coverage %d",
 		r.Check.Lost, r.Check.Doubled, r.Check.Mixed, r.Check.Foreign, r.Check.Coverage)
-	o := r.Once
+	o := r.NonRepeatable
 	row("not repeatable", "%d sent: ran %d, not run %d, in doubt %d; %d resends: %d same outcome, %d changed",
 		o.Sent, o.Ran, o.NotRun, o.InDoubt, o.Resends, o.Repeated, o.Changed)
 	if l := r.Leaves; l != nil {
 		row("leaf runs", "%d, extra %d, doubled runs of not-repeatable %d", l.Runs.Total, l.Runs.Extra, l.Runs.Doubled)
-		row("leaf in flight", "most %d, most over slots %.2f", l.MostInFlight, l.MostOverSlots)
-		row("leaf connections", "most %d, over cap %.2f, opened %d, refused %d", l.MostOpen, l.MostOverCap, l.Opened, l.ConnsRefused)
+		row("leaf in flight", "most %d, most over slots %.2f", l.PeakInFlight, l.PeakOverSlots)
+		row("leaf connections", "most %d, over cap %.2f, opened %d, refused %d", l.PeakOpen, l.PeakOverLimit, l.Opened, l.ConnsRefused)
 		row("leaf refusals", "shed %d, expired %d, stopped %d, while draining %d", l.Refused, l.Expired, l.Cancelled, l.WhileDraining)
 	}
 	return w.Flush()
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -34,9 +34,9 @@
 
 // Values of Power.
 const (
-	PowerKeep Power = ""
-	PowerDown Power = "down" // listener and connections close at once
-	PowerUp   Power = "up"   // same address, cold start
+	PowerUnchanged Power = ""
+	PowerDown      Power = "down" // listener and connections close at once
+	PowerUp        Power = "up"   // same address, cold start
 )
 
 const maxShards = 4096
@@ -66,7 +66,7 @@
 			Fix: fmt.Sprintf("use a version from 1 and 1 to %d shards", maxShards)})
 	}
 	switch c.Power {
-	case PowerKeep, PowerDown, PowerUp:
+	case PowerUnchanged, PowerDown, PowerUp:
 	default:
 		fs = append(fs, contract.Fault{Field: "power", Value: string(c.Power), Why: "is unknown", Fix: "use down or up"})
 	}
@@ -106,7 +106,7 @@
 		}
 	}
 	if v := c.Publish; v != nil {
-		held := Layout(l.index, l.count, v.Shards)
+		held := HeldShards(l.index, l.count, v.Shards)
 		l.Publish(contract.LeafIndex{Service: l.service, Version: v.Version, Shards: v.Shards, HeldShards: held})
 	}
 	if c.Retire != 0 {
--- a/internal/standin/controlhttp.go
+++ b/internal/standin/controlhttp.go
@@ -25,7 +25,7 @@
 }
 
 // ControlReply is the reply to POST /control.
-type Applied struct {
+type ControlReply struct {
 	Leaves int `json:"leaves"` // number of selected leaves
 }
 
@@ -63,7 +63,7 @@
 		writeFailure(w, contract.Faults{{Field: "leaf", Value: c.Leaf + " " + c.Service, Why: "chooses no leaf", Fix: "use a name or path of GET " + StatsPath}})
 		return
 	}
-	writeJSON(w, Applied{Leaves: n})
+	writeJSON(w, ControlReply{Leaves: n})
 }
 
 func (f *Fleet) servePlatform(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/documents.go
+++ b/internal/standin/documents.go
@@ -61,7 +61,7 @@
 
 // HeldShards returns the shards that leaf i of n holds. If n is at most 2, every leaf holds
 // all shards; otherwise leaves s and s+1, modulo n, hold shard s.
-func Layout(i, n int, shards uint32) []uint32 {
+func HeldShards(i, n int, shards uint32) []uint32 {
 	held := []uint32{}
 	for s := range shards {
 		first := int(s) % n
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -67,7 +67,7 @@
 			Name:   name,
 			Listen: cfg.Host + ":0",
 			Indexes: []contract.LeafIndex{{
-				Service: s.Path, Version: FirstVersion, Shards: shards, HeldShards: Layout(i, len(s.Leaves), shards),
+				Service: s.Path, Version: FirstVersion, Shards: shards, HeldShards: HeldShards(i, len(s.Leaves), shards),
 			}},
 			Documents: cfg.Documents,
 			Behavior:  s.Behavior,
--- a/internal/standin/leaf_test.go
+++ b/internal/standin/leaf_test.go
@@ -105,13 +105,13 @@
 		}
 	}
 	st := l.Stats(true)
-	if st.MostInFlight != 5 || st.QueueRefused != 2 || st.WindowInFlight != 5 {
+	if st.PeakInFlight != 5 || st.QueueRefused != 2 || st.WindowInFlight != 5 {
 		t.Fatalf("stats %+v", st)
 	}
 	cancel()
 	wg.Wait()
 	waitFor(t, "slots free after the callers left", func() bool { return l.Stats(false).InFlight == 0 })
-	if st := l.Stats(true); st.WindowInFlight > 4 || st.MostInFlight != 5 {
+	if st := l.Stats(true); st.WindowInFlight > 4 || st.PeakInFlight != 5 {
 		t.Fatalf("stats %+v", st)
 	}
 }
@@ -182,7 +182,7 @@
 		t.Fatal("the third connection was served")
 	}
 	st := l.Stats(false)
-	if st.MostOpen != 3 || st.ConnectionsRefused != 1 || st.Opened != 2 {
+	if st.PeakOpen != 3 || st.ConnectionsRefused != 1 || st.Opened != 2 {
 		t.Fatalf("stats %+v", st)
 	}
 	for _, conn := range open {
@@ -293,7 +293,7 @@
 		shards := rapid.Uint32Range(1, 40).Draw(t, "shards")
 		holders := make(map[uint32]int)
 		for i := range n {
-			for _, s := range Layout(i, n, shards) {
+			for _, s := range HeldShards(i, n, shards) {
 				holders[s]++
 			}
 		}
--- a/internal/standin/narrow.go
+++ b/internal/standin/narrow.go
@@ -14,7 +14,7 @@
 // ThrottledLink forwards connections to one address. All connections share a bandwidth of
 // rate bytes per second in each direction, and data is delivered delay after the link
 // has carried it.
-type NarrowLink struct {
+type ThrottledLink struct {
 	lis       net.Listener
 	target    string
 	rate      float64
@@ -34,12 +34,12 @@
 
 // NewThrottledLink listens on a loopback port and forwards to target until Close. rate is in
 // bytes per second; delay is added to the delivery of all data.
-func NewNarrowLink(target string, rate float64, delay time.Duration) (*NarrowLink, error) {
+func NewThrottledLink(target string, rate float64, delay time.Duration) (*ThrottledLink, error) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &NarrowLink{
+	l := &ThrottledLink{
 		lis: lis, target: target, rate: rate, delay: delay,
 		up: make(chan chunk, queuedChunks), down: make(chan chunk, queuedChunks), done: make(chan struct{}),
 	}
@@ -50,17 +50,17 @@
 }
 
 // Addr returns the address to connect to instead of the target.
-func (l *NarrowLink) Addr() string { return l.lis.Addr().String() }
+func (l *ThrottledLink) Addr() string { return l.lis.Addr().String() }
 
 // Close closes the listener and stops forwarding.
-func (l *NarrowLink) Close() {
+func (l *ThrottledLink) Close() {
 	l.closeOnce.Do(func() {
 		close(l.done)
 		_ = l.lis.Close()
 	})
 }
 
-func (l *NarrowLink) accept() {
+func (l *ThrottledLink) accept() {
 	for {
 		in, err := l.lis.Accept()
 		if err != nil {
@@ -77,7 +77,7 @@
 }
 
 // readChunks queues the data read from a connection until the connection or the link ends.
-func (l *NarrowLink) readChunks(from, to net.Conn, queue chan<- chunk) {
+func (l *ThrottledLink) readChunks(from, to net.Conn, queue chan<- chunk) {
 	defer func() { _ = from.Close() }()
 	for {
 		c := chunk{to: to, data: make([]byte, chunkBytes)}
@@ -93,7 +93,7 @@
 	}
 }
 
-func (l *NarrowLink) enqueue(queue chan<- chunk, c chunk) bool {
+func (l *ThrottledLink) enqueue(queue chan<- chunk, c chunk) bool {
 	select {
 	case queue <- c:
 		return true
@@ -104,7 +104,7 @@
 }
 
 // deliver writes chunks in order, each when the link has carried it and the delay has passed.
-func (l *NarrowLink) deliver(queue <-chan chunk) {
+func (l *ThrottledLink) deliver(queue <-chan chunk) {
 	idleAt := time.Now()
 	for {
 		select {
--- a/internal/standin/runs.go
+++ b/internal/standin/runs.go
@@ -63,7 +63,7 @@
 type RunStats struct {
 	Total         uint64 `json:"total"`
 	Extra         uint64 `json:"extra"` // runs of a repeatable request beyond its first at a shard
-	NotRepeatable uint64 `json:"not_repeatable"`
+	NonRepeatable uint64 `json:"not_repeatable"`
 	Doubled       uint64 `json:"doubled"` // runs of a non-repeatable request beyond its first at a shard
 }
 
@@ -71,5 +71,5 @@
 func (r *Runs) Stats() RunStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return RunStats{Total: r.total, Extra: r.extra, NotRepeatable: r.nonRepeatable, Doubled: r.doubled}
+	return RunStats{Total: r.total, Extra: r.extra, NonRepeatable: r.nonRepeatable, Doubled: r.doubled}
 }
--- a/internal/standin/status.go
+++ b/internal/standin/status.go
@@ -59,10 +59,10 @@
 	Slots              int      `json:"slots"`
 	Connections        int      `json:"connections"` // maximum of open connections
 	InFlight           int      `json:"in_flight"`
-	MostInFlight       int      `json:"most_in_flight"`   // peak of running plus queued requests
+	PeakInFlight       int      `json:"most_in_flight"`   // peak of running plus queued requests
 	WindowInFlight     int      `json:"window_in_flight"` // peak since the window was last read
 	Open               int      `json:"open"`
-	MostOpen           int      `json:"most_open"`
+	PeakOpen           int      `json:"most_open"`
 	Opened             uint64   `json:"opened"`
 	ConnectionsRefused uint64   `json:"connections_refused"`
 	Replies            uint64   `json:"replies"`
@@ -94,7 +94,7 @@
 	}
 	l.slots.mu.Lock()
 	st.InFlight = l.slots.running + l.slots.waiting.Len()
-	st.MostInFlight = l.slots.peak
+	st.PeakInFlight = l.slots.peak
 	st.WindowInFlight = l.slots.windowPeak
 	st.QueueRefused = l.slots.refusals
 	l.slots.mu.Unlock()
@@ -102,7 +102,7 @@
 		st.WindowInFlight = l.slots.takeWindowPeak()
 	}
 	l.conns.mu.Lock()
-	st.Open, st.MostOpen = l.conns.open, l.conns.peak
+	st.Open, st.PeakOpen = l.conns.open, l.conns.peak
 	st.Opened, st.ConnectionsRefused = l.conns.opened, l.conns.refused
 	l.conns.mu.Unlock()
 	return st
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -63,7 +63,7 @@
 			if status != http.StatusOK {
 				continue
 			}
-			addrs, _, err := standin.Addresses(body)
+			addrs, _, err := standin.DecodeAddresses(body)
 			if err != nil {
 				c.h.fail("%s: %v", v.name, err)
 				continue
@@ -188,7 +188,7 @@
 	if !c.h.operators.inOneConfiguration(services) {
 		c.h.fail("request %s: parts %v do not belong to one configuration", id, services)
 	}
-	if want := standin.Top(services, id, topRecords); text != want {
+	if want := standin.TopRecords(services, id, topRecords); text != want {
 		c.h.fail("request %s: got %q, want %q", id, text, want)
 	}
 }
--- a/soak/leaves_test.go
+++ b/soak/leaves_test.go
@@ -132,7 +132,7 @@
 		return
 	}
 	signature := strings.Join([]string{l.service, id, strconv.FormatInt(l.h.lastSignature.Add(1), 10)}, "/")
-	text := standin.Part(l.service, id)
+	text := standin.PartialAnswer(l.service, id)
 	if m == answersTwice {
 		l.answerTwice(rw, id, signature, text)
 		return
@@ -195,7 +195,7 @@
 	if l.leaving.IsZero() {
 		return standin.Ready
 	}
-	return standin.Leaving
+	return standin.Draining
 }
 
 // removeLeaf stops the leaf and removes it from the list.
@@ -220,7 +220,7 @@
 	for i, l := range leaves {
 		rows[i] = standin.Leaf{ID: l.id, Service: l.service, Addr: l.addr, Domain: domain, Slots: 8, State: l.listState()}
 	}
-	text, err := standin.Page(rows, "")
+	text, err := standin.EncodePage(rows, "")
 	if err != nil {
 		h.fail("list: %v", err)
 	}
--- a/soak/operator_test.go
+++ b/soak/operator_test.go
@@ -137,7 +137,7 @@
 	defer client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		v := h.vms[rng.IntN(vmCount)]
-		status, body := doHTTP(client, http.MethodPost, "http://"+v.addr(h.ports.operators)+standin.PutPath, text)
+		status, body := doHTTP(client, http.MethodPost, "http://"+v.addr(h.ports.operators)+standin.PutConfigurationPath, text)
 		switch {
 		case status == http.StatusOK:
 			h.operators.recordAck(number)
@@ -181,7 +181,7 @@
 	client := &http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
 	v := h.vms[rng.IntN(vmCount)]
-	if status, _ := doHTTP(client, http.MethodPost, "http://"+v.addr(h.ports.operators)+standin.PutPath, text[:len(text)/2]); status == http.StatusOK {
+	if status, _ := doHTTP(client, http.MethodPost, "http://"+v.addr(h.ports.operators)+standin.PutConfigurationPath, text[:len(text)/2]); status == http.StatusOK {
 		h.fail("%s acknowledged a truncated configuration", v.name)
 	}
 }
@@ -198,11 +198,11 @@
 // checkReadBackAt reads the configuration at one VM, following redirects, and checks that
 // its number is at least want.
 func (h *harness) checkReadBackAt(client *http.Client, v *vmProcess, want int) (int, bool) {
-	status, body := doHTTP(client, http.MethodGet, "http://"+v.addr(h.ports.operators)+standin.GetPath, "")
+	status, body := doHTTP(client, http.MethodGet, "http://"+v.addr(h.ports.operators)+standin.GetConfigurationPath, "")
 	if status != http.StatusOK {
 		return 0, false
 	}
-	number, err := standin.Number(body)
+	number, err := standin.ConfigurationVersion(body)
 	if err != nil {
 		h.fail("%s returned an unreadable configuration: %q", v.name, body)
 		return 0, false
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -208,7 +208,7 @@
 	for _, i := range order {
 		vm.Seeds = append(vm.Seeds, h.vms[i].addr(h.ports.operators))
 	}
-	text, err := vm.Settings()
+	text, err := vm.EncodeSettings()
 	temp := v.settingsFile() + ".new"
 	if err == nil {
 		err = os.WriteFile(temp, text, 0o600)
--- a/test/caller_test.go
+++ b/test/caller_test.go
@@ -152,7 +152,7 @@
 // hits or hits of another request, or reports wrong coverage.
 func checkAnswer(t *testing.T, r *contract.Request, a *contract.Answer) {
 	t.Helper()
-	if c := load.CheckAnswer(a, runKeyOf(r)); c.Bad() {
+	if c := load.CheckAnswer(a, runKeyOf(r)); c.HasErrors() {
 		t.Errorf("wrong answer: %+v; coverage %+v", c, a.Coverage)
 	}
 }
@@ -179,7 +179,7 @@
 func (tr *tier) startLoad(cfg load.Config) *loadRun {
 	tr.t.Helper()
 	for _, p := range tr.entries {
-		cfg.Entries = append(cfg.Entries, p.callerURL)
+		cfg.EntryURLs = append(cfg.EntryURLs, p.callerURL)
 	}
 	cfg.Duration = 10 * time.Minute // ended by stop
 	cfg.Seed = 1
@@ -206,7 +206,7 @@
 	}
 	r := l.result
 	t.Logf("load: scheduled %d answered %d whole %d refused %d in doubt %d failed %d broken %d failovers %d late %d; reasons %v missing %v check %+v once %+v; last error %q",
-		r.Answered+r.Refused+r.InDoubt+r.Failed, r.Answered, r.Whole, r.Refused, r.InDoubt, r.Failed, r.Errors, r.Failovers, r.Late, r.Reasons, r.Missing, r.Check, r.Once, r.LastError)
+		r.Answered+r.Refused+r.InDoubt+r.Failed, r.Answered, r.Whole, r.Refused, r.InDoubt, r.Failed, r.BrokenAnswers, r.Failovers, r.Late, r.Reasons, r.Missing, r.Check, r.NonRepeatable, r.LastError)
 	return r
 }
 
--- a/test/crash_test.go
+++ b/test/crash_test.go
@@ -16,14 +16,14 @@
 // that ran more than once.
 func checkLoadResult(t *testing.T, tr *tier, r *load.Result) {
 	t.Helper()
-	if r.Check.Bad() || r.Errors > 0 {
-		t.Errorf("wrong answers: %+v; %d unreadable", r.Check, r.Errors)
+	if r.Check.HasErrors() || r.BrokenAnswers > 0 {
+		t.Errorf("wrong answers: %+v; %d unreadable", r.Check, r.BrokenAnswers)
 	}
 	if n := tr.fleet.Runs().Stats().Doubled; n > 0 {
 		t.Errorf("%d at-most-once requests ran more than once", n)
 	}
-	if r.Once.Changed > 0 {
-		t.Errorf("%d requests were reported first as run and later as not run", r.Once.Changed)
+	if r.NonRepeatable.Changed > 0 {
+		t.Errorf("%d requests were reported first as run and later as not run", r.NonRepeatable.Changed)
 	}
 	if r.Answered == 0 {
 		t.Error("no request was answered")
@@ -96,10 +96,10 @@
 	t.Parallel()
 	tr := startTier(t, tierConfig{controls: 1, entries: 4})
 	cfg := steadyLoad()
-	cfg.NotRepeatable, cfg.Resend = 0, 0
+	cfg.NonRepeatableShare, cfg.ResendShare = 0, 0
 	queries := tr.startLoad(cfg)
 	chargeConfig := cfg
-	chargeConfig.Paths, chargeConfig.Rate, chargeConfig.NotRepeatable, chargeConfig.Resend = []string{ledgerPath}, 20, 1, 0.5
+	chargeConfig.Paths, chargeConfig.Rate, chargeConfig.NonRepeatableShare, chargeConfig.ResendShare = []string{ledgerPath}, 20, 1, 0.5
 	charges := tr.startLoad(chargeConfig)
 	for _, p := range tr.entries {
 		p.stop()
--- a/test/index_test.go
+++ b/test/index_test.go
@@ -24,7 +24,7 @@
 			if service == ledgerPath {
 				n = 3
 			}
-			l.Publish(contract.LeafIndex{Service: service, Version: version, Shards: shards, HeldShards: standin.Layout(i, n, shards)})
+			l.Publish(contract.LeafIndex{Service: service, Version: version, Shards: shards, HeldShards: standin.HeldShards(i, n, shards)})
 		}
 		// Longer than a probe interval, so that the homes learn of the new version.
 		time.Sleep(400 * time.Millisecond)
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -29,7 +29,7 @@
 func rollingRestartWithStalls(t *testing.T, seed uint64) {
 	tr := startTier(t, tierConfig{controls: 1, entries: 4})
 	cfg := steadyLoad()
-	cfg.NotRepeatable, cfg.Resend = 0, 0
+	cfg.NonRepeatableShare, cfg.ResendShare = 0, 0
 	running := tr.startLoad(cfg)
 	stop := make(chan struct{})
 	var stallLoop sync.WaitGroup
--- a/test/tier_test.go
+++ b/test/tier_test.go
@@ -340,11 +340,11 @@
 func (tr *tier) checkLeafLimits() {
 	tr.t.Helper()
 	for _, l := range tr.fleet.Stats(false).Leaves {
-		if l.MostInFlight > l.Slots {
-			tr.t.Errorf("leaf %s had %d requests in flight, more than its %d slots", l.Name, l.MostInFlight, l.Slots)
+		if l.PeakInFlight > l.Slots {
+			tr.t.Errorf("leaf %s had %d requests in flight, more than its %d slots", l.Name, l.PeakInFlight, l.Slots)
 		}
-		if l.MostOpen > l.Connections {
-			tr.t.Errorf("leaf %s had %d open connections, more than its limit of %d", l.Name, l.MostOpen, l.Connections)
+		if l.PeakOpen > l.Connections {
+			tr.t.Errorf("leaf %s had %d open connections, more than its limit of %d", l.Name, l.PeakOpen, l.Connections)
 		}
 	}
 }
