--- a/bench/baseline/client.go
+++ b/bench/baseline/client.go
@@ -87,7 +87,7 @@
 	a := &contract.Answer{RequestID: id, Verdict: contract.Ran, IndexVersions: map[string]uint64{}}
 	a.Coverage.Total = len(c.targets)
 	for i, t := range c.targets {
-		a.IndexVersions[t.Service] = t.Version
+		a.IndexVersions[t.Service] = t.IndexVersion
 		if replies[i] == nil {
 			m := contract.Missing{Service: t.Service, Shard: t.Shard, Reason: reasonOf(failures[i])}
 			a.Coverage.Missing = append(a.Coverage.Missing, m)
@@ -120,7 +120,7 @@
 	}
 	start := time.Now()
 	reply, err := c.send(ctx, l, &contract.LeafRequest{
-		ID: id, Attempt: 1, Service: t.Service, Shard: t.Shard, IndexVersion: t.Version,
+		ID: id, Attempt: 1, Service: t.Service, Shard: t.Shard, IndexVersion: t.IndexVersion,
 		DeadlineMS: max(time.Until(deadline).Milliseconds(), 1), Repeatable: true, Body: body,
 	})
 	c.policy.Release(l, time.Since(start), contract.VerdictOf(err) == contract.NotRun)
--- a/bench/baseline/limiter.go
+++ b/bench/baseline/limiter.go
@@ -34,7 +34,7 @@
 		return best, nil
 	}
 	w := &waiter{granted: make(chan *Leaf, 1)}
-	for _, r := range t.Replicas {
+	for _, r := range t.Leaves {
 		l.queues[r] = append(l.queues[r], w)
 	}
 	l.mu.Unlock()
@@ -55,8 +55,8 @@
 func (l *limiter) mostFree(t *Target) *Leaf {
 	var best *Leaf
 	mostFreeSlots := 0
-	for _, i := range rand.Perm(len(t.Replicas)) {
-		r := t.Replicas[i]
+	for _, i := range rand.Perm(len(t.Leaves)) {
+		r := t.Leaves[i]
 		if free := l.limit(r) - l.inFlight[r]; free > mostFreeSlots {
 			best, mostFreeSlots = r, free
 		}
--- a/bench/baseline/policies.go
+++ b/bench/baseline/policies.go
@@ -12,7 +12,7 @@
 
 // Acquire implements Policy.
 func (Naive) Acquire(_ context.Context, t *Target) (*Leaf, error) {
-	return t.Replicas[rand.IntN(len(t.Replicas))], nil
+	return t.Leaves[rand.IntN(len(t.Leaves))], nil
 }
 
 // Release implements Policy.
--- a/bench/baseline/policies_test.go
+++ b/bench/baseline/policies_test.go
@@ -13,7 +13,7 @@
 func TestOracleDoesNotExceedSlots(t *testing.T) {
 	leaves := []*Leaf{{Slots: 2}, {Slots: 2}}
 	o := NewOracle()
-	target := &Target{Replicas: leaves}
+	target := &Target{Leaves: leaves}
 	var mu sync.Mutex
 	inFlight := map[*Leaf]int{}
 	var wg sync.WaitGroup
@@ -52,7 +52,7 @@
 func TestAdaptiveBacksOffOnRejection(t *testing.T) {
 	a := NewAdaptive()
 	l := &Leaf{Slots: 2}
-	target := &Target{Replicas: []*Leaf{l}}
+	target := &Target{Leaves: []*Leaf{l}}
 	attempt := func(refused bool) {
 		got, err := a.Acquire(context.Background(), target)
 		if err != nil {
--- a/bench/baseline/targets.go
+++ b/bench/baseline/targets.go
@@ -21,17 +21,17 @@
 
 // Target is a shard with the leaves that hold it.
 type Target struct {
-	Service  string
-	Shard    uint32
-	Version  uint64
-	Replicas []*Leaf
+	Service      string
+	Shard        uint32
+	IndexVersion uint64
+	Leaves       []*Leaf
 }
 
 // Discover asks the simulated leaves which shards they hold of the services at or
 // below path. It returns the shards of the newest index version of each service.
-func Discover(ctx context.Context, client *http.Client, control, path string) ([]Target, error) {
+func Discover(ctx context.Context, client *http.Client, statsURL, path string) ([]Target, error) {
 	var st standin.FleetStats
-	if err := getJSON(ctx, client, strings.TrimSpace(control)+standin.StatsPath, &st); err != nil {
+	if err := getJSON(ctx, client, strings.TrimSpace(statsURL)+standin.StatsPath, &st); err != nil {
 		return nil, err
 	}
 	shards := map[string]map[uint32][]*Leaf{}
@@ -62,7 +62,7 @@
 	var out []Target
 	for service, held := range shards {
 		for shard, replicas := range held {
-			out = append(out, Target{Service: service, Shard: shard, Version: versions[service], Replicas: replicas})
+			out = append(out, Target{Service: service, Shard: shard, IndexVersion: versions[service], Leaves: replicas})
 		}
 	}
 	slices.SortFunc(out, func(a, b Target) int {
--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -21,12 +21,12 @@
 // variants are the complete policies, and the policies without each mechanism.
 var variants = []struct {
 	name    string
-	without sim.Without
+	without sim.Disabled
 }{
-	{"as it is", sim.Without{}},
-	{"no second sends", sim.Without{Hedges: true}},
-	{"no waits for connections", sim.Without{Waits: true}},
-	{"nothing learned of leaves", sim.Without{Learning: true}},
+	{"as it is", sim.Disabled{}},
+	{"no second sends", sim.Disabled{Hedges: true}},
+	{"no waits for connections", sim.Disabled{ConnWaits: true}},
+	{"nothing learned of leaves", sim.Disabled{LeafStats: true}},
 }
 
 func main() {
@@ -57,7 +57,7 @@
 
 // runScenario prints the results of a scenario and returns the worth by second of the first variant.
 func runScenario(w io.Writer, s sim.Scenario, seeds int) worthSeries {
-	fmt.Fprintf(w, "%s: %s\n%28s %15s %8s %8s %8s %8s %8s %8s\n", s.Name, s.What, "", "worth", "in time", "parts", "p50 ms", "p99 ms", "extra", "denied")
+	fmt.Fprintf(w, "%s: %s\n%28s %15s %8s %8s %8s %8s %8s %8s\n", s.Name, s.Description, "", "worth", "in time", "parts", "p50 ms", "p99 ms", "extra", "denied")
 	out := worthSeries{name: s.Name}
 	for i, v := range variants {
 		results := make([]*sim.Result, seeds)
@@ -65,7 +65,7 @@
 		for k := range results {
 			wg.Go(func() {
 				c := s.Config(uint64(k + 1))
-				c.Without = v.without
+				c.Disabled = v.without
 				results[k] = sim.Run(c)
 			})
 		}
@@ -93,7 +93,7 @@
 			t := &r.Routes[i]
 			worth, parts = append(worth, t.Worth()), append(parts, t.Parts())
 			inTime = append(inTime, float64(t.InTime)/float64(max(t.Requests, 1)))
-			p50, p99 = append(p50, t.At(50).Seconds()*1000), append(p99, t.At(99).Seconds()*1000)
+			p50, p99 = append(p50, t.Percentile(50).Seconds()*1000), append(p99, t.Percentile(99).Seconds()*1000)
 		}
 		fmt.Fprintf(w, "%28s %15.3f %8.3f %8.3f %8.0f %8.0f\n", results[0].Routes[i].Name, stat.Mean(worth, nil),
 			stat.Mean(inTime, nil), stat.Mean(parts, nil), stat.Mean(p50, nil), stat.Mean(p99, nil))
--- a/bench/policy/sim/daemon.go
+++ b/bench/policy/sim/daemon.go
@@ -96,10 +96,10 @@
 func (d *daemon) startGather(route int) {
 	r := &d.sim.cfg.Routes[route]
 	latency := &d.latencies[route]
-	limits := policy.TimeLimits{Timeout: r.Timeout, TargetLatency: r.Aim, AnswerMargin: r.Margin}
+	limits := policy.TimeLimits{Timeout: r.Timeout, TargetLatency: r.TargetLatency, AnswerMargin: r.AnswerMargin}
 	g := &gather{
 		d: d, route: r, routeIndex: route, latency: latency, arrived: d.sim.now, schedule: policy.NewSchedule(limits, r.Timeout, 0, latency),
-		shards: make([]shard, d.sim.cfg.Shards), required: int(math.Ceil(r.Need*float64(d.sim.cfg.Shards) - 1e-9)), notSent: true,
+		shards: make([]shard, d.sim.cfg.Shards), required: int(math.Ceil(r.RequiredShare*float64(d.sim.cfg.Shards) - 1e-9)), notSent: true,
 	}
 	for i := range g.shards {
 		d.budgets.RecordRequest(d.serviceName(i))
@@ -136,9 +136,9 @@
 	}
 	s.blocked = false
 	s.sendCount++
-	req := &leafRequest{g: g, shard: i, leaf: l, startedAt: g.d.sim.now, networkDelay: g.d.sim.cfg.Near}
+	req := &leafRequest{g: g, shard: i, leaf: l, startedAt: g.d.sim.now, networkDelay: g.d.sim.cfg.SameDomainDelay}
 	if l.domain != g.d.domain {
-		req.networkDelay = g.d.sim.cfg.Far
+		req.networkDelay = g.d.sim.cfg.CrossDomainDelay
 	}
 	s.inFlight = append(s.inFlight, req)
 	s.triedLeaves = append(s.triedLeaves, l)
@@ -154,7 +154,7 @@
 			continue
 		}
 		c := policy.Candidate{SameDomain: l.domain == g.d.domain, Slots: g.d.sim.cfg.Slots}
-		if !g.d.sim.cfg.Without.Learning {
+		if !g.d.sim.cfg.Disabled.LeafStats {
 			c.Stats = &g.d.leafState(l).LeafStats
 		}
 		leaves, candidates = append(leaves, l), append(candidates, c)
@@ -189,13 +189,13 @@
 func (d *daemon) acquireConn(req *leafRequest) {
 	state := d.leafState(req.leaf)
 	state.Begin(req.startedAt)
-	if state.connsInUse < policy.ConnectionsPerDaemon(d.sim.cfg.Connections, d.sim.cfg.Daemons) {
+	if state.connsInUse < policy.ConnectionsPerDaemon(d.sim.cfg.MaxConns, d.sim.cfg.Daemons) {
 		state.connsInUse++
 		d.transmit(req)
 		return
 	}
 	wait := policy.ConnWait(req.g.latency.Median())
-	if d.sim.cfg.Without.Waits {
+	if d.sim.cfg.Disabled.ConnWaits {
 		wait = 0
 	}
 	state.waiting = append(state.waiting, req)
@@ -292,7 +292,7 @@
 
 // sendHedges sends a second request to every shard whose reply is late.
 func (g *gather) sendHedges() {
-	if g.answered || g.d.sim.cfg.Without.Hedges {
+	if g.answered || g.d.sim.cfg.Disabled.Hedges {
 		return
 	}
 	if policy.SuppressHedges(len(g.shards)-g.received, len(g.shards)) {
--- a/bench/policy/sim/leaf.go
+++ b/bench/policy/sim/leaf.go
@@ -26,11 +26,11 @@
 
 func newLeaf(sim *simulation, shard, domain int) *leaf {
 	l := &leaf{sim: sim, shard: shard, domain: domain, workFactor: math.Exp(workFactorSigma * sim.rng.NormFloat64())}
-	if sim.cfg.PauseEvery > 0 {
-		l.pauseOffset = time.Duration(sim.rng.Int64N(int64(sim.cfg.PauseEvery)))
+	if sim.cfg.PauseInterval > 0 {
+		l.pauseOffset = time.Duration(sim.rng.Int64N(int64(sim.cfg.PauseInterval)))
 	}
-	for _, slowdown := range sim.cfg.Spells {
-		l.inSlowdown = append(l.inSlowdown, shard < int(math.Round(slowdown.Shards*float64(sim.cfg.Shards))))
+	for _, slowdown := range sim.cfg.Slowdowns {
+		l.inSlowdown = append(l.inSlowdown, shard < int(math.Round(slowdown.ShardShare*float64(sim.cfg.Shards))))
 	}
 	return l
 }
@@ -41,7 +41,7 @@
 	case req.connClosed:
 	case l.running < l.sim.cfg.Slots:
 		l.startRequest(req)
-	case len(l.queue) < l.sim.cfg.Queue:
+	case len(l.queue) < l.sim.cfg.QueueSize:
 		req.state = queued
 		l.queue = append(l.queue, req)
 	default:
@@ -92,8 +92,8 @@
 // slowdownFactor returns the product of the factors of the slowdowns that affect the leaf now.
 func (l *leaf) slowdownFactor() float64 {
 	f := 1.0
-	for i, s := range l.sim.cfg.Spells {
-		if elapsed := l.sim.elapsed(); l.inSlowdown[i] && elapsed >= s.From && elapsed < s.From+s.For {
+	for i, s := range l.sim.cfg.Slowdowns {
+		if elapsed := l.sim.elapsed(); l.inSlowdown[i] && elapsed >= s.Start && elapsed < s.Start+s.Duration {
 			f *= s.Factor
 		}
 	}
@@ -102,7 +102,7 @@
 
 // completionTime returns when work that starts now will be done, including pauses.
 func (l *leaf) completionTime(work time.Duration) vm.Instant {
-	interval, length := l.sim.cfg.PauseEvery, l.sim.cfg.PauseFor
+	interval, length := l.sim.cfg.PauseInterval, l.sim.cfg.PauseDuration
 	if interval <= 0 {
 		return l.sim.now.Add(work)
 	}
--- a/bench/policy/sim/result.go
+++ b/bench/policy/sim/result.go
@@ -9,9 +9,9 @@
 
 // Result is the outcome of a simulation as callers see it.
 type Result struct {
-	Routes  []Tally
-	Seconds []Second // by the second in which requests arrived
-	Denied  int      // retries and hedges that the budget did not allow
+	Routes  []RouteResult
+	Seconds []Score // by the second in which requests arrived
+	Denied  int     // retries and hedges that the budget did not allow
 
 	callerDelay            time.Duration
 	serviceNames           []string
@@ -19,38 +19,38 @@
 }
 
 // RouteResult is the outcome for the callers of one route.
-type Tally struct {
+type RouteResult struct {
 	Name                         string
 	Requests                     int
 	InTime, Late                 int // answers within and after the target latency
 	NotServed                    int
-	score                        Second // of the whole simulation
+	score                        Score // of the whole simulation
 	latency                      *hdrhistogram.Histogram
 	receivedParts, expectedParts int // received and expected parts of all answers
 }
 
 // Score is the worth of the answers to some requests and the most that it could have been.
-type Second struct{ earned, possible float64 }
+type Score struct{ earned, possible float64 }
 
 // Worth returns the earned share of the maximum worth, 1 if there were no requests.
-func (s Second) Worth() float64 {
+func (s Score) Worth() float64 {
 	if s.possible == 0 {
 		return 1
 	}
 	return s.earned / s.possible
 }
 
-func (s *Second) add(earned, possible float64) {
+func (s *Score) add(earned, possible float64) {
 	s.earned, s.possible = s.earned+earned, s.possible+possible
 }
 
 func newResult(cfg Config) *Result {
-	r := &Result{callerDelay: cfg.ToCaller, Seconds: make([]Second, int(cfg.Length/time.Second)+1)}
+	r := &Result{callerDelay: cfg.CallerDelay, Seconds: make([]Score, int(cfg.Duration/time.Second)+1)}
 	for i := range cfg.Shards {
 		r.serviceNames = append(r.serviceNames, fmt.Sprintf("s%03d", i))
 	}
 	for _, rt := range cfg.Routes {
-		r.Routes = append(r.Routes, Tally{Name: rt.Name, latency: hdrhistogram.New(1, time.Minute.Microseconds(), 3)})
+		r.Routes = append(r.Routes, RouteResult{Name: rt.Name, latency: hdrhistogram.New(1, time.Minute.Microseconds(), 3)})
 	}
 	return r
 }
@@ -70,34 +70,36 @@
 }
 
 // recordAnswer counts an answer with the given latency and returns the worth that it earned.
-func (t *Tally) recordAnswer(g *gather, latency time.Duration) float64 {
+func (t *RouteResult) recordAnswer(g *gather, latency time.Duration) float64 {
 	_ = t.latency.RecordValue(latency.Microseconds()) // timeouts are far below the histogram's limit of one minute
 	t.receivedParts += g.received
 	t.expectedParts += len(g.shards)
 	share := float64(g.received) / float64(len(g.shards))
 	earned := g.route.Worth * share * share
-	if latency > g.route.Aim {
+	if latency > g.route.TargetLatency {
 		t.Late++
-		return earned * g.route.LateWorth
+		return earned * g.route.LateFactor
 	}
 	t.InTime++
 	return earned
 }
 
 // Worth returns the earned share of the maximum worth, 0 if there were no requests.
-func (t *Tally) Worth() float64 { return ratio(t.score.earned, t.score.possible) }
+func (t *RouteResult) Worth() float64 { return ratio(t.score.earned, t.score.possible) }
 
 // Parts returns the share of the expected parts that answers contained.
-func (t *Tally) Parts() float64 { return ratio(float64(t.receivedParts), float64(t.expectedParts)) }
+func (t *RouteResult) Parts() float64 {
+	return ratio(float64(t.receivedParts), float64(t.expectedParts))
+}
 
 // Percentile returns the given percentile of the latency of answers.
-func (t *Tally) At(percent float64) time.Duration {
+func (t *RouteResult) Percentile(percent float64) time.Duration {
 	return time.Duration(t.latency.ValueAtQuantile(percent)) * time.Microsecond
 }
 
 // Worth returns the earned share of the maximum worth of all routes, 0 if there were no requests.
 func (r *Result) Worth() float64 {
-	var total Second
+	var total Score
 	for i := range r.Routes {
 		total.add(r.Routes[i].score.earned, r.Routes[i].score.possible)
 	}
--- a/bench/policy/sim/scenario.go
+++ b/bench/policy/sim/scenario.go
@@ -17,33 +17,33 @@
 
 // Scenario is a change of the default configuration.
 type Scenario struct {
-	Name, What string
-	modify     func(*Config)
+	Name, Description string
+	modify            func(*Config)
 }
 
 func scaleRates(c *Config, factor float64) {
 	for i := range c.Routes {
-		c.Routes[i].PerSecond *= factor
+		c.Routes[i].RequestsPerSecond *= factor
 	}
 }
 
 func slowShards(share float64) func(*Config) {
-	return func(c *Config) { c.Spells = []Spell{{4 * time.Second, 4 * time.Second, share, 8}} }
+	return func(c *Config) { c.Slowdowns = []Slowdown{{4 * time.Second, 4 * time.Second, share, 8}} }
 }
 
 // Config returns the configuration of the scenario: eleven VMs and twenty shards of two
 // leaves each, as in the smaller of the deployments of docs/design/load-and-faults.md.
 func (s Scenario) Config(seed uint64) Config {
 	c := Config{
-		Seed: seed, Length: 12 * time.Second, Daemons: 11, Domains: 3, Shards: 20, Copies: 2,
-		Slots: 2, Queue: 12, Connections: 28, PauseEvery: 3600 * time.Millisecond, PauseFor: 150 * time.Millisecond,
-		Near: 200 * time.Microsecond, Far: 1100 * time.Microsecond, ToCaller: 3 * time.Millisecond,
+		Seed: seed, Duration: 12 * time.Second, Daemons: 11, Domains: 3, Shards: 20, LeavesPerShard: 2,
+		Slots: 2, QueueSize: 12, MaxConns: 28, PauseInterval: 3600 * time.Millisecond, PauseDuration: 150 * time.Millisecond,
+		SameDomainDelay: 200 * time.Microsecond, CrossDomainDelay: 1100 * time.Microsecond, CallerDelay: 3 * time.Millisecond,
 		Budget: policy.BudgetLimits{Ratio: 0.2, Burst: 62, Window: 10 * time.Second},
 		Routes: []Route{
-			{Name: "wide", PerSecond: 67.5, Work: 15 * time.Millisecond, Aim: 120 * time.Millisecond, Timeout: 1200 * time.Millisecond,
-				Margin: 14 * time.Millisecond, Need: 0.89, Worth: 2, LateWorth: 0.1},
-			{Name: "quick", PerSecond: 22.5, Work: 5 * time.Millisecond, Aim: 60 * time.Millisecond, Timeout: 600 * time.Millisecond,
-				Margin: 14 * time.Millisecond, Need: 0.75, Worth: 1, LateWorth: 0.1},
+			{Name: "wide", RequestsPerSecond: 67.5, Work: 15 * time.Millisecond, TargetLatency: 120 * time.Millisecond, Timeout: 1200 * time.Millisecond,
+				AnswerMargin: 14 * time.Millisecond, RequiredShare: 0.89, Worth: 2, LateFactor: 0.1},
+			{Name: "quick", RequestsPerSecond: 22.5, Work: 5 * time.Millisecond, TargetLatency: 60 * time.Millisecond, Timeout: 600 * time.Millisecond,
+				AnswerMargin: 14 * time.Millisecond, RequiredShare: 0.75, Worth: 1, LateFactor: 0.1},
 		},
 	}
 	s.modify(&c)
--- a/bench/policy/sim/sim_test.go
+++ b/bench/policy/sim/sim_test.go
@@ -7,7 +7,7 @@
 )
 
 // runScenario simulates the named scenario with three seeds.
-func runScenario(t *testing.T, name string, disabled Without) []*Result {
+func runScenario(t *testing.T, name string, disabled Disabled) []*Result {
 	t.Helper()
 	for _, s := range Scenarios {
 		if s.Name != name {
@@ -16,7 +16,7 @@
 		var out []*Result
 		for seed := range uint64(3) {
 			c := s.Config(seed + 1)
-			c.Without = disabled
+			c.Disabled = disabled
 			out = append(out, Run(c))
 		}
 		return out
@@ -37,7 +37,7 @@
 // time. With hedges one in a hundred parts is missing, without them one in thirty, where
 // a missing part of twenty costs a tenth of an answer's worth.
 func TestHedgesCoverLeafPauses(t *testing.T) {
-	with, without := runScenario(t, "calm", Without{}), runScenario(t, "calm", Without{Hedges: true})
+	with, without := runScenario(t, "calm", Disabled{}), runScenario(t, "calm", Disabled{Hedges: true})
 	for _, r := range with {
 		for _, rt := range r.Routes {
 			if inTime := float64(rt.InTime) / float64(rt.Requests); inTime < 0.99 || rt.Parts() < 0.98 {
@@ -53,7 +53,7 @@
 // If no more shards are slow than an answer may omit, answers must be in time and
 // contain the parts of all other shards.
 func TestOmittableSlowShardsDoNotDelayAnswers(t *testing.T) {
-	for _, r := range runScenario(t, "few slow", Without{}) {
+	for _, r := range runScenario(t, "few slow", Disabled{}) {
 		for _, rt := range r.Routes {
 			if inTime := float64(rt.InTime) / float64(rt.Requests); inTime < 0.96 || rt.Parts() < 0.93 {
 				t.Errorf("%s: %.3f in time, %.3f of the parts", rt.Name, inTime, rt.Parts())
@@ -66,7 +66,7 @@
 // most answers are late. Nearly all callers must still get one, and the queues must have
 // drained half a second after the slowdown.
 func TestRecoversFromManySlowShards(t *testing.T) {
-	for _, r := range runScenario(t, "many slow", Without{}) {
+	for _, r := range runScenario(t, "many slow", Disabled{}) {
 		for _, rt := range r.Routes {
 			if rt.NotServed > rt.Requests/20 {
 				t.Errorf("%s: %d of %d not served", rt.Name, rt.NotServed, rt.Requests)
@@ -83,7 +83,7 @@
 // While the load is doubled for three seconds, all callers must be served, and retries
 // and hedges must stay within their budget: without one they would double the load again.
 func TestBurstServedWithinBudget(t *testing.T) {
-	for _, r := range runScenario(t, "burst", Without{}) {
+	for _, r := range runScenario(t, "burst", Disabled{}) {
 		for _, rt := range r.Routes {
 			if rt.NotServed > 0 {
 				t.Errorf("%s: %d of %d not served", rt.Name, rt.NotServed, rt.Requests)
@@ -98,7 +98,7 @@
 // A seed must reproduce its result, so that a failure can be examined.
 func TestSameSeedSameResult(t *testing.T) {
 	c := Scenarios[0].Config(7)
-	c.Length = 3 * time.Second
+	c.Duration = 3 * time.Second
 	if a, b := Run(c), Run(c); !reflect.DeepEqual(a.Seconds, b.Seconds) || a.Worth() != b.Worth() {
 		t.Errorf("the same seed gave different results: worth %v and %v", a.Worth(), b.Worth())
 	}
--- a/bench/policy/sim/world.go
+++ b/bench/policy/sim/world.go
@@ -11,59 +11,59 @@
 
 // Route is one kind of request. Each goes to all shards.
 type Route struct {
-	Name      string
-	PerSecond float64
-	Work      time.Duration // mean of the exponentially distributed time at a leaf of average speed
-	Aim       time.Duration // as seen by the caller
-	Timeout   time.Duration
-	Margin    time.Duration // how long before TargetLatency the answer is sent
-	Need      float64       // of the shards that an answer must contain
-	Worth     float64       // of a complete answer in time
-	LateWorth float64       // factor on the worth of a late answer
+	Name              string
+	RequestsPerSecond float64
+	Work              time.Duration // mean of the exponentially distributed time at a leaf of average speed
+	TargetLatency     time.Duration // as seen by the caller
+	Timeout           time.Duration
+	AnswerMargin      time.Duration // how long before TargetLatency the answer is sent
+	RequiredShare     float64       // of the shards that an answer must contain
+	Worth             float64       // of a complete answer in time
+	LateFactor        float64       // factor on the worth of a late answer
 }
 
 // Slowdown is a period in which all leaves of some shards are slower.
-type Spell struct {
-	From, For time.Duration
-	Shards    float64 // fraction of the shards
-	Factor    float64
+type Slowdown struct {
+	Start, Duration time.Duration
+	ShardShare      float64 // fraction of the shards
+	Factor          float64
 }
 
 // Burst is a period of higher load.
 type Burst struct {
-	From, For time.Duration
-	Factor    float64
+	Start, Duration time.Duration
+	Factor          float64
 }
 
 // Disabled says which mechanisms are switched off.
-type Without struct {
-	Hedges   bool // no second request to a shard whose reply is late
-	Waits    bool // requests do not wait for a free connection
-	Learning bool // leaves are chosen without their statistics
+type Disabled struct {
+	Hedges    bool // no second request to a shard whose reply is late
+	ConnWaits bool // requests do not wait for a free connection
+	LeafStats bool // leaves are chosen without their statistics
 }
 
 // Config describes one simulation.
 type Config struct {
-	Seed    uint64
-	Length  time.Duration
-	Daemons int
-	Domains int
-	Shards  int
-	Copies  int
-
-	Slots       int
-	Queue       int // requests that wait at a leaf for a slot
-	Connections int // that a leaf accepts, from all daemons together
-	PauseEvery  time.Duration
-	PauseFor    time.Duration
-	Near, Far   time.Duration // one-way, to a leaf of the same or another failure domain
-	ToCaller    time.Duration // one-way
-
-	Routes  []Route
-	Budget  policy.BudgetLimits
-	Spells  []Spell
-	Bursts  []Burst
-	Without Without
+	Seed           uint64
+	Duration       time.Duration
+	Daemons        int
+	Domains        int
+	Shards         int
+	LeavesPerShard int
+
+	Slots                             int
+	QueueSize                         int // requests that wait at a leaf for a slot
+	MaxConns                          int // that a leaf accepts, from all daemons together
+	PauseInterval                     time.Duration
+	PauseDuration                     time.Duration
+	SameDomainDelay, CrossDomainDelay time.Duration // one-way, to a leaf of the same or another failure domain
+	CallerDelay                       time.Duration // one-way
+
+	Routes    []Route
+	Budget    policy.BudgetLimits
+	Slowdowns []Slowdown
+	Bursts    []Burst
+	Disabled  Disabled
 }
 
 // simulation is the state of one running simulation.
@@ -111,7 +111,7 @@
 	for s := range cfg.Shards {
 		var leaves []*leaf
 		first := sim.rng.IntN(cfg.Domains)
-		for c := range cfg.Copies {
+		for c := range cfg.LeavesPerShard {
 			leaves = append(leaves, newLeaf(sim, s, (first+c)%cfg.Domains))
 		}
 		sim.leaves = append(sim.leaves, leaves)
@@ -135,14 +135,14 @@
 
 // scheduleArrival schedules the next request of a route.
 func (w *simulation) scheduleArrival(route int) {
-	rate := w.cfg.Routes[route].PerSecond
+	rate := w.cfg.Routes[route].RequestsPerSecond
 	for _, b := range w.cfg.Bursts {
-		if at := w.elapsed(); at >= b.From && at < b.From+b.For {
+		if at := w.elapsed(); at >= b.Start && at < b.Start+b.Duration {
 			rate *= b.Factor
 		}
 	}
 	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		if w.elapsed() >= w.cfg.Length {
+		if w.elapsed() >= w.cfg.Duration {
 			return
 		}
 		w.daemons[w.rng.IntN(len(w.daemons))].startGather(route)
--- a/bench/query/cpu.go
+++ b/bench/query/cpu.go
@@ -30,7 +30,7 @@
 func cpuPerRequest(ctx context.Context, e *env) error {
 	for _, size := range []struct{ daemons, controls int }{{1, 1}, {daemonCount, controlVMCount}} {
 		cfg := e.tierConfig()
-		cfg.Daemons, cfg.Controls = size.daemons, size.controls
+		cfg.Daemons, cfg.ControlVMs = size.daemons, size.controls
 		if err := e.compareCPU(ctx, cfg); err != nil {
 			return err
 		}
@@ -113,7 +113,7 @@
 
 // bareLoopCPU sends leaf requests without a tier and returns this process's processor time for each.
 func bareLoopCPU(ctx context.Context, targets []baseline.Target, spec loadSpec) (time.Duration, error) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(tier.DaemonProcs))
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(tier.DaemonMaxProcs))
 	arrivals, err := load.NewSchedule(load.Poisson, spec.rate, spec.duration, spec.seed)
 	if err != nil {
 		return 0, err
@@ -123,7 +123,7 @@
 	var sent atomic.Int64
 	slots := make(map[*baseline.Leaf]chan struct{})
 	for _, t := range targets {
-		for _, l := range t.Replicas {
+		for _, l := range t.Leaves {
 			slots[l] = make(chan struct{}, l.Slots)
 		}
 	}
@@ -134,7 +134,7 @@
 			go func() {
 				defer func() { done <- struct{}{} }()
 				t := &targets[i]
-				l := t.Replicas[n%len(t.Replicas)]
+				l := t.Leaves[n%len(t.Leaves)]
 				slots[l] <- struct{}{}
 				defer func() { <-slots[l] }()
 				if postLeaf(ctx, client, l, t, fmt.Sprintf("bare-%d", n)) == nil {
@@ -151,7 +151,7 @@
 }
 
 func postLeaf(ctx context.Context, client *http.Client, l *baseline.Leaf, t *baseline.Target, id string) error {
-	q := contract.LeafRequest{ID: id, Attempt: 1, Service: t.Service, Shard: t.Shard, IndexVersion: t.Version,
+	q := contract.LeafRequest{ID: id, Attempt: 1, Service: t.Service, Shard: t.Shard, IndexVersion: t.IndexVersion,
 		DeadlineMS: deadline.Milliseconds(), Repeatable: true, Body: json.RawMessage(`{"run_key":"` + id + `"}`)}
 	payload, err := json.Marshal(q)
 	if err != nil {
--- a/bench/query/drain.go
+++ b/bench/query/drain.go
@@ -21,7 +21,7 @@
 // draining, the operator sets it as drained, or the platform lists it as leaving.
 func drainLeaf(ctx context.Context, e *env) error {
 	cfg := e.tierConfig()
-	cfg.Platform = true
+	cfg.UsePlatformList = true
 	t, err := e.startTier(ctx, cfg)
 	if err != nil {
 		return err
--- a/bench/query/env.go
+++ b/bench/query/env.go
@@ -100,14 +100,14 @@
 	for k, v := range desk {
 		values[k] = v
 	}
-	spec := tier.DeskSpec{Path: deskPath, Services: serviceCount, Leaves: leavesPerService, Settings: values}
+	spec := tier.DeskSpec{Path: deskPath, Services: serviceCount, LeavesPerService: leavesPerService, Settings: values}
 	return tier.Config{
-		Dir:      e.workDir,
-		Tree:     tier.Desk(spec, map[string]string{"address-lifetime": "2s"}),
-		Daemons:  daemonCount,
-		Controls: controlVMCount,
-		Domains:  tier.Domains,
-		Standin:  append([]string{"--latency=" + latency.String()}, standinFlags...),
+		Dir:          e.workDir,
+		Tree:         tier.DeskTree(spec, map[string]string{"address-lifetime": "2s"}),
+		Daemons:      daemonCount,
+		ControlVMs:   controlVMCount,
+		Domains:      tier.Domains,
+		StandinFlags: append([]string{"--latency=" + latency.String()}, standinFlags...),
 	}
 }
 
@@ -148,7 +148,7 @@
 // runTier runs the load of spec against the tier.
 func (e *env) runTier(ctx context.Context, t *tier.Tier, spec loadSpec) (*load.Result, error) {
 	c := spec.config(t.Leaves.URL)
-	c.EntryURLs = t.Entries()
+	c.EntryURLs = t.EntryURLs()
 	return load.Run(ctx, c)
 }
 
--- a/bench/tier/leaves.go
+++ b/bench/tier/leaves.go
@@ -33,7 +33,7 @@
 	l := &Leaves{proc: &process{
 		name: "leaves",
 		path: filepath.Join(cfg.Dir, "bin", leavesProgram),
-		args: append([]string{"leaves", "--tree=" + treeFile, "--out=" + realTreeFile, "--ready-file=" + readyFile}, cfg.Standin...),
+		args: append([]string{"leaves", "--tree=" + treeFile, "--out=" + realTreeFile, "--ready-file=" + readyFile}, cfg.StandinFlags...),
 		env:  []string{memoryLimit, standinMaxProcs},
 		log:  filepath.Join(dir, "leaves.log"),
 	}}
--- a/bench/tier/process.go
+++ b/bench/tier/process.go
@@ -22,7 +22,7 @@
 )
 
 // DaemonMaxProcs is the GOMAXPROCS of a daemon, because deployed daemons run on small VMs.
-const DaemonProcs = 2
+const DaemonMaxProcs = 2
 
 // process is a program with its log file. It can be started again after it has ended.
 type process struct {
--- a/bench/tier/tier.go
+++ b/bench/tier/tier.go
@@ -20,14 +20,14 @@
 
 // Config describes a tier to start.
 type Config struct {
-	Dir      string // binaries, logs, data; must exist
-	Tree     string // YAML of the settings tree
-	Daemons  int    // all of them accept callers
-	Controls int    // number of daemons, counted from the first, that are also control VMs
-	Domains  []string
-	Standin  []string // additional flags of pearmoor-standin leaves
-	Flags    []string // additional flags of every pearmoord
-	Platform bool     // daemons read the VM list of pearmoor-standin
+	Dir             string // binaries, logs, data; must exist
+	Tree            string // YAML of the settings tree
+	Daemons         int    // all of them accept callers
+	ControlVMs      int    // number of daemons, counted from the first, that are also control VMs
+	Domains         []string
+	StandinFlags    []string // additional flags of pearmoor-standin leaves
+	DaemonFlags     []string // additional flags of every pearmoord
+	UsePlatformList bool     // daemons read the VM list of pearmoor-standin
 }
 
 const (
@@ -98,7 +98,7 @@
 		return err
 	}
 	for i := range t.daemons {
-		if err := t.WaitReady(ctx, i); err != nil {
+		if err := t.WaitHealthy(ctx, i); err != nil {
 			return err
 		}
 	}
@@ -127,13 +127,13 @@
 		return err
 	}
 	var control, voters []string
-	for i := range cfg.Controls {
+	for i := range cfg.ControlVMs {
 		control = append(control, addrs[i*portsPerDaemon+1])
 		voters = append(voters, fmt.Sprintf("--bootstrap-voter=%d=%s", i+1, addrs[i*portsPerDaemon+1]))
 	}
 	for i := range cfg.Daemons {
 		name := fmt.Sprintf("vm-%02d", i+1)
-		d := &daemon{callerAddr: addrs[i*portsPerDaemon], peerAddr: addrs[i*portsPerDaemon+1], operatorAddr: addrs[i*portsPerDaemon+2], control: i < cfg.Controls}
+		d := &daemon{callerAddr: addrs[i*portsPerDaemon], peerAddr: addrs[i*portsPerDaemon+1], operatorAddr: addrs[i*portsPerDaemon+2], control: i < cfg.ControlVMs}
 		args := []string{
 			"--name=" + name,
 			"--domain=" + cfg.Domains[i%len(cfg.Domains)],
@@ -144,7 +144,7 @@
 			"--plaintext-peers",
 			"--control=" + strings.Join(control, ","),
 		}
-		if cfg.Platform {
+		if cfg.UsePlatformList {
 			args = append(args, "--platform-url="+t.Leaves.URL)
 		}
 		if d.control {
@@ -154,8 +154,8 @@
 		d.process = process{
 			name: name,
 			path: filepath.Join(cfg.Dir, "bin", daemonProgram),
-			args: append(args, cfg.Flags...),
-			env:  []string{memoryLimit, fmt.Sprintf("GOMAXPROCS=%d", DaemonProcs)},
+			args: append(args, cfg.DaemonFlags...),
+			env:  []string{memoryLimit, fmt.Sprintf("GOMAXPROCS=%d", DaemonMaxProcs)},
 			log:  filepath.Join(t.dir, name+".log"),
 		}
 		if err := d.start(); err != nil {
@@ -167,7 +167,7 @@
 }
 
 // EntryURLs returns the base URLs for callers, one for each daemon.
-func (t *Tier) Entries() []string {
+func (t *Tier) EntryURLs() []string {
 	out := make([]string, len(t.daemons))
 	for i, d := range t.daemons {
 		out[i] = "http://" + d.callerAddr
@@ -182,7 +182,7 @@
 func (t *Tier) Name(i int) string { return t.daemons[i].name }
 
 // WaitHealthy waits until daemon i reports on its operator port that it is healthy.
-func (t *Tier) WaitReady(ctx context.Context, i int) error {
+func (t *Tier) WaitHealthy(ctx context.Context, i int) error {
 	d := t.daemons[i]
 	err := poll(ctx, startTimeout, func() (bool, error) {
 		return t.status(ctx, "http://"+d.operatorAddr+"/healthz") == http.StatusOK, checkRunning(&d.process)
--- a/bench/tier/trees.go
+++ b/bench/tier/trees.go
@@ -7,10 +7,10 @@
 
 // DeskSpec describes a desk, a node of the settings tree, with identical query services below it.
 type DeskSpec struct {
-	Path     string // one or more segments
-	Services int
-	Leaves   int
-	Settings map[string]string
+	Path             string // one or more segments
+	Services         int
+	LeavesPerService int
+	Settings         map[string]string
 }
 
 // Domains are the failure domains of the experiments.
@@ -18,7 +18,7 @@
 
 // DeskTree returns a settings tree with one desk as YAML, with the given settings
 // at the root. pearmoor-standin replaces the placeholder addresses of the leaves.
-func Desk(s DeskSpec, root map[string]string) string {
+func DeskTree(s DeskSpec, root map[string]string) string {
 	var b strings.Builder
 	writeSettings(&b, 0, root)
 	b.WriteString("nodes:\n")
@@ -27,7 +27,7 @@
 	b.WriteString("    nodes:\n")
 	for i := range s.Services {
 		fmt.Fprintf(&b, "      %s:\n        settings:\n          leaves:\n", ServiceName(i))
-		for l := range s.Leaves {
+		for l := range s.LeavesPerService {
 			domain := Domains[(i+l)%len(Domains)]
 			fmt.Fprintf(&b, "            - %s-%d=10.%d.%d.%d:9000@%s\n", ServiceName(i), l+1, i/250+1, i%250+1, l+1, domain)
 		}
