--- a/bench/baseline/client.go
+++ b/bench/baseline/client.go
@@ -52,7 +52,7 @@
 	return out
 }
 
-// Askers returns clients as load.Asker values.
+// Queriers returns clients as load.Querier values.
 func Queriers(clients []*Client) []load.Querier {
 	out := make([]load.Querier, len(clients))
 	for i, c := range clients {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Ask implements load.Asker. It makes one attempt for each shard, all in parallel.
+// Query implements load.Querier. It makes one attempt for each shard, all in parallel.
 func (c *Client) Query(ctx context.Context, q contract.Request, deadline time.Time) load.Outcome {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
--- a/internal/control/backfill.go
+++ b/internal/control/backfill.go
@@ -150,7 +150,7 @@
 		defer n.mu.RUnlock()
 		if _, _, gap := n.trailGapLocked(); !gap {
 			n.appendInForceRecords()
-			klog.Infof("control: audit trail is complete up to version %d", n.trail.Last())
+			klog.Infof("control: the audit trail is whole again up to version %d", n.trail.Last())
 		}
 	})
 	if err != nil {
--- a/internal/control/leadership.go
+++ b/internal/control/leadership.go
@@ -71,7 +71,7 @@
 // uses, because the disk was replaced or the member was removed.
 func (n *Node) logRefusal(old, l *leadership) {
 	if reason := l.status.Refusal; reason != old.status.Refusal && reason != quorumpb.Refusal_NONE {
-		klog.Errorf("control: the group rejects this VM as member %d (%v); start it on an empty folder with an id that was never used, and add it to the group", n.cfg.ID, reason)
+		klog.Errorf("control: the group refuses this VM as member %d (%v); start it on an empty folder with an id never used, and add it to the group", n.cfg.ID, reason)
 	}
 }
 
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -13,7 +13,7 @@
 )
 
 // Errors whose text is returned to callers of a control VM. If an error is marked with
-// peer.NotDone, it is certain that nothing was changed.
+// peer.Retryable, it is certain that nothing was changed.
 var (
 	errStopped                = peer.Retryable(errors.New("control: this control VM is stopping; ask another one"))
 	errNoLeader               = peer.Retryable(errors.New("control: no leader is known; try again"))
--- a/internal/entryvm/tier.go
+++ b/internal/entryvm/tier.go
@@ -54,8 +54,8 @@
 // Ready reports whether callers may be sent to this VM.
 func (v *VM) Ready() bool { return !v.draining.Load() && v.engine.Table() != nil }
 
-// Addresses returns the addresses of daemons for a caller in that region and domain, and
-// for how many seconds to keep them.
+// Addresses returns the addresses of daemons for a caller in the region and failure
+// domain, and for how many seconds the caller may keep them.
 func (v *VM) Addresses(_, region, domain string) ([]string, float64) {
 	ms := v.client.Current().Membership()
 	if ms == nil {
@@ -170,7 +170,7 @@
 		behind = true
 	}
 	host, _, err = net.SplitHostPort(leader)
-	klog.Infof("operator: read redirected to=%s behind=%v bytes=%d version=%d", leader, behind, v.releaseBytes.Load(), newest.Version)
+	klog.Infof("operator: read sent on to=%s behind=%v bytes=%d version=%d", leader, behind, v.releaseBytes.Load(), newest.Version)
 	return host, errors.Wrapf(err, "entry: leader at %q", leader)
 }
 
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -58,7 +58,7 @@
 	tried        []*discovery.Leaf
 	reachedSends int      // sends that may have reached a leaf
 	possibleRuns int      // sends that may have run
-	totalSends   int      // sends started, for policy.MostSends
+	totalSends   int      // sends started, for policy.MaxSends
 	signature    string   // signature of the part
 	body         []byte   // records of the part, if it did not arrive merged
 	set          *partSet // the set of the part, if it arrived merged with others
@@ -183,7 +183,7 @@
 func (r *run) nextTimer(now time.Time) time.Time {
 	at := r.afterArrival(r.times.AnswerDeadline)
 	if by := r.afterArrival(r.times.PartialAfter); by.After(now) {
-		at = by // AnswerBy is never after End
+		at = by // PartialAfter is never after AnswerDeadline
 	}
 	if !r.hedgeAt.IsZero() && r.hedgeAt.Before(at) {
 		at = r.hedgeAt
@@ -213,7 +213,7 @@
 
 // hedge sends once more for every late shard. If many shards are late, this daemon or all
 // leaves are overloaded, and as many additional sends would slow both down further. The check
-// is then repeated after policy.HedgeAgain.
+// is then repeated after policy.HedgeRecheckInterval.
 func (r *run) hedge(now time.Time) {
 	if !r.entry.Repeatable || r.leafRequest.Stream != nil || r.suspicion.Guarded() {
 		return
--- a/internal/link/peer/reloader.go
+++ b/internal/link/peer/reloader.go
@@ -112,7 +112,7 @@
 	r.states = states
 	loaded, err := r.files.read()
 	if err != nil {
-		klog.Errorf("peer: changed certificate files are unusable, keeping the previous ones: %v", err)
+		klog.Errorf("peer: changed certificate files are unusable, keeping the former ones: %v", err)
 		return r.current
 	}
 	klog.Infof("peer: certificate files reloaded, now %s %q until %s",
--- a/internal/link/target/ended.go
+++ b/internal/link/target/ended.go
@@ -11,7 +11,7 @@
 )
 
 // markLeafEnded marks err, the failure of an exchange whose connection was lost, with
-// ErrLeafEnded if the leaf's process has ended. A lost connection does not prove that: leaves
+// ErrLeafExited if the leaf's process has ended. A lost connection does not prove that: leaves
 // also close idle connections and abort replies.
 func (l *Link) markLeafEnded(err error) error {
 	if l.leafEnded(time.Now()) {
--- a/internal/relay/placements.go
+++ b/internal/relay/placements.go
@@ -21,7 +21,7 @@
 	shareHolders  sync.Map // *settings.Effective -> []GroupHomes: homes that have a share
 	serviceByLeaf sync.Map // *settings.Tree -> map[string]string: service by leaf address
 	base          *vm.Membership
-	changes       sync.Map // epoch -> []domain.Change: from base to that epoch
+	changes       sync.Map // epoch -> []domain.MemberChange: from base to that epoch
 }
 
 // epochKey identifies a service's settings and an epoch. Each tree has its own
