--- a/bench/control/measure.go
+++ b/bench/control/measure.go
@@ -113,7 +113,8 @@
 		client := wire.NewDRPCControlClient(conn)
 		read, err := client.Read(ctx, &wire.ReadRequest{})
 		if err != nil && ctx.Err() == nil {
-			// A leader that cannot confirm that its state is current fails the read. The wait counts.
+			// A leader that cannot confirm that its state is current fails the read. The
+			// measured time includes the wait before the next attempt.
 			fmt.Fprintf(os.Stderr, "control: change %d asks again: %v\n", i, err)
 			time.Sleep(changeInterval)
 			continue
--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -18,7 +18,8 @@
 	"pearmoor/bench/policy/sim"
 )
 
-// variants are the complete policies, and the policies without each mechanism.
+// variants are the simulated policies: first with all mechanisms, then each time with one
+// of them disabled.
 var variants = []struct {
 	name    string
 	without sim.Disabled
@@ -55,7 +56,8 @@
 	}
 }
 
-// runScenario prints the results of a scenario and returns the worth by second of the first variant.
+// runScenario prints the results of a scenario for each variant. It returns the worthSeries
+// of the first variant.
 func runScenario(w io.Writer, s sim.Scenario, seeds int) worthSeries {
 	fmt.Fprintf(w, "%s: %s\n%28s %15s %8s %8s %8s %8s %8s %8s\n", s.Name, s.Description, "", "worth", "in time", "parts", "p50 ms", "p99 ms", "extra", "denied")
 	out := worthSeries{name: s.Name}
--- a/bench/policy/plot.go
+++ b/bench/policy/plot.go
@@ -7,7 +7,8 @@
 	"pearmoor/bench/policy/sim"
 )
 
-// worthSeries is the worth of each second of a scenario, as the mean over its seeds.
+// worthSeries contains, for each second of a scenario, the earned share of the maximum
+// worth (see sim.Score), as the mean over the seeds.
 type worthSeries struct {
 	name  string
 	worth []float64
--- a/bench/query/env.go
+++ b/bench/query/env.go
@@ -245,7 +245,8 @@
 	_ = w.Flush()
 }
 
-// extraShare returns the number of repeated runs of a leaf request for each first run.
+// extraShare returns the ratio of the extra runs of leaf requests (see standin.RunStats) to
+// all other runs.
 func extraShare(r *load.Result) float64 {
 	first := r.Leaves.Runs.Total - r.Leaves.Runs.Extra
 	if first == 0 {
@@ -264,7 +265,7 @@
 	return nil
 }
 
-// printFigure prints one result with its target as a line of JSON.
+// printFigure prints one result as a line of JSON. target is the value that the result should have.
 func printFigure(experiment, name string, value float64, target string) {
 	line, err := json.Marshal(struct {
 		Experiment string  `json:"experiment"`
--- a/cmd/pearmoor-entry/main.go
+++ b/cmd/pearmoor-entry/main.go
@@ -120,8 +120,9 @@
 	return v.Run(ctx, listeners)
 }
 
-// listen binds every address that the VM serves, and starts the side servers. These
-// run until closeAll is called, because readiness must be served while the VM drains.
+// listen binds every address that the VM serves, and starts the HTTP servers for readiness,
+// operators, the directory and metrics. These run until closeAll is called, because
+// readiness must be served while the VM drains.
 func listen(opts options, settings *platform.Settings, v *entryvm.VM) (entryvm.Listeners, func(), error) {
 	var open []net.Listener
 	closeAll := func() {
--- a/internal/admit/permit.go
+++ b/internal/admit/permit.go
@@ -30,7 +30,8 @@
 	done            atomic.Bool
 }
 
-// held returns how long the permit has been held, without the stalls of the process.
+// held returns how long the permit has been held, not counting the time for which the process
+// was stalled.
 func (p *Permit) held(now vm.Instant) time.Duration {
 	return now.Sub(p.granted) - (p.gate.gates.stalls.totalAt(now) - p.stallsAtGrant)
 }
--- a/internal/admit/policy_bench_test.go
+++ b/internal/admit/policy_bench_test.go
@@ -19,7 +19,7 @@
 	simDuration    = 60 * time.Second
 )
 
-// simJob is one request of a simulated overload of one slot.
+// simJob is one request in the simulation of an overloaded leaf with one slot.
 type simJob struct {
 	arrival  vm.Instant
 	priority settings.Priority
--- a/internal/admit/shed.go
+++ b/internal/admit/shed.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// nonEmptyFor returns how long the queue has not been empty, without the stalls of the process.
+// nonEmptyFor returns how long the queue has been non-empty, not counting the time for which
+// the process was stalled.
 func (g *gate) nonEmptyFor(now vm.Instant) time.Duration {
 	if g.nonEmptySince == 0 {
 		return 0
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -202,7 +202,7 @@
 		if _, err := wire.NewDRPCQuarantineClient(conn).Report(c.t.Context(), &wire.CrashReports{Reports: []*wire.CrashReport{report}}); err != nil {
 			c.t.Fatal(err)
 		}
-		time.Sleep(time.Millisecond) // the next attempt begins after this report
+		time.Sleep(time.Millisecond) // an attempt counts only if it began after the previous report
 	}
 	return fingerprints
 }
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -179,7 +179,7 @@
 	return reply, nil
 }
 
-// changeCallError converts the error that call returned for a change into the
+// changeCallError converts the error that [call] returned for a change into the
 // error shown to the operator. recoveryHint tells how to find out the outcome if
 // the reply was lost.
 func changeCallError(err error, sent bool, recoveryHint string) error {
--- a/internal/control/presence/member.go
+++ b/internal/control/presence/member.go
@@ -51,7 +51,8 @@
 	return out
 }
 
-// desiredMember returns the newest run of a daemon if it should be a member.
+// desiredMember returns the newest run of a daemon if it should be a member, that is, if it
+// is serving or draining and may hold a lease.
 func (t *Table) desiredMember(name string, now vm.Instant) (vm.Member, bool) {
 	r := t.runs[runID{name, t.newestIncarnation[name]}]
 	if r == nil || !r.mayHoldLease(now) || !isActive(r.member.Phase) {
--- a/internal/control/presence/table.go
+++ b/internal/control/presence/table.go
@@ -25,7 +25,7 @@
 	ackedEpoch       uint64     // newest epoch acknowledged
 	firstHeard       vm.Instant // first heartbeat received by this leader
 	lastHeard        vm.Instant
-	leaseEnd         vm.Instant // no lease granted to the run ends later
+	leaseEnd         vm.Instant // latest possible end of the leases granted to the run
 }
 
 // gone reports whether the run has stopped and holds no shares.
--- a/internal/control/state/change.go
+++ b/internal/control/state/change.go
@@ -38,9 +38,9 @@
 		AcceptedUnixMs:  s.advanceClock(c.UnixMs),
 		BaseVersion:     c.BaseVersion,
 		Edits:           c.Edits,
-		// The reverse edits come from comparing the two trees. Replaying the change a
-		// second time to find them took half of the time for which applying a long
-		// change blocks a control VM.
+		// Before is computed by comparing the two trees. Applying the change a second
+		// time to find the reverse edits took half of the time for which a long change
+		// blocks a control VM.
 		Before: settings.EditsToWire(settings.Diff(tree, s.tree)),
 	}
 	s.tree, s.version = tree, rec.Version
@@ -70,8 +70,8 @@
 	return s.conflictReply(r.BaseVersion)
 }
 
-// PriorOutcome returns the reply to a change whose id an accepted change has used, or
-// nil if there is none among the recent changes.
+// PriorOutcome returns the reply to a request that uses the id of an accepted change.
+// It returns nil if no recent change has the id.
 func (s *State) PriorOutcome(id string, base uint64, edits []*wire.Edit) *wire.ChangeReply {
 	rec := s.recent.recordByID(id)
 	if rec == nil {
--- a/internal/control/transport.go
+++ b/internal/control/transport.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxQueuedMessages = 512     // messages per queue; the oldest is dropped when it is full
+	maxQueuedMessages = 512     // messages per queue; a full queue drops its oldest message
 	maxBatchBytes     = 1 << 20 // encoded messages in one call; the last message may exceed it
 	deliverTimeout    = time.Second
 	deliverRetryDelay = 100 * time.Millisecond // after a failed call
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -126,9 +126,9 @@
 	return false
 }
 
-// fallbacks draws eligible members other than homes at random: up to maxCandidates of
-// the region, and up to as many of other regions that it visits on the way. It stops
-// once it has enough of the region, however many members there are.
+// fallbacks goes through the members in random order and returns eligible ones other
+// than homes: up to maxCandidates of the region and up to maxCandidates of other regions.
+// It stops once it has maxCandidates of the region, so that it need not visit all members.
 func (l lister) fallbacks(f filter, homes []*vm.Member, region string) (sameRegion, otherRegions []*vm.Member) {
 	members := f.view.Settled.Members
 	for i := range l.strideOrder(len(members)) {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -68,7 +68,7 @@
 	sourceFailing bool                // the last call to the Source failed
 	unreadable    map[string]struct{} // unreadable entries of the last reading
 
-	startedAt vm.Instant // gives upstreams FallbackAge to send a list before this daemon reads it
+	startedAt vm.Instant // from here on, upstreams have FallbackAge to send a list before this daemon reads it
 }
 
 // NewSyncer returns a syncer that does nothing until Run is called.
@@ -215,7 +215,7 @@
 			vm.Sleep(ctx, watchRetryDelay)
 			continue
 		}
-		leaves := 0 // usually only changes are sent
+		leaves := 0 // the upstream of the previous call usually sends only changes
 		if addr != lastAddr {
 			leaves = len(s.cache.Snapshot().All())
 		}
--- a/internal/domain/group.go
+++ b/internal/domain/group.go
@@ -60,8 +60,9 @@
 	return regions
 }
 
-// majorityRegion returns the region with the most leaves; of several, the one that reaches
-// the number first. Leaves in failure domains without members are not counted.
+// majorityRegion returns the region with the most leaves. If several have the most, it
+// returns the one that reaches that number first in the order of leaves. Leaves in failure
+// domains without members are not counted.
 func majorityRegion(leaves []settings.Leaf, regions map[string]string) string {
 	count := make(map[string]int)
 	best := ""
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -254,9 +254,9 @@
 			So(a.LifetimeMS, ShouldBeBetweenOrEqual, 24000, 30000)
 			So(a.Session, ShouldEqual, "session-1")
 		})
-		// The session of a list ends with its daemon, and without a lease the members
-		// may have left: the caller's non-repeatable requests would fail for the whole
-		// lifetime of the list.
+		// The session in a list is valid only until its daemon stops, and the list of a
+		// daemon without a lease may name daemons that have left. The caller's
+		// non-repeatable requests would fail for the whole lifetime of the list.
 		Convey("is refused by a daemon that is draining or has no lease", func() {
 			status, _ := getAddresses(testServer(t, nil, true), "/desk/a")
 			So(status, ShouldEqual, 503)
--- a/internal/entry/handle.go
+++ b/internal/entry/handle.go
@@ -31,9 +31,9 @@
 		w := ctx.ResponseWriter()
 		w.Header().Set("X-Request-ID", id)
 		if s.conf.Draining() {
-			// Makes callers connect to another daemon while this one still answers. A
-			// request sent on a connection that is just being closed is lost, and its
-			// caller does not know whether it ran.
+			// The header makes callers connect to another daemon while this one still
+			// answers. A request sent on a connection that is just being closed is lost,
+			// and its caller does not know whether it ran.
 			w.Header().Set("Connection", "close")
 		}
 		body, err := callRecovering(h, ctx.Request(), id)
@@ -172,9 +172,9 @@
 }
 
 // checkCanList returns an error if this daemon is draining or its lease has expired.
-// The session of a list ends with the daemon, and an unconfirmed membership may name
-// daemons that have left: callers would keep unusable addresses for the whole lifetime
-// of the list.
+// The session in a list is valid only until this daemon stops, and without a lease its
+// membership may name daemons that have left. Callers would keep the unusable session or
+// addresses for the whole lifetime of the list.
 func (s *Server) checkCanList(v *relay.View, now vm.Instant) error {
 	notListing := &contract.Error{Verdict: contract.NotRun, RetryAfter: startupRetryMS}
 	switch {
--- a/internal/link/peer/peer_test.go
+++ b/internal/link/peer/peer_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// issue writes the authority's certificate and a certificate that it issues for id.
+// issueCert writes the authority's certificate and a certificate that it issues for id.
 func issueCert(t testing.TB, a *Authority, dir string, id Identity) Files {
 	t.Helper()
 	f := filePaths(dir, id.Kind.String()+"-"+id.Name)
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -12,7 +12,7 @@
 const (
 	plotWidth     = 20 * vg.Centimeter
 	plotHeight    = 12 * vg.Centimeter
-	plotMaxLeaves = 10  // maximum of leaves drawn
+	plotMaxLeaves = 10  // maximum number of leaves drawn
 	plotMinMS     = 0.1 // ms, lower bound since a log axis has no zero
 	axisSeconds   = "time since start (s)"
 )
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -16,8 +16,9 @@
 
 const (
 	// contextWindow is the time before the first and after the last line of a request for
-	// which lines without a request id are included. They show the daemon's state; a change
-	// that it learned only after its decision is logged shortly afterwards.
+	// which lines without a request id are included. They show the daemon's state. A
+	// change that the daemon learned of only after its decision is logged shortly after the
+	// decision.
 	contextWindow = time.Second
 	// maxLineBytes limits the length of a line, in bytes.
 	maxLineBytes = 1 << 20
@@ -50,8 +51,8 @@
 	ID   string    `json:"id"`
 }
 
-// ReadTrace reads the log files and returns the lines with the request id, and the lines
-// without any id that the same files have around them, ordered by time.
+// ReadTrace reads the log files and returns, ordered by time, the lines with the request id
+// and the lines without any id that are near them in the same file.
 func ReadTrace(id string, files []string) *Trace {
 	out := &Trace{}
 	for _, file := range files {
--- a/internal/policy/connections.go
+++ b/internal/policy/connections.go
@@ -15,11 +15,11 @@
 // accepts at most limit connections from all daemons together. A limit or number of daemons
 // of 0 is unknown.
 //
-// All daemons get equal shares. Giving daemons in the leaf's failure domain four connections
-// and the others one, where requests from other domains are handed over to them, completed
-// fewer requests in time than two for each (mean score 0.758 against 0.762 over three days
-// with slow shards): further sends to a shard whose nearby leaf is slow go to the other
-// domain.
+// All daemons get equal shares. With handover of requests to daemons in the leaf's failure
+// domain, four connections for each daemon in that domain and one for each other daemon
+// completed fewer requests in time than two for every daemon (mean score 0.758 against 0.762
+// over three days with slow shards). The reason is that further sends to a shard whose nearby
+// leaf is slow go to the other domain.
 func ConnectionsPerDaemon(limit, daemons int) int {
 	if limit <= 0 {
 		return defaultConnections
--- a/internal/policy/pace.go
+++ b/internal/policy/pace.go
@@ -10,7 +10,7 @@
 // This takes a few bytes per route where a histogram takes kilobytes, and follows a change
 // within some tens of replies.
 const (
-	stepShare   = 0.04 // part of the estimate by which one reply moves it
+	stepShare   = 0.04 // weight of one reply, as a fraction of the estimate
 	minSamples  = 24   // replies before the threshold is used
 	minEstimate = 300 * time.Microsecond
 )
--- a/internal/policy/suspicion.go
+++ b/internal/policy/suspicion.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// maxProbes bounds the sends that one attempt of a suspected request makes one at a
-	// time.
+	// maxProbes is the maximum number of sends that one attempt of a suspected request makes
+	// before a leaf answers. They are made one at a time.
 	maxProbes = 1
 	// QuarantinedRetryAfter is the Retry-After for a blocked request. Retrying succeeds only
 	// after an operator has removed the block.
--- a/internal/quarantine/case.go
+++ b/internal/quarantine/case.go
@@ -27,7 +27,7 @@
 	LeafExits          int       // leaves that exited during attempts that no leaf answered
 	CrashedAttempts    int       // consecutive attempts with leaf exits
 	UnansweredAttempts int       // consecutive unanswered attempts that reached leaves
-	Variants           int       // narrower fingerprints among the reported requests
+	Variants           int       // number of different narrower fingerprints that were reported
 	Blocked            bool      // attempts are not sent to any leaf
 	Description        string    // description for operators
 	LastReport         time.Time // time of the last report
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -98,9 +98,10 @@
 			before, known := updated[f], wasKnown[scope]
 			narrowerKnown := slices.ContainsFunc(narrowerScopes[scope], func(narrower Scope) bool { return wasKnown[narrower] })
 			if !r.Answered && (r.LeafExits == 0 && (!known || Scope(scope) != Exact) || !known && narrowerKnown) {
-				// A report without leaf exits raises no new suspicion. A request that is
-				// already known by a narrower fingerprint raises none against the other
-				// requests of a wider scope.
+				// An unanswered attempt without leaf exits starts no case; it only updates
+				// that of the exact fingerprint. If a narrower fingerprint already has a case,
+				// none is started for the wider scope, since that would restrict the other
+				// requests of that scope.
 				continue
 			}
 			last, seen := l.lastReport[f]
--- a/internal/quarantine/registry.go
+++ b/internal/quarantine/registry.go
@@ -49,7 +49,7 @@
 	Report(ctx context.Context, reports []*Report) error
 	// Try asks for permission to try a suspected request.
 	Try(ctx context.Context, f Fingerprint) (Grant, error)
-	// Release returns the permission after a trial that did not reach a leaf.
+	// Release gives the permission back after a trial that did not reach a leaf.
 	Release(ctx context.Context, f Fingerprint) error
 }
 
@@ -218,7 +218,7 @@
 	}
 }
 
-// Release returns the permission for a trial that did not reach a leaf.
+// Release gives back the permission for a trial that did not reach a leaf.
 func (g *Registry) Release(f Fingerprint) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), reportRetryInterval)
--- a/internal/query/call.go
+++ b/internal/query/call.go
@@ -148,9 +148,9 @@
 }
 
 // tryNextHome asks another home after one refused or failed. A refusal proves that nothing
-// was sent to a leaf, so the retry is free of the retry budget and allowed for every
-// request. A home that failed may have sent the request, and asking another could run it
-// twice: only repeatable requests are retried then, within the budget.
+// was sent to a leaf, so the retry does not use the retry budget and is allowed for
+// every request. A home that failed may have sent the request, and asking another could run
+// it twice: only repeatable requests are retried then, within the budget.
 func (c *call) tryNextHome(ctx context.Context, res callResult) bool {
 	if ctx.Err() != nil || c.sent >= len(c.homes) {
 		return false
--- a/internal/query/fill.go
+++ b/internal/query/fill.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// mergeAnswer replaces the outcome in p of the shards that the second home was asked for by
-// that in other.
+// mergeAnswer merges other, the answer of the second home, into p. For the shards that the
+// second home was asked for, the outcome in other replaces that in p.
 func (c *call) mergeAnswer(p, other *partialAnswer) {
 	asked := make(map[uint32]bool, len(c.q.shards))
 	for _, s := range c.q.shards {
--- a/internal/query/gather.go
+++ b/internal/query/gather.go
@@ -74,8 +74,8 @@
 	b.noteRetryAfter(p.retryAfter)
 }
 
-// addRefusal counts the shards of a leaf group that refused as missing. If their number is
-// unknown, the group counts as one shard.
+// addRefusal counts the shards of a leaf group as missing, after the group refused. If their
+// number is unknown, the group counts as one shard.
 func (b *answerBuilder) addRefusal(service string, p *partialAnswer) {
 	c := &b.answer.Coverage
 	b.noteRetryAfter(p.retryAfter)
--- a/internal/query/scatter/borrow.go
+++ b/internal/query/scatter/borrow.go
@@ -17,9 +17,9 @@
 	maxBorrowPauseSteps  = 8                    // longest pause, as a multiple of borrowPauseStep
 )
 
-// borrowBackoff limits requests to other homes that would be refused: each consecutive
-// refusal lengthens the pause until the next one. Under overload no home has a free permit,
-// and every shard would make a call in vain.
+// borrowBackoff limits how often other homes are asked in vain: each consecutive refusal
+// lengthens the pause before another home is asked again. Under overload no home has a free
+// permit, and every shard would make a call in vain.
 type borrowBackoff struct {
 	notBefore atomic.Int64 // vm.Instant
 	refusals  atomic.Int32 // consecutive refusals
--- a/internal/query/scatter/shard.go
+++ b/internal/query/scatter/shard.go
@@ -155,8 +155,9 @@
 	return ShardResult{Reason: reason, Verdict: v}
 }
 
-// start sends the first attempt, or a further one after all have failed: with a free permit
-// here, else with one of another home, else after a wait in the queue.
+// start sends the first attempt, or the next one after all earlier attempts have failed. It
+// uses a free permit of this home. If there is none, it asks another home to send, and
+// otherwise waits in the queue.
 func (s *shardRun) start() *contract.Error {
 	ranked := s.g.rank(s.rankBuf[:0], s.replicas, s.tried, int(s.g.rotation.Add(1)))
 	if len(ranked) == 0 {
--- a/internal/quorum/election.go
+++ b/internal/quorum/election.go
@@ -70,8 +70,8 @@
 func (m *Machine) hasVoteQuorum() bool { return len(m.votes) >= quorumSize(m.conf()) }
 
 // inLeaderLease reports whether this member leads or received a message from a
-// leader within ElectionTicks. It grants no vote during that time, on which
-// QuorumActive relies. A higher term does not end the lease, because the leader
+// leader within ElectionTicks. A member grants no vote during that time, and
+// QuorumActive relies on that. A higher term does not end the lease, because the leader
 // may not have seen that term.
 func (m *Machine) inLeaderLease() bool {
 	return m.role == Leader || m.tick-m.leaderContactTick < m.cfg.ElectionTicks
@@ -109,7 +109,7 @@
 // the log binds the disks, two disks may use the same id.
 func (m *Machine) onVote(msg *Message) {
 	if msg.Term >= m.hardState.Term && m.inLeaderLease() && !msg.Transfer {
-		return // also if the term is already known: see inLeaderLease
+		return // even if msg.Term is the current term: see inLeaderLease
 	}
 	if msg.Term > m.hardState.Term {
 		m.becomeFollower(msg.Term, 0)
--- a/internal/relay/heartbeat.go
+++ b/internal/relay/heartbeat.go
@@ -44,9 +44,9 @@
 }
 
 // SenderHeartbeat returns the sender's own heartbeat among those that Expand returned.
-// It is the first short one, or the first of all if there is no short one, as a sender
-// whose own heartbeat is in full sends the others in full, too. It returns nil if
-// there is no heartbeat or a short one was unknown.
+// It is the first short one. If there is no short one, it is the first of all, because
+// a sender that sends its own heartbeat in full sends all others in full as well. The
+// result is nil if there is no heartbeat or a short one was unknown.
 func SenderHeartbeat(req *wire.SyncRequest, hbs []*wire.Heartbeat) *wire.Heartbeat {
 	short := len(hbs) - len(req.GetHeartbeats())
 	switch {
--- a/internal/route/tree.go
+++ b/internal/route/tree.go
@@ -88,8 +88,8 @@
 	return out
 }()
 
-// nodeValues holds the settings of one node, by name, in canonical form. An empty
-// text is not set.
+// nodeValues holds the settings of one node, by name, in canonical form. A setting
+// whose text is empty is left out.
 type nodeValues map[string]string
 
 func (n nodeValues) setText(name, value string) {
--- a/internal/settings/prop_test.go
+++ b/internal/settings/prop_test.go
@@ -13,7 +13,7 @@
 
 var testPaths = []string{"/", "r", "r/d1", "r/d1/a", "r/d1/b", "r/d2", "r/d2/c", "q"}
 
-// drawValue draws the text of a value for a setting; most values are valid by themselves.
+// drawValue draws the text of a value for a setting. Most of the texts are valid for its kind.
 func drawValue(t *rapid.T, path string, s *Setting) string {
 	switch s.Kind {
 	case Duration:
--- a/internal/standin/behavior.go
+++ b/internal/standin/behavior.go
@@ -13,9 +13,9 @@
 // Behavior configures how a leaf behaves. It can be changed while the leaf runs.
 // Shares are fractions of requests from 0 to 1.
 type Behavior struct {
-	Slots       int      `json:"slots"`        // maximum of requests that run at once
-	Queue       int      `json:"queue"`        // maximum of requests that wait for a slot; more are refused
-	Connections int      `json:"connections"`  // maximum of open connections; 0: unlimited
+	Slots       int      `json:"slots"`        // maximum number of requests that run at once
+	Queue       int      `json:"queue"`        // maximum number of requests that wait for a slot; more are refused
+	Connections int      `json:"connections"`  // maximum number of open connections; 0: unlimited
 	ConnectCost Duration `json:"connect_cost"` // time from accept until the first byte is read
 
 	Latency         Duration `json:"latency"`          // median processing time
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -19,7 +19,7 @@
 type connCount struct {
 	mu      sync.Mutex
 	open    int
-	peak    int // maximum of open connections, including the one being refused
+	peak    int // highest number of open connections so far, including one that was then refused
 	opened  uint64
 	refused uint64
 }
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -21,7 +21,7 @@
 	queueLimit int
 	running    int
 	waiting    list.List // of chan struct{}, closed when the waiter gets a slot
-	peak       int       // maximum of running plus waiting since the last reset
+	peak       int       // highest number of running plus waiting requests since the last reset
 	windowPeak int       // the same since the last takeWindowPeak
 	refusals   uint64
 }
--- a/internal/standin/status.go
+++ b/internal/standin/status.go
@@ -57,7 +57,7 @@
 	Services           []string `json:"services"`
 	Addr               string   `json:"addr"`
 	Slots              int      `json:"slots"`
-	Connections        int      `json:"connections"` // maximum of open connections
+	Connections        int      `json:"connections"` // maximum number of open connections
 	InFlight           int      `json:"in_flight"`
 	PeakInFlight       int      `json:"most_in_flight"`   // peak of running plus queued requests
 	WindowInFlight     int      `json:"window_in_flight"` // peak since the window was last read
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -84,8 +84,8 @@
 	<-done
 }
 
-// forwardData copies from src to dst until either connection is closed. answers is set for the
-// direction from the target back.
+// forwardData copies from src to dst until either connection is closed. answers is true if src
+// is the target, so that the data are answers.
 func (p *proxy) forwardData(dst, src net.Conn, answers bool) {
 	buf := make([]byte, proxyBufferSize)
 	for {
--- a/test/race_test.go
+++ b/test/race_test.go
@@ -96,7 +96,7 @@
 				Edits: []*wire.Edit{{Path: deskPath, Name: "hedge-after", Value: "111ms"}},
 			})
 			if err != nil || reply.Redirect != "" {
-				return err == nil && reply.Redirect != p.peerAddr // the leader that it names is asked by the loop too
+				return err == nil && reply.Redirect != p.peerAddr // checkResend also asks the leader to which p redirects
 			}
 			if reply.Outcome != wire.Outcome_ACCEPTED || reply.Version != base+1 || !reply.Resend {
 				t.Errorf("%s: outcome %v, version %d, resend %v; want the first outcome, version %d", p.name, reply.Outcome, reply.Version, reply.Resend, base+1)
