--- a/internal/entryvm/drain.go
+++ b/internal/entryvm/drain.go
@@ -31,7 +31,7 @@
 	start := time.Now()
 	v.draining.Store(true)
 	v.client.SetPhase(vm.Draining)
-	klog.Infof("entry: %s is draining", v.conf.Name)
+	klog.Infof("entry: %s drains", v.conf.Name)
 	time.Sleep(time.Duration(acceptFraction * float64(v.conf.GracePeriod)))
 	deadline := start.Add(time.Duration(finishFraction * float64(v.conf.GracePeriod)))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
