--- a/internal/relay/leader_test.go
+++ b/internal/relay/leader_test.go
@@ -24,7 +24,7 @@
 	mu        sync.Mutex
 	state     State
 	runs      map[runID]*reportedRun
-	electedAt vm.Instant // a run without a heartbeat since the election counts as heard at this time
+	electedAt vm.Instant // a run without a heartbeat since the election counts as heard from at this time
 	quorum    bool
 }
 
